--- /dev/null
+++ b/tests/golden/messages.py
@@ -0,0 +1,104 @@
+"""One message of each kind and tag of the two datagram protocols, with fixed keys and counts."""
+
+from __future__ import annotations
+
+from msgspec import Raw
+
+from ironmill.distribution import wire as distribution
+from ironmill.distribution.revision import Position, Refusal
+from ironmill.membership import wire as membership
+from ironmill.membership.envelope import Card, Envelope
+
+KEY, OLDER_KEY = bytes(range(32)), bytes(range(100, 116))
+CLUSTER = "pos-east"
+SENDER = Card("n1", "10.0.0.4", 7946, "a", "east", 1764700000123)
+OTHER = Card("n2", "10.0.0.5", 7946, "b", "east", 1764700000456)
+
+FACTS = {
+    "joined": membership.Fact(SENDER, 0),
+    "out": membership.Fact(OTHER, 3),
+    "left": membership.Fact(OTHER, 4, True),
+}
+OPINIONS = {
+    "accuses": membership.Opinion("n1", "n2", 1764700000456, 0, 17, membership.ACCUSES),
+    "nothing": membership.Opinion("n1", "n2", 1764700000456, 0, 18, membership.NOTHING),
+    "vouches": membership.Opinion("n1", "n2", 1764700000456, 1, 19, membership.VOUCHES),
+}
+RUMOURS = [Raw(membership.pack(one)) for one in (*FACTS.values(), *OPINIONS.values())]
+
+MEMBERSHIP: dict[str, membership.Message] = {
+    "ping": membership.Ping(7, 4_000_000_001, 0x1234567890ABCD, RUMOURS),
+    "ping without rumours": membership.Ping(8, 0, 0, []),
+    "ack": membership.Ack(7, 77, 0x1234567890ABCD, RUMOURS[:1]),
+    "ack passed on": membership.Ack(9, 0, 5, [], "n3"),
+    "seek": membership.Seek(10, 3, "n3"),
+    "want": membership.Want(11, 12, "n1"),
+    "page": membership.Page(12, list(FACTS.values()), False),
+    "last page": membership.Page(12, [], True),
+}
+
+_HELD, _TARGET = Position(3, 17), Position(4, 300)
+_SUMMARY = distribution.Summary(
+    False,
+    [distribution.Tally("a", 40, _HELD, 1, 2, 3), distribution.Tally("b", 41, _TARGET, 0, 0, 0)],
+    [
+        distribution.Laggard("n2", "b", _HELD, distribution.BEHIND),
+        distribution.Laggard("n3", "b", _HELD, distribution.REFUSED, "log.level", "no such level"),
+        distribution.Laggard("n4", "b", _HELD, distribution.UNREACHABLE),
+    ],
+    5,
+)
+
+DISTRIBUTION: dict[str, distribution.Message] = {
+    "poll": distribution.Poll(
+        21,
+        22,
+        False,
+        0x1234567,
+        _HELD,
+        _HELD,
+        4,
+        2,
+        ["c1", "c2"],
+        "a",
+        1500,
+        _TARGET,
+        [0, 5],
+        Refusal("log.level", "no such level"),
+        _SUMMARY,
+    ),
+    "first poll": distribution.Poll(
+        0,
+        1,
+        True,
+        0,
+        Position(0, 0),
+        Position(0, 0),
+        0,
+        0,
+        [],
+        "none",
+        distribution.AGE_NEVER,
+        Position(0, 0),
+        [],
+    ),
+    "word": distribution.Word(22, 23, 0x1234567, 4, _TARGET, 20, True, 99, True),
+    "part": distribution.Part(
+        22, 0x1234567, 4, _HELD, _TARGET, 0xFEDCBA9876543210, 1, 3, b"\x03abc\x00\x02x\x01d\x00\x00"
+    ),
+    "ask": distribution.Ask(24, 25, -1, 0),
+    "ask of a level": distribution.Ask(24, 25, 0, 1),
+    "digests": distribution.Digests(
+        25, 0x1234567, _HELD, 0xFEDCBA9876543210, -1, 0, list(range(distribution.sums_wanted(-1)))
+    ),
+    "fetch": distribution.Fetch(26, 27, 1, 2, "abc", 9),
+    "page": distribution.Page(27, 0x1234567, 1, _HELD, 3, True, b"\x03abc\x00\x02x"),
+    "leave": distribution.Leave(28),
+    "moved": distribution.Moved("n2", 1764700000456, 3),
+    "noted": distribution.Noted("n2", 3),
+    "sought": distribution.Sought([distribution.Missed("n2", "b", _HELD, 1764700000456, 3)]),
+}
+
+
+def envelope(message: object, to: str, count: int) -> Envelope[object]:
+    return Envelope(CLUSTER, SENDER.name, SENDER.incarnation, to, count, message)
--- /dev/null
+++ b/tests/test_golden.py
@@ -0,0 +1,465 @@
+"""The wire and stored data stay as recorded: these bytes are decoded, encoded, read and written exactly."""
+
+from __future__ import annotations
+
+import hashlib
+import shutil
+import sqlite3
+from http import HTTPStatus
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from ironmill.config import load
+from ironmill.configuration_calls import ConfigurationCalls, read_position
+from ironmill.distribution import wire as distribution
+from ironmill.distribution.keyspace import Keyspace
+from ironmill.distribution.revision import pack_entry, unpack_entries
+from ironmill.figures import Figures
+from ironmill.identity.keyring import KeyState, parse_ring
+from ironmill.lifecycle import Event, Lifecycle
+from ironmill.membership import wire as membership
+from ironmill.net.revision_store import SqliteStore
+from ironmill.protocol.call import Answer, Call
+from ironmill.protocol.calls import CallSide
+from ironmill.protocol.client import Asked, ClientSide, Left, Malformed, Onward, Opened, SendingEnded, Shown
+from ironmill.protocol.http import ResponseParser
+from ironmill.protocol.request import busy_line, request_fields
+from ironmill.protocol.server import ProbeSide, Refused, Relayed, ServerSide, Up
+from ironmill.routes import Routes
+from ironmill.routing_table import Listed, parse_routing
+from ironmill.staff import Staff
+from stonegap.interface import Outcome, Stage
+from stonegap.settings import Tree
+from tests.golden import messages
+
+GOLDEN = Path(__file__).parent / "golden"
+
+
+def recorded(name: str) -> Any:
+    return msgspec.json.decode((GOLDEN / name).read_bytes())
+
+
+# Datagrams
+
+
+def codecs(newest: bytes = messages.KEY) -> tuple[membership.Codec, distribution.Codec]:
+    keys = [newest, messages.OLDER_KEY]
+    return membership.Codec(messages.CLUSTER, keys), distribution.Codec(messages.CLUSTER, keys)
+
+
+@pytest.mark.parametrize("at", range(len(messages.MEMBERSHIP)))
+def test_membership_datagrams_are_as_recorded(at: int) -> None:
+    kind, message = list(messages.MEMBERSHIP.items())[at]
+    data = bytes.fromhex(recorded("datagrams.json")["membership"][kind])
+    codec, _ = codecs()
+    assert codec.write(messages.SENDER, "n2", 1000 + at, message) == data
+    assert codec.read(data) == messages.envelope(message, "n2", 1000 + at)
+
+
+@pytest.mark.parametrize("at", range(len(messages.DISTRIBUTION)))
+def test_distribution_datagrams_are_as_recorded(at: int) -> None:
+    kind, message = list(messages.DISTRIBUTION.items())[at]
+    data = bytes.fromhex(recorded("datagrams.json")["distribution"][kind])
+    _, codec = codecs()
+    assert codec.write(messages.SENDER, "c1", 2000 + at, message) == data
+    assert codec.read(data) == messages.envelope(message, "c1", 2000 + at)
+
+
+def test_every_recorded_datagram_is_of_a_known_kind() -> None:
+    found = recorded("datagrams.json")
+    assert list(found["membership"]) == list(messages.MEMBERSHIP)
+    assert list(found["distribution"]) == list(messages.DISTRIBUTION)
+    assert len(set(found["membership"].values()) | set(found["distribution"].values())) == 21
+
+
+def test_rumours_are_as_recorded() -> None:
+    rumours = {**messages.FACTS, **messages.OPINIONS}
+    found = recorded("datagrams.json")["rumours"]
+    assert {kind: membership.pack(rumour).hex() for kind, rumour in rumours.items()} == found
+    assert {kind: membership.unpack(msgspec.Raw(bytes.fromhex(data))) for kind, data in found.items()} == (
+        rumours
+    )
+
+
+def test_a_datagram_under_the_older_key_is_read() -> None:
+    data = bytes.fromhex(recorded("datagrams.json")["older key"])
+    codec, _ = codecs()
+    ping = messages.MEMBERSHIP["ping"]
+    assert codec.read(data) == messages.envelope(ping, "n2", 3000)
+    older = membership.Codec(messages.CLUSTER, [messages.OLDER_KEY])
+    assert older.write(messages.SENDER, "n2", 3000, ping) == data
+
+
+def test_words_that_travel_are_as_recorded() -> None:
+    assert (distribution.BEHIND, distribution.REFUSED, distribution.UNREACHABLE) == (
+        "behind",
+        "refused",
+        "unreachable",
+    )
+    assert (membership.ACCUSES, membership.NOTHING, membership.VOUCHES) == (-1, 0, 1)
+
+
+# Entries and digests of the keyspace
+
+CHANGES = {"deny/farm-1": b"1", "log.level": b"debug", "caf\u00e9": b"", "gone": None}
+
+
+def test_packed_entries_are_as_recorded() -> None:
+    data = b"".join(pack_entry(key, value) for key, value in CHANGES.items())
+    assert data.hex() == recorded("datagrams.json")["entries"]
+    assert dict(unpack_entries(data)) == CHANGES
+
+
+def test_the_digest_of_a_keyspace_is_as_recorded() -> None:
+    keyspace = Keyspace()
+    keyspace.apply({key: value for key, value in CHANGES.items() if value is not None})
+    assert f"{keyspace.digest:x}" == recorded("datagrams.json")["keyspace digest"]
+
+
+# The store of revisions
+
+
+@pytest.fixture
+def store_path(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> str:
+    monkeypatch.chdir(tmp_path)  # errors name the path
+    return str(shutil.copy(GOLDEN / "revisions.sqlite3", "revisions.sqlite3"))
+
+
+def test_the_recorded_store_is_read(store_path: str) -> None:
+    found = recorded("revisions.json")
+    store = SqliteStore(store_path)
+    assert store.lineage == found["lineage"]
+    assert (store.epoch, str(store.position)) == (found["epoch"] + 1, found["position"])
+    assert {key: value.decode() for key, value in store.entries()} == found["entries"]
+    history = [
+        {
+            "position": str(entry.position),
+            "at": entry.at,
+            "author": entry.author,
+            "note": entry.note,
+            "changes": {
+                key: None if value is None else value.decode() for key, value in entry.changes.items()
+            },
+        }
+        for entry in store.history(100)
+    ]
+    assert history == found["history"]
+    for ticket, position in found["tickets"].items():
+        assert store.committed(ticket) == read_position(position)
+    for number, changes in found["undo"].items():
+        undone = {
+            key: None if value is None else value.decode() for key, value in store.undo(int(number)).items()
+        }
+        assert undone == changes
+    store.close()
+
+
+def test_the_recorded_store_takes_the_next_revision(store_path: str) -> None:
+    found = recorded("revisions.json")
+    store = SqliteStore(store_path)
+    position = store.commit({"log.level": b"info"}, 1764700100.0, "ann", "", "t9")
+    assert position == (found["epoch"] + 1, read_position(found["position"]).number + 1)
+    assert dict(store.entries())["log.level"] == b"info"
+    store.close()
+
+
+def test_a_new_store_has_the_recorded_form(tmp_path: Path) -> None:
+    path = tmp_path / "new.sqlite3"
+    SqliteStore(str(path)).close()
+
+    def form(file: Path) -> dict[str, Any]:
+        connection = sqlite3.connect(file)
+        tables = connection.execute("SELECT name, sql FROM sqlite_master ORDER BY name").fetchall()
+        pragmas = [
+            connection.execute(f"PRAGMA {name}").fetchone()[0]
+            for name in ("application_id", "user_version", "journal_mode")
+        ]
+        numbers = connection.execute("SELECT name FROM numbers ORDER BY name").fetchall()
+        connection.close()
+        return {"tables": tables, "pragmas": pragmas, "numbers": numbers}
+
+    shutil.copy(GOLDEN / "revisions.sqlite3", tmp_path / "old.sqlite3")
+    assert form(path) == form(tmp_path / "old.sqlite3")
+
+
+def test_the_recorded_store_is_itself() -> None:
+    # Guards the file against being written by a test that forgot to copy it.
+    data = (GOLDEN / "revisions.sqlite3").read_bytes()
+    assert hashlib.sha256(data).hexdigest() == recorded("revisions.json")["sha256"]
+
+
+# The key ring
+
+
+def test_the_recorded_key_ring_is_read_and_written() -> None:
+    data = (GOLDEN / "ring.json").read_bytes()
+    ring = parse_ring(data)
+    assert ring.dump() == data
+    assert {key.kid: key.state for key in ring} == {
+        "a": KeyState.SIGNING,
+        "b": KeyState.COMING,
+        "c": KeyState.ACCEPTED,
+        "d": KeyState.RETIRED,
+    }
+    assert {key.kid: key.thumbprint for key in ring} == recorded("thumbprints.json")
+
+
+# The line protocol
+
+OPEN = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59,t=acme,h=0.5,r=1\r\n"
+
+
+def test_what_a_client_sends() -> None:
+    side = ClientSide(may_show=True)
+    events = side.receive(b"PING\r\nAUTH abc.def.ghi\r\n" + OPEN)
+    assert [type(event) for event in events] == [Asked, Shown, Opened]
+    assert isinstance(events[1], Shown) and events[1].token == b"abc.def.ghi"
+    opened = events[2]
+    assert isinstance(opened, Opened)
+    first = opened.first
+    assert (first.raw, first.id, first.key) == (OPEN, "9b1f03aa5c7e2d41", "7f3a9c21e0b4d655")
+    assert first.fields == {
+        "c": "chat",
+        "d": "2000",
+        "g": "5c0f6e1a2b3d4c59",
+        "t": "acme",
+        "h": "0.5",
+        "r": "1",
+    }
+    assert first.with_wait(1234) == OPEN.replace(b"d=2000", b"d=1234")
+    assert request_fields(first) == {
+        "tenant": "acme",
+        "key": 0x7F3A9C21E0B4D655,
+        "group": 0x5C0F6E1A2B3D4C59,
+        "load_hint": 0.5,
+        "returning": True,
+        "rerouted": False,
+    }
+
+
+def test_what_a_client_sends_on_an_established_connection() -> None:
+    side = ClientSide()
+    line = OPEN.replace(b"r=1", b"mid=1")
+    opened = side.receive(line + b"early\r\n")[0]
+    assert isinstance(opened, Opened) and request_fields(opened.first)["rerouted"]
+    assert side.stand() == Onward(b"early\r\n", 1)
+    assert side.receive(b"one\r\ntw") == [Onward(b"one\r\ntw", 1)]
+    assert side.end() == [SendingEnded()]
+
+
+def test_a_client_that_goes_while_it_waits() -> None:
+    side = ClientSide()
+    side.receive(OPEN)
+    assert side.end() == [Left()]
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"OPEN a b\r\n",
+        b"OPEN a b d=1\r\n",
+        b"OPEN a b c=chat,c=chat\r\n",
+        b"OPEN a b c=chat,d=x\r\n",
+        b"open a b c=chat\r\n",
+        b"OPEN a b c=ch\xe9t\r\n",
+        b"AUTH x\r\n",
+        b"x" * 4097,
+    ],
+)
+def test_lines_that_are_malformed(line: bytes) -> None:
+    assert [type(event) for event in ClientSide().receive(line)] == [Malformed]
+
+
+def test_what_a_refused_client_is_told() -> None:
+    assert [busy_line(seconds) for seconds in (0.0, -1.0, 0.0001, 1.5)] == [
+        b"BUSY\r\n",
+        b"BUSY\r\n",
+        b"BUSY 1\r\n",
+        b"BUSY 1500\r\n",
+    ]
+
+
+def test_what_a_server_answers() -> None:
+    for line, outcome in {
+        b"BUSY inflight=7,queue=2,util=0.61": Outcome.FULL,
+        b"ERR": Outcome.ERROR,
+        b"BYE": Outcome.OK,
+        b"MOVE": Outcome.CANCELLED,
+        b"NO": Outcome.ERROR,
+    }.items():
+        side = ServerSide(OPEN)
+        assert side.connected() == OPEN
+        assert side.wrote(len(OPEN)) == b""
+        assert side.receive(line + b"\r\n") == [Refused(outcome, line + b"\r\n")]
+    assert side.report == ()
+
+
+def test_what_a_server_sends_on_an_established_connection() -> None:
+    side = ServerSide(OPEN)
+    side.connected()
+    side.wrote(len(OPEN))
+    assert side.receive(b"UP 17\r\nLOAD 0.5\r\n") == [Up(b"UP 17\r\n", b"LOAD 0.5\r\n")]
+    assert side.receive(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n") == [
+        Relayed(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n", 0, (0.5,))
+    ]
+    assert side.report == (("inflight", 7.0), ("queue", 2.0))
+    assert side.end() is Outcome.OK
+
+
+def test_what_a_probe_asks_and_is_answered() -> None:
+    assert ProbeSide.QUESTION == b"STATS\r\n"
+    assert ProbeSide().receive(b"PONG inflight=7,util=0.61\r\n") == (
+        Outcome.OK,
+        (("inflight", 7.0), ("util", 0.61)),
+    )
+    assert ProbeSide().receive(b"NO\r\n") == (Outcome.ERROR, ())
+
+
+# Discovery
+
+
+def test_discovery_answers() -> None:
+    data = (GOLDEN / "discovery.http").read_bytes()
+    whole, changes = ResponseParser().feed(data)
+    routing = parse_routing(Tree(msgspec.json.decode(whole.body), "", "routing table"))
+    assert (routing.revision, routing.full) == (41, True)
+    assert routing.listed == (
+        Listed("s-5be2a07c", "10.1.0.18", 3000, Stage.READY, "a", 3, 1.0, 0.0),
+        Listed("s-6be2a07c", "10.1.0.19", 3001, Stage.DRAINING, "b", 0, 0.5, 1764700000.5),
+    )
+    routing = parse_routing(Tree(msgspec.json.decode(changes.body), "", "routing table"))
+    assert (routing.revision, routing.full) == (43, False)
+    assert routing.listed == (Listed("s-5be2a07c", "10.1.0.18", 3000, Stage.GONE, "", 0, 1.0, 0.0),)
+
+
+# The configuration
+
+
+def test_the_configuration_is_read() -> None:
+    config = load({}, str(GOLDEN / "config.json"))
+    assert (config.name, config.listen, config.discovery) == (
+        "n3",
+        ("127.0.0.4", 3000),
+        ("127.0.1.1", 8500),
+    )
+    assert (config.seed, config.sockets, config.control) == (0x8C1F30D27A5BE964, 4096, ("127.0.0.4", 3100))
+    assert config.known.listed[0].uid == "s-5be2a07c"
+    assert config.wait_limits == {"chat": 4.0, "sync": 10.0}
+    assert (config.connect_timeout, config.drain_grace, config.packets_pass) == (0.75, 0.25, True)
+
+
+# The admin API
+
+
+class Observed:
+    """A proxy whose figures are fixed."""
+
+    def __init__(self) -> None:
+        self.lifecycle = Lifecycle()
+        self.figures = Figures(["chat"])
+        for end in ("passed", "dropped", "failed", "abandoned"):
+            getattr(self.figures.take("chat"), end)()
+        count = self.figures.take("sync")
+        count.tried()
+
+    def known_servers(self) -> int:
+        return 3
+
+    def skipped_servers(self) -> int:
+        return 1
+
+
+def call(routes: Routes, request: bytes) -> bytes:
+    side = CallSide(routes.detailed)
+    call = side.receive(request)
+    assert call is not None
+    return side.answer(routes.answer(call) if isinstance(call, Call) else call)
+
+
+def request(method: str, path: str, body: bytes = b"") -> bytes:
+    return f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
+
+
+def test_the_calls_of_a_proxy() -> None:
+    observed = Observed()
+    staff = Staff(observed)
+    answers = []
+    for step in (
+        ("GET", "/admin/health"),
+        Event.OPENED,
+        ("GET", "/admin/health"),
+        ("GET", "/admin/stats"),
+        ("POST", "/admin/quiesce"),
+        ("GET", "/admin/health"),
+        Event.HEARD,
+        ("GET", "/admin/health"),
+        ("POST", "/admin/resume"),
+        ("GET", "/admin/resume"),
+        ("GET", "/admin/nothing"),
+        Event.END,
+        ("POST", "/admin/resume"),
+        Event.SETTLE,
+        ("GET", "/admin/health"),
+    ):
+        if isinstance(step, Event):
+            observed.lifecycle.tell(step)
+        else:
+            answers.append([*step, call(staff, request(*step)).decode()])
+    assert answers == recorded("admin.json")["proxy"]
+
+
+def test_the_states_of_a_process() -> None:
+    found = []
+    for steps in (
+        (Event.QUIESCE, Event.OPENED, Event.RESUME),
+        (Event.QUIESCE, Event.RESUME, Event.END),
+        (Event.OPENED, Event.QUIESCE, Event.HEARD, Event.END),
+    ):
+        lifecycle = Lifecycle()
+        states = [lifecycle.state.value]
+        for step in steps:
+            lifecycle.tell(step)
+            states.append(lifecycle.state.value)
+        found.append(states)
+    assert found == recorded("admin.json")["states"]
+
+
+class Reader:
+    """A process of the distribution whose status is fixed."""
+
+    def status(self, now: float) -> dict[str, Any]:
+        return {"role": "origin", "head": "4.300"}
+
+
+def test_the_calls_on_configuration(store_path: str) -> None:
+    store = SqliteStore(store_path)
+
+    class Writer:
+        """An origin that keeps what it is given and asks no consumer."""
+
+        def push(self, changes, at, author, note, ticket, now, expect=None):  # type: ignore[no-untyped-def]
+            return store.commit(changes, at, author, note, ticket)
+
+        undo, history = store.undo, store.history
+
+    answers = []
+    for calls in (
+        ConfigurationCalls(Reader(), None, ["c1", "c2"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+        ConfigurationCalls(Reader(), Writer(), ["c1"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+    ):
+        routes = Routes()
+        calls.add_to(routes)
+        for method, path, body in recorded("admin.json")["configuration calls"]:
+            data = call(routes, request(method, path, body.encode()))
+            answers.append([method, path, data.decode()])
+    store.close()
+    assert answers == recorded("admin.json")["configuration"]
+
+
+def test_a_call_that_is_too_large() -> None:
+    side = CallSide(["/x"])
+    answer = side.receive(request("POST", "/x", b"x" * 65537))
+    assert isinstance(answer, Answer) and answer.status is HTTPStatus.REQUEST_ENTITY_TOO_LARGE
