--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -13,4 +13,4 @@
 fi
 # Where nothing may be written at the start, sources are compiled anew each time, a third of it. By hash: the
 # times of files change when a tree is copied.
-.venv/bin/python -m compileall -q --invalidation-mode checked-hash ironmill stonegap
+.venv/bin/python -m compileall -q --invalidation-mode checked-hash ironmill
--- a/stonegap/balance.py
+++ b/ironmill/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer. Interface (settings, events, actions): ``stonegap/interface.py``.
+"""Every decision of the balancer. Interface (settings, events, actions): ``ironmill/balancing/interface.py``.
 
 A proxy hands each event to its ``Balancer`` with the time, and carries out the actions it gets
 back. The ordinary path is the self-learning threshold rule of Goldsztajn, Borst and van Leeuwaarden:
@@ -18,7 +18,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from stonegap.health import (
+from ironmill.balancing.group_order import preference
+from ironmill.balancing.health import (
     LOAD_OF_OUTCOME,
     LOAD_OF_SLOWNESS,
     OUT_AFTER,
@@ -28,7 +29,7 @@
     Breaker,
     Health,
 )
-from stonegap.interface import (
+from ironmill.balancing.interface import (
     Abandoned,
     Action,
     Carried,
@@ -59,7 +60,7 @@
     Succession,
     TimerFired,
 )
-from stonegap.load_shedding import (
+from ironmill.balancing.load_shedding import (
     SHARE_SLACK,
     SHED_ABOVE,
     SHED_ABOVE_REPORTED,
@@ -70,10 +71,9 @@
     SHED_MEAN,
     Gate,
 )
-from stonegap.preference import preference
-from stonegap.slow_start import FULLEST, SlowStartBudget
-from stonegap.subscription import Subscription
-from stonegap.token_table import TokenTable
+from ironmill.balancing.slow_start import FULLEST, SlowStartBudget
+from ironmill.balancing.subscription import Subscription
+from ironmill.balancing.token_table import TokenTable
 
 # --- tunables ------------------------------------------------------------------------------------
 
--- a/stonegap/health.py
+++ b/ironmill/balancing/health.py
@@ -5,7 +5,7 @@
 import math
 import random
 
-from stonegap.interface import Outcome
+from ironmill.balancing.interface import Outcome
 
 # Health: what a symptom adds to a backend's count, how high all of them together may go, and how
 # fast they fade. Longer memory keeps more crowd off a bad backend, and off a mended one too.
--- a/stonegap/settings.py
+++ b/ironmill/balancing/settings.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from stonegap.interface import Effect, Prices, RequestClass, Scope, Settings, Tenant
+from ironmill.balancing.interface import Effect, Prices, RequestClass, Scope, Settings, Tenant
 
 T = TypeVar("T")
 
-log = logging.getLogger("stonegap.settings")
+log = logging.getLogger("ironmill.balancing.settings")
 
 EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
--- a/stonegap/slow_start.py
+++ b/ironmill/balancing/slow_start.py
@@ -5,8 +5,8 @@
 import math
 import random
 
-from stonegap.health import Backend
-from stonegap.interface import Settings
+from ironmill.balancing.health import Backend
+from ironmill.balancing.interface import Settings
 
 # Cold start: the part of the rule's budget N that all proxies together grant in one window. A span as long as
 # a window holds the end of one and the begin of the next at each proxy: 2 x 0.4 N on average at the most, if
--- a/stonegap/subscription.py
+++ b/ironmill/balancing/subscription.py
@@ -4,7 +4,7 @@
 
 import random
 
-from stonegap.interface import Action, SetTimer, Settings
+from ironmill.balancing.interface import Action, SetTimer, Settings
 
 # Discovery by asking: spread of the first calls and the backoff after failures, seconds.
 ASK_SPREAD = 4.0
--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -67,13 +67,13 @@
 from typing import TYPE_CHECKING, Any
 
 from ironmill import __version__, logs
+from ironmill.balancing.settings import MalformedError
 from ironmill.config import Config, load
 from ironmill.net.proxy import Proxy
 from ironmill.net.signals import Signals
 from ironmill.scheduler import POLLERS
 from ironmill.system_calls import retry_at_start
 from ironmill.units import duration
-from stonegap.settings import MalformedError
 
 if TYPE_CHECKING:
     from ironmill.operator import Operator
--- a/ironmill/config.py
+++ b/ironmill/config.py
@@ -6,10 +6,10 @@
 
 from msgspec import Struct, structs
 
+from ironmill.balancing.interface import Settings
+from ironmill.balancing.settings import MalformedError, Tree, from_json, settings_from
 from ironmill.routing_table import Routing, parse_routing
 from ironmill.system_calls import TRANSIENT_AT_START, TransientError
-from stonegap.interface import Settings
-from stonegap.settings import MalformedError, Tree, from_json, settings_from
 
 Address = tuple[str, int]
 
--- a/ironmill/gateway.py
+++ b/ironmill/gateway.py
@@ -17,15 +17,8 @@
 
 from msgspec import Struct
 
-from ironmill.config import Config
-from ironmill.delay import DelayMeter
-from ironmill.figures import Count, Figures
-from ironmill.lifecycle import Lifecycle, State
-from ironmill.routing_table import Routing, RoutingTable, Server
-from ironmill.scheduler import Timers
-from ironmill.timers import Timer
-from stonegap.balance import Balancer
-from stonegap.interface import (
+from ironmill.balancing.balancer import Balancer
+from ironmill.balancing.interface import (
     Abandoned,
     Action,
     Carried,
@@ -48,6 +41,13 @@
     Succession,
     TimerFired,
 )
+from ironmill.config import Config
+from ironmill.delay import DelayMeter
+from ironmill.figures import Count, Figures
+from ironmill.lifecycle import Lifecycle, State
+from ironmill.routing_table import Routing, RoutingTable, Server
+from ironmill.scheduler import Timers
+from ironmill.timers import Timer
 
 # The final answer is due this long before the client stops waiting, so that it still gets there.
 ANSWER_LEAD = 0.01
--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -15,6 +15,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ironmill.admission import Admission, Ticket
+from ironmill.balancing.interface import Outcome
 from ironmill.config import Config
 from ironmill.figures import Count
 from ironmill.gateway import Attempt, ClientRequest, Gateway
@@ -39,7 +40,6 @@
 from ironmill.protocol.request import busy_line, request_fields
 from ironmill.protocol.server import Relayed
 from ironmill.scheduler import Scheduler, Task
-from stonegap.interface import Outcome
 
 if TYPE_CHECKING:
     from ironmill.callers import Callers
--- a/ironmill/net/keywatch.py
+++ b/ironmill/net/keywatch.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from ironmill.balancing.settings import MalformedError
 from ironmill.identity.keyring import KeyRing
 from ironmill.logs import EventLog
 from ironmill.operator import read_ring
 from ironmill.scheduler import Timers
-from stonegap.settings import MalformedError
 
 LOOK = 0.25  # seconds between two looks at the file
 
--- a/ironmill/net/probe.py
+++ b/ironmill/net/probe.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from functools import partial
 
+from ironmill.balancing.interface import Outcome
 from ironmill.net.server import Dial
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.server import ProbeSide, Report
 from ironmill.routing_table import Server
 from ironmill.scheduler import Scheduler
 from ironmill.system_calls import EXHAUSTED
-from stonegap.interface import Outcome
 
 ANSWER_WAIT = 0.5
 # Connections kept for probes. Guards the descriptors, of which ``admission.OWN`` sets so many aside: one to
--- a/ironmill/operator.py
+++ b/ironmill/operator.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from ironmill.balancing.settings import MalformedError
 from ironmill.identity.keyring import KeyRing, RingError, parse_ring
 from ironmill.identity.rules import Identity
 from ironmill.settings.model import OperatorSettings, SettingsError
-from stonegap.settings import MalformedError
 
 if TYPE_CHECKING:
     import ssl
--- a/ironmill/protocol/server.py
+++ b/ironmill/protocol/server.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
+from ironmill.balancing.interface import Outcome
 from ironmill.protocol.lines import END, Lines, LineTooLongError
-from stonegap.interface import Outcome
 
 Report = tuple[tuple[str, float], ...]
 
--- a/ironmill/routing_table.py
+++ b/ironmill/routing_table.py
@@ -7,9 +7,9 @@
 
 from msgspec import Struct
 
+from ironmill.balancing.interface import Entry, ListChanged, ListKind, Stage
+from ironmill.balancing.settings import MalformedError, Tree
 from ironmill.start_times import StartTimes
-from stonegap.interface import Entry, ListChanged, ListKind, Stage
-from stonegap.settings import MalformedError, Tree
 
 STAGES = {"up": Stage.READY, "draining": Stage.DRAINING, "removed": Stage.GONE}
 
--- /dev/null
+++ b/ironmill/simulator/__main__.py
@@ -0,0 +1,7 @@
+"""``python -m ironmill.simulator``: answers the simulator on standard input and output."""
+
+import sys
+
+from ironmill.simulator.host import main
+
+sys.exit(main())
--- a/stonegap/wirehost.py
+++ b/ironmill/simulator/host.py
@@ -1,6 +1,6 @@
 """The adapter between the operators' text wire and the decision module. It decides nothing.
 
-``python -m stonegap.wirehost`` reads batches of events on standard input and answers each with the
+``python -m ironmill.simulator`` reads batches of events on standard input and answers each with the
 actions of the relays concerned. Every relay has a ``Balancer`` of its own; they share only the
 parsed lists of backends, which are immutable.
 """
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Sequence
 from typing import IO, Any
 
-from stonegap.balance import Balancer
-from stonegap.interface import (
+from ironmill.balancing.balancer import Balancer
+from ironmill.balancing.interface import (
     Abandoned,
     Action,
     Carried,
@@ -37,7 +37,7 @@
     Subscribe,
     TimerFired,
 )
-from stonegap.settings import MalformedError, parse_settings
+from ironmill.balancing.settings import MalformedError, parse_settings
 
 Fields = dict[str, str]
 
@@ -325,13 +325,9 @@
     try:
         serve(streams.stdin, streams.stdout)
     except MalformedError as error:
-        print(f"stonegap.wirehost: {error}", file=streams.stderr)
+        print(f"ironmill.simulator: {error}", file=streams.stderr)
         return 1
     except UnicodeDecodeError as error:
-        print(f"stonegap.wirehost: the input is not UTF-8 ({error.reason})", file=streams.stderr)
+        print(f"ironmill.simulator: the input is not UTF-8 ({error.reason})", file=streams.stderr)
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/ironmill_lab/capacity/sweep_table.py
+++ b/ironmill_lab/capacity/sweep_table.py
@@ -19,6 +19,9 @@
 from contextlib import contextmanager
 from pathlib import Path
 
+from ironmill.balancing import Balancer
+from ironmill.balancing.interface import Ended, Established, Outcome, Request, Send
+from ironmill.balancing.settings import Tree, from_json, parse_settings
 from ironmill.garbage import MIDDLE, NEVER, YOUNG
 from ironmill.operator import read_operator
 from ironmill.routing_table import Routing, RoutingTable, parse_routing
@@ -26,9 +29,6 @@
 from ironmill_lab.capacity.runs import Runs
 from ironmill_lab.credentials import Issuer
 from ironmill_lab.settings import platform_settings
-from stonegap import Balancer
-from stonegap.interface import Ended, Established, Outcome, Request, Send
-from stonegap.settings import Tree, from_json, parse_settings
 
 ZONES = 11
 BATCHES, BATCHES_QUICK = 9, 5
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,8 +6,8 @@
 
 from msgspec import structs
 
-from stonegap import Balancer
-from stonegap.interface import (
+from ironmill.balancing import Balancer
+from ironmill.balancing.interface import (
     Action,
     Effect,
     Ended,
--- a/tests/test_cold_and_health.py
+++ b/tests/test_cold_and_health.py
@@ -2,9 +2,19 @@
 
 from __future__ import annotations
 
-from stonegap.health import STANDING_HALF_LIFE
-from stonegap.interface import Entry, ListChanged, ListKind, Move, Note, NoteKind, Outcome, Prices, Stage
-from stonegap.slow_start import COLD_SAFETY
+from ironmill.balancing.health import STANDING_HALF_LIFE
+from ironmill.balancing.interface import (
+    Entry,
+    ListChanged,
+    ListKind,
+    Move,
+    Note,
+    NoteKind,
+    Outcome,
+    Prices,
+    Stage,
+)
+from ironmill.balancing.slow_start import COLD_SAFETY
 from tests.helpers import SAFE, Relay, entries, sends
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from stonegap import balance, slow_start
-from stonegap.interface import Entry, ListChanged, ListKind, Outcome, Stage, Succession
+from ironmill.balancing import balancer, slow_start
+from ironmill.balancing.interface import Entry, ListChanged, ListKind, Outcome, Stage, Succession
 from tests.helpers import SETTINGS, Relay, sends
 
 WARM, COLD, SIZE = 4, 50, 4.0
@@ -26,7 +26,7 @@
     """One relay with its first lists; the first tells the size of a backend that holds nothing."""
     relay = Relay(0, seed=seed, relays=relays, live_weights=live)
     relay.now = now
-    relay.balancer = balance.Balancer(relay.settings, seed, now)
+    relay.balancer = balancer.Balancer(relay.settings, seed, now)
     if beside:
         relay.play(Succession(now + 6.0))
     weight = SIZE / (1.0 + HELD / SIZE) if live else 1.0
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,9 +12,9 @@
 from docopt import docopt
 
 from ironmill import __version__, cli
+from ironmill.balancing.settings import MalformedError
 from ironmill.cli import main
 from ironmill.config import load
-from stonegap.settings import MalformedError
 from tests.test_wirehost import SETTINGS
 
 CONFIG: dict[str, Any] = {
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stonegap.interface import ListChanged, ListKind, SetTimer, Subscribe
+from ironmill.balancing.interface import ListChanged, ListKind, SetTimer, Subscribe
 from tests.helpers import Relay, entries
 
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -4,7 +4,7 @@
 
 from msgspec import structs
 
-from stonegap.interface import (
+from ironmill.balancing.interface import (
     Action,
     Carried,
     Entry,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,8 +9,9 @@
 
 from msgspec import structs
 
-from stonegap.health import Backend
-from stonegap.interface import (
+from ironmill.balancing.group_order import preference
+from ironmill.balancing.health import Backend
+from ironmill.balancing.interface import (
     Action,
     Entry,
     ListChanged,
@@ -23,9 +24,8 @@
     Probed,
     Stage,
 )
-from stonegap.preference import preference
-from stonegap.settings import parse_settings
-from stonegap.slow_start import LIFE, SlowStartBudget
+from ironmill.balancing.settings import parse_settings
+from ironmill.balancing.slow_start import LIFE, SlowStartBudget
 from tests.helpers import SETTINGS as BASE
 from tests.helpers import Relay, entries, sends
 from tests.test_wirehost import SETTINGS
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -103,7 +103,7 @@
             seen.update(
                 type(found).__qualname__
                 for found in gc.garbage
-                if type(found).__module__.startswith(("ironmill", "stonegap"))
+                if type(found).__module__.startswith("ironmill")
             )
         finally:
             gc.set_debug(0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,14 +11,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from ironmill.balancing.balancer import Balancer
+from ironmill.balancing.interface import Abandoned, Carried, Ended, Event, ListKind, Outcome, Stage
+from ironmill.balancing.settings import MalformedError, Tree
 from ironmill.config import Config
 from ironmill.delay import SILENT_AFTER, DelayMeter
 from ironmill.gateway import ANSWER_OVERDUE, Attempt, Gateway
 from ironmill.routing_table import Listed, Routing, RoutingTable, parse_routing
 from ironmill.timers import TimerQueue
-from stonegap.balance import Balancer
-from stonegap.interface import Abandoned, Carried, Ended, Event, ListKind, Outcome, Stage
-from stonegap.settings import MalformedError, Tree
 from tests.helpers import SETTINGS
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -12,6 +12,8 @@
 import msgspec
 import pytest
 
+from ironmill.balancing.interface import Outcome, Stage
+from ironmill.balancing.settings import Tree
 from ironmill.config import load
 from ironmill.configuration_calls import ConfigurationCalls, read_position
 from ironmill.distribution import wire as distribution
@@ -31,8 +33,6 @@
 from ironmill.routes import Routes
 from ironmill.routing_table import Listed, parse_routing
 from ironmill.staff import Staff
-from stonegap.interface import Outcome, Stage
-from stonegap.settings import Tree
 from tests.golden import messages
 
 GOLDEN = Path(__file__).parent / "golden"
--- a/tests/test_life_of_a_request.py
+++ b/tests/test_life_of_a_request.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stonegap.interface import (
+from ironmill.balancing.interface import (
     Abandoned,
     Ended,
     Entry,
@@ -145,7 +145,7 @@
 def test_class_that_settings_do_not_name_is_treated_as_unsafe() -> None:
     relay = Relay(6)
     relay.balancer.handle(ListChanged(ListKind.DELTA, (Entry(1, Stage.READY),)), relay.now)
-    from stonegap.interface import Request
+    from ironmill.balancing.interface import Request
 
     relay.play(Request("n1", "new-class", relay.now + 2))
     relay.end(sends(relay.actions)[0], Outcome.ERROR)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,8 +5,8 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from stonegap.balance import ALPHA
-from stonegap.interface import (
+from ironmill.balancing.balancer import ALPHA
+from ironmill.balancing.interface import (
     Abandoned,
     Carried,
     Entry,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,6 +14,7 @@
 
 from ironmill import pace as pace_module
 from ironmill.admission import Admission
+from ironmill.balancing.interface import Stage
 from ironmill.callers import Callers
 from ironmill.delay import DelayMeter
 from ironmill.figures import ClassFigures
@@ -31,7 +32,6 @@
 from ironmill.pace import CallPace
 from ironmill.routing_table import Listed, Routing
 from ironmill.scheduler import READ, Scheduler
-from stonegap.interface import Stage
 from tests.test_gateway import config
 
 OPEN = b"OPEN 1a 2b c=read,d=1500,g=3c\r\n"
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -5,14 +5,9 @@
 import math
 from itertools import pairwise
 
-from ironmill.gateway import Gateway
-from ironmill.net.probe import ProbeDriver
-from ironmill.net.sockets import Stream
-from ironmill.protocol.server import ProbeSide, Report
-from ironmill.routing_table import Server
-from stonegap.balance import GROUP_LESS, PROBE_OVER, REPORT_MEMORY, REPORT_SAME
-from stonegap.health import OUT_AFTER
-from stonegap.interface import (
+from ironmill.balancing.balancer import GROUP_LESS, PROBE_OVER, REPORT_MEMORY, REPORT_SAME
+from ironmill.balancing.health import OUT_AFTER
+from ironmill.balancing.interface import (
     Entry,
     ListChanged,
     ListKind,
@@ -24,7 +19,12 @@
     Stage,
     TimerFired,
 )
-from stonegap.wirehost import PARSERS, format_action
+from ironmill.gateway import Gateway
+from ironmill.net.probe import ProbeDriver
+from ironmill.net.sockets import Stream
+from ironmill.protocol.server import ProbeSide, Report
+from ironmill.routing_table import Server
+from ironmill.simulator.host import PARSERS, format_action
 from tests.helpers import Relay, sends
 from tests.test_gateway import FakeHolder, FakeTimers, config, timers
 from tests.test_net import Town, read_line
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -7,6 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
+from ironmill.balancing.interface import Outcome
 from ironmill.protocol.client import (
     HELD_LIMIT,
     Asked,
@@ -23,7 +24,6 @@
 from ironmill.protocol.lines import LIMIT, Lines, LineTooLongError
 from ironmill.protocol.request import request_fields
 from ironmill.protocol.server import AttemptState, Refused, Relayed, ServerSide, Up, parse_report
-from stonegap.interface import Outcome
 
 FIRST = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59\r\n"
 PIECES = st.lists(st.sampled_from([b"", b"a", b"\r", b"\n", b"\r\n", b"hey\r\n", b"BYE"]), max_size=9)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -9,13 +9,13 @@
 import pytest
 from msgspec import structs
 
+from ironmill.balancing.interface import Stage
 from ironmill.config import Config
 from ironmill.net import proxy as proxy_module
 from ironmill.net.proxy import Proxy
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.routing_table import Listed, Routing
 from ironmill.scheduler import READ
-from stonegap.interface import Stage
 from tests.test_gateway import config
 
 
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -15,6 +15,8 @@
 from msgspec import structs
 
 from ironmill import pace as pace_module
+from ironmill.balancing.balancer import Balancer
+from ironmill.balancing.interface import Carried, Ended, Event, Outcome, Refuse, Request, Scope, TimerFired
 from ironmill.lifecycle import Event as LifecycleEvent
 from ironmill.lifecycle import State
 from ironmill.net import client as client_module
@@ -31,8 +33,6 @@
 from ironmill.net.shutdown import Shutdown
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
 from ironmill.routing_table import Routing
-from stonegap.balance import Balancer
-from stonegap.interface import Carried, Ended, Event, Outcome, Refuse, Request, Scope, TimerFired
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.test_net import ONE, OPEN, Town, answer, pace, read_line
 
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stonegap.interface import Note, NoteKind, Outcome, Probed, Refuse, Tenant
+from ironmill.balancing.interface import Note, NoteKind, Outcome, Probed, Refuse, Tenant
 from tests.helpers import Relay, sends
 
 
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -7,7 +7,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from stonegap.token_table import TokenTable
+from ironmill.balancing.token_table import TokenTable
 
 STEP = st.tuples(st.integers(0, 7), st.integers(-1, 6))  # a count under 0 drops the member
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -16,6 +16,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
+from ironmill.balancing.settings import MalformedError
 from ironmill.callers import Callers
 from ironmill.commands.keys import KeyStore
 from ironmill.identity.keyring import KeyRing
@@ -33,7 +34,6 @@
 from ironmill_lab.fleet import Client, NotServedError, play
 from ironmill_lab.processes import Neighbours, ProxyProcess, free_port
 from ironmill_lab.settings import platform_settings, proxy_config, write_config
-from stonegap.settings import MalformedError
 from tests.test_net import OPEN, Town, read_line
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from stonegap.balance import Balancer
-from stonegap.interface import Effect
-from stonegap.settings import MalformedError, parse_settings
-from stonegap.wirehost import main
+from ironmill.balancing.balancer import Balancer
+from ironmill.balancing.interface import Effect
+from ironmill.balancing.settings import MalformedError, parse_settings
+from ironmill.simulator.host import main
 
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
@@ -227,7 +227,7 @@
         begin = f"BEGIN_BATCH\tsimTimeS={5 + number / 10}\tbatch={number}"
         text += "\n".join([begin, *mine, "EOF_BATCH", ""])
     done = subprocess.run(
-        [sys.executable, "-m", "stonegap.wirehost"],
+        [sys.executable, "-m", "ironmill.simulator"],
         input=text,
         capture_output=True,
         text=True,
