--- a/Makefile
+++ b/Makefile
@@ -7,7 +7,7 @@
 .PHONY: build dev demo lint run test
 
 demo: $(SETUP)
-	$(PYTHON) -m ironmill_lab demo $(ARGS)
+	$(PYTHON) -m ironmill_testbed demo $(ARGS)
 
 test: $(SETUP)
 	$(PYTHON) -m pytest
--- a/ironmill_lab/__main__.py
+++ b/ironmill_testbed/__main__.py
@@ -1,15 +1,15 @@
 """The laboratory of ironmill. All of it stays on loopback and ends by itself.
 
 Usage:
-  ironmill_lab demo [--stay] [--clients=N] [--settings=FILE]
-  ironmill_lab call HOST:PORT [--token=TOKEN] [--class=NAME] [--tls=FILE] [--certificate=PATH]
-  ironmill_lab certificates DIR
-  ironmill_lab measure NAME [--quick] [--poller=NAME] [--program=DIR]
-  ironmill_lab capacity [--check] [--plots]
-  ironmill_lab emulate [--hosts=N]
-  ironmill_lab hollow --settings=FILE [--first=N] [--proxies=N]
-  ironmill_lab floor KIND --target=HOST:PORT
-  ironmill_lab (-h | --help)
+  ironmill_testbed demo [--stay] [--clients=N] [--settings=FILE]
+  ironmill_testbed call HOST:PORT [--token=TOKEN] [--class=NAME] [--tls=FILE] [--certificate=PATH]
+  ironmill_testbed certificates DIR
+  ironmill_testbed measure NAME [--quick] [--poller=NAME] [--program=DIR]
+  ironmill_testbed capacity [--check] [--plots]
+  ironmill_testbed emulate [--hosts=N]
+  ironmill_testbed hollow --settings=FILE [--first=N] [--proxies=N]
+  ironmill_testbed floor KIND --target=HOST:PORT
+  ironmill_testbed (-h | --help)
 
 Options:
   --stay         Keep the demonstration up until it is interrupted.
@@ -50,24 +50,24 @@
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(128 + signal.SIGTERM))
     # Imported where used: the emulated neighbours need not carry what the measurements do.
     if words["emulate"]:
-        from ironmill_lab import emulate
+        from ironmill_testbed import emulate
 
         return emulate.run(int(words["--hosts"]))
     if words["hollow"]:
-        from ironmill_lab.faults import hollow
+        from ironmill_testbed.faults import hollow
 
         return hollow.run(words["--settings"], int(words["--first"]), int(words["--proxies"]))
     if words["floor"]:
-        from ironmill_lab import floors
+        from ironmill_testbed import floors
 
         return floors.run(words["KIND"], words["--target"])
     if words["demo"]:
-        from ironmill_lab import demo
+        from ironmill_testbed import demo
 
         settings = Path(words["--settings"]).resolve() if words["--settings"] else None
         return demo.run(int(words["--clients"]), words["--stay"], settings)
     if words["call"]:
-        from ironmill_lab import call
+        from ironmill_testbed import call
 
         return call.run(
             words["HOST:PORT"],
@@ -77,14 +77,14 @@
             words["--certificate"] or "",
         )
     if words["certificates"]:
-        from ironmill_lab import certificates
+        from ironmill_testbed import certificates
 
         return certificates.write_all(Path(words["DIR"]))
     if words["capacity"]:
-        from ironmill_lab.capacity import page
+        from ironmill_testbed.capacity import page
 
         return page.run(words["--check"], words["--plots"])
-    from ironmill_lab import measure
+    from ironmill_testbed import measure
 
     program = Path(words["--program"]).resolve() if words["--program"] else None
     return measure.run(words["NAME"], words["--quick"], words["--poller"], program)
--- a/ironmill_lab/capacity/data.py
+++ b/ironmill_testbed/capacity/data.py
@@ -1,7 +1,8 @@
 """The data behind ``docs/CAPACITY.md``: sweeps with their fits, and what the stories cost.
 
-``docs/capacity/measured.json`` is written by ``python -m ironmill_lab measure scale`` and read by the page's
-formulas. Only points are stored; fits are worked out from them each time, so that the two cannot differ.
+``docs/capacity/measured.json`` is written by ``python -m ironmill_testbed measure scale`` and read by
+the page's formulas. Only points are stored; fits are worked out from them each time, so that the two
+cannot differ.
 """
 
 from __future__ import annotations
--- a/ironmill_lab/capacity/figure.py
+++ b/ironmill_testbed/capacity/figure.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from ironmill_lab.capacity.data import Sign
+from ironmill_testbed.capacity.data import Sign
 
 NOT_RUN = "not run"
 UNKNOWN = "-"  # has no place here
--- a/ironmill_lab/capacity/formulas.py
+++ b/ironmill_testbed/capacity/formulas.py
@@ -10,9 +10,9 @@
 
 from msgspec import Struct
 
-from ironmill_lab.capacity.data import Fit, Measured, Shape, Sign, Sweep
-from ironmill_lab.capacity.figure import Figure
-from ironmill_lab.capacity.plan import Assumption, Plan
+from ironmill_testbed.capacity.data import Fit, Measured, Shape, Sign, Sweep
+from ironmill_testbed.capacity.figure import Figure
+from ironmill_testbed.capacity.plan import Assumption, Plan
 
 DAY = 86400.0
 HOUR = 3600.0
--- a/ironmill_lab/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -24,11 +24,11 @@
 
 from ironmill.commands.config import ConfigError, to_position
 from ironmill.distribution.revision import START, Position
-from ironmill_lab.faults.checker import Seen
-from ironmill_lab.faults.hollow import TWINS
-from ironmill_lab.faults.socket_fleet import LOOK, ORIGIN, Fleet
-from ironmill_lab.measures.membership import Load
-from ironmill_lab.processes import Usage
+from ironmill_testbed.faults.checker import Seen
+from ironmill_testbed.faults.hollow import TWINS
+from ironmill_testbed.faults.socket_fleet import LOOK, ORIGIN, Fleet
+from ironmill_testbed.measures.membership import Load
+from ironmill_testbed.processes import Usage
 
 RATE, STORM = 2.0, 12.5  # changes a second
 KEYS = 200  # that are changed in turns
--- a/ironmill_lab/capacity/page.py
+++ b/ironmill_testbed/capacity/page.py
@@ -11,10 +11,10 @@
 
 from msgspec import Struct
 
-from ironmill_lab.capacity import data, formulas, plan, roles, tables
-from ironmill_lab.capacity.figure import NOT_RUN, Figure, number, quantity
-from ironmill_lab.capacity.formulas import Gap, Model
-from ironmill_lab.capacity.tables import factor_of, share_of
+from ironmill_testbed.capacity import data, formulas, plan, roles, tables
+from ironmill_testbed.capacity.figure import NOT_RUN, Figure, number, quantity
+from ironmill_testbed.capacity.formulas import Gap, Model
+from ironmill_testbed.capacity.tables import factor_of, share_of
 
 DOCS = Path(__file__).parents[2] / "docs"
 PAGE = DOCS / "CAPACITY.md"
@@ -167,14 +167,16 @@
     try:
         if checking:
             if wrong := check(files):
-                print(f"capacity: {wrong}\npython -m ironmill_lab capacity writes it anew", file=sys.stderr)
+                print(
+                    f"capacity: {wrong}\npython -m ironmill_testbed capacity writes it anew", file=sys.stderr
+                )
             return 1 if wrong else 0
         write(files)
     except TemplateError as error:
         print(f"capacity: {error}", file=sys.stderr)
         return 1
     if plots:
-        from ironmill_lab.capacity import plots as drawing
+        from ironmill_testbed.capacity import plots as drawing
 
         for path in drawing.draw(model_of(files), files.measured.parent):
             print(path)
--- a/ironmill_lab/capacity/plots.py
+++ b/ironmill_testbed/capacity/plots.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any
 
-from ironmill_lab.capacity import formulas
-from ironmill_lab.capacity.data import Sweep
-from ironmill_lab.capacity.formulas import Model
+from ironmill_testbed.capacity import formulas
+from ironmill_testbed.capacity.data import Sweep
+from ironmill_testbed.capacity.formulas import Model
 
 COLUMNS = 5
 DOTS = 60  # an inch: small files
--- a/ironmill_lab/capacity/roles.py
+++ b/ironmill_testbed/capacity/roles.py
@@ -4,9 +4,9 @@
 
 from msgspec import Struct
 
-from ironmill_lab.capacity import formulas
-from ironmill_lab.capacity.figure import NOT_RUN, UNKNOWN, Figure, number, quantity, table
-from ironmill_lab.capacity.formulas import Gap, Model
+from ironmill_testbed.capacity import formulas
+from ironmill_testbed.capacity.figure import NOT_RUN, UNKNOWN, Figure, number, quantity, table
+from ironmill_testbed.capacity.formulas import Gap, Model
 
 # The mechanisms, as the table names them.
 CORE = "[core](core.md): one process, one hub"
--- a/ironmill_lab/capacity/runs.py
+++ b/ironmill_testbed/capacity/runs.py
@@ -8,7 +8,7 @@
 
 from msgspec import structs
 
-from ironmill_lab.capacity.data import Sweep
+from ironmill_testbed.capacity.data import Sweep
 
 Result = tuple[int, dict[str, float]]  # a size, and the costs found at it by the sweeps' names
 
--- a/ironmill_lab/capacity/stories.py
+++ b/ironmill_testbed/capacity/stories.py
@@ -1,8 +1,8 @@
 """Stories of distribution on the virtual clock: what goes wrong, what is kept meanwhile, and what it costs.
 
-Each runs the program's state machines in a simulated fleet (``ironmill_lab.faults.fleet_world``) and ends in
-properties and costs. Bytes are those of the datagrams without the headers of UDP and IP. What is broken is a
-figure above 0 and named in ``broken``.
+Each runs the program's state machines in a simulated fleet (``ironmill_testbed.faults.fleet_world``) and ends
+in properties and costs. Bytes are those of the datagrams without the headers of UDP and IP. What is broken is
+a figure above 0 and named in ``broken``.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 from ironmill.distribution.node import Origin
 from ironmill.distribution.revision import Changes, NotOriginError, StoreError
-from ironmill_lab.faults.fleet_watch import BUDGET, Second
-from ironmill_lab.faults.fleet_world import FleetWorld, Plan
-from ironmill_lab.faults.schedule import Fault, both_ways
+from ironmill_testbed.faults.fleet_watch import BUDGET, Second
+from ironmill_testbed.faults.fleet_world import FleetWorld, Plan
+from ironmill_testbed.faults.schedule import Fault, both_ways
 
 FULL = Plan(proxies=2800, control=27)
 SMALL = Plan(proxies=60, control=6)
--- a/ironmill_lab/capacity/sweep_core.py
+++ b/ironmill_testbed/capacity/sweep_core.py
@@ -15,11 +15,11 @@
 from pathlib import Path
 
 from ironmill.scheduler import Scheduler
-from ironmill_lab.capacity.data import Sign, Sweep
-from ironmill_lab.capacity.runs import fill
-from ironmill_lab.fleet import play
-from ironmill_lab.measures.core import HOSTS, LIMIT, Bench, Figures, make_subject
-from ironmill_lab.processes import Neighbours
+from ironmill_testbed.capacity.data import Sign, Sweep
+from ironmill_testbed.capacity.runs import fill
+from ironmill_testbed.fleet import play
+from ironmill_testbed.measures.core import HOSTS, LIMIT, Bench, Figures, make_subject
+from ironmill_testbed.processes import Neighbours
 
 SIZES = (500, 1000, 2000, 3000, 4000, 5000)
 SIZES_QUICK = (500, 1000, 1500, 2000, 2500)
--- a/ironmill_lab/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -23,11 +23,11 @@
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place, Poll
 from ironmill.membership.envelope import Address, Card, Datagram
-from ironmill_lab.capacity.data import Shape, Sign, Sweep
-from ironmill_lab.capacity.runs import Runs
-from ironmill_lab.capacity.stories import scaled
-from ironmill_lab.faults.fleet_world import KEY, FleetWorld, HollowConsumer, Process
-from ironmill_lab.faults.memory_store import Disk
+from ironmill_testbed.capacity.data import Shape, Sign, Sweep
+from ironmill_testbed.capacity.runs import Runs
+from ironmill_testbed.capacity.stories import scaled
+from ironmill_testbed.faults.fleet_world import KEY, FleetWorld, HollowConsumer, Process
+from ironmill_testbed.faults.memory_store import Disk
 
 ENTRIES = (1000, 4000, 16_000, 64_000, 160_000, 640_000)
 ENTRIES_QUICK = (1000, 2000, 4000, 8000, 16_000)
--- a/ironmill_lab/capacity/sweep_membership.py
+++ b/ironmill_testbed/capacity/sweep_membership.py
@@ -1,7 +1,7 @@
 """Sweeps of membership: simulated members on a virtual clock, the program's state machines unchanged.
 
 Bytes are those of the datagrams without the headers of UDP and IP. Members keep equal facts once for all of
-them (``ironmill_lab.faults.shared``), but where memory is measured.
+them (``ironmill_testbed.faults.shared``), but where memory is measured.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK, Timing
 from ironmill.membership.wire import Card, Codec, Fact, Rumour, pack, unpack
-from ironmill_lab.capacity.data import Shape, Sign, Sweep
-from ironmill_lab.capacity.runs import Runs
-from ironmill_lab.faults.shared import Shared
-from ironmill_lab.faults.world import KEY, World
+from ironmill_testbed.capacity.data import Shape, Sign, Sweep
+from ironmill_testbed.capacity.runs import Runs
+from ironmill_testbed.faults.shared import Shared
+from ironmill_testbed.faults.world import KEY, World
 
 ZONES = 11
 SETTLED = 5.0  # seconds before anything is measured
--- a/ironmill_lab/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -25,10 +25,10 @@
 from ironmill.garbage import MIDDLE, NEVER, YOUNG
 from ironmill.operator import read_operator
 from ironmill.routing_table import Routing, RoutingTable, parse_routing
-from ironmill_lab.capacity.data import Shape, Sign, Sweep
-from ironmill_lab.capacity.runs import Runs
-from ironmill_lab.credentials import Issuer
-from ironmill_lab.settings import platform_settings
+from ironmill_testbed.capacity.data import Shape, Sign, Sweep
+from ironmill_testbed.capacity.runs import Runs
+from ironmill_testbed.credentials import Issuer
+from ironmill_testbed.settings import platform_settings
 
 ZONES = 11
 BATCHES, BATCHES_QUICK = 9, 5
--- a/ironmill_lab/capacity/sweeps.py
+++ b/ironmill_testbed/capacity/sweeps.py
@@ -1,7 +1,8 @@
-"""All sweeps of what the program costs today; ``python -m ironmill_lab.capacity.sweeps`` writes them down.
+"""All sweeps of what the program costs today.
 
-Real processes are measured first, by themselves, and with them the bare epoll floor of the run. What needs
-no socket follows, each size in a process of its own and ``WORKERS`` of them at once.
+``python -m ironmill_testbed.capacity.sweeps`` writes them down. Real processes are measured first, by
+themselves, and with them the bare epoll floor of the run. What needs no socket follows, each size in a
+process of its own and ``WORKERS`` of them at once.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 
 from msgspec import structs
 
-from ironmill_lab.capacity import data, sweep_core, sweep_distribution, sweep_membership, sweep_table
-from ironmill_lab.capacity.data import Measured, Sweep
-from ironmill_lab.capacity.runs import Runs
+from ironmill_testbed.capacity import data, sweep_core, sweep_distribution, sweep_membership, sweep_table
+from ironmill_testbed.capacity.data import Measured, Sweep
+from ironmill_testbed.capacity.runs import Runs
 
 # The longest first.
 RUNS: tuple[Runs, ...] = (*sweep_membership.RUNS, *sweep_distribution.RUNS, *sweep_table.RUNS)
--- a/ironmill_lab/capacity/tables.py
+++ b/ironmill_testbed/capacity/tables.py
@@ -6,11 +6,11 @@
 
 from msgspec import structs
 
-from ironmill_lab.capacity import formulas
-from ironmill_lab.capacity.data import Fit, Shape, Sign, Sweep
-from ironmill_lab.capacity.figure import NOT_RUN, UNKNOWN, Figure, number, plain, quantity, table
-from ironmill_lab.capacity.formulas import Gap, Model, fit_of
-from ironmill_lab.capacity.plan import Assumption
+from ironmill_testbed.capacity import formulas
+from ironmill_testbed.capacity.data import Fit, Shape, Sign, Sweep
+from ironmill_testbed.capacity.figure import NOT_RUN, UNKNOWN, Figure, number, plain, quantity, table
+from ironmill_testbed.capacity.formulas import Gap, Model, fit_of
+from ironmill_testbed.capacity.plan import Assumption
 
 
 def _q(figure: Figure, unit: str = "") -> str:
--- a/ironmill_lab/emulate.py
+++ b/ironmill_testbed/emulate.py
@@ -15,8 +15,8 @@
 
 from ironmill.net.sockets import CHUNK
 from ironmill.scheduler import READ, Scheduler
-from ironmill_lab.discovery import EmulatedDiscovery
-from ironmill_lab.hosts import Attempts, EmulatedHost, Mode
+from ironmill_testbed.discovery import EmulatedDiscovery
+from ironmill_testbed.hosts import Attempts, EmulatedHost, Mode
 
 ZONES = "ab"
 
--- a/ironmill_lab/faults/control_town.py
+++ b/ironmill_testbed/faults/control_town.py
@@ -9,9 +9,9 @@
 import orjson
 
 from ironmill.membership.wire import Address, spelled
-from ironmill_lab.faults.checker import Seen, read_logs
-from ironmill_lab.faults.town import Town
-from ironmill_lab.processes import Process, ProxyProcess
+from ironmill_testbed.faults.checker import Seen, read_logs
+from ironmill_testbed.faults.town import Town
+from ironmill_testbed.processes import Process, ProxyProcess
 
 ORIGIN = "c00"
 CALL_WAIT = 3.0
--- a/ironmill_lab/faults/fleet_watch.py
+++ b/ironmill_testbed/faults/fleet_watch.py
@@ -17,7 +17,7 @@
 from ironmill.distribution.revision import START, Position
 
 if TYPE_CHECKING:
-    from ironmill_lab.faults.fleet_world import FleetWorld, Process
+    from ironmill_testbed.faults.fleet_world import FleetWorld, Process
 
 STALE_WITHIN = 5.0  # seconds without contact, after which a proxy has to know
 CATCH_UP_WITHIN = 3.0  # seconds of contact, after which the newest has to be in force
--- a/ironmill_lab/faults/fleet_world.py
+++ b/ironmill_testbed/faults/fleet_world.py
@@ -21,9 +21,9 @@
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place
 from ironmill.membership.envelope import Address, Card, Datagram
-from ironmill_lab.faults.fleet_watch import Watch
-from ironmill_lab.faults.memory_store import Disk
-from ironmill_lab.faults.schedule import Fault, Links
+from ironmill_testbed.faults.fleet_watch import Watch
+from ironmill_testbed.faults.memory_store import Disk
+from ironmill_testbed.faults.schedule import Fault, Links
 
 KEY = b"a key of the simulated cluster.."
 EPOCH = 1_700_000_000.0  # Unix time at the start of a story
--- a/ironmill_lab/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -2,7 +2,8 @@
 
 State machine, driver, settings and hub are the program's. A hollow proxy has no clients, and its consumer
 takes every change. What the leaves tell is summed in memory and asked for on standard input, as
-``ironmill_lab.emulate`` is. Moments are ``time.monotonic``, the clock that all processes of a machine share.
+``ironmill_testbed.emulate`` is. Moments are ``time.monotonic``, the clock that all processes of a machine
+share.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from ironmill.operator import read_operator
 from ironmill.scheduler import Scheduler
 from ironmill.settings.model import DistributionSettings
-from ironmill_lab.emulate import answer_commands
+from ironmill_testbed.emulate import answer_commands
 
 REGIONS, ZONES = 5, 11
 TWINS = ("shard/twin-a", "shard/twin-b")  # whoever changes one changes both, to the same value
--- a/ironmill_lab/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -17,10 +17,10 @@
 from ironmill.commands import config
 from ironmill.distribution.revision import Position
 from ironmill.membership.envelope import spelled
-from ironmill_lab.faults.checker import Seen, read_logs
-from ironmill_lab.faults.hollow import region, zone
-from ironmill_lab.processes import CommandedProcess, Neighbours, Process, ProxyProcess, Usage, free_port
-from ironmill_lab.settings import platform_settings, proxy_config, write_config
+from ironmill_testbed.faults.checker import Seen, read_logs
+from ironmill_testbed.faults.hollow import region, zone
+from ironmill_testbed.processes import CommandedProcess, Neighbours, Process, ProxyProcess, Usage, free_port
+from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 ORIGIN = "c00"
 KEY = "0f" * 32
@@ -119,7 +119,7 @@
         settings = f"--settings={self.folder / 'hollow.xml'}"
         for at, (first, after) in enumerate(zip(self._shares, self._shares[1:], strict=False)):
             numbers = [f"--first={first}", f"--proxies={after - first}"]
-            words = ["-m", "ironmill_lab", "hollow", settings, *numbers]
+            words = ["-m", "ironmill_testbed", "hollow", settings, *numbers]
             process = CommandedProcess(words, self.folder, f"hollow{at:02d}")
             self.hollow.append(self._stack.enter_context(process))
 
--- a/ironmill_lab/faults/switch.py
+++ b/ironmill_testbed/faults/switch.py
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 
 from ironmill.membership.wire import Address
-from ironmill_lab.faults.schedule import Links
+from ironmill_testbed.faults.schedule import Links
 
 HOST = "127.0.0.1"
 LOOK = 0.05  # seconds without a datagram after which it looks whether it is to end
--- a/ironmill_lab/faults/town.py
+++ b/ironmill_testbed/faults/town.py
@@ -13,11 +13,11 @@
 
 from ironmill.commands import members
 from ironmill.membership.wire import Address, spelled
-from ironmill_lab.faults.checker import Seen, read_logs
-from ironmill_lab.faults.schedule import Fault, Links
-from ironmill_lab.faults.switch import Switch
-from ironmill_lab.processes import Neighbours, Process, ProxyProcess, free_port
-from ironmill_lab.settings import platform_settings, proxy_config, write_config
+from ironmill_testbed.faults.checker import Seen, read_logs
+from ironmill_testbed.faults.schedule import Fault, Links
+from ironmill_testbed.faults.switch import Switch
+from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
+from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 SEEDS = 2
 LOOK = 0.05
--- a/ironmill_lab/faults/world.py
+++ b/ironmill_testbed/faults/world.py
@@ -14,7 +14,7 @@
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK, Timing
 from ironmill.membership.wire import Address, Card, Codec, Fact
-from ironmill_lab.faults.schedule import Fault, Links
+from ironmill_testbed.faults.schedule import Fault, Links
 
 KEY = b"a key of the simulated cluster.."
 EPOCH = 1_700_000_000.0  # Unix time at the start of a story
--- a/ironmill_lab/measure.py
+++ b/ironmill_testbed/measure.py
@@ -14,8 +14,8 @@
 def run(name: str, quick: bool, poller: str, program: Path | None) -> int:
     """Run one measurement; the exit status is 2 where there is none of that name."""
     if name not in NAMES:
-        print(f"ironmill_lab: no measurement {name!r}; there are: {', '.join(NAMES)}", file=sys.stderr)
+        print(f"ironmill_testbed: no measurement {name!r}; there are: {', '.join(NAMES)}", file=sys.stderr)
         return 2
-    module = importlib.import_module(f"ironmill_lab.measures.{name}")
+    module = importlib.import_module(f"ironmill_testbed.measures.{name}")
     print(orjson.dumps(module.measure(quick, poller, program)).decode())
     return 0
--- a/ironmill_lab/measures/core.py
+++ b/ironmill_testbed/measures/core.py
@@ -1,9 +1,9 @@
 """What a line, a set-up and a standing connection cost the proxy, against how many connections stand.
 
-Beside the proxy stand two floors in the same run (``ironmill_lab.floors``): a bare loop on ``select.epoll``,
-and the scheduler's greenlets without the gateway. The differences between the three are what the layers
-take. A line is one that a client sends and gets back, so it passes the proxy twice. A set-up is a connection
-from its first line to its close.
+Beside the proxy stand two floors in the same run (``ironmill_testbed.floors``): a bare loop on
+``select.epoll``, and the scheduler's greenlets without the gateway. The differences between the three are
+what the layers take. A line is one that a client sends and gets back, so it passes the proxy twice. A set-up
+is a connection from its first line to its close.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 from ironmill.net.sockets import TimedOutError
 from ironmill.scheduler import Scheduler
-from ironmill_lab.fleet import Client, NotServedError, in_parallel, play
-from ironmill_lab.processes import Neighbours, Process, ProxyProcess, free_port
-from ironmill_lab.settings import platform_settings, proxy_config, write_config
+from ironmill_testbed.fleet import Client, NotServedError, in_parallel, play
+from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
+from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 HOSTS = 6
 SIZES = (500, 2000, 3600, 5000)
@@ -210,7 +210,7 @@
         proxy.wait_ready()
         return Subject(proxy, proxy.address)
     host = neighbours.ask("told")["hosts"][0]
-    words = ["-m", "ironmill_lab", "floor", kind, f"--target={host['address'][0]}:{host['address'][1]}"]
+    words = ["-m", "ironmill_testbed", "floor", kind, f"--target={host['address'][0]}:{host['address'][1]}"]
     floor = Process(words, folder, name)
     assert floor.popen.stdout is not None
     return Subject(floor, ("127.0.0.1", int(floor.popen.stdout.readline())))
--- a/ironmill_lab/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -24,11 +24,11 @@
 from ironmill.net.sockets import TimedOutError
 from ironmill.net.tls import TlsStream
 from ironmill.scheduler import Scheduler
-from ironmill_lab.certificates import write_all
-from ironmill_lab.credentials import AUDIENCE, BAD, ISSUER, Issuer
-from ironmill_lab.fleet import Client, NotServedError, in_parallel, play
-from ironmill_lab.processes import Neighbours, Process, ProxyProcess, free_port
-from ironmill_lab.settings import platform_settings, proxy_config, write_config
+from ironmill_testbed.certificates import write_all
+from ironmill_testbed.credentials import AUDIENCE, BAD, ISSUER, Issuer
+from ironmill_testbed.fleet import Client, NotServedError, in_parallel, play
+from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
+from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 HOSTS = 6
 CROWD, CROWD_QUICK = 2000, 300
@@ -124,7 +124,7 @@
     settings = folder / "tls.xml"
     settings.write_text(TLS_SETTINGS.format(port))
     proxy = _proxy("tls", neighbours, folder, [f"--settings={settings}"], stack)
-    words = ["-m", "ironmill_lab", "floor", "tls", f"--target={folder}:0"]
+    words = ["-m", "ironmill_testbed", "floor", "tls", f"--target={folder}:0"]
     floor = stack.enter_context(Process(words, folder, "floor-tls"))
     assert floor.popen.stdout is not None
     floor_port = int(floor.popen.stdout.readline())
--- a/ironmill_lab/measures/membership.py
+++ b/ironmill_testbed/measures/membership.py
@@ -18,12 +18,12 @@
 from ironmill.membership.member import Member
 from ironmill.membership.wire import Address
 from ironmill.scheduler import Scheduler
-from ironmill_lab.faults import checker
-from ironmill_lab.faults.schedule import Fault, both_ways
-from ironmill_lab.faults.swim import Swim
-from ironmill_lab.faults.town import Town
-from ironmill_lab.faults.world import Make, World
-from ironmill_lab.fleet import Client, Fleet, in_parallel, play
+from ironmill_testbed.faults import checker
+from ironmill_testbed.faults.schedule import Fault, both_ways
+from ironmill_testbed.faults.swim import Swim
+from ironmill_testbed.faults.town import Town
+from ironmill_testbed.faults.world import Make, World
+from ironmill_testbed.fleet import Client, Fleet, in_parallel, play
 
 PLOTS = Path("found")
 CLIENTS = 60
--- a/ironmill_lab/measures/scale.py
+++ b/ironmill_testbed/measures/scale.py
@@ -1,9 +1,9 @@
 """What a fleet of the operators' plan costs: sweeps, stories on the virtual clock, hollow proxies on sockets.
 
-In full all of it is run and written to ``docs/capacity/measured.json``, from which the page is made
-(``python -m ironmill_lab capacity``). With ``--quick`` sizes are small but for the stories, of which three
-are run at the plan's size, sweeps and stories are run side by side, and nothing is written. A figure that
-was not run is None.
+In full all of it is run and written to ``docs/capacity/measured.json``, from which the page is made (``python
+-m ironmill_testbed capacity``). With ``--quick`` sizes are small but for the stories, of which three are run
+at the plan's size, sweeps and stories are run side by side, and nothing is written. A figure that was not run
+is None.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironmill_lab.capacity import data, on_sockets, stories, sweep_distribution, sweeps
+from ironmill_testbed.capacity import data, on_sockets, stories, sweep_distribution, sweeps
 
 QUICK_STORIES = ("zone", "storm", "loss")
 QUICK_SWEEPS = (  # of what was there before, the others are those of distribution
--- a/ironmill_lab/processes.py
+++ b/ironmill_testbed/processes.py
@@ -115,10 +115,10 @@
 
 
 class Neighbours(CommandedProcess):
-    """The process of ``ironmill_lab.emulate``; each answer tells what all servers have seen."""
+    """The process of ``ironmill_testbed.emulate``; each answer tells what all servers have seen."""
 
     def __init__(self, folder: Path, hosts: int) -> None:
-        super().__init__(["-m", "ironmill_lab", "emulate", f"--hosts={hosts}"], folder, "neighbours")
+        super().__init__(["-m", "ironmill_testbed", "emulate", f"--hosts={hosts}"], folder, "neighbours")
         self.discovery: tuple[str, int] = tuple(self.ask("told")["discovery"])
 
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -24,9 +24,9 @@
 from ironmill.net.keywatch import KeyWatch
 from ironmill.net.sockets import Stream
 from ironmill.scheduler import Scheduler
-from ironmill_lab.fleet import Client, NotServedError, play
-from ironmill_lab.processes import Neighbours, ProxyProcess, free_port
-from ironmill_lab.settings import platform_settings, proxy_config, write_config
+from ironmill_testbed.fleet import Client, NotServedError, play
+from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from tests.identity import AUDIENCE, ISSUER, Keys, forged, identity, rule
 from tests.test_gateway import FakeTimers
 from tests.test_identity import hostile
@@ -460,7 +460,7 @@
     code = (
         "import sys, ironmill.cli\n"
         "heavy = ('lxml', 'structlog', 'cryptography', 'jwt', 'ironmill.identity', 'ironmill.settings',"
-        " 'ironmill.callers', 'ironmill.commands', 'ironmill_lab')\n"
+        " 'ironmill.callers', 'ironmill.commands', 'ironmill_testbed')\n"
         "print([name for name in heavy if name in sys.modules])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,11 +19,11 @@
 from ironmill.distribution.timing import Timing as DistributionTiming
 from ironmill.membership.rings import RINGS
 from ironmill.membership.timing import Timing as MembershipTiming
-from ironmill_lab.__main__ import main
-from ironmill_lab.capacity import data, formulas, page, plan, roles, tables
-from ironmill_lab.capacity.data import Fit, Measured, Shape, Sign, Sweep
-from ironmill_lab.capacity.figure import Figure, number, quantity
-from ironmill_lab.capacity.formulas import Model
+from ironmill_testbed.__main__ import main
+from ironmill_testbed.capacity import data, formulas, page, plan, roles, tables
+from ironmill_testbed.capacity.data import Fit, Measured, Shape, Sign, Sweep
+from ironmill_testbed.capacity.figure import Figure, number, quantity
+from ironmill_testbed.capacity.formulas import Model
 
 SIZES = (100.0, 200.0, 400.0, 800.0, 1600.0)
 
@@ -598,7 +598,7 @@
 
 
 def test_plots_are_drawn_of_what_is_there(tmp_path: Path) -> None:
-    from ironmill_lab.capacity import plots
+    from ironmill_testbed.capacity import plots
 
     known = full()
     known.measured.stories["storm"]["in_force_by"] = [[0.1, 0.5], [0.4, 1.0]]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -27,7 +27,7 @@
 from ironmill.identity.tokens import Refusal as Why
 from ironmill.settings.model import LogSettings
 from ironmill.timers import TimerQueue
-from ironmill_lab.certificates import Authority, fingerprint
+from ironmill_testbed.certificates import Authority, fingerprint
 from tests.identity import AUDIENCE, ISSUER, Keys, identity
 from tests.identity import rule as rule_of
 from tests.test_callers import Stands
--- a/tests/test_configuration_calls.py
+++ b/tests/test_configuration_calls.py
@@ -48,7 +48,7 @@
 from ironmill.protocol.call import Answer, Call
 from ironmill.routes import Routes
 from ironmill.scheduler import Scheduler
-from ironmill_lab.fleet import play
+from ironmill_testbed.fleet import play
 
 
 class Stub:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,10 +14,10 @@
 
 from ironmill.net.sockets import Stream
 from ironmill.scheduler import Scheduler
-from ironmill_lab.fleet import Client, play
-from ironmill_lab.processes import Neighbours, ProxyProcess, free_port
-from ironmill_lab.settings import platform_settings, proxy_config, write_config
-from ironmill_lab.staff import call
+from ironmill_testbed.fleet import Client, play
+from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.settings import platform_settings, proxy_config, write_config
+from ironmill_testbed.staff import call
 from tests.test_net import OPEN, Town, read_line
 
 SOCKETS = 96
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -32,7 +32,7 @@
 from ironmill.distribution.subscriber import preferred
 from ironmill.distribution.wire import BODY_MOST, Ask, Codec, Digests, Fetch, Page, Part, Place, Poll, Word
 from ironmill.membership.envelope import Card
-from ironmill_lab.faults.fleet_world import KEY, FleetWorld, Plan
+from ironmill_testbed.faults.fleet_world import KEY, FleetWorld, Plan
 
 KEYS = st.text("abß/", min_size=1, max_size=6) | st.integers(0, 400).map(lambda at: f"shard/{at}")
 VALUES = st.binary(max_size=30) | st.integers(0, 640).map(bytes)
--- a/tests/test_distribution_catch_up.py
+++ b/tests/test_distribution_catch_up.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ironmill.distribution.timing import Timing
-from ironmill_lab.faults.fleet_world import FleetWorld, Plan
+from ironmill_testbed.faults.fleet_world import FleetWorld, Plan
 
 
 def test_small_answers_use_up_no_more_of_the_rate_than_they_are() -> None:
--- a/tests/test_distribution_everywhere.py
+++ b/tests/test_distribution_everywhere.py
@@ -6,8 +6,8 @@
 from msgspec import structs
 
 from ironmill.distribution.node import Leaf
-from ironmill_lab.faults.fleet_world import FleetWorld, HollowConsumer, Plan
-from ironmill_lab.faults.schedule import Fault, both_ways
+from ironmill_testbed.faults.fleet_world import FleetWorld, HollowConsumer, Plan
+from ironmill_testbed.faults.schedule import Fault, both_ways
 
 PLAN = Plan(proxies=22, control=5, entries=50)
 
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -10,8 +10,8 @@
 
 from ironmill.distribution.node import Leaf, Origin, Relay
 from ironmill.distribution.revision import Changes, NotOriginError, Position, Refusal, StoreError
-from ironmill_lab.faults.fleet_world import FleetWorld, Plan, Process
-from ironmill_lab.faults.schedule import Fault, both_ways
+from ironmill_testbed.faults.fleet_world import FleetWorld, Plan, Process
+from ironmill_testbed.faults.schedule import Fault, both_ways
 
 PLAN = Plan(proxies=6, control=4, regions=2, zones=3, entries=20)
 RELAYS = ("c01", "c02", "c03")
--- a/tests/test_distribution_parents.py
+++ b/tests/test_distribution_parents.py
@@ -7,8 +7,8 @@
 from ironmill.distribution.node import Leaf
 from ironmill.distribution.subscriber import preferred
 from ironmill.distribution.wire import Place
-from ironmill_lab.capacity.stories import SETTLED, SMALL, STORM, Told
-from ironmill_lab.faults.fleet_world import FleetWorld
+from ironmill_testbed.capacity.stories import SETTLED, SMALL, STORM, Told
+from ironmill_testbed.faults.fleet_world import FleetWorld
 
 
 @pytest.mark.parametrize("rate", [2.0, STORM])
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -16,10 +16,10 @@
 import pytest
 
 from ironmill.membership.wire import spelled
-from ironmill_lab.faults.checker import Seen
-from ironmill_lab.faults.control_town import ORIGIN, ControlTown, Form
-from ironmill_lab.faults.schedule import Fault, both_ways
-from ironmill_lab.measures.membership import Load
+from ironmill_testbed.faults.checker import Seen
+from ironmill_testbed.faults.control_town import ORIGIN, ControlTown, Form
+from ironmill_testbed.faults.schedule import Fault, both_ways
+from ironmill_testbed.measures.membership import Load
 
 STALE_AFTER = 5.0  # seconds: by then a proxy must know
 
--- a/tests/test_distribution_store_trouble.py
+++ b/tests/test_distribution_store_trouble.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironmill.distribution.revision import Position, StoreError
-from ironmill_lab.faults.fleet_world import FleetWorld, Plan
+from ironmill_testbed.faults.fleet_world import FleetWorld, Plan
 
 PLAN = Plan(proxies=4, control=3, entries=20)
 
--- a/tests/test_distribution_stories.py
+++ b/tests/test_distribution_stories.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ironmill_lab.capacity.stories import SMALL, STORIES, broken, play
+from ironmill_testbed.capacity.stories import SMALL, STORIES, broken, play
 
 
 @pytest.mark.parametrize("name", STORIES)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -15,12 +15,12 @@
 import pytest
 
 from ironmill.distribution.revision import START, Position
-from ironmill_lab import processes
-from ironmill_lab.capacity import on_sockets
-from ironmill_lab.faults.checker import Seen
-from ironmill_lab.faults.hollow import TWINS, Taker, Tally, region, zone
-from ironmill_lab.faults.socket_fleet import Fleet
-from ironmill_lab.processes import CommandedProcess
+from ironmill_testbed import processes
+from ironmill_testbed.capacity import on_sockets
+from ironmill_testbed.faults.checker import Seen
+from ironmill_testbed.faults.hollow import TWINS, Taker, Tally, region, zone
+from ironmill_testbed.faults.socket_fleet import Fleet
+from ironmill_testbed.processes import CommandedProcess
 
 ONE, OTHER = TWINS
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,11 +11,11 @@
 from ironmill.net.sockets import Stream
 from ironmill.protocol.http import ResponseParser
 from ironmill.scheduler import Scheduler
-from ironmill_lab import measure
-from ironmill_lab.emulate import Neighbourhood
-from ironmill_lab.fleet import Client, Fleet, NotServedError, in_parallel, play
-from ironmill_lab.processes import Neighbours, ProxyProcess, free_port
-from ironmill_lab.settings import platform_settings, proxy_config, write_config
+from ironmill_testbed import measure
+from ironmill_testbed.emulate import Neighbourhood
+from ironmill_testbed.fleet import Client, Fleet, NotServedError, in_parallel, play
+from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 OPEN = b"OPEN 1 2 c=index-sync,d=900\r\n"
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,8 +15,8 @@
 from ironmill.membership.timing import Timing
 from ironmill.membership.view import View
 from ironmill.membership.wire import ACCUSES, VOUCHES, Card, Codec, Fact, Opinion, Ping
-from ironmill_lab.faults.schedule import Fault, both_ways
-from ironmill_lab.faults.world import KEY, World
+from ironmill_testbed.faults.schedule import Fault, both_ways
+from ironmill_testbed.faults.world import KEY, World
 
 COUNT = 14
 NAMES = tuple(f"p{at:05d}" for at in range(COUNT))
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -13,10 +13,10 @@
 from msgspec import structs
 
 from ironmill.membership.wire import spelled
-from ironmill_lab.faults import checker
-from ironmill_lab.faults.schedule import Fault, both_ways, load
-from ironmill_lab.faults.town import Town
-from ironmill_lab.processes import free_port
+from ironmill_testbed.faults import checker
+from ironmill_testbed.faults.schedule import Fault, both_ways, load
+from ironmill_testbed.faults.town import Town
+from ironmill_testbed.processes import free_port
 
 COUNT = 8
 
@@ -161,7 +161,7 @@
 def test_settings_that_are_not_fit_are_one_clear_line(
     tmp_path: Path, more: str, seed: str, peers: str, keys: str, word: str
 ) -> None:
-    from ironmill_lab.settings import platform_settings, proxy_config, write_config
+    from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
     value = proxy_config("p", ("127.0.0.1", 1), ("127.0.0.1", 2), 1024, platform_settings())
     config = write_config(tmp_path, value)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from ironmill_lab.capacity import stories
-from ironmill_lab.measures.scale import QUICK_STORIES, QUICK_SWEEPS, summary, sweeps
+from ironmill_testbed.capacity import stories
+from ironmill_testbed.measures.scale import QUICK_STORIES, QUICK_SWEEPS, summary, sweeps
 
 PROMISED = (
     "members_run",
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -21,7 +21,7 @@
 from ironmill.protocol.call import Answer, Call
 from ironmill.protocol.calls import BODY_MOST, HEAD_MOST, CallSide
 from ironmill.staff import Staff
-from ironmill_lab.staff import call
+from ironmill_testbed.staff import call
 from tests.test_net import OPEN, Town, read_line
 
 GET = b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/tests/test_sweep_distribution.py
+++ b/tests/test_sweep_distribution.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from ironmill_lab.capacity import sweep_distribution, sweeps
-from ironmill_lab.capacity.data import POINTS_LEAST
-from ironmill_lab.capacity.runs import Runs
+from ironmill_testbed.capacity import sweep_distribution, sweeps
+from ironmill_testbed.capacity.data import POINTS_LEAST
+from ironmill_testbed.capacity.runs import Runs
 
 SMALL = {
     "fleet": (20, 30),
--- a/tests/test_sweeps.py
+++ b/tests/test_sweeps.py
@@ -10,12 +10,12 @@
 import pytest
 from msgspec import structs
 
-from ironmill_lab.capacity import data, sweep_core, sweep_membership, sweep_table, sweeps
-from ironmill_lab.capacity.data import Measured, Shape, Sign, Sweep
-from ironmill_lab.capacity.runs import Runs, fill
-from ironmill_lab.faults.schedule import Fault
-from ironmill_lab.faults.shared import Shared
-from ironmill_lab.faults.world import World
+from ironmill_testbed.capacity import data, sweep_core, sweep_membership, sweep_table, sweeps
+from ironmill_testbed.capacity.data import Measured, Shape, Sign, Sweep
+from ironmill_testbed.capacity.runs import Runs, fill
+from ironmill_testbed.faults.schedule import Fault
+from ironmill_testbed.faults.shared import Shared
+from ironmill_testbed.faults.world import World
 
 SIZES = (10, 20, 30, 40, 50)
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -29,11 +29,11 @@
 from ironmill.scheduler import Scheduler
 from ironmill.settings.model import TlsSettings, UpstreamTls
 from ironmill.tls_context import server_tls, upstream_tls
-from ironmill_lab import call, certificates
-from ironmill_lab.certificates import DAY, NOW, Authority, fingerprint
-from ironmill_lab.fleet import Client, NotServedError, play
-from ironmill_lab.processes import Neighbours, ProxyProcess, free_port
-from ironmill_lab.settings import platform_settings, proxy_config, write_config
+from ironmill_testbed import call, certificates
+from ironmill_testbed.certificates import DAY, NOW, Authority, fingerprint
+from ironmill_testbed.fleet import Client, NotServedError, play
+from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from tests.test_net import OPEN, Town, read_line
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,7 @@
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream
 from ironmill.scheduler import Scheduler
-from ironmill_lab.fleet import play
+from ironmill_testbed.fleet import play
 
 
 class Pair:
