--- a/ironmill/admission.py
+++ b/ironmill/admission.py
@@ -12,7 +12,7 @@
 from enum import Enum, auto
 from itertools import islice
 
-from ironmill.throttle import LogThrottle
+from ironmill.runtime.rate_limited_log import LogThrottle
 
 # Descriptors that are not for clients: standard streams 3, poller 1, signals 2, listeners 3 (clients, TLS,
 # staff), staff's callers 12, discovery 2 while it changes its address, a file that is read 1, membership 1,
--- a/ironmill/callers.py
+++ b/ironmill/callers.py
@@ -19,9 +19,9 @@
 from ironmill.identity.rules import NOBODY, Denials, Identity
 from ironmill.identity.tokens import Refusal
 from ironmill.identity.usage import Usage
-from ironmill.logs import EventLog
-from ironmill.scheduler import Timers
-from ironmill.timers import Timer
+from ironmill.runtime.logs import EventLog
+from ironmill.runtime.scheduler import Timers
+from ironmill.runtime.timers import Timer
 
 LOOK = 1.0  # seconds between two looks for credentials that have expired
 NEVER = math.inf
--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -66,13 +66,14 @@
 from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from ironmill import __version__, logs
+from ironmill import __version__
 from ironmill.balancing.settings import MalformedError
 from ironmill.config import Config, load
 from ironmill.net.proxy import Proxy
 from ironmill.net.signals import Signals
-from ironmill.scheduler import POLLERS
-from ironmill.system_calls import retry_at_start
+from ironmill.runtime import logs
+from ironmill.runtime.scheduler import POLLERS
+from ironmill.runtime.system_calls import retry_at_start
 from ironmill.units import duration
 
 if TYPE_CHECKING:
--- a/ironmill/config.py
+++ b/ironmill/config.py
@@ -9,7 +9,7 @@
 from ironmill.balancing.interface import Settings
 from ironmill.balancing.settings import MalformedError, Tree, from_json, settings_from
 from ironmill.routing_table import Routing, parse_routing
-from ironmill.system_calls import TRANSIENT_AT_START, TransientError
+from ironmill.runtime.system_calls import TRANSIENT_AT_START, TransientError
 
 Address = tuple[str, int]
 
--- a/ironmill/configuration.py
+++ b/ironmill/configuration.py
@@ -18,8 +18,8 @@
 
 from msgspec import Struct
 
-from ironmill import logs
 from ironmill.distribution.revision import Refusal
+from ironmill.runtime import logs
 
 if TYPE_CHECKING:  # a proxy without identity, and a control machine, need none of it
     from ironmill.callers import Callers
--- a/ironmill/delay.py
+++ b/ironmill/delay.py
@@ -11,8 +11,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from ironmill.scheduler import Timers
-from ironmill.timers import Timer
+from ironmill.runtime.scheduler import Timers
+from ironmill.runtime.timers import Timer
 
 PERIOD = 1.0  # between two tellings, and how far back answered lines count
 # A sound connection brings a line back at once, and clients send one every 2 s. A silent server must be
--- a/ironmill/gateway.py
+++ b/ironmill/gateway.py
@@ -44,10 +44,10 @@
 from ironmill.config import Config
 from ironmill.delay import DelayMeter
 from ironmill.figures import Count, Figures
-from ironmill.lifecycle import Lifecycle, State
 from ironmill.routing_table import Routing, RoutingTable, Server
-from ironmill.scheduler import Timers
-from ironmill.timers import Timer
+from ironmill.runtime.lifecycle import Lifecycle, State
+from ironmill.runtime.scheduler import Timers
+from ironmill.runtime.timers import Timer
 
 # The final answer is due this long before the client stops waiting, so that it still gets there.
 ANSWER_LEAD = 0.01
--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -39,7 +39,7 @@
 from ironmill.protocol.lines import END
 from ironmill.protocol.request import busy_line, request_fields
 from ironmill.protocol.server import Relayed
-from ironmill.scheduler import Scheduler, Task
+from ironmill.runtime.scheduler import Scheduler, Task
 
 if TYPE_CHECKING:
     from ironmill.callers import Callers
--- a/ironmill/net/control.py
+++ b/ironmill/net/control.py
@@ -15,7 +15,7 @@
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.call import Answer, Call
 from ironmill.routes import Routes
-from ironmill.scheduler import Scheduler, Task
+from ironmill.runtime.scheduler import Scheduler, Task
 
 if TYPE_CHECKING:
     from ironmill.protocol.calls import CallSide
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -7,7 +7,6 @@
 import time
 from typing import Any
 
-from ironmill import logs
 from ironmill.configuration import check_form
 from ironmill.configuration_calls import ConfigurationCalls
 from ironmill.distribution.node import Origin
@@ -19,7 +18,8 @@
 from ironmill.net.signals import Signals
 from ironmill.operator import Operator
 from ironmill.routes import Routes
-from ironmill.scheduler import Scheduler
+from ironmill.runtime import logs
+from ironmill.runtime.scheduler import Scheduler
 
 LAST_WORDS = 0.1  # seconds for the last datagrams and answers to go
 
--- a/ironmill/net/datagrams.py
+++ b/ironmill/net/datagrams.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from ironmill.membership.envelope import DATAGRAM_MOST, Address, Datagram
-from ironmill.scheduler import READ, Scheduler, Task
-from ironmill.system_calls import retry_at_start
+from ironmill.runtime.scheduler import READ, Scheduler, Task
+from ironmill.runtime.system_calls import retry_at_start
 
 AT_ONCE = 32  # datagrams read in one turn
 # What comes while the process does not run waits in the kernel, so that nobody is taken for silent for it.
--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -14,7 +14,7 @@
 from ironmill.pace import CALL_MOST, CallPace
 from ironmill.protocol.http import HttpError, Response, ResponseParser
 from ironmill.routing_table import Routing, parse_routing
-from ironmill.scheduler import Scheduler, Task
+from ironmill.runtime.scheduler import Scheduler, Task
 
 # How long a call for changes may wait at the agent. Short, though the agent would wait for a minute: a call
 # that is lost on its way, or held by an agent that has gone deaf, is only found out when its time is over.
--- a/ironmill/net/distribution.py
+++ b/ironmill/net/distribution.py
@@ -10,10 +10,10 @@
 from ironmill.distribution.node import Leaf, Node, Origin, Relay
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place
-from ironmill.logs import EventLog
 from ironmill.membership.envelope import Address, Card, spelled
 from ironmill.net.datagrams import Datagrams
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.logs import EventLog
+from ironmill.runtime.scheduler import Scheduler
 from ironmill.settings.model import DistributionSettings
 
 if TYPE_CHECKING:  # what a role has no use for is not imported
--- a/ironmill/net/drain.py
+++ b/ironmill/net/drain.py
@@ -10,9 +10,9 @@
 import time
 
 from ironmill.gateway import Gateway
-from ironmill.lifecycle import POLICIES, Event, State
 from ironmill.net.send_away import SendAway
-from ironmill.scheduler import Scheduler, Task
+from ironmill.runtime.lifecycle import POLICIES, Event, State
+from ironmill.runtime.scheduler import Scheduler, Task
 
 # The front asks every 0.1 s and sends for 0.2 s more: whoever comes so late after the call is still taken.
 FRONT = 0.5
--- a/ironmill/net/keywatch.py
+++ b/ironmill/net/keywatch.py
@@ -7,9 +7,9 @@
 
 from ironmill.balancing.settings import MalformedError
 from ironmill.identity.keyring import KeyRing
-from ironmill.logs import EventLog
 from ironmill.operator import read_ring
-from ironmill.scheduler import Timers
+from ironmill.runtime.logs import EventLog
+from ironmill.runtime.scheduler import Timers
 
 LOOK = 0.25  # seconds between two looks at the file
 
--- a/ironmill/net/listener.py
+++ b/ironmill/net/listener.py
@@ -18,9 +18,9 @@
 from enum import Enum, auto
 
 from ironmill.net.sockets import Stream
-from ironmill.scheduler import READ, Scheduler, Task
-from ironmill.system_calls import RETRY_PAUSE, retry_at_start
-from ironmill.throttle import LogThrottle
+from ironmill.runtime.rate_limited_log import LogThrottle
+from ironmill.runtime.scheduler import READ, Scheduler, Task
+from ironmill.runtime.system_calls import RETRY_PAUSE, retry_at_start
 
 BACKLOG = 1024
 AT_ONCE = 16  # accepted in one turn; the others run in between
--- a/ironmill/net/membership.py
+++ b/ironmill/net/membership.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from ironmill.logs import EventLog
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK
 from ironmill.membership.wire import Address, Card, Codec, spelled
 from ironmill.net.datagrams import Datagrams
 from ironmill.protocol.call import Answer, Call
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.logs import EventLog
+from ironmill.runtime.scheduler import Scheduler
 from ironmill.settings.model import MembershipSettings
 
 log = EventLog("ironmill.membership")
--- a/ironmill/net/probe.py
+++ b/ironmill/net/probe.py
@@ -11,8 +11,8 @@
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.server import ProbeSide, Report
 from ironmill.routing_table import Server
-from ironmill.scheduler import Scheduler
-from ironmill.system_calls import EXHAUSTED
+from ironmill.runtime.scheduler import Scheduler
+from ironmill.runtime.system_calls import EXHAUSTED
 
 ANSWER_WAIT = 0.5
 # Connections kept for probes. Guards the descriptors, of which ``admission.OWN`` sets so many aside: one to
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -11,12 +11,9 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ironmill import logs
 from ironmill.admission import Admission
 from ironmill.config import Address, Config
-from ironmill.garbage import Collector
 from ironmill.gateway import Gateway
-from ironmill.lifecycle import Event, Lifecycle
 from ironmill.net.client import ClientDriver
 from ironmill.net.discovery import Discovery
 from ironmill.net.drain import Drain
@@ -27,7 +24,10 @@
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import Stream
 from ironmill.pace import CallPace
-from ironmill.scheduler import Scheduler
+from ironmill.runtime import logs
+from ironmill.runtime.gc_schedule import Collector
+from ironmill.runtime.lifecycle import Event, Lifecycle
+from ironmill.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:  # what is off is not imported
     from ironmill.callers import Callers
--- a/ironmill/net/send_away.py
+++ b/ironmill/net/send_away.py
@@ -6,7 +6,7 @@
 import time
 
 from ironmill.gateway import Gateway
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 
 LOOK = 0.02
 MOVE_WAIT = 0.2  # for the last line under way to end
--- a/ironmill/net/server.py
+++ b/ironmill/net/server.py
@@ -11,8 +11,8 @@
 from ironmill.balancing.interface import Outcome
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.server import AttemptEvent, Refused, Relayed, Report, ServerSide, Up
-from ironmill.scheduler import Task
-from ironmill.system_calls import EXHAUSTED, UnsentError
+from ironmill.runtime.scheduler import Task
+from ironmill.runtime.system_calls import EXHAUSTED, UnsentError
 
 
 class AttemptEnd(Struct, frozen=True):
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -11,10 +11,10 @@
 from ironmill.admission import Admission
 from ironmill.config import Config
 from ironmill.gateway import Gateway
-from ironmill.lifecycle import LAST, Event
 from ironmill.net.client import REFUSED_WAIT
 from ironmill.net.send_away import SendAway
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.lifecycle import LAST, Event
+from ironmill.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:  # what is off is not imported
     from ironmill.net.control import Control
--- a/ironmill/net/signals.py
+++ b/ironmill/net/signals.py
@@ -8,8 +8,8 @@
 import types
 from collections.abc import Callable
 
-from ironmill.scheduler import READ, Scheduler
-from ironmill.system_calls import RETRY_PAUSE, retry_at_start
+from ironmill.runtime.scheduler import READ, Scheduler
+from ironmill.runtime.system_calls import RETRY_PAUSE, retry_at_start
 
 log = logging.getLogger("ironmill.signals")
 
--- a/ironmill/net/sockets.py
+++ b/ironmill/net/sockets.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ironmill.scheduler import READ, WRITE, Scheduler, Task
-from ironmill.system_calls import EXHAUSTED, RETRY_PAUSE, UNSENT, UnsentError
+from ironmill.runtime.scheduler import READ, WRITE, Scheduler, Task
+from ironmill.runtime.system_calls import EXHAUSTED, RETRY_PAUSE, UNSENT, UnsentError
 
 CHUNK = 16 * 1024  # the most that is read at once, and so the most that is held for the other side
 DISCARD = 64 * 1024  # the most that is read and thrown away of what a client sends after its last answer
--- a/ironmill/net/tls.py
+++ b/ironmill/net/tls.py
@@ -15,7 +15,7 @@
 
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
 from ironmill.protocol.tls import RECORD, TlsError, TlsSide, TlsState
-from ironmill.scheduler import WRITE, Scheduler
+from ironmill.runtime.scheduler import WRITE, Scheduler
 
 
 class TlsFailedError(ConnectionError):
--- a/ironmill/garbage.py
+++ b/ironmill/runtime/gc_schedule.py
@@ -10,7 +10,7 @@
 import gc
 from collections.abc import Callable
 
-from ironmill.scheduler import Timers
+from ironmill.runtime.scheduler import Timers
 
 YOUNG = 2000  # objects made beyond those freed, between two collections of the youngest
 MIDDLE = 10  # of those, between two of the middle generation
--- a/ironmill/scheduler.py
+++ b/ironmill/runtime/scheduler.py
@@ -19,8 +19,8 @@
 
 from greenlet import GreenletExit, getcurrent, greenlet
 
-from ironmill.system_calls import retry_at_start
-from ironmill.timers import Timer, TimerQueue
+from ironmill.runtime.system_calls import retry_at_start
+from ironmill.runtime.timers import Timer, TimerQueue
 
 READ, WRITE = select.POLLIN, select.POLLOUT  # EPOLLIN and EPOLLOUT have the same values
 _BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
@@ -28,7 +28,7 @@
 
 IDLE_MOST = 64  # greenlets without a task that are kept
 
-log = logging.getLogger("ironmill.scheduler")
+log = logging.getLogger("ironmill.runtime.scheduler")
 
 
 class Timers(Protocol):
--- a/ironmill/system_calls.py
+++ b/ironmill/runtime/system_calls.py
@@ -25,7 +25,7 @@
 
 Result = TypeVar("Result")
 
-log = logging.getLogger("ironmill.system_calls")
+log = logging.getLogger("ironmill.runtime.system_calls")
 
 
 class TransientError(Exception):
--- a/ironmill/timers.py
+++ b/ironmill/runtime/timers.py
@@ -17,7 +17,7 @@
 # against long timers that are set and withdrawn all the time.
 SWEEP_FROM = 4096
 
-log = logging.getLogger("ironmill.timers")
+log = logging.getLogger("ironmill.runtime.timers")
 
 
 def _no_pause(_: float) -> None:
--- a/ironmill/staff.py
+++ b/ironmill/staff.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from ironmill.figures import Figures
-from ironmill.lifecycle import LAST, Event, Lifecycle
 from ironmill.protocol.call import Answer, Call
 from ironmill.routes import Routes
+from ironmill.runtime.lifecycle import LAST, Event, Lifecycle
 
 
 class Served(Protocol):
--- a/ironmill_testbed/call.py
+++ b/ironmill_testbed/call.py
@@ -9,7 +9,7 @@
 
 from ironmill.net.sockets import TimedOutError
 from ironmill.net.tls import TlsStream
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, play
 
 LIMIT = 15.0  # seconds
--- a/ironmill_testbed/capacity/sweep_core.py
+++ b/ironmill_testbed/capacity/sweep_core.py
@@ -14,7 +14,7 @@
 from contextlib import ExitStack, contextmanager
 from pathlib import Path
 
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.capacity.data import Sign, Sweep
 from ironmill_testbed.capacity.runs import fill
 from ironmill_testbed.fleet import play
--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -22,9 +22,9 @@
 from ironmill.balancing import Balancer
 from ironmill.balancing.interface import Ended, Established, Outcome, Request, Send
 from ironmill.balancing.settings import Tree, from_json, parse_settings
-from ironmill.garbage import MIDDLE, NEVER, YOUNG
 from ironmill.operator import read_operator
 from ironmill.routing_table import Routing, RoutingTable, parse_routing
+from ironmill.runtime.gc_schedule import MIDDLE, NEVER, YOUNG
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
 from ironmill_testbed.credentials import Issuer
--- a/ironmill_testbed/demo.py
+++ b/ironmill_testbed/demo.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Fleet, FleetCounts, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
--- a/ironmill_testbed/discovery.py
+++ b/ironmill_testbed/discovery.py
@@ -8,7 +8,7 @@
 
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 
 HEAD_MOST = 16 * 1024
 WAIT_MOST = 60.0  # seconds that a watch may ask for
--- a/ironmill_testbed/emulate.py
+++ b/ironmill_testbed/emulate.py
@@ -14,7 +14,7 @@
 import orjson
 
 from ironmill.net.sockets import CHUNK
-from ironmill.scheduler import READ, Scheduler
+from ironmill.runtime.scheduler import READ, Scheduler
 from ironmill_testbed.discovery import EmulatedDiscovery
 from ironmill_testbed.hosts import Attempts, EmulatedHost, Mode
 
--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -23,7 +23,7 @@
 from ironmill.net.datagrams import Machine
 from ironmill.net.distribution import Distribution
 from ironmill.operator import read_operator
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill.settings.model import DistributionSettings
 from ironmill_testbed.emulate import answer_commands
 
--- a/ironmill_testbed/fleet.py
+++ b/ironmill_testbed/fleet.py
@@ -11,7 +11,7 @@
 
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.lines import END, Lines
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 
 CONNECT_WAIT = 5.0
 ANSWER_MORE = 3.0  # beyond what the client has said it would wait
--- a/ironmill_testbed/floors.py
+++ b/ironmill_testbed/floors.py
@@ -14,7 +14,7 @@
 
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 
 Address = tuple[str, int]
 
--- a/ironmill_testbed/hosts.py
+++ b/ironmill_testbed/hosts.py
@@ -15,7 +15,7 @@
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.lines import END, Lines, LineTooLongError
-from ironmill.scheduler import Scheduler, Task
+from ironmill.runtime.scheduler import Scheduler, Task
 
 FIRST_WAIT = 10.0  # for a first line, seconds
 LOAD_A_CONNECTION = 0.0005  # of the reported load
--- a/ironmill_testbed/measures/core.py
+++ b/ironmill_testbed/measures/core.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from ironmill.net.sockets import TimedOutError
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, in_parallel, play
 from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
--- a/ironmill_testbed/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -23,7 +23,7 @@
 from ironmill.identity.rules import Caller, CallerRule, Identity, Rights, TokenMatch
 from ironmill.net.sockets import TimedOutError
 from ironmill.net.tls import TlsStream
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.certificates import write_all
 from ironmill_testbed.credentials import AUDIENCE, BAD, ISSUER, Issuer
 from ironmill_testbed.fleet import Client, NotServedError, in_parallel, play
--- a/ironmill_testbed/measures/membership.py
+++ b/ironmill_testbed/measures/membership.py
@@ -17,7 +17,7 @@
 
 from ironmill.membership.member import Member
 from ironmill.membership.wire import Address
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.faults import checker
 from ironmill_testbed.faults.schedule import Fault, both_ways
 from ironmill_testbed.faults.swim import Swim
--- a/ironmill_testbed/staff.py
+++ b/ironmill_testbed/staff.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ironmill.net.sockets import Stream
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 
 CALL_WAIT = 5.0  # seconds
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -23,7 +23,7 @@
 
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.lines import Lines
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -23,7 +23,7 @@
 from ironmill.identity.rules import Caller, Identity, Rights
 from ironmill.net.keywatch import KeyWatch
 from ironmill.net.sockets import Stream
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from ironmill import configuration, logs
+from ironmill import configuration
 from ironmill.callers import Callers
 from ironmill.configuration import Configuration, InForce, check_form
 from ironmill.distribution.revision import Changes, Consumer, Refusal
@@ -25,8 +25,9 @@
 from ironmill.identity.gate import Admitted, Refused
 from ironmill.identity.rules import CallerRule, Denials, TokenMatch, fits
 from ironmill.identity.tokens import Refusal as Why
+from ironmill.runtime import logs
+from ironmill.runtime.timers import TimerQueue
 from ironmill.settings.model import LogSettings
-from ironmill.timers import TimerQueue
 from ironmill_testbed.certificates import Authority, fingerprint
 from tests.identity import AUDIENCE, ISSUER, Keys, identity
 from tests.identity import rule as rule_of
--- a/tests/test_configuration_calls.py
+++ b/tests/test_configuration_calls.py
@@ -47,7 +47,7 @@
 from ironmill.net.revision_store import SqliteStore
 from ironmill.protocol.call import Answer, Call
 from ironmill.routes import Routes
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import play
 
 
--- a/tests/test_delay.py
+++ b/tests/test_delay.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
 from ironmill.delay import PERIOD, TIMED_MOST, DelayMeter
-from ironmill.timers import TimerQueue
+from ironmill.runtime.timers import TimerQueue
 
 
 class MeterModel(RuleBasedStateMachine):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ironmill.net.sockets import Stream
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from ironmill import garbage
-from ironmill.garbage import Collector
 from ironmill.net.sockets import Stream
-from ironmill.timers import TimerQueue
+from ironmill.runtime import gc_schedule
+from ironmill.runtime.gc_schedule import Collector
+from ironmill.runtime.timers import TimerQueue
 from tests.test_net import OPEN, Town, read_line
 
 
@@ -118,7 +118,7 @@
 
 
 def test_full_collections_wait_until_few_connections_stand(monkeypatch: pytest.MonkeyPatch) -> None:
-    now, held, full = 0.0, garbage.FEW + 1, 0
+    now, held, full = 0.0, gc_schedule.FEW + 1, 0
 
     def collect() -> None:
         nonlocal full
@@ -130,14 +130,14 @@
     monkeypatch.setattr(gc, "freeze", lambda: None)
     try:
         Collector(timers, lambda: held).start()
-        assert gc.get_threshold()[2] == garbage.NEVER
+        assert gc.get_threshold()[2] == gc_schedule.NEVER
     finally:
         gc.set_threshold(*before)
     for _ in range(4):
-        now += garbage.LOOK
+        now += gc_schedule.LOOK
         timers.run()
     assert full == 0
-    held = garbage.FEW
-    now += garbage.LOOK
+    held = gc_schedule.FEW
+    now += gc_schedule.LOOK
     timers.run()
     assert full == 1
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 from ironmill.delay import SILENT_AFTER, DelayMeter
 from ironmill.gateway import ANSWER_OVERDUE, Attempt, Gateway
 from ironmill.routing_table import Listed, Routing, RoutingTable, parse_routing
-from ironmill.timers import TimerQueue
+from ironmill.runtime.timers import TimerQueue
 from tests.helpers import SETTINGS
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -21,7 +21,6 @@
 from ironmill.distribution.revision import pack_entry, unpack_entries
 from ironmill.figures import Figures
 from ironmill.identity.keyring import KeyState, parse_ring
-from ironmill.lifecycle import Event, Lifecycle
 from ironmill.membership import wire as membership
 from ironmill.net.revision_store import SqliteStore
 from ironmill.protocol.call import Answer, Call
@@ -32,6 +31,7 @@
 from ironmill.protocol.server import ProbeSide, Refused, Relayed, ServerSide, Up
 from ironmill.routes import Routes
 from ironmill.routing_table import Listed, parse_routing
+from ironmill.runtime.lifecycle import Event, Lifecycle
 from ironmill.staff import Staff
 from tests.golden import messages
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,7 +10,7 @@
 
 from ironmill.net.sockets import Stream
 from ironmill.protocol.http import ResponseParser
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed import measure
 from ironmill_testbed.emulate import Neighbourhood
 from ironmill_testbed.fleet import Client, Fleet, NotServedError, in_parallel, play
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironmill.lifecycle import LAST, NEXT, POLICIES, Event, Lifecycle, State
+from ironmill.runtime.lifecycle import LAST, NEXT, POLICIES, Event, Lifecycle, State
 
 
 def test_every_state_has_a_policy_and_is_reached() -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -31,7 +31,7 @@
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
 from ironmill.pace import CallPace
 from ironmill.routing_table import Listed, Routing
-from ironmill.scheduler import READ, Scheduler
+from ironmill.runtime.scheduler import READ, Scheduler
 from tests.test_gateway import config
 
 OPEN = b"OPEN 1a 2b c=read,d=1500,g=3c\r\n"
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -11,7 +11,7 @@
 import orjson
 
 from ironmill.net.sockets import TimedOutError
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, Fleet, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -15,7 +15,7 @@
 from ironmill.net.proxy import Proxy
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.routing_table import Listed, Routing
-from ironmill.scheduler import READ
+from ironmill.runtime.scheduler import READ
 from tests.test_gateway import config
 
 
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -17,8 +17,6 @@
 from ironmill import pace as pace_module
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import Carried, Ended, Event, Outcome, Refuse, Request, Scope, TimerFired
-from ironmill.lifecycle import Event as LifecycleEvent
-from ironmill.lifecycle import State
 from ironmill.net import client as client_module
 from ironmill.net import discovery as discovery_module
 from ironmill.net import probe as probe_module
@@ -33,6 +31,8 @@
 from ironmill.net.shutdown import Shutdown
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
 from ironmill.routing_table import Routing
+from ironmill.runtime.lifecycle import Event as LifecycleEvent
+from ironmill.runtime.lifecycle import State
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.test_net import ONE, OPEN, Town, answer, pace, read_line
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -13,7 +13,7 @@
 from ironmill.protocol.call import Answer, Call
 from ironmill.protocol.calls import BODY_MOST, CallSide
 from ironmill.routes import Routes
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import play
 
 HEAD = b"POST /told?most=3 HTTP/1.1\r\nHost: x\r\n"
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ironmill.scheduler import POLLERS, READ, WRITE, Scheduler
+from ironmill.runtime.scheduler import POLLERS, READ, WRITE, Scheduler
 
 
 class Counted:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -19,7 +19,7 @@
 from ironmill.net.control import Control
 from ironmill.net.sockets import TimedOutError
 from ironmill.routes import Routes
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from ironmill import timers as module
-from ironmill.timers import Timer, TimerQueue
+from ironmill.runtime import timers as module
+from ironmill.runtime.timers import Timer, TimerQueue
 
 
 class TimerModel(RuleBasedStateMachine):
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -26,7 +26,7 @@
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.net.tls import TlsStream
 from ironmill.protocol.tls import HANDSHAKE_MOST, TlsError, TlsSide, TlsState
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill.settings.model import TlsSettings, UpstreamTls
 from ironmill.tls_context import server_tls, upstream_tls
 from ironmill_testbed import call, certificates
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,7 +9,7 @@
 
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream
-from ironmill.scheduler import Scheduler
+from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import play
 
 
