--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -67,10 +67,10 @@
 from typing import TYPE_CHECKING, Any
 
 from ironmill import __version__
-from ironmill.balancing.settings import MalformedError
 from ironmill.config import Config, load
 from ironmill.net.proxy import Proxy
 from ironmill.net.signals import Signals
+from ironmill.protocol.json_object import MalformedError
 from ironmill.runtime import logs
 from ironmill.runtime.scheduler import POLLERS
 from ironmill.runtime.system_calls import retry_at_start
--- a/ironmill/config.py
+++ b/ironmill/config.py
@@ -7,8 +7,9 @@
 from msgspec import Struct, structs
 
 from ironmill.balancing.interface import Settings
-from ironmill.balancing.settings import MalformedError, Tree, from_json, settings_from
-from ironmill.routing_table import Routing, parse_routing
+from ironmill.balancing.settings import settings_from
+from ironmill.protocol.discovery import Routing, parse_routing
+from ironmill.protocol.json_object import MalformedError, Tree, from_json
 from ironmill.runtime.system_calls import TRANSIENT_AT_START, TransientError
 
 Address = tuple[str, int]
--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -14,11 +14,8 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from ironmill.admission import Admission, Ticket
 from ironmill.balancing.interface import Outcome
 from ironmill.config import Config
-from ironmill.figures import Count
-from ironmill.gateway import Attempt, ClientRequest, Gateway
 from ironmill.net.server import AttemptDriver, AttemptEnd, Dial
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.client import (
@@ -39,6 +36,9 @@
 from ironmill.protocol.lines import END
 from ironmill.protocol.request import busy_line, request_fields
 from ironmill.protocol.server import Relayed
+from ironmill.requests.admission import Admission, Ticket
+from ironmill.requests.gateway import Attempt, ClientRequest, Gateway
+from ironmill.requests.metrics import Count
 from ironmill.runtime.scheduler import Scheduler, Task
 
 if TYPE_CHECKING:
--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -8,12 +8,12 @@
 
 from msgspec import structs
 
-from ironmill.balancing.settings import MalformedError, Tree, from_json
 from ironmill.config import Address
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.pace import CALL_MOST, CallPace
+from ironmill.protocol.discovery import Routing, parse_routing
 from ironmill.protocol.http import HttpError, Response, ResponseParser
-from ironmill.routing_table import Routing, parse_routing
+from ironmill.protocol.json_object import MalformedError, Tree, from_json
+from ironmill.requests.discovery_backoff import CALL_MOST, CallPace
 from ironmill.runtime.scheduler import Scheduler, Task
 
 # How long a call for changes may wait at the agent. Short, though the agent would wait for a minute: a call
@@ -150,7 +150,7 @@
         else:
             # The first tells what the agent holds already, perhaps nothing: clients wait for it. After a
             # failure the next does not wait either: it is soon known to have come to nothing
-            # (``pace.PAUSE_MOST``).
+            # (``discovery_backoff.PAUSE_MOST``).
             wait = 0 if self._failing or (self._pace.at_once and not self._answered) else WAIT_MS
             path = f"/api/targets?after={self._revision}&wait_ms={wait}"
             routing = self._ask(path, wait / 1000.0 + ANSWER_WAIT)
--- a/ironmill/net/drain.py
+++ b/ironmill/net/drain.py
@@ -9,8 +9,8 @@
 import logging
 import time
 
-from ironmill.gateway import Gateway
 from ironmill.net.send_away import SendAway
+from ironmill.requests.gateway import Gateway
 from ironmill.runtime.lifecycle import POLICIES, Event, State
 from ironmill.runtime.scheduler import Scheduler, Task
 
--- a/ironmill/net/probe.py
+++ b/ironmill/net/probe.py
@@ -10,7 +10,7 @@
 from ironmill.net.server import Dial
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.server import ProbeSide, Report
-from ironmill.routing_table import Server
+from ironmill.requests.routing_table import Server
 from ironmill.runtime.scheduler import Scheduler
 from ironmill.runtime.system_calls import EXHAUSTED
 
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -11,9 +11,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ironmill.admission import Admission
 from ironmill.config import Address, Config
-from ironmill.gateway import Gateway
 from ironmill.net.client import ClientDriver
 from ironmill.net.discovery import Discovery
 from ironmill.net.drain import Drain
@@ -23,7 +21,9 @@
 from ironmill.net.shutdown import Shutdown
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import Stream
-from ironmill.pace import CallPace
+from ironmill.requests.admission import Admission
+from ironmill.requests.discovery_backoff import CallPace
+from ironmill.requests.gateway import Gateway
 from ironmill.runtime import logs
 from ironmill.runtime.gc_schedule import Collector
 from ironmill.runtime.lifecycle import Event, Lifecycle
--- a/ironmill/net/reload.py
+++ b/ironmill/net/reload.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ironmill.balancing.settings import MalformedError
 from ironmill.config import Address, Config, UnreadableNowError
+from ironmill.protocol.json_object import MalformedError
 
 if TYPE_CHECKING:
     from ironmill.operator import Operator
--- a/ironmill/net/send_away.py
+++ b/ironmill/net/send_away.py
@@ -5,7 +5,7 @@
 import math
 import time
 
-from ironmill.gateway import Gateway
+from ironmill.requests.gateway import Gateway
 from ironmill.runtime.scheduler import Scheduler
 
 LOOK = 0.02
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -8,11 +8,11 @@
 
 from msgspec import Struct
 
-from ironmill.admission import Admission
 from ironmill.config import Config
-from ironmill.gateway import Gateway
 from ironmill.net.client import REFUSED_WAIT
 from ironmill.net.send_away import SendAway
+from ironmill.requests.admission import Admission
+from ironmill.requests.gateway import Gateway
 from ironmill.runtime.lifecycle import LAST, Event
 from ironmill.runtime.scheduler import Scheduler
 
--- a/ironmill/operator.py
+++ b/ironmill/operator.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ironmill.balancing.settings import MalformedError
 from ironmill.identity.keyring import KeyRing, RingError, parse_ring
 from ironmill.identity.rules import Identity
+from ironmill.protocol.json_object import MalformedError
 from ironmill.settings.model import OperatorSettings, SettingsError
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/ironmill/protocol/json_object.py
@@ -0,0 +1,94 @@
+"""JSON objects whose values are read with their type; errors name the key in full."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TypeVar
+
+import msgspec
+
+T = TypeVar("T")
+
+
+class MalformedError(Exception):
+    """Input that breaks the form agreed on. Its text says what is wrong."""
+
+
+def from_json(data: str | bytes, what: str) -> object:
+    """The value of a JSON text; MalformedError if it is none, however it is broken."""
+    try:
+        return msgspec.json.decode(data)
+    except (ValueError, RecursionError) as error:  # the latter: a hundred thousand brackets
+        raise MalformedError(f"{what} not JSON ({error})") from None
+
+
+def _finite(value: object, path: str, what: str) -> float:
+    if isinstance(value, bool) or not isinstance(value, (int, float)):
+        raise MalformedError(f"{what}: {path} is not a number")
+    try:
+        return float(value)
+    except OverflowError:
+        raise MalformedError(f"{what}: {path} is not a number within range") from None
+
+
+class Tree:
+    """A JSON object whose values are fetched with their type; errors name the key in full."""
+
+    def __init__(self, value: object, path: str = "", what: str = "settings") -> None:
+        if not isinstance(value, dict):
+            raise MalformedError(f"{what}: {path or 'the whole'} is not an object")
+        self._items: Mapping[str, object] = value
+        self._path = path
+        self._what = what
+
+    def _get(self, key: str, default: object) -> tuple[str, object]:
+        path = f"{self._path}.{key}" if self._path else key
+        value = self._items.get(key)
+        if value is None:  # the wire writes null for what it leaves out
+            value = default
+        if value is None:
+            raise MalformedError(f"{self._what}: {path} is missing")
+        return path, value
+
+    def number(self, key: str, default: float | None = None) -> float:
+        path, value = self._get(key, default)
+        return _finite(value, path, self._what)
+
+    def text(self, key: str, default: str | None = None) -> str:
+        path, value = self._get(key, default)
+        if not isinstance(value, str):
+            raise MalformedError(f"{self._what}: {path} is not a text")
+        return value
+
+    def flag(self, key: str, default: bool) -> bool:
+        path, value = self._get(key, default)
+        if not isinstance(value, bool):
+            raise MalformedError(f"{self._what}: {path} is not true or false")
+        return value
+
+    def choice(self, key: str, choices: Mapping[str, T], default: str | None = None) -> T:
+        text = self.text(key, default)
+        if text not in choices:
+            path = f"{self._path}.{key}" if self._path else key
+            raise MalformedError(f"{self._what}: {path} has the unknown value {text!r}")
+        return choices[text]
+
+    def tree(self, key: str, default: dict[str, object] | None = None) -> Tree:
+        path, value = self._get(key, default)
+        return Tree(value, path, self._what)
+
+    def trees(self, key: str, default: list[object] | None = None) -> list[Tree]:
+        path, value = self._get(key, default)
+        if not isinstance(value, list):
+            raise MalformedError(f"{self._what}: {path} is not a list")
+        return [Tree(item, f"{path}[{at}]", self._what) for at, item in enumerate(value)]
+
+    def numbers(self, key: str) -> list[float]:
+        """A list of numbers, null read as 0; empty where the key is absent."""
+        path, value = self._get(key, [])
+        if not isinstance(value, list):
+            raise MalformedError(f"{self._what}: {path} is not a list")
+        items = [0.0 if item is None else item for item in value]
+        if any(isinstance(item, bool) or not isinstance(item, (int, float)) for item in items):
+            raise MalformedError(f"{self._what}: {path} holds something that is not a number")
+        return [_finite(item, path, self._what) for item in items]
--- a/ironmill/admission.py
+++ b/ironmill/requests/admission.py
@@ -27,7 +27,7 @@
 # system call, and who is passed over is read in the same turn and silent no more.
 LOOKED_AT = 16
 
-log = logging.getLogger("ironmill.admission")
+log = logging.getLogger("ironmill.requests.admission")
 
 
 class Stage(Enum):
--- a/ironmill/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -42,9 +42,10 @@
     TimerFired,
 )
 from ironmill.config import Config
-from ironmill.delay import DelayMeter
-from ironmill.figures import Count, Figures
-from ironmill.routing_table import Routing, RoutingTable, Server
+from ironmill.protocol.discovery import Routing
+from ironmill.requests.metrics import Count, Figures
+from ironmill.requests.response_delay import DelayMeter
+from ironmill.requests.routing_table import RoutingTable, Server
 from ironmill.runtime.lifecycle import Lifecycle, State
 from ironmill.runtime.scheduler import Timers
 from ironmill.runtime.timers import Timer
@@ -57,7 +58,7 @@
 # for as long between reading its clock and writing, and the grace has to cover that (STANDING).
 DRAIN_LEAD = 0.15
 
-log = logging.getLogger("ironmill.gateway")
+log = logging.getLogger("ironmill.requests.gateway")
 
 
 class Holder(Protocol):
--- a/ironmill/staff.py
+++ b/ironmill/staff.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from ironmill.figures import Figures
 from ironmill.protocol.call import Answer, Call
+from ironmill.requests.metrics import Figures
 from ironmill.routes import Routes
 from ironmill.runtime.lifecycle import LAST, Event, Lifecycle
 
--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -21,9 +21,11 @@
 
 from ironmill.balancing import Balancer
 from ironmill.balancing.interface import Ended, Established, Outcome, Request, Send
-from ironmill.balancing.settings import Tree, from_json, parse_settings
+from ironmill.balancing.settings import parse_settings
 from ironmill.operator import read_operator
-from ironmill.routing_table import Routing, RoutingTable, parse_routing
+from ironmill.protocol.discovery import Routing, parse_routing
+from ironmill.protocol.json_object import Tree, from_json
+from ironmill.requests.routing_table import RoutingTable
 from ironmill.runtime.gc_schedule import MIDDLE, NEVER, YOUNG
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from ironmill.admission import Admission, Ticket
+from ironmill.requests.admission import Admission, Ticket
 
 
 class Counted(RuleBasedStateMachine):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,13 +12,13 @@
 import pytest
 from msgspec.structs import replace
 
-from ironmill import pace
 from ironmill.distribution.log import DELTA_BYTES_MOST
 from ironmill.distribution.revision import REVISION_CHANGES_MOST
 from ironmill.distribution.timing import POLL_EVERY
 from ironmill.distribution.timing import Timing as DistributionTiming
 from ironmill.membership.rings import RINGS
 from ironmill.membership.timing import Timing as MembershipTiming
+from ironmill.requests import discovery_backoff
 from ironmill_testbed.__main__ import main
 from ironmill_testbed.capacity import data, formulas, page, plan, roles, tables
 from ironmill_testbed.capacity.data import Fit, Measured, Shape, Sign, Sweep
@@ -568,9 +568,9 @@
     assert today.delta_bytes == DELTA_BYTES_MOST
     assert today.revision_changes == REVISION_CHANGES_MOST
     assert (today.call_spacing_s, today.call_pause_most_s, today.call_pause_least) == (
-        pace.SPACING,
-        pace.PAUSE_MOST,
-        pace.SHORTEST,
+        discovery_backoff.SPACING,
+        discovery_backoff.PAUSE_MOST,
+        discovery_backoff.SHORTEST,
     )
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,9 +12,9 @@
 from docopt import docopt
 
 from ironmill import __version__, cli
-from ironmill.balancing.settings import MalformedError
 from ironmill.cli import main
 from ironmill.config import load
+from ironmill.protocol.json_object import MalformedError
 from tests.test_wirehost import SETTINGS
 
 CONFIG: dict[str, Any] = {
--- a/tests/test_delay.py
+++ b/tests/test_delay.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-from ironmill.delay import PERIOD, TIMED_MOST, DelayMeter
+from ironmill.requests.response_delay import PERIOD, TIMED_MOST, DelayMeter
 from ironmill.runtime.timers import TimerQueue
 
 
--- a/tests/test_fleet_of_2800.py
+++ b/tests/test_fleet_of_2800.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ironmill.pace import CALL_GAP_MOST, PAUSE_MOST, SHORTEST, TOLD_AFTER
+from ironmill.requests.discovery_backoff import CALL_GAP_MOST, PAUSE_MOST, SHORTEST, TOLD_AFTER
 from tests.test_cold_fleet import over_the_rule
 from tests.test_pace import calls
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,11 +13,12 @@
 
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import Abandoned, Carried, Ended, Event, ListKind, Outcome, Stage
-from ironmill.balancing.settings import MalformedError, Tree
 from ironmill.config import Config
-from ironmill.delay import SILENT_AFTER, DelayMeter
-from ironmill.gateway import ANSWER_OVERDUE, Attempt, Gateway
-from ironmill.routing_table import Listed, Routing, RoutingTable, parse_routing
+from ironmill.protocol.discovery import Listed, Routing, parse_routing
+from ironmill.protocol.json_object import MalformedError, Tree
+from ironmill.requests.gateway import ANSWER_OVERDUE, Attempt, Gateway
+from ironmill.requests.response_delay import SILENT_AFTER, DelayMeter
+from ironmill.requests.routing_table import RoutingTable
 from ironmill.runtime.timers import TimerQueue
 from tests.helpers import SETTINGS
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,13 +12,8 @@
 
 import pytest
 
-from ironmill import pace as pace_module
-from ironmill.admission import Admission
 from ironmill.balancing.interface import Stage
 from ironmill.callers import Callers
-from ironmill.delay import DelayMeter
-from ironmill.figures import ClassFigures
-from ironmill.gateway import Gateway
 from ironmill.net import client as client_module
 from ironmill.net import discovery as discovery_module
 from ironmill.net import shutdown as shutdown_module
@@ -29,8 +24,13 @@
 from ironmill.net.shutdown import Shutdown, plan
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
-from ironmill.pace import CallPace
-from ironmill.routing_table import Listed, Routing
+from ironmill.protocol.discovery import Listed, Routing
+from ironmill.requests import discovery_backoff
+from ironmill.requests.admission import Admission
+from ironmill.requests.discovery_backoff import CallPace
+from ironmill.requests.gateway import Gateway
+from ironmill.requests.metrics import ClassFigures
+from ironmill.requests.response_delay import DelayMeter
 from ironmill.runtime.scheduler import READ, Scheduler
 from tests.test_gateway import config
 
@@ -387,7 +387,7 @@
 
 def test_a_silent_server_is_given_up_and_its_client_moved(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against machines that vanish: no end ever comes from them."""
-    monkeypatch.setattr("ironmill.delay.SILENT_AFTER", 0.2)
+    monkeypatch.setattr("ironmill.requests.response_delay.SILENT_AFTER", 0.2)
 
     def story(town: Town) -> None:
         client, _ = town.pair()
@@ -429,7 +429,7 @@
 def test_a_client_that_does_not_read_is_not_taken_for_a_silent_server(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("ironmill.delay.SILENT_AFTER", 0.6)
+    monkeypatch.setattr("ironmill.requests.response_delay.SILENT_AFTER", 0.6)
 
     def story(town: Town) -> None:
         client, attempt = town.pair()
@@ -494,7 +494,7 @@
 
 
 def test_discovery_takes_the_whole_list_then_changes_and_comes_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pace_module, "REJOIN", 0.01)
+    monkeypatch.setattr(discovery_backoff, "REJOIN", 0.01)
     empty = b'{"rev":%d,"all":%s,"targets":[]}'
     told: list[Routing] = []
 
@@ -612,8 +612,8 @@
 def test_a_proxy_with_a_list_watches_from_it_and_a_refused_call_is_one_line_in_the_log(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(pace_module, "REJOIN", 0.01)
-    monkeypatch.setattr(pace_module, "SPACING", 0.01)
+    monkeypatch.setattr(discovery_backoff, "REJOIN", 0.01)
+    monkeypatch.setattr(discovery_backoff, "SPACING", 0.01)
     told: list[Routing] = []
     seen: list[Stream] = []
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ironmill.net.discovery import ANSWER_WAIT, WAIT_MS
-from ironmill.pace import CALL_MOST, SPARE, TOLD_AFTER, CallPace
+from ironmill.requests.discovery_backoff import CALL_MOST, SPARE, TOLD_AFTER, CallPace
 
 
 def calls(
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -19,11 +19,11 @@
     Stage,
     TimerFired,
 )
-from ironmill.gateway import Gateway
 from ironmill.net.probe import ProbeDriver
 from ironmill.net.sockets import Stream
 from ironmill.protocol.server import ProbeSide, Report
-from ironmill.routing_table import Server
+from ironmill.requests.gateway import Gateway
+from ironmill.requests.routing_table import Server
 from ironmill.simulator.host import PARSERS, format_action
 from tests.helpers import Relay, sends
 from tests.test_gateway import FakeHolder, FakeTimers, config, timers
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -14,7 +14,7 @@
 from ironmill.net import proxy as proxy_module
 from ironmill.net.proxy import Proxy
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.routing_table import Listed, Routing
+from ironmill.protocol.discovery import Listed, Routing
 from ironmill.runtime.scheduler import READ
 from tests.test_gateway import config
 
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -14,7 +14,6 @@
 import pytest
 from msgspec import structs
 
-from ironmill import pace as pace_module
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import Carried, Ended, Event, Outcome, Refuse, Request, Scope, TimerFired
 from ironmill.net import client as client_module
@@ -30,7 +29,8 @@
 from ironmill.net.server import AttemptDriver
 from ironmill.net.shutdown import Shutdown
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
-from ironmill.routing_table import Routing
+from ironmill.protocol.discovery import Routing
+from ironmill.requests import discovery_backoff
 from ironmill.runtime.lifecycle import Event as LifecycleEvent
 from ironmill.runtime.lifecycle import State
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
@@ -307,7 +307,7 @@
 ) -> None:
     """Each piece of it comes in time."""
     monkeypatch.setattr(discovery_module, "ANSWER_WAIT", 0.1)
-    monkeypatch.setattr(pace_module, "REJOIN", 0.01)
+    monkeypatch.setattr(discovery_backoff, "REJOIN", 0.01)
 
     def story(town: Town) -> None:
         Discovery(town.scheduler, town.listeners[0].address, lambda _: None, pace).start()
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -11,7 +11,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironmill.figures import ClassFigures, Figures
 from ironmill.net import control as control_module
 from ironmill.net import drain as drain_module
 from ironmill.net.control import CALLERS_MOST, Control
@@ -19,6 +18,7 @@
 from ironmill.net.sockets import Stream
 from ironmill.protocol.call import Answer, Call
 from ironmill.protocol.calls import BODY_MOST, HEAD_MOST, CallSide
+from ironmill.requests.metrics import ClassFigures, Figures
 from ironmill.runtime.lifecycle import Event, Lifecycle, State
 from ironmill.staff import Staff
 from ironmill_testbed.staff import call
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ironmill.start_times import StartTimes
+from ironmill.requests.start_times import StartTimes
 
 NOW = 1_000_000.0  # the own clock, Unix time as this machine has it
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -16,7 +16,6 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
-from ironmill.balancing.settings import MalformedError
 from ironmill.callers import Callers
 from ironmill.commands.keys import KeyStore
 from ironmill.identity.keyring import KeyRing
@@ -25,6 +24,7 @@
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.net.tls import TlsStream
+from ironmill.protocol.json_object import MalformedError
 from ironmill.protocol.tls import HANDSHAKE_MOST, TlsError, TlsSide, TlsState
 from ironmill.runtime.scheduler import Scheduler
 from ironmill.settings.model import TlsSettings, UpstreamTls
