--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -67,17 +67,17 @@
 from typing import TYPE_CHECKING, Any
 
 from ironmill import __version__
-from ironmill.config import Config, load
+from ironmill.configuration.proxy_config import Config, load
+from ironmill.configuration.units import duration
 from ironmill.net.proxy import Proxy
 from ironmill.net.signals import Signals
 from ironmill.protocol.json_object import MalformedError
 from ironmill.runtime import logs
 from ironmill.runtime.scheduler import POLLERS
 from ironmill.runtime.system_calls import retry_at_start
-from ironmill.units import duration
 
 if TYPE_CHECKING:
-    from ironmill.operator import Operator
+    from ironmill.configuration.operator_files import Operator
 
 
 DEFAULT_POLLER = "epoll"
@@ -126,7 +126,7 @@
 
 def _check_control(settings: str) -> int:
     """A control machine has settings and no configuration."""
-    from ironmill.operator import read_operator
+    from ironmill.configuration.operator_files import read_operator
 
     try:
         distribution = read_operator(settings, ()).settings.distribution
@@ -182,7 +182,7 @@
 
 def _members(words: Mapping[str, Any]) -> int:
     from ironmill.commands import members  # here, for a proxy needs none of it
-    from ironmill.config import address
+    from ironmill.configuration.proxy_config import address
 
     try:
         host, port = address(words["CONTROL"], "CONTROL")
@@ -198,8 +198,8 @@
 
 
 def _control(name: str, settings: str, staff: str) -> int:
-    from ironmill.config import address
-    from ironmill.operator import read_operator
+    from ironmill.configuration.operator_files import read_operator
+    from ironmill.configuration.proxy_config import address
 
     try:
         operator, at = read_operator(settings, ()), address(staff, "--staff")
@@ -214,7 +214,7 @@
 def _config(words: Mapping[str, Any]) -> int:
     from ironmill.commands import config  # here, for a proxy needs none of it
     from ironmill.commands.keys import CommandError
-    from ironmill.config import address
+    from ironmill.configuration.proxy_config import address
 
     try:
         control = address(words["CONTROL"], "CONTROL")
@@ -284,7 +284,7 @@
     """What the settings file says, None where none is named; MalformedError if it is not fit for use."""
     if settings is None:
         return None
-    from ironmill.operator import read_operator  # here, for what is off is not imported
+    from ironmill.configuration.operator_files import read_operator  # here, for what is off is not imported
 
     operator = read_operator(settings, config.wait_limits)
     distribution = operator.settings.distribution
--- a/ironmill/commands/caller.py
+++ b/ironmill/commands/caller.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterator
 
+from ironmill.configuration.operator_files import Operator
 from ironmill.identity.gate import Admitted, Gate, Refused
 from ironmill.identity.rules import explain as steps_of
 from ironmill.identity.tokens import TokenError, read
-from ironmill.operator import Operator
 
 
 def explain(operator: Operator, token: bytes, now: float) -> Iterator[str]:
--- a/ironmill/operator.py
+++ b/ironmill/configuration/operator_files.py
@@ -7,15 +7,15 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from ironmill.configuration.settings.model import OperatorSettings, SettingsError
 from ironmill.identity.keyring import KeyRing, RingError, parse_ring
 from ironmill.identity.rules import Identity
 from ironmill.protocol.json_object import MalformedError
-from ironmill.settings.model import OperatorSettings, SettingsError
 
 if TYPE_CHECKING:
     import ssl
 
-    from ironmill.tls_context import ServerTls
+    from ironmill.configuration.tls_context import ServerTls
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,9 @@
 def read_operator(path: str, classes: Collection[str]) -> Operator:
     """The settings file and what it names; MalformedError, one line, if any of it is not fit for use."""
     try:
-        from ironmill.settings.load import load_settings  # here, for what is off is not imported
+        from ironmill.configuration.settings.load import (
+            load_settings,  # here, for what is off is not imported
+        )
     except ImportError as error:
         raise MalformedError(
             f"settings: {error.name} is not installed; the package group 'hosted' brings it"
@@ -49,7 +51,7 @@
     distribution_keys = () if distribution is None else read_keys(distribution.keys, "distribution's")
     if settings.tls is None and settings.upstream is None:
         return Operator(settings, ring, member_keys=member_keys, distribution_keys=distribution_keys)
-    from ironmill.tls_context import server_tls, upstream_tls
+    from ironmill.configuration.tls_context import server_tls, upstream_tls
 
     return Operator(
         settings,
--- a/ironmill/config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -7,7 +7,7 @@
 from msgspec import Struct, structs
 
 from ironmill.balancing.interface import Settings
-from ironmill.balancing.settings import settings_from
+from ironmill.configuration.site_settings import settings_from
 from ironmill.protocol.discovery import Routing, parse_routing
 from ironmill.protocol.json_object import MalformedError, Tree, from_json
 from ironmill.runtime.system_calls import TRANSIENT_AT_START, TransientError
--- a/ironmill/settings/load.py
+++ b/ironmill/configuration/settings/load.py
@@ -13,8 +13,7 @@
 
 from lxml import etree
 
-from ironmill.identity.rules import Caller, CallerRule, Identity, Rights, TokenMatch
-from ironmill.settings.model import (
+from ironmill.configuration.settings.model import (
     ControlMachine,
     DistributionSettings,
     LogSettings,
@@ -24,7 +23,8 @@
     TlsSettings,
     UpstreamTls,
 )
-from ironmill.units import duration, rate, size_rate
+from ironmill.configuration.units import duration, rate, size_rate
+from ironmill.identity.rules import Caller, CallerRule, Identity, Rights, TokenMatch
 
 SIZE_MOST = 1 << 20
 TEXT_MOST = 64  # of a name, a zone, a region or a cluster, as datagrams carry them
--- a/ironmill/balancing/settings.py
+++ b/ironmill/configuration/site_settings.py
@@ -7,7 +7,7 @@
 from ironmill.balancing.interface import Effect, Prices, RequestClass, Scope, Settings, Tenant
 from ironmill.protocol.json_object import Tree, from_json
 
-log = logging.getLogger("ironmill.balancing.settings")
+log = logging.getLogger("ironmill.configuration.site_settings")
 
 EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
--- a/ironmill/tls_context.py
+++ b/ironmill/configuration/tls_context.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from ironmill.configuration.settings.model import TlsSettings, UpstreamTls
 from ironmill.protocol.json_object import MalformedError
-from ironmill.settings.model import TlsSettings, UpstreamTls
 
 _MINIMUM = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
 
--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ironmill.balancing.interface import Outcome
-from ironmill.config import Config
+from ironmill.configuration.proxy_config import Config
 from ironmill.net.server import AttemptDriver, AttemptEnd, Dial
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.client import (
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -7,7 +7,8 @@
 import time
 from typing import Any
 
-from ironmill.configuration import check_form
+from ironmill.configuration.distributed_keys import check_form
+from ironmill.configuration.operator_files import Operator
 from ironmill.configuration_calls import ConfigurationCalls
 from ironmill.distribution.node import Origin
 from ironmill.distribution.revision import Changes, Entry, Position, StoreError
@@ -16,7 +17,6 @@
 from ironmill.net.distribution import Distribution
 from ironmill.net.revision_store import SqliteStore
 from ironmill.net.signals import Signals
-from ironmill.operator import Operator
 from ironmill.routes import Routes
 from ironmill.runtime import logs
 from ironmill.runtime.scheduler import Scheduler
--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -8,7 +8,7 @@
 
 from msgspec import structs
 
-from ironmill.config import Address
+from ironmill.configuration.proxy_config import Address
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.discovery import Routing, parse_routing
 from ironmill.protocol.http import HttpError, Response, ResponseParser
--- a/ironmill/net/distribution.py
+++ b/ironmill/net/distribution.py
@@ -7,6 +7,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
+from ironmill.configuration.settings.model import DistributionSettings
 from ironmill.distribution.node import Leaf, Node, Origin, Relay
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place
@@ -14,7 +15,6 @@
 from ironmill.net.datagrams import Datagrams
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Scheduler
-from ironmill.settings.model import DistributionSettings
 
 if TYPE_CHECKING:  # what a role has no use for is not imported
     from ironmill.distribution.node import Check
--- a/ironmill/net/keywatch.py
+++ b/ironmill/net/keywatch.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from ironmill.configuration.operator_files import read_ring
 from ironmill.identity.keyring import KeyRing
-from ironmill.operator import read_ring
 from ironmill.protocol.json_object import MalformedError
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Timers
--- a/ironmill/net/membership.py
+++ b/ironmill/net/membership.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from ironmill.configuration.settings.model import MembershipSettings
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK
 from ironmill.membership.wire import Address, Card, Codec, spelled
@@ -16,7 +17,6 @@
 from ironmill.protocol.call import Answer, Call
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Scheduler
-from ironmill.settings.model import MembershipSettings
 
 log = EventLog("ironmill.membership")
 
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ironmill.config import Address, Config
+from ironmill.configuration.proxy_config import Address, Config
 from ironmill.net.client import ClientDriver
 from ironmill.net.discovery import Discovery
 from ironmill.net.drain import Drain
@@ -31,12 +31,12 @@
 
 if TYPE_CHECKING:  # what is off is not imported
     from ironmill.callers import Callers
+    from ironmill.configuration.operator_files import Operator
+    from ironmill.configuration.settings.model import DistributionSettings
     from ironmill.identity.keyring import KeyRing
     from ironmill.net.control import Control
     from ironmill.net.distribution import Distribution
     from ironmill.net.membership import Membership
-    from ironmill.operator import Operator
-    from ironmill.settings.model import DistributionSettings
 
 # Clients wait so long at the most for the first answer of discovery, seconds. Guards the rule on draining
 # servers: what the agent holds counts as told from the process's start, 0.25 s before. Of 132 proxies
@@ -238,7 +238,7 @@
 
     def _take_part(self, operator: Operator, settings: DistributionSettings) -> None:
         """Take configuration from the control machines from now on."""
-        from ironmill.configuration import Configuration
+        from ironmill.configuration.distributed_keys import Configuration
         from ironmill.net.distribution import Distribution
 
         self.distribution = Distribution(
--- a/ironmill/net/reload.py
+++ b/ironmill/net/reload.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ironmill.config import Address, Config, UnreadableNowError
+from ironmill.configuration.proxy_config import Address, Config, UnreadableNowError
 from ironmill.protocol.json_object import MalformedError
 
 if TYPE_CHECKING:
-    from ironmill.operator import Operator
+    from ironmill.configuration.operator_files import Operator
 
 # Nothing to log: each start has its own, and the list that was known then is old news.
 _PER_START = ("seed", "known", "discovery")
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from ironmill.config import Config
+from ironmill.configuration.proxy_config import Config
 from ironmill.net.client import REFUSED_WAIT
 from ironmill.net.send_away import SendAway
 from ironmill.requests.admission import Admission
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -41,7 +41,7 @@
     Succession,
     TimerFired,
 )
-from ironmill.config import Config
+from ironmill.configuration.proxy_config import Config
 from ironmill.protocol.discovery import Routing
 from ironmill.requests.metrics import Count, Figures
 from ironmill.requests.response_delay import DelayMeter
--- a/ironmill/runtime/logs.py
+++ b/ironmill/runtime/logs.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from ironmill.settings.model import LogSettings
+    from ironmill.configuration.settings.model import LogSettings
 
 _FIELDS = "ironmill_fields"
 
--- a/ironmill/simulator/host.py
+++ b/ironmill/simulator/host.py
@@ -37,7 +37,7 @@
     Subscribe,
     TimerFired,
 )
-from ironmill.balancing.settings import parse_settings
+from ironmill.configuration.site_settings import parse_settings
 from ironmill.protocol.json_object import MalformedError
 
 Fields = dict[str, str]
--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -21,8 +21,8 @@
 
 from ironmill.balancing import Balancer
 from ironmill.balancing.interface import Ended, Established, Outcome, Request, Send
-from ironmill.balancing.settings import parse_settings
-from ironmill.operator import read_operator
+from ironmill.configuration.operator_files import read_operator
+from ironmill.configuration.site_settings import parse_settings
 from ironmill.protocol.discovery import Routing, parse_routing
 from ironmill.protocol.json_object import Tree, from_json
 from ironmill.requests.routing_table import RoutingTable
--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -17,14 +17,14 @@
 
 import psutil
 
+from ironmill.configuration.operator_files import read_operator
+from ironmill.configuration.settings.model import DistributionSettings
 from ironmill.distribution.revision import START, Position, Refusal
 from ironmill.distribution.timing import TICK
 from ironmill.membership.envelope import Address, Datagram
 from ironmill.net.datagrams import Machine
 from ironmill.net.distribution import Distribution
-from ironmill.operator import read_operator
 from ironmill.runtime.scheduler import Scheduler
-from ironmill.settings.model import DistributionSettings
 from ironmill_testbed.emulate import answer_commands
 
 REGIONS, ZONES = 5, 11
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -459,8 +459,8 @@
 def test_without_settings_nothing_of_this_is_imported() -> None:
     code = (
         "import sys, ironmill.cli\n"
-        "heavy = ('lxml', 'structlog', 'cryptography', 'jwt', 'ironmill.identity', 'ironmill.settings',"
-        " 'ironmill.callers', 'ironmill.commands', 'ironmill_testbed')\n"
+        "heavy = ('lxml', 'structlog', 'cryptography', 'jwt', 'ironmill.identity', 'ironmill.callers',"
+        " 'ironmill.configuration.settings', 'ironmill.commands', 'ironmill_testbed')\n"
         "print([name for name in heavy if name in sys.modules])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 
 from ironmill import __version__, cli
 from ironmill.cli import main
-from ironmill.config import load
+from ironmill.configuration.proxy_config import load
 from ironmill.protocol.json_object import MalformedError
 from tests.test_wirehost import SETTINGS
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -17,9 +17,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from ironmill import configuration
 from ironmill.callers import Callers
-from ironmill.configuration import Configuration, InForce, check_form
+from ironmill.configuration import distributed_keys
+from ironmill.configuration.distributed_keys import Configuration, InForce, check_form
+from ironmill.configuration.settings.model import LogSettings
 from ironmill.distribution.revision import Changes, Consumer, Refusal
 from ironmill.identity import rules
 from ironmill.identity.gate import Admitted, Refused
@@ -27,7 +28,6 @@
 from ironmill.identity.tokens import Refusal as Why
 from ironmill.runtime import logs
 from ironmill.runtime.timers import TimerQueue
-from ironmill.settings.model import LogSettings
 from ironmill_testbed.certificates import Authority, fingerprint
 from tests.identity import AUDIENCE, ISSUER, Keys, identity
 from tests.identity import rule as rule_of
@@ -135,7 +135,7 @@
 
 def test_too_many_denials_are_refused_by_name(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("SUBJECTS_MOST", "PATTERNS_MOST", "FINGERPRINTS_MOST"):
-        monkeypatch.setattr(configuration, name, 2)
+        monkeypatch.setattr(distributed_keys, name, 2)
     it = Configuration(callers_of(keys, FakeTimers(monkeypatch)), no_level)
     for what, names in (
         ("subjects", ["deny/subject/a", "deny/subject/b", "deny/subject/c"]),
@@ -376,7 +376,7 @@
     assert it.check({}) is None
     assert TokenMatch(ISSUER, AUDIENCE).subject == "*"
     code = (
-        "import sys, ironmill.configuration\n"
+        "import sys, ironmill.configuration.distributed_keys\n"
         "print([name for name in ('ironmill.callers', 'ironmill.identity', 'cryptography', 'lxml')"
         " if name in sys.modules])"
     )
--- a/tests/test_distribution_settings.py
+++ b/tests/test_distribution_settings.py
@@ -7,10 +7,10 @@
 import pytest
 
 from ironmill.cli import main
-from ironmill.operator import read_operator
-from ironmill.settings.load import load_settings
-from ironmill.settings.model import ControlMachine, DistributionSettings, SettingsError
-from ironmill.units import size_rate
+from ironmill.configuration.operator_files import read_operator
+from ironmill.configuration.settings.load import load_settings
+from ironmill.configuration.settings.model import ControlMachine, DistributionSettings, SettingsError
+from ironmill.configuration.units import size_rate
 from tests.test_config import written
 
 KEYS = "0f" * 32
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,8 +24,8 @@
     Probed,
     Stage,
 )
-from ironmill.balancing.settings import parse_settings
 from ironmill.balancing.slow_start import LIFE, SlowStartBudget
+from ironmill.configuration.site_settings import parse_settings
 from tests.helpers import SETTINGS as BASE
 from tests.helpers import Relay, entries, sends
 from tests.test_wirehost import SETTINGS
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,7 +13,7 @@
 
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import Abandoned, Carried, Ended, Event, ListKind, Outcome, Stage
-from ironmill.config import Config
+from ironmill.configuration.proxy_config import Config
 from ironmill.protocol.discovery import Listed, Routing, parse_routing
 from ironmill.protocol.json_object import MalformedError, Tree
 from ironmill.requests.gateway import ANSWER_OVERDUE, Attempt, Gateway
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ironmill.balancing.interface import Outcome, Stage
-from ironmill.config import load
+from ironmill.configuration.proxy_config import load
 from ironmill.configuration_calls import ConfigurationCalls, read_position
 from ironmill.distribution import wire as distribution
 from ironmill.distribution.keyspace import Keyspace
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -10,7 +10,7 @@
 from msgspec import structs
 
 from ironmill.balancing.interface import Stage
-from ironmill.config import Config
+from ironmill.configuration.proxy_config import Config
 from ironmill.net import proxy as proxy_module
 from ironmill.net.proxy import Proxy
 from ironmill.net.sockets import Stream, TimedOutError
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironmill.config import Address, load
+from ironmill.configuration.proxy_config import Address, load
 from ironmill.net.reload import Reload
 from tests.test_config import written
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,8 +8,8 @@
 import pytest
 
 from ironmill.cli import main
-from ironmill.settings.load import SIZE_MOST, load_settings
-from ironmill.settings.model import LogSettings, SettingsError, UpstreamTls
+from ironmill.configuration.settings.load import SIZE_MOST, load_settings
+from ironmill.configuration.settings.model import LogSettings, SettingsError, UpstreamTls
 from tests.test_config import written
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "settings.example.xml"
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -18,6 +18,8 @@
 
 from ironmill.callers import Callers
 from ironmill.commands.keys import KeyStore
+from ironmill.configuration.settings.model import TlsSettings, UpstreamTls
+from ironmill.configuration.tls_context import server_tls, upstream_tls
 from ironmill.identity.keyring import KeyRing
 from ironmill.identity.rules import Caller, CallerRule, Identity, Rights
 from ironmill.net import client as client_module
@@ -27,8 +29,6 @@
 from ironmill.protocol.json_object import MalformedError
 from ironmill.protocol.tls import HANDSHAKE_MOST, TlsError, TlsSide, TlsState
 from ironmill.runtime.scheduler import Scheduler
-from ironmill.settings.model import TlsSettings, UpstreamTls
-from ironmill.tls_context import server_tls, upstream_tls
 from ironmill_testbed import call, certificates
 from ironmill_testbed.certificates import DAY, NOW, Authority, fingerprint
 from ironmill_testbed.fleet import Client, NotServedError, play
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -15,7 +15,7 @@
 
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import Effect
-from ironmill.balancing.settings import parse_settings
+from ironmill.configuration.site_settings import parse_settings
 from ironmill.protocol.json_object import MalformedError
 from ironmill.simulator.host import main
 
