--- a/ironmill/configuration_calls.py
+++ b/ironmill/administration/configuration_api.py
@@ -15,6 +15,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
+from ironmill.administration.messages import Answer, Call
+from ironmill.administration.routes import Routes
 from ironmill.distribution.revision import (
     AUTHOR_MOST,
     NOTE_MOST,
@@ -30,8 +32,6 @@
     RevisionError,
     StoreError,
 )
-from ironmill.protocol.call import Answer, Call
-from ironmill.routes import Routes
 
 STATUS = "/admin/configuration"
 REVISIONS = "/admin/configuration/revisions"
--- a/ironmill/protocol/calls.py
+++ b/ironmill/administration/http.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from ironmill.protocol.call import Answer, Call
+from ironmill.administration.messages import Answer, Call
 
 HEAD_MOST = 8 * 1024
 BODY_MOST = 64 * 1024  # where a call wants none it is read and thrown away
--- a/ironmill/staff.py
+++ b/ironmill/administration/proxy_api.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from ironmill.protocol.call import Answer, Call
+from ironmill.administration.messages import Answer, Call
+from ironmill.administration.routes import Routes
 from ironmill.requests.metrics import Figures
-from ironmill.routes import Routes
 from ironmill.runtime.lifecycle import LAST, Event, Lifecycle
 
 
--- a/ironmill/routes.py
+++ b/ironmill/administration/routes.py
@@ -1,6 +1,6 @@
 """What staff may ask of a process at its second address, as a table of calls. No I/O.
 
-A proxy's own calls are in ``ironmill.staff``; a control machine makes a table with others.
+A proxy's own calls are in ``ironmill.administration.proxy_api``; a control machine makes a table with others.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from http import HTTPStatus
 from typing import TypeAlias
 
-from ironmill.protocol.call import Answer, Call
+from ironmill.administration.messages import Answer, Call
 
 Action: TypeAlias = Callable[[Call], Answer]
 
--- a/ironmill/commands/config.py
+++ b/ironmill/commands/config.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ironmill.configuration_calls import REVERT, REVISIONS, STATUS, read_position
+from ironmill.administration.configuration_api import REVERT, REVISIONS, STATUS, read_position
 from ironmill.distribution.revision import Position
 
 CALL_WAIT = 2.0  # seconds; the process answers within one
--- a/ironmill/configuration/distributed_keys.py
+++ b/ironmill/configuration/distributed_keys.py
@@ -22,7 +22,7 @@
 from ironmill.runtime import logs
 
 if TYPE_CHECKING:  # a proxy without identity, and a control machine, need none of it
-    from ironmill.callers import Callers
+    from ironmill.identity.callers import Callers
 
 SUBJECT, FINGERPRINT, LEVEL, SHARD = "deny/subject/", "deny/fingerprint/", "log/level", "shard/"
 LEVELS = ("debug", "info", "warning", "error")
--- a/ironmill/identity/__init__.py
+++ b/ironmill/identity/__init__.py
@@ -1,1 +1,4 @@
-"""Who calls: tokens, keys, the rules that map them to tenants and rights. Nothing here reads or writes."""
+"""Who a caller is and what it may do.
+
+Owns tokens, certificates, the key ring, the rules and the sessions of callers. May import ``runtime``.
+"""
--- a/ironmill/callers.py
+++ b/ironmill/identity/callers.py
@@ -27,7 +27,7 @@
 NEVER = math.inf
 REFUSALS_LOGGED = 20  # a second; guards the log against a flood of forged credentials
 
-log = EventLog("ironmill.callers")
+log = EventLog("ironmill.identity.callers")
 
 
 class Movable(Protocol):
--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -42,7 +42,7 @@
 from ironmill.runtime.scheduler import Scheduler, Task
 
 if TYPE_CHECKING:
-    from ironmill.callers import Callers
+    from ironmill.identity.callers import Callers
 
 # From the accept to the first line's end, however the bytes drip; after an answered PING it begins anew. Some
 # clients take 2 s to write it (DAYS), and who stops half way is owed its error within 3 s (STANDING).
--- a/ironmill/net/control.py
+++ b/ironmill/net/control.py
@@ -11,14 +11,14 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
+from ironmill.administration.messages import Answer, Call
+from ironmill.administration.routes import Routes
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.protocol.call import Answer, Call
-from ironmill.routes import Routes
 from ironmill.runtime.scheduler import Scheduler, Task
 
 if TYPE_CHECKING:
-    from ironmill.protocol.calls import CallSide
+    from ironmill.administration.http import CallSide
 
 CALLERS_MOST = 12  # at once; their descriptors are among those that Admission sets aside
 CALL_WAIT = 3.0  # from the accept to the call's end, seconds
@@ -54,7 +54,7 @@
         self._callers[stream] = self._scheduler.spawn(self._serve, stream)
 
     def _serve(self, stream: Stream) -> None:
-        from ironmill.protocol.calls import CallSide  # at the first call: h11 is a tenth of the start
+        from ironmill.administration.http import CallSide  # at the first call: h11 is a tenth of the start
 
         try:
             side = CallSide(self._staff.detailed)
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -7,9 +7,10 @@
 import time
 from typing import Any
 
+from ironmill.administration.configuration_api import ConfigurationCalls
+from ironmill.administration.routes import Routes
 from ironmill.configuration.distributed_keys import check_form
 from ironmill.configuration.operator_files import Operator
-from ironmill.configuration_calls import ConfigurationCalls
 from ironmill.distribution.node import Origin
 from ironmill.distribution.revision import Changes, Entry, Position, StoreError
 from ironmill.membership.envelope import Address
@@ -17,7 +18,6 @@
 from ironmill.net.distribution import Distribution
 from ironmill.net.revision_store import SqliteStore
 from ironmill.net.signals import Signals
-from ironmill.routes import Routes
 from ironmill.runtime import logs
 from ironmill.runtime.scheduler import Scheduler
 
--- a/ironmill/net/membership.py
+++ b/ironmill/net/membership.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
+from ironmill.administration.messages import Answer, Call
 from ironmill.configuration.settings.model import MembershipSettings
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK
 from ironmill.membership.wire import Address, Card, Codec, spelled
 from ironmill.net.datagrams import Datagrams
-from ironmill.protocol.call import Answer, Call
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Scheduler
 
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -30,9 +30,9 @@
 from ironmill.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:  # what is off is not imported
-    from ironmill.callers import Callers
     from ironmill.configuration.operator_files import Operator
     from ironmill.configuration.settings.model import DistributionSettings
+    from ironmill.identity.callers import Callers
     from ironmill.identity.keyring import KeyRing
     from ironmill.net.control import Control
     from ironmill.net.distribution import Distribution
@@ -101,7 +101,7 @@
         self.callers: Callers | None = None
         self._operator = operator
         if operator is not None and operator.settings.identity is not None and operator.ring is not None:
-            from ironmill.callers import Callers
+            from ironmill.identity.callers import Callers
             from ironmill.net.keywatch import KeyWatch
 
             self.callers = Callers(operator.settings.identity, operator.ring, self.scheduler)
@@ -127,14 +127,14 @@
             self._take_part(operator, operator.settings.distribution)
         self.control: Control | None = None
         if config.control is not None:
+            from ironmill.administration.proxy_api import Staff
             from ironmill.net.control import Control
-            from ironmill.staff import Staff
 
             staff = Staff(self.gateway)
             if self.membership is not None:
                 staff.add("/admin/members", {"GET": self.membership.shown})
             if self.distribution is not None:
-                from ironmill.configuration_calls import ConfigurationCalls
+                from ironmill.administration.configuration_api import ConfigurationCalls
 
                 assert self.distribution.node is not None
                 ConfigurationCalls(self.distribution.node, None, self.distribution.origins).add_to(staff)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -15,9 +15,9 @@
 import orjson
 import pytest
 
-from ironmill import callers as callers_module
-from ironmill.callers import Callers
 from ironmill.cli import main
+from ironmill.identity import callers as callers_module
+from ironmill.identity.callers import Callers
 from ironmill.identity.gate import BURST, SUSPECT_AFTER, Admitted
 from ironmill.identity.keyring import KeyRing
 from ironmill.identity.rules import Caller, Identity, Rights
@@ -459,8 +459,9 @@
 def test_without_settings_nothing_of_this_is_imported() -> None:
     code = (
         "import sys, ironmill.cli\n"
-        "heavy = ('lxml', 'structlog', 'cryptography', 'jwt', 'ironmill.identity', 'ironmill.callers',"
-        " 'ironmill.configuration.settings', 'ironmill.commands', 'ironmill_testbed')\n"
+        "heavy = ('lxml', 'structlog', 'cryptography', 'jwt', 'ironmill.identity', "
+        "'ironmill.identity.callers', 'ironmill.configuration.settings', 'ironmill.commands', "
+        "'ironmill_testbed')\n"
         "print([name for name in heavy if name in sys.modules])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -17,12 +17,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from ironmill.callers import Callers
 from ironmill.configuration import distributed_keys
 from ironmill.configuration.distributed_keys import Configuration, InForce, check_form
 from ironmill.configuration.settings.model import LogSettings
 from ironmill.distribution.revision import Changes, Consumer, Refusal
 from ironmill.identity import rules
+from ironmill.identity.callers import Callers
 from ironmill.identity.gate import Admitted, Refused
 from ironmill.identity.rules import CallerRule, Denials, TokenMatch, fits
 from ironmill.identity.tokens import Refusal as Why
@@ -377,7 +377,7 @@
     assert TokenMatch(ISSUER, AUDIENCE).subject == "*"
     code = (
         "import sys, ironmill.configuration.distributed_keys\n"
-        "print([name for name in ('ironmill.callers', 'ironmill.identity', 'cryptography', 'lxml')"
+        "print([name for name in ('ironmill.identity.callers', 'ironmill.identity', 'cryptography', 'lxml')"
         " if name in sys.modules])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/test_configuration_calls.py
+++ b/tests/test_configuration_calls.py
@@ -16,10 +16,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironmill import configuration_calls
-from ironmill.commands import config
-from ironmill.commands.config import ConfigError
-from ironmill.configuration_calls import (
+from ironmill.administration import configuration_api
+from ironmill.administration.configuration_api import (
     AUTHOR_MOST,
     HISTORY_MOST,
     NOTE_MOST,
@@ -30,6 +28,10 @@
     ConfigurationCalls,
     read_position,
 )
+from ironmill.administration.messages import Answer, Call
+from ironmill.administration.routes import Routes
+from ironmill.commands import config
+from ironmill.commands.config import ConfigError
 from ironmill.distribution.revision import (
     Changes,
     Entry,
@@ -45,8 +47,6 @@
 from ironmill.net import revision_store
 from ironmill.net.control import Control
 from ironmill.net.revision_store import SqliteStore
-from ironmill.protocol.call import Answer, Call
-from ironmill.routes import Routes
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import play
 
@@ -268,7 +268,7 @@
     ask(routes, "GET", REVISIONS, query="most=999999")
     assert asked == [HISTORY_MOST]
     monkeypatch.undo()
-    monkeypatch.setattr(configuration_calls, "HISTORY_BYTES", 10)
+    monkeypatch.setattr(configuration_api, "HISTORY_BYTES", 10)
     told = ask(routes, "GET", REVISIONS)[1]
     assert (len(told["revisions"]), told["cut"]) == (2, True)
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -12,17 +12,19 @@
 import msgspec
 import pytest
 
+from ironmill.administration.configuration_api import ConfigurationCalls, read_position
+from ironmill.administration.http import CallSide
+from ironmill.administration.messages import Answer, Call
+from ironmill.administration.proxy_api import Staff
+from ironmill.administration.routes import Routes
 from ironmill.balancing.interface import Outcome, Stage
 from ironmill.configuration.proxy_config import load
-from ironmill.configuration_calls import ConfigurationCalls, read_position
 from ironmill.distribution import wire as distribution
 from ironmill.distribution.keyspace import Keyspace
 from ironmill.distribution.revision import pack_entry, unpack_entries
 from ironmill.identity.keyring import KeyState, parse_ring
 from ironmill.membership import wire as membership
 from ironmill.net.revision_store import SqliteStore
-from ironmill.protocol.call import Answer, Call
-from ironmill.protocol.calls import CallSide
 from ironmill.protocol.client import Asked, ClientSide, Left, Malformed, Onward, Opened, SendingEnded, Shown
 from ironmill.protocol.discovery import Listed, parse_routing
 from ironmill.protocol.http import ResponseParser
@@ -30,9 +32,7 @@
 from ironmill.protocol.request import busy_line, request_fields
 from ironmill.protocol.server import ProbeSide, Refused, Relayed, ServerSide, Up
 from ironmill.requests.metrics import Figures
-from ironmill.routes import Routes
 from ironmill.runtime.lifecycle import Event, Lifecycle
-from ironmill.staff import Staff
 from tests.golden import messages
 
 GOLDEN = Path(__file__).parent / "golden"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ironmill.balancing.interface import Stage
-from ironmill.callers import Callers
+from ironmill.identity.callers import Callers
 from ironmill.net import client as client_module
 from ironmill.net import discovery as discovery_module
 from ironmill.net import shutdown as shutdown_module
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -8,11 +8,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from ironmill.administration.http import BODY_MOST, CallSide
+from ironmill.administration.messages import Answer, Call
+from ironmill.administration.routes import Routes
 from ironmill.net.control import Control
 from ironmill.net.sockets import Stream
-from ironmill.protocol.call import Answer, Call
-from ironmill.protocol.calls import BODY_MOST, CallSide
-from ironmill.routes import Routes
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import play
 
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -11,16 +11,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from ironmill.administration.http import BODY_MOST, HEAD_MOST, CallSide
+from ironmill.administration.messages import Answer, Call
+from ironmill.administration.proxy_api import Staff
 from ironmill.net import control as control_module
 from ironmill.net import drain as drain_module
 from ironmill.net.control import CALLERS_MOST, Control
 from ironmill.net.drain import Drain
 from ironmill.net.sockets import Stream
-from ironmill.protocol.call import Answer, Call
-from ironmill.protocol.calls import BODY_MOST, HEAD_MOST, CallSide
 from ironmill.requests.metrics import ClassFigures, Figures
 from ironmill.runtime.lifecycle import Event, Lifecycle, State
-from ironmill.staff import Staff
 from ironmill_testbed.staff import call
 from tests.test_net import OPEN, Town, read_line
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -16,9 +16,9 @@
 import orjson
 import pytest
 
+from ironmill.administration.routes import Routes
 from ironmill.net.control import Control
 from ironmill.net.sockets import TimedOutError
-from ironmill.routes import Routes
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -16,10 +16,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
-from ironmill.callers import Callers
 from ironmill.commands.keys import KeyStore
 from ironmill.configuration.settings.model import TlsSettings, UpstreamTls
 from ironmill.configuration.tls_context import server_tls, upstream_tls
+from ironmill.identity.callers import Callers
 from ironmill.identity.keyring import KeyRing
 from ironmill.identity.rules import Caller, CallerRule, Identity, Rights
 from ironmill.net import client as client_module
