--- a/ironmill/runtime/gc_schedule.py
+++ b/ironmill/runtime/gc_schedule.py
@@ -2,7 +2,8 @@
 
 A full collection visits every object there is, so its pause grows with the connections that stand: 86 ms were
 seen at 5,000, and the rule on drains leaves 250. What a connection leaves behind is freed by its reference
-counts alone (``tests/test_garbage.py`` holds that), so full collections are left to times when few stand.
+counts alone (``tests/system/test_garbage_collection.py`` holds that), so full collections are left to times
+when few stand.
 """
 
 from __future__ import annotations
--- a/tests/test_staff.py
+++ b/tests/system/test_admin_api.py
@@ -22,7 +22,7 @@
 from ironmill.requests.metrics import ClassFigures, Figures
 from ironmill.runtime.lifecycle import Event, Lifecycle, State
 from ironmill_testbed.staff import call
-from tests.test_net import OPEN, Town, read_line
+from tests.system.test_net import OPEN, Town, read_line
 
 GET = b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- a/tests/test_callers.py
+++ b/tests/system/test_callers.py
@@ -27,10 +27,10 @@
 from ironmill_testbed.fleet import Client, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from tests.identity import AUDIENCE, ISSUER, Keys, forged, identity, rule
-from tests.test_gateway import FakeTimers
-from tests.test_identity import hostile
-from tests.test_net import OPEN, Town, read_line
+from tests.support.identity import AUDIENCE, ISSUER, Keys, forged, identity, rule
+from tests.system.test_net import OPEN, Town, read_line
+from tests.unit.identity.test_identity import hostile
+from tests.unit.requests.test_gateway import FakeTimers
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -18,7 +18,7 @@
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from ironmill_testbed.staff import call
-from tests.test_net import OPEN, Town, read_line
+from tests.system.test_net import OPEN, Town, read_line
 
 SOCKETS = 96
 LIMIT = 60.0
--- a/tests/test_garbage.py
+++ b/tests/system/test_garbage_collection.py
@@ -11,7 +11,7 @@
 from ironmill.runtime import gc_schedule
 from ironmill.runtime.gc_schedule import Collector
 from ironmill.runtime.timers import TimerQueue
-from tests.test_net import OPEN, Town, read_line
+from tests.system.test_net import OPEN, Town, read_line
 
 
 def test_the_collector_is_on_once_the_proxy_serves(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_net.py
+++ b/tests/system/test_net.py
@@ -32,7 +32,7 @@
 from ironmill.requests.metrics import ClassFigures
 from ironmill.requests.response_delay import DelayMeter
 from ironmill.runtime.scheduler import READ, Scheduler
-from tests.test_gateway import config
+from tests.unit.requests.test_gateway import config
 
 OPEN = b"OPEN 1a 2b c=read,d=1500,g=3c\r\n"
 
--- a/tests/test_probes.py
+++ b/tests/system/test_probes.py
@@ -25,9 +25,9 @@
 from ironmill.requests.gateway import Gateway
 from ironmill.requests.routing_table import Server
 from ironmill.simulator.host import PARSERS, format_action
-from tests.helpers import Relay, sends
-from tests.test_gateway import FakeHolder, FakeTimers, config, timers
-from tests.test_net import Town, read_line
+from tests.support.balancing import Relay, sends
+from tests.system.test_net import Town, read_line
+from tests.unit.requests.test_gateway import FakeHolder, FakeTimers, config, timers
 
 __all__ = ["timers"]
 
--- a/tests/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -16,7 +16,7 @@
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.discovery import Listed, Routing
 from ironmill.runtime.scheduler import READ
-from tests.test_gateway import config
+from tests.unit.requests.test_gateway import config
 
 
 class Quiet:
--- a/tests/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -33,8 +33,8 @@
 from ironmill.requests import discovery_backoff
 from ironmill.runtime.lifecycle import Event as LifecycleEvent
 from ironmill.runtime.lifecycle import State
-from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
-from tests.test_net import ONE, OPEN, Town, answer, pace, read_line
+from tests.support.balancing import KEYED, SAFE, SETTINGS, UNSAFE
+from tests.system.test_net import ONE, OPEN, Town, answer, pace, read_line
 
 LIMITS = {"read": 2.0, "write": 2.0, "order": 2.0}
 
--- a/tests/test_reload.py
+++ b/tests/system/test_reload.py
@@ -9,7 +9,7 @@
 
 from ironmill.configuration.proxy_config import Address, load
 from ironmill.net.reload import Reload
-from tests.test_config import written
+from tests.unit.configuration.test_proxy_config import written
 
 
 def test_a_new_file_changes_the_address_and_names_what_it_cannot_take(
--- a/tests/test_tls.py
+++ b/tests/system/test_tls.py
@@ -34,7 +34,7 @@
 from ironmill_testbed.fleet import Client, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from tests.test_net import OPEN, Town, read_line
+from tests.system.test_net import OPEN, Town, read_line
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_drains.py
+++ b/tests/unit/balancing/test_draining.py
@@ -16,7 +16,7 @@
     Send,
     Stage,
 )
-from tests.helpers import SAFE, Relay, entries, sends
+from tests.support.balancing import SAFE, Relay, entries, sends
 
 DEAR = structs.replace(SAFE, name="dear", worth=6.0)
 
--- a/tests/test_fleet.py
+++ b/tests/unit/balancing/test_fleet.py
@@ -26,9 +26,9 @@
 )
 from ironmill.balancing.slow_start import LIFE, SlowStartBudget
 from ironmill.configuration.site_settings import parse_settings
-from tests.helpers import SETTINGS as BASE
-from tests.helpers import Relay, entries, sends
-from tests.test_wirehost import SETTINGS
+from tests.support.balancing import SETTINGS as BASE
+from tests.support.balancing import Relay, entries, sends
+from tests.unit.simulator.test_simulator import SETTINGS
 
 FORTY = 40
 
--- a/tests/test_fleet_of_2800.py
+++ b/tests/unit/balancing/test_fleet_of_2800.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 from ironmill.requests.discovery_backoff import CALL_GAP_MOST, PAUSE_MOST, SHORTEST, TOLD_AFTER
-from tests.test_cold_fleet import over_the_rule
-from tests.test_pace import calls
+from tests.unit.balancing.test_slow_start_of_fleet import over_the_rule
+from tests.unit.requests.test_discovery_backoff import calls
 
 PROXIES = 2800
 
--- a/tests/test_shedding.py
+++ b/tests/unit/balancing/test_load_shedding.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ironmill.balancing.interface import Note, NoteKind, Outcome, Probed, Refuse, Tenant
-from tests.helpers import Relay, sends
+from tests.support.balancing import Relay, sends
 
 
 def jam(relay: Relay, backends: set[int], seconds: int) -> float:
--- a/tests/test_life_of_a_request.py
+++ b/tests/unit/balancing/test_request_lifetime.py
@@ -19,7 +19,7 @@
     Stage,
     TimerFired,
 )
-from tests.helpers import KEYED, UNSAFE, Relay, entries, sends
+from tests.support.balancing import KEYED, UNSAFE, Relay, entries, sends
 
 
 def answers(relay: Relay) -> list[object]:
--- a/tests/test_cold_and_health.py
+++ b/tests/unit/balancing/test_slow_start_and_health.py
@@ -15,7 +15,7 @@
     Stage,
 )
 from ironmill.balancing.slow_start import COLD_SAFETY
-from tests.helpers import SAFE, Relay, entries, sends
+from tests.support.balancing import SAFE, Relay, entries, sends
 
 
 def ordinary(relay: Relay, rate: float, span: float) -> None:
--- a/tests/test_cold_fleet.py
+++ b/tests/unit/balancing/test_slow_start_of_fleet.py
@@ -13,7 +13,7 @@
 
 from ironmill.balancing import balancer, slow_start
 from ironmill.balancing.interface import Entry, ListChanged, ListKind, Outcome, Stage, Succession
-from tests.helpers import SETTINGS, Relay, sends
+from tests.support.balancing import SETTINGS, Relay, sends
 
 WARM, COLD, SIZE = 4, 50, 4.0
 HELD = 40.0  # on a warm backend, where the list tells
--- a/tests/test_discovery.py
+++ b/tests/unit/balancing/test_subscription.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ironmill.balancing.interface import ListChanged, ListKind, SetTimer, Subscribe
-from tests.helpers import Relay, entries
+from tests.support.balancing import Relay, entries
 
 
 def first_call(relay: Relay) -> float:
--- a/tests/test_mechanism.py
+++ b/tests/unit/balancing/test_threshold.py
@@ -18,7 +18,7 @@
     Send,
     Stage,
 )
-from tests.helpers import Relay, entries, sends
+from tests.support.balancing import Relay, entries, sends
 
 
 def carried(number: int, backend: int) -> Carried:
--- a/tests/test_configuration.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -29,10 +29,10 @@
 from ironmill.runtime import logs
 from ironmill.runtime.timers import TimerQueue
 from ironmill_testbed.certificates import Authority, fingerprint
-from tests.identity import AUDIENCE, ISSUER, Keys, identity
-from tests.identity import rule as rule_of
-from tests.test_callers import Stands
-from tests.test_gateway import FakeTimers
+from tests.support.identity import AUDIENCE, ISSUER, Keys, identity
+from tests.support.identity import rule as rule_of
+from tests.system.test_callers import Stands
+from tests.unit.requests.test_gateway import FakeTimers
 
 PRINT = "ab" * 32
 
--- a/tests/test_distribution_settings.py
+++ b/tests/unit/configuration/test_distribution_settings.py
@@ -11,7 +11,7 @@
 from ironmill.configuration.settings.load import load_settings
 from ironmill.configuration.settings.model import ControlMachine, DistributionSettings, SettingsError
 from ironmill.configuration.units import size_rate
-from tests.test_config import written
+from tests.unit.configuration.test_proxy_config import written
 
 KEYS = "0f" * 32
 ORIGIN = '<control name="c1" address="10.0.0.1:7500" zone="hall-a" region="south" origin="true"/>'
--- a/tests/test_config.py
+++ b/tests/unit/configuration/test_proxy_config.py
@@ -15,7 +15,7 @@
 from ironmill.cli import main
 from ironmill.configuration.proxy_config import load
 from ironmill.protocol.json_object import MalformedError
-from tests.test_wirehost import SETTINGS
+from tests.unit.simulator.test_simulator import SETTINGS
 
 CONFIG: dict[str, Any] = {
     "name": "n3",
--- a/tests/test_settings.py
+++ b/tests/unit/configuration/test_settings.py
@@ -10,9 +10,9 @@
 from ironmill.cli import main
 from ironmill.configuration.settings.load import SIZE_MOST, load_settings
 from ironmill.configuration.settings.model import LogSettings, SettingsError, UpstreamTls
-from tests.test_config import written
+from tests.unit.configuration.test_proxy_config import written
 
-EXAMPLE = Path(__file__).parent.parent / "deploy" / "settings.example.xml"
+EXAMPLE = Path(__file__).parents[3] / "deploy" / "settings.example.xml"
 CLASSES = ("index-sync", "archive-fetch")
 IDENTITY = '<identity keys="ring.json">{}</identity>'
 CALLER = '<caller name="a" tenant="t"><token issuer="i" audience="u"/>{}</caller>'
--- a/tests/test_identity.py
+++ b/tests/unit/identity/test_identity.py
@@ -21,7 +21,7 @@
 from ironmill.identity.rules import TokenMatch, explain, fits, why_not
 from ironmill.identity.tokens import Refusal, TokenError, read
 from ironmill.identity.usage import Usage
-from tests.identity import AUDIENCE, ISSUER, Keys, forged, identity, part, rule
+from tests.support.identity import AUDIENCE, ISSUER, Keys, forged, identity, part, rule
 
 HEADER = b'{"alg":"EdDSA","kid":"a"}'
 CLAIMS = b'{"iss":"https://issuer.example","aud":"ironmill","sub":"farm-1","exp":9e9}'
--- a/tests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -20,7 +20,7 @@
 from ironmill.requests.response_delay import SILENT_AFTER, DelayMeter
 from ironmill.requests.routing_table import RoutingTable
 from ironmill.runtime.timers import TimerQueue
-from tests.helpers import SETTINGS
+from tests.support.balancing import SETTINGS
 
 
 class FakeTimers:
--- a/tests/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -35,7 +35,7 @@
 from ironmill.runtime.lifecycle import Event, Lifecycle
 from tests.golden import messages
 
-GOLDEN = Path(__file__).parent / "golden"
+GOLDEN = Path(__file__).parents[1] / "golden"
 
 
 def recorded(name: str) -> Any:
--- a/tests/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-HERE = Path(__file__).parent
+HERE = Path(__file__).parents[1]
 TESTS = """
 def test_good():
     pass
--- a/tests/test_readme.py
+++ b/tests/unit/test_readme.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-README = Path(__file__).parent.parent / "README.md"
+README = Path(__file__).parents[2] / "README.md"
 
 
 def test_example_runs_as_printed() -> None:
--- a/tests/test_terms_audit.py
+++ b/tests/unit/test_terms_audit.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 STATUSES = ("holds", "fixed", "open", "not reached")
 COLUMNS = 6
 
@@ -32,7 +32,7 @@
 def test_every_test_that_is_named_is_there() -> None:
     there = {
         name
-        for file in (ROOT / "tests").glob("test_*.py")
+        for file in (ROOT / "tests").rglob("test_*.py")
         for name in re.findall(r"^def (test_\w+)", file.read_text(), re.MULTILINE)
     }
     named = set(re.findall(r"`(test_\w+)`", (ROOT / "docs" / "terms-audit.md").read_text()))
