--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -2,11 +2,14 @@
 
 from __future__ import annotations
 
+import gzip
 import hashlib
+import io
 import shutil
 import sqlite3
 from http import HTTPStatus
 from pathlib import Path
+from types import SimpleNamespace
 from typing import Any
 
 import msgspec
@@ -33,6 +36,7 @@
 from ironmill.protocol.server import ProbeSide, Refused, Relayed, ServerSide, Up
 from ironmill.requests.metrics import Figures
 from ironmill.runtime.lifecycle import Event, Lifecycle
+from ironmill.simulator.host import main as simulate
 from tests.golden import messages
 
 GOLDEN = Path(__file__).parents[1] / "golden"
@@ -318,6 +322,17 @@
     assert ProbeSide().receive(b"NO\r\n") == (Outcome.ERROR, ())
 
 
+# The simulator's wire, and with it every decision on a recorded day
+
+
+def test_the_simulator_is_answered_as_recorded() -> None:
+    text = gzip.decompress((GOLDEN / "simulator.in.gz").read_bytes()).decode()
+    expected = gzip.decompress((GOLDEN / "simulator.out.gz").read_bytes()).decode()
+    streams = SimpleNamespace(stdin=io.StringIO(text), stdout=io.StringIO(), stderr=io.StringIO())
+    assert simulate(streams) == 0
+    assert streams.stdout.getvalue().splitlines() == expected.splitlines()
+
+
 # Discovery
 
 
