--- a/ironmill/balancing/balancer.py
+++ b/ironmill/balancing/balancer.py
@@ -32,33 +32,33 @@
 from ironmill.balancing.interface import (
     Abandoned,
     Action,
-    Carried,
-    CutShort,
-    Effect,
+    AnswerDue,
+    CheckHealth,
+    ConnectionSample,
+    DeduplicationScope,
     Ended,
-    Entry,
+    EndpointEntry,
     Established,
     Event,
     Fail,
-    ListChanged,
-    ListKind,
-    Move,
-    Note,
-    NoteKind,
+    HandoverStarted,
+    HealthChecked,
+    Idempotency,
+    Migrate,
     Outcome,
-    Probe,
-    Probed,
-    Refuse,
+    Reject,
     Request,
     RequestClass,
-    Scope,
+    Resumed,
+    SampleKind,
     Send,
     SetTimer,
     Settings,
     Stage,
     Subscribe,
-    Succession,
     TimerFired,
+    WatchEvent,
+    WatchEventKind,
 )
 from ironmill.balancing.load_shedding import (
     SHARE_SLACK,
@@ -194,7 +194,7 @@
         self._now = now
         self._classes = {cls.name: cls for cls in settings.classes}
         self._quotas = {
-            tenant.name: tenant.quota_connections / max(1, settings.relays)
+            tenant.name: tenant.quota_connections / max(1, settings.proxies)
             for tenant in settings.tenants
             if tenant.quota_connections > 0.0
         }
@@ -204,7 +204,7 @@
         self._largest = 0.0  # the largest weight ever listed: a size, where weights are live
         # How much more than one of PROXIES_TRIED an own connection stands for, and how much less often to
         # act.
-        self._part = max(1.0, settings.relays / PROXIES_TRIED)
+        self._part = max(1.0, settings.proxies / PROXIES_TRIED)
         self._changing: dict[int, None] = {}  # backends whose reading changes with time
         self._table = TokenTable()
         self._budget = SlowStartBudget(settings, self._rng, now)
@@ -219,7 +219,7 @@
         self._live: dict[str, _Live] = {}
         self._threshold: int | None = None  # set at the first placement
         self._actions: list[Action] = self._subscription.start()
-        if settings.probes:
+        if settings.health_checks:
             self._actions.append(SetTimer(PROBE_LOOK * self._part * self._rng.random(), PROBE_TIMER))
 
     def handle(self, event: Event, now: float) -> list[Action]:
@@ -232,21 +232,21 @@
                 self._end(event)
             case Established():
                 self._establish(event)
-            case Note():
+            case ConnectionSample():
                 self._note(event)
             case TimerFired():
                 self._timer(event.name)
-            case ListChanged():
+            case WatchEvent():
                 self._list_changed(event)
-            case Carried():
+            case Resumed():
                 self._carry(event)
-            case Probed():
+            case HealthChecked():
                 self._probed(event)
             case Abandoned():
                 self._abandon(event)
-            case CutShort():
+            case AnswerDue():
                 self._cut_short(event)
-            case Succession():
+            case HandoverStarted():
                 self._budget.succeed(event.until)
         actions, self._actions = self._actions, []
         return actions
@@ -275,13 +275,13 @@
 
     # The list of backends
 
-    def _list_changed(self, event: ListChanged) -> None:
-        if event.kind is ListKind.FAILED:
+    def _list_changed(self, event: WatchEvent) -> None:
+        if event.kind is WatchEventKind.FAILED:
             self._actions += self._subscription.failed()
             return
         self._subscription.answered()
-        if event.kind is ListKind.FULL:
-            listed = {entry.backend for entry in event.entries}
+        if event.kind is WatchEventKind.FULL:
+            listed = {entry.server_id for entry in event.entries}
             for backend in list(self._backends.values()):
                 if backend.id not in listed:
                     self._retire(backend)
@@ -319,12 +319,12 @@
             mean = self._table.mean()
             self._threshold += (mean > self._threshold) - (mean < self._threshold)
 
-    def _list(self, entry: Entry) -> None:
-        backend = self._backends.get(entry.backend)
+    def _list(self, entry: EndpointEntry) -> None:
+        backend = self._backends.get(entry.server_id)
         if backend is None:
             if entry.stage is not Stage.READY:
                 return
-            backend = self._backends[entry.backend] = Backend(entry.backend)
+            backend = self._backends[entry.server_id] = Backend(entry.server_id)
         if entry.stage is not Stage.READY:
             if entry.stage is Stage.DRAINING and backend.ready and backend.live > 0:
                 self._look_at_drain(backend.id)
@@ -401,7 +401,7 @@
         Only where that is priced: idle links hold a proxy to the backends it knows, and a grown fleet
         then fills more slowly. (Zones are not surcharged: full-size zones tipped over.)
         """
-        prices = self._settings.prices
+        prices = self._settings.costs
         missing = not backend.idle_until and prices.handshake >= PRICE_THAT_COUNTS
         return LOAD_OF_NEW_LINK if missing else 0
 
@@ -504,20 +504,23 @@
 
     def _in_scope(self, live: _Live, backend_id: int) -> bool:
         """False where a repeat of the request could take effect a second time."""
-        if live.maybe_ran is None or live.cls.effect is Effect.SAFE:
+        if live.maybe_ran is None or live.cls.idempotency is Idempotency.ALWAYS:
             return True
         if not self._may_resend(live):
             return False
         first = live.maybe_ran[0]
         backend = self._backends[backend_id]
-        if live.cls.scope is Scope.ZONE:
+        if live.cls.deduplication_scope is DeduplicationScope.ZONE:
             return backend.zone == first.zone
-        return live.cls.scope is Scope.ALL or (backend.zone, backend.cell) == (first.zone, first.cell)
+        return live.cls.deduplication_scope is DeduplicationScope.ALL or (backend.zone, backend.cell) == (
+            first.zone,
+            first.cell,
+        )
 
     def _send(self, live: _Live, backend: Backend) -> None:
-        left = live.request.give_up_at - self._now
+        left = live.request.deadline - self._now
         last = live.sent + 1 >= self._settings.max_attempts
-        timeout = left if last else min(left, live.cls.aim)
+        timeout = left if last else min(left, live.cls.latency_objective)
         live.backend, live.sent_at, live.out = backend.id, self._now, True
         live.sent += 1
         live.tried.append(backend.id)
@@ -599,39 +602,39 @@
         if known is not None:
             return known
         # A class that the settings do not name: assume the worst of it.
-        left = max(0.0, request.give_up_at - self._now)
-        return RequestClass(request.class_name, left, 0.0, left, Effect.UNSAFE)
+        left = max(0.0, request.deadline - self._now)
+        return RequestClass(request.class_name, left, 0.0, left, Idempotency.NONE)
 
-    def _carry(self, event: Carried) -> None:
+    def _carry(self, event: Resumed) -> None:
         if event.request.id in self._live:
             return
         live = _Live(event.request, self._class_of(event.request))
         live.sent, live.out, live.established, live.over = 1, True, True, True
-        live.backend = event.backend
+        live.backend = event.server_id
         self._stands(live, 1)
         self._live[event.request.id] = live
-        backend = self._backends.get(event.backend)
+        backend = self._backends.get(event.server_id)
         if backend is None:
-            backend = self._backends[event.backend] = Backend(event.backend)
+            backend = self._backends[event.server_id] = Backend(event.server_id)
         backend.live += 1
         self._hold_for(live, 1)
         self._read(backend)
 
     def _place_or_hold(self, live: _Live) -> None:
         """Send the request now or look again later; answer it when its time is nearly up."""
-        left = live.request.give_up_at - self._now - self._margin()
+        left = live.request.deadline - self._now - self._margin()
         if left < ATTEMPT_LEAST or live.sent >= self._settings.max_attempts or not self._may_resend(live):
             self._answer(live)
         elif not self._place(live):
             self._hold(live, HOLD_LOOK * (0.5 + self._rng.random()))
 
     def _hold(self, live: _Live, pause: float) -> None:
-        left = live.request.give_up_at - self._now - self._margin()
+        left = live.request.deadline - self._now - self._margin()
         self._actions.append(SetTimer(max(0.0, min(pause, left)), live.request.id))
 
     def _margin(self) -> float:
         """A proxy acts only once a round, so the last moment is a few rounds before the end."""
-        return 0.005 + 3.0 * self._settings.round_gap
+        return 0.005 + 3.0 * self._settings.min_round_interval
 
     def _may_resend(self, live: _Live) -> bool:
         return self._now < self._repeat_by(live)
@@ -639,9 +642,13 @@
     @staticmethod
     def _repeat_by(live: _Live) -> float:
         """Until when a further attempt may begin; infinite where a repeat is harmless, or would be none."""
-        if live.maybe_ran is None or live.cls.effect is Effect.SAFE:
+        if live.maybe_ran is None or live.cls.idempotency is Idempotency.ALWAYS:
             return math.inf
-        return live.maybe_ran[1] + live.cls.window if live.cls.effect is Effect.KEYED else -math.inf
+        return (
+            live.maybe_ran[1] + live.cls.deduplication_window
+            if live.cls.idempotency is Idempotency.BY_KEY
+            else -math.inf
+        )
 
     def _answer(self, live: _Live) -> None:
         """Give the one final answer. A refusal says that trying again is harmless."""
@@ -649,17 +656,20 @@
         del self._live[live.request.id]
         harmless = (
             live.maybe_ran is None
-            or live.cls.effect is Effect.SAFE
-            or (live.cls.effect is Effect.KEYED and live.cls.scope is Scope.ALL)
+            or live.cls.idempotency is Idempotency.ALWAYS
+            or (
+                live.cls.idempotency is Idempotency.BY_KEY
+                and live.cls.deduplication_scope is DeduplicationScope.ALL
+            )
         )
         if harmless:
-            advice = self._settings.retry_after_max * (0.1 + 0.2 * self._rng.random())
-            self._actions.append(Refuse(live.request.id, advice))
+            advice = self._settings.max_retry_after * (0.1 + 0.2 * self._rng.random())
+            self._actions.append(Reject(live.request.id, advice))
         else:
             self._actions.append(Fail(live.request.id))
 
     def _establish(self, event: Established) -> None:
-        live = self._live.get(event.id)
+        live = self._live.get(event.request_id)
         if live is None or not live.out or event.attempt != live.sent - 1:
             return
         live.established, live.over = True, True
@@ -668,10 +678,10 @@
         if backend is not None:
             backend.trying -= 1
             self._breaker.stood(backend)
-        if backend is not None and event.delay > live.cls.message_aim * SLOW_SHARE:
+        if backend is not None and event.delay > live.cls.message_latency_objective * SLOW_SHARE:
             # A set-up waits behind the same work as a message, and shows a jam where no note tells one:
             # on real sockets standing connections bring their lines back at once all the same.
-            share = event.delay / live.cls.message_aim
+            share = event.delay / live.cls.message_latency_objective
             Health.set_slowness(backend, share, self._now)
             self._read(backend)
             if share >= JAM_SHARE:
@@ -679,7 +689,7 @@
                 self._jammed[backend.id] = None
 
     def _end(self, event: Ended) -> None:
-        live = self._live.get(event.id)
+        live = self._live.get(event.request_id)
         if live is None or not live.out or event.attempt != live.sent - 1:
             return
         live.out = False
@@ -689,7 +699,7 @@
             backend.unlisted.remove(live.sent_at)
         self._hold_for(live, -1)
         if event.outcome in LEAVES_LINK:
-            backend.idle_until.append(self._now + self._settings.keepalive)
+            backend.idle_until.append(self._now + self._settings.keepalive_timeout)
         load = LOAD_OF_OUTCOME.get(event.outcome, 0.0)
         Health.add(backend, load, self._now)
         if live.established:
@@ -702,11 +712,11 @@
         if not backend.ready and backend.live == 0:
             del self._backends[backend.id]
         if event.final or live.over:
-            del self._live[event.id]
+            del self._live[event.request_id]
             return
         if live.maybe_ran is None and not event.outcome.never_ran:
             live.maybe_ran = (backend, live.sent_at)
-        if event.outcome is Outcome.MOOT or live.cut_short:
+        if event.outcome is Outcome.NOT_SENT or live.cut_short:
             self._answer(live)
         elif live.sent == 1 and event.outcome.never_ran:
             self._place_or_hold(live)
@@ -714,16 +724,16 @@
             self._hold(live, BACKOFF * 2.0**live.sent * self._rng.random())
 
     def _abandon(self, event: Abandoned) -> None:
-        live = self._live.get(event.id)
+        live = self._live.get(event.request_id)
         if live is None:
             return
         live.over = True
         if not live.out:
-            del self._live[event.id]
+            del self._live[event.request_id]
 
-    def _cut_short(self, event: CutShort) -> None:
+    def _cut_short(self, event: AnswerDue) -> None:
         """What is out may have run, so its end is waited for: it says whether a repeat is harmless."""
-        live = self._live.get(event.id)
+        live = self._live.get(event.request_id)
         if live is None or live.over:
             return
         live.cut_short = True
@@ -746,12 +756,17 @@
 
     # Moves
 
-    def _note(self, event: Note) -> None:
-        live = self._live.get(event.id)
-        if event.kind is not NoteKind.DELAY or live is None or not live.out or event.attempt != live.sent - 1:
+    def _note(self, event: ConnectionSample) -> None:
+        live = self._live.get(event.request_id)
+        if (
+            event.kind is not SampleKind.DELAY
+            or live is None
+            or not live.out
+            or event.attempt != live.sent - 1
+        ):
             return
         backend = self._backends[live.backend]
-        share = event.value / 1000.0 / live.cls.message_aim
+        share = event.value / 1000.0 / live.cls.message_latency_objective
         Health.set_slowness(backend, share, self._now)
         self._read(backend)
         if share >= JAM_SHARE:
@@ -775,11 +790,11 @@
             # By chance among those never asked: else all proxies of a fleet begin with the same one.
             backend = min(ready, key=lambda backend: (backend.probed_at, self._rng.random()))
             backend.probed_at = self._now
-            self._actions.append(Probe(backend.id))
+            self._actions.append(CheckHealth(backend.id))
 
-    def _probed(self, event: Probed) -> None:
+    def _probed(self, event: HealthChecked) -> None:
         """Take in a load report. Over PROBE_OVER a backend answers its messages late, all of them."""
-        backend = self._backends.get(event.backend)
+        backend = self._backends.get(event.server_id)
         if backend is None:
             return
         if event.outcome in (Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET):
@@ -840,7 +855,7 @@
     def _move(self, live: _Live) -> None:
         if not live.moved:
             live.moved = True
-            self._actions.append(Move(live.request.id))
+            self._actions.append(Migrate(live.request.id))
 
     def _empty(self, backend_id: int) -> None:
         """Move on one of a draining backend's connections, those of most worth first.
@@ -855,7 +870,7 @@
         here = [live for live in self._live.values() if live.out and live.backend == backend_id]
         standing = [live for live in here if live.established and not live.moved]
         if standing and not self._gate.closing:
-            self._move(max(standing, key=lambda live: live.cls.worth))
+            self._move(max(standing, key=lambda live: live.cls.priority_weight))
         if here:
             self._look_at_drain(backend_id)
 
--- a/ironmill/balancing/interface.py
+++ b/ironmill/balancing/interface.py
@@ -1,8 +1,8 @@
-"""The interface of the decision module: settings, events and actions.
+"""The interface of the decisions: settings, events and actions.
 
-Everything that enters or leaves a ``Balancer`` is one of the types below. They say what a relay of
-any make can tell and do; how a given wire spells them is the business of that wire's adapter. All
-times are in seconds, and points in time are on the clock that the relay hands in with each event.
+Everything that enters or leaves a ``Balancer`` is one of the types below. They are independent of any wire
+format; an adapter maps the names of its wire to them. All durations are in seconds. Points in time are in
+seconds on the clock that the caller hands in with each event.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from msgspec import Struct
 
 
-class Effect(Enum):
-    """How safe it is to run a request again."""
+class Idempotency(Enum):
+    """Whether a request may run more than once."""
 
-    SAFE = "safe"
-    KEYED = "keyed"  # repeats are dropped within a group of backends, for a while
-    UNSAFE = "unsafe"
+    ALWAYS = "always"
+    BY_KEY = "by_key"  # servers that share a memory drop repeats of a key, for a limited time
+    NONE = "none"
 
 
-class Scope(Enum):
-    """Which backends share the memory that drops repeats of a keyed request."""
+class DeduplicationScope(Enum):
+    """Which servers share the memory that drops repeats of an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,19 +31,19 @@
 
 
 class Stage(Enum):
-    """What discovery says of a backend."""
+    """The stage of a server's life, as discovery lists it."""
 
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
-class ListKind(Enum):
-    """How the entries of a list event relate to the list already held."""
+class WatchEventKind(Enum):
+    """How the entries of a watch event relate to the cached endpoint list."""
 
     DELTA = "delta"
     FULL = "full"
-    FAILED = "failed"  # a call to discovery failed; the list held stays
+    FAILED = "failed"  # a call to discovery failed; the cached list stays valid
 
 
 class Outcome(Enum):
@@ -56,186 +56,188 @@
     CONNECT_FAILED = ("connect_failed", True)
     RESET = ("reset", False)
     CANCELLED = ("cancelled", False)
-    MOOT = ("moot", True)  # never sent: the request was over, or past its time or attempts
-    OTHER = ("other", False)  # an outcome newer than this library; taken as one that may have run
+    NOT_SENT = ("not_sent", True)  # the request was over, too late, or out of attempts before the first byte
+    OTHER = ("other", False)  # an outcome unknown to this version; it may have run
 
     @property
     def never_ran(self) -> bool:
-        """True if the backend certainly did nothing for the attempt."""
+        """True if the server certainly did nothing for the attempt."""
         return self.value[1]
 
 
-class NoteKind(Enum):
-    """What a note on an open connection tells."""
+class SampleKind(Enum):
+    """What is measured on an established connection."""
 
-    LOAD = "load"  # microseconds of work a second that the connection asks for now
-    DELAY = "delay"  # milliseconds that a message takes at the backend now
+    LOAD = "load"  # microseconds of work per second that the connection needs now
+    DELAY = "delay"  # milliseconds until the server answers a message
 
 
 class RequestClass(Struct, frozen=True):
     """One class of requests."""
 
     name: str
-    aim: float  # a set-up within this time has its full worth
-    worth: float
-    message_aim: float  # how soon a message on an open connection should be answered
-    effect: Effect = Effect.SAFE
-    scope: Scope = Scope.ALL
-    window: float = 0.0  # how long repeats of a keyed request are dropped, from its first send
+    latency_objective: float  # a connection that is established within it has its full value
+    priority_weight: float
+    message_latency_objective: float  # for an answer to a message on an established connection
+    idempotency: Idempotency = Idempotency.ALWAYS
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: float = 0.0  # how long repeats of a key are dropped, from the first send
 
 
 class Tenant(Struct, frozen=True):
-    """A customer with a share of the fleet; what it sends beyond that share is worth little."""
+    """A customer with a quota of the fleet. Work beyond the quota has low priority."""
 
     name: str
     quota_rate: float
     quota_connections: float
 
 
-class Prices(Struct, frozen=True):
-    """What is taken off the result, each times its rate; so far only one weighs in a decision."""
+class Costs(Struct, frozen=True):
+    """Costs that weigh in a decision, in units of the value of one request."""
 
     handshake: float = 0.0
 
 
 class Settings(Struct, frozen=True):
-    """What a relay is told once, at its start."""
+    """Settings of a proxy that stay the same during its run."""
 
-    relays: int
+    proxies: int  # size of the fleet
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
-    prices: Prices
-    ask_discovery: bool  # True: changes come only to those who subscribed
-    ask_within: float  # an unsubscribed relay must ask at least this often
-    cold_from: float  # share of its capacity that a backend has when it starts
-    ramp_time: float  # time until it has all of it
-    fall_multiple: float  # sent more than this many times its capacity ...
-    tip_after: float  # ... for this long, a cold backend falls over
+    costs: Costs
+    subscribes_to_discovery: bool  # True: discovery sends changes only to subscribers
+    discovery_poll_interval: float  # an unsubscribed proxy must poll at least this often
+    initial_capacity_fraction: float  # of its capacity, when a server starts
+    slow_start_duration: float  # until a started server has its whole capacity
+    slow_start_rate_multiple: (
+        float  # a server in slow start fails when sent this multiple of its capacity ...
+    )
+    slow_start_window: float  # ... over this time
     max_attempts: int
-    retry_after_max: float  # longest wait a client respects; 0 where clients are given no advice
-    keepalive: float  # an idle link to a backend stays open this long
-    round_gap: float  # shortest time between two calls of the relay
-    probes: bool = False  # a backend may be asked for its load report
-    tells_delay: bool = True  # notes tell what messages take
-    live_weights: bool = False  # a listed weight is the size over 1 + requests held a core, by all relays
+    max_retry_after: float  # longest Retry-After that a client respects; 0 where clients get none
+    keepalive_timeout: float  # an idle link to a server stays open this long
+    min_round_interval: float  # shortest time between two calls of the proxy
+    health_checks: bool = False  # servers may be asked for a load report
+    reports_delay: bool = True  # messages' delays are sampled
+    live_weights: bool = False  # a listed weight is size / (1 + connections per core of all proxies)
 
 
 # --- events --------------------------------------------------------------------------------------
 
 
-class Entry(Struct, frozen=True):
-    """A backend as discovery lists it."""
+class EndpointEntry(Struct, frozen=True):
+    """A server as discovery lists it."""
 
-    backend: int
+    server_id: int
     stage: Stage
     zone: str = ""
     cell: int = 0
-    started_at: float = 0.0  # 0: long ago
+    started_at: float = 0.0  # 0: unknown, or long ago
     weight: float = 1.0
 
 
-class ListChanged(Struct, frozen=True):
-    """News from discovery, or the failure of a call to it."""
+class WatchEvent(Struct, frozen=True):
+    """A change of the endpoint list, or the failure of a call to discovery."""
 
-    kind: ListKind
-    entries: tuple[Entry, ...] = ()
+    kind: WatchEventKind
+    entries: tuple[EndpointEntry, ...] = ()
 
 
 class Request(Struct, frozen=True):
-    """A client wants a connection."""
+    """A client requests a connection."""
 
     id: str
     class_name: str
-    give_up_at: float
+    deadline: float
     tenant: str = ""
-    key: int | None = None
-    group: int | None = None
-    load_hint: float = 0.0  # work a second on a standard core; 0: not told
-    returning: bool = False  # the client comes back after a break, a move or a failed try
-    rerouted: bool = False  # mid-flow packets of a connection that some backend still holds
+    key: int | None = None  # the idempotency key
+    group: int | None = None  # connections of one group share work at a server
+    load_hint: float = 0.0  # work per second on a standard core; 0: unknown
+    returning: bool = False  # the client comes back after a lost connection, a migration or a failed request
+    rerouted: bool = False  # packets from the middle of a connection that some server still serves
 
 
-class Carried(Struct, frozen=True):
-    """A connection that was already open through this relay when it started."""
+class Resumed(Struct, frozen=True):
+    """A connection was already open through this proxy when it started."""
 
     request: Request
-    backend: int
+    server_id: int
 
 
 class Established(Struct, frozen=True):
-    """The attempt's connection stands; its time-out no longer holds."""
+    """The attempt's connection is established; its timeout no longer applies."""
 
-    id: str
+    request_id: str
     attempt: int
-    backend: int
+    server_id: int
     delay: float
 
 
 class Ended(Struct, frozen=True):
-    """The attempt is over. Exactly one comes for each ``Send``."""
+    """The attempt is over. Exactly one follows each ``Send``."""
 
-    id: str
+    request_id: str
     attempt: int
-    backend: int
+    server_id: int
     outcome: Outcome
     delay: float
     final: bool  # the request is over too; no answer is owed any more
     report: tuple[tuple[str, float], ...] = ()
 
 
-class Note(Struct, frozen=True):
-    """News of an open connection."""
+class ConnectionSample(Struct, frozen=True):
+    """A measurement of an established connection."""
 
-    id: str
+    request_id: str
     attempt: int
-    backend: int
-    kind: NoteKind
+    server_id: int
+    kind: SampleKind
     value: float
 
 
-class Probed(Struct, frozen=True):
-    """What a ``Probe`` brought back."""
+class HealthChecked(Struct, frozen=True):
+    """The result of a ``CheckHealth``, with the server's load report."""
 
-    backend: int
+    server_id: int
     outcome: Outcome
     report: tuple[tuple[str, float], ...] = ()
 
 
 class Abandoned(Struct, frozen=True):
-    """The client left; nothing is owed any more."""
+    """The client left; no answer is owed any more."""
 
-    id: str
+    request_id: str
 
 
-class CutShort(Struct, frozen=True):
-    """The relay ends: the request gets its answer now, or when the attempt that is out has ended."""
+class AnswerDue(Struct, frozen=True):
+    """The proxy shuts down: the request is answered now, or when the attempt in flight has ended."""
 
-    id: str
+    request_id: str
 
 
-class Succession(Struct, frozen=True):
-    """Another process of the same proxy, which this one is to succeed, may serve beside it until then."""
+class HandoverStarted(Struct, frozen=True):
+    """The process that this one replaces may serve beside it until the given time."""
 
     until: float
 
 
 class TimerFired(Struct, frozen=True):
-    """A timer asked for by ``SetTimer`` ran out."""
+    """A timer set by ``SetTimer`` ran out."""
 
     name: str
 
 
 Event: TypeAlias = (
-    ListChanged
+    WatchEvent
     | Request
-    | Carried
+    | Resumed
     | Established
     | Ended
-    | Note
-    | Probed
+    | ConnectionSample
+    | HealthChecked
     | Abandoned
-    | CutShort
-    | Succession
+    | AnswerDue
+    | HandoverStarted
     | TimerFired
 )
 
@@ -244,48 +246,48 @@
 
 
 class Send(Struct, frozen=True):
-    """Start an attempt for the request at a backend."""
+    """Start an attempt for the request at a server."""
 
-    id: str
-    backend: int
+    request_id: str
+    server_id: int
     timeout: float
-    start_by: float = math.inf  # begun later, a repeat could take effect a second time
+    start_by: float = math.inf  # an attempt that begins later could take effect a second time
 
 
-class Refuse(Struct, frozen=True):
-    """Final answer: no, and trying again does no harm."""
+class Reject(Struct, frozen=True):
+    """Final answer: rejected, and a retry is harmless."""
 
-    id: str
+    request_id: str
     retry_after: float = 0.0
 
 
 class Fail(Struct, frozen=True):
-    """Final answer: failed, with no promise about effects."""
+    """Final answer: failed. The request may have taken effect."""
 
-    id: str
+    request_id: str
 
 
-class Move(Struct, frozen=True):
-    """End an open connection politely; its client comes again at once."""
+class Migrate(Struct, frozen=True):
+    """Close an established connection gracefully, so that its client connects anew at once."""
 
-    id: str
+    request_id: str
 
 
 class SetTimer(Struct, frozen=True):
-    """Ask for a ``TimerFired`` after the delay."""
+    """Have a ``TimerFired`` with this name delivered after the delay."""
 
     delay: float
     name: str
 
 
 class Subscribe(Struct, frozen=True):
-    """Ask discovery for all changes from now on."""
+    """Subscribe to all further changes of discovery's endpoint list."""
 
 
-class Probe(Struct, frozen=True):
-    """Ask a backend for its load report; a ``Probed`` comes for each."""
+class CheckHealth(Struct, frozen=True):
+    """Ask a server for its load report. One ``HealthChecked`` follows each."""
 
-    backend: int
+    server_id: int
 
 
-Action: TypeAlias = Send | Refuse | Fail | Move | SetTimer | Subscribe | Probe
+Action: TypeAlias = Send | Reject | Fail | Migrate | SetTimer | Subscribe | CheckHealth
--- a/ironmill/balancing/slow_start.py
+++ b/ironmill/balancing/slow_start.py
@@ -52,7 +52,7 @@
         self._born = now  # it grants from then on
         self._start = self._sum_at = now + RATE_SKIP
         self._sum = 0.0
-        self._phase = rng.random() * settings.tip_after
+        self._phase = rng.random() * settings.slow_start_window
         self._standing = 0  # own connections, and for how long all of them together have stood
         self._stood = 0.0
         self._stood_at = now
@@ -86,20 +86,20 @@
 
     def is_cold(self, backend: Backend, now: float) -> bool:
         """True until the stated warm-up is over."""
-        return backend.started_at > 0.0 and now < backend.started_at + self._settings.ramp_time
+        return backend.started_at > 0.0 and now < backend.started_at + self._settings.slow_start_duration
 
     def allows(self, backend: Backend, now: float) -> bool:
         """True if this window still has a connection for the cold backend."""
         if now < self._born:
             return False
-        window = int((now + self._phase) / self._settings.tip_after)
+        window = int((now + self._phase) / self._settings.slow_start_window)
         if backend.cold_window != window:
             backend.cold_window = window
             share = self._share(backend, now)
-            if now - self._born < self._settings.tip_after:
+            if now - self._born < self._settings.slow_start_window:
                 # Guards against a start in the midst of a window whose grant the process before may have
                 # used.
-                share *= 1.0 - (now + self._phase) / self._settings.tip_after % 1.0
+                share *= 1.0 - (now + self._phase) / self._settings.slow_start_window % 1.0
             backend.cold_tokens = int(share + self._rng.random())
         return backend.cold_tokens > 0
 
@@ -107,12 +107,18 @@
         rules = self._settings
         span = RATE_MEMORY * (1.0 - math.exp(min(0.0, self._start - now) / RATE_MEMORY))
         told = RATE_TOLD if self.held > 0.0 else 0.0
-        rate = self.held / self._life(now) / rules.relays
+        rate = self.held / self._life(now) / rules.proxies
         total = self._sum * math.exp((self._sum_at - now) / RATE_MEMORY) + told * rate
         rate = total / (max(RATE_LEAST_SPAN, span) + told)
-        age = min(1.0, max(0.0, (now - backend.started_at) / rules.ramp_time))
-        capacity = rules.cold_from + (1.0 - rules.cold_from) * age
+        age = min(1.0, max(0.0, (now - backend.started_at) / rules.slow_start_duration))
+        capacity = rules.initial_capacity_fraction + (1.0 - rules.initial_capacity_fraction) * age
         # Guards cold backends against standing empty while the others jam: the ordinary rate of connections
         # that last 30 s is a tenth of what comes when half of the backends are replaced within seconds.
-        filling = self.held_full / (max(rules.tip_after, rules.ramp_time) * rules.relays)
-        return COLD_SAFETY * rules.fall_multiple * max(rate, filling) * capacity * rules.tip_after
+        filling = self.held_full / (max(rules.slow_start_window, rules.slow_start_duration) * rules.proxies)
+        return (
+            COLD_SAFETY
+            * rules.slow_start_rate_multiple
+            * max(rate, filling)
+            * capacity
+            * rules.slow_start_window
+        )
--- a/ironmill/balancing/subscription.py
+++ b/ironmill/balancing/subscription.py
@@ -23,8 +23,8 @@
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._rng = rng
-        self._asks = settings.ask_discovery
-        self._spread = min(ASK_SPREAD, settings.ask_within / 2)
+        self._asks = settings.subscribes_to_discovery
+        self._spread = min(ASK_SPREAD, settings.discovery_poll_interval / 2)
         self._failures = 0
 
     def start(self) -> list[Action]:
--- a/ironmill/configuration/proxy_config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -81,7 +81,7 @@
     settings_tree = root.tree("settings")
     # On these sockets a standing connection brings its lines back at once however long the messages of
     # its server take, so the decisions must not count on being told of a jam.
-    settings = structs.replace(settings_from(settings_tree), tells_delay=False)
+    settings = structs.replace(settings_from(settings_tree), reports_delay=False)
     sockets = root.tree("limits", {}).number("sockets", 1024)
     if not SOCKETS_LEAST <= sockets <= SOCKETS_MOST:
         raise MalformedError(f"configuration: limits.sockets is not from {SOCKETS_LEAST} to {SOCKETS_MOST}")
@@ -100,7 +100,7 @@
         wait_limits={
             item.text("name"): item.number("hardLimitS", 10.0) for item in settings_tree.trees("categories")
         },
-        shortest_aim=min((cls.message_aim for cls in settings.classes), default=0.1),
+        shortest_aim=min((cls.message_latency_objective for cls in settings.classes), default=0.1),
         stated=flat(value),
         control=address(control, "control") if control else None,
     )
--- a/ironmill/configuration/site_settings.py
+++ b/ironmill/configuration/site_settings.py
@@ -4,16 +4,23 @@
 
 import logging
 
-from ironmill.balancing.interface import Effect, Prices, RequestClass, Scope, Settings, Tenant
+from ironmill.balancing.interface import (
+    Costs,
+    DeduplicationScope,
+    Idempotency,
+    RequestClass,
+    Settings,
+    Tenant,
+)
 from ironmill.protocol.json_object import Tree, from_json
 
 log = logging.getLogger("ironmill.configuration.site_settings")
 
-EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+EFFECTS = {"pure": Idempotency.ALWAYS, "token": Idempotency.BY_KEY, "side_effect": Idempotency.NONE}
+SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
-def _effect_and_scope(item: Tree) -> tuple[Effect, Scope]:
+def _effect_and_scope(item: Tree) -> tuple[Idempotency, DeduplicationScope]:
     """How safe it is to run a request of the class again.
 
     An effect, or a group that drops repeats, that this program does not know is taken as the worst: nothing
@@ -22,14 +29,14 @@
     """
     effect_name, scope_name = item.text("effect"), item.text("group", "all")
     effect, scope = EFFECTS.get(effect_name), SCOPES.get(scope_name)
-    if effect is None or (effect is Effect.KEYED and scope is None):
+    if effect is None or (effect is Idempotency.BY_KEY and scope is None):
         log.warning(
             "class %s: %s is not known, so nothing of it is repeated",
             item.text("name"),
             f"effect {effect_name!r}" if effect is None else f"group {scope_name!r}",
         )
-        effect = Effect.UNSAFE
-    return effect, scope or Scope.ALL
+        effect = Idempotency.NONE
+    return effect, scope or DeduplicationScope.ALL
 
 
 def parse_settings(text: str) -> Settings:
@@ -49,12 +56,12 @@
         classes.append(
             RequestClass(
                 name=item.text("name"),
-                aim=aim,
-                worth=item.number("points", 1.0),
-                message_aim=aims[at] if at < len(aims) else aim,
-                effect=effect,
-                scope=scope,
-                window=item.number("windowS", 0.0),
+                latency_objective=aim,
+                priority_weight=item.number("points", 1.0),
+                message_latency_objective=aims[at] if at < len(aims) else aim,
+                idempotency=effect,
+                deduplication_scope=scope,
+                deduplication_window=item.number("windowS", 0.0),
             )
         )
     tenants = [
@@ -62,21 +69,21 @@
         for at, item in enumerate(root.trees("projects", []))
     ]
     return Settings(
-        relays=int(root.number("balancers")),
+        proxies=int(root.number("balancers")),
         classes=tuple(classes),
         tenants=tuple(tenants),
-        prices=Prices(handshake=prices.number("handshake", 0.0)),
-        ask_discovery=root.choice("discovery", {"push": False, "ask": True}),
-        ask_within=rules.number("askWithinS", 10.0),
-        cold_from=rules.number("coldFrom"),
-        ramp_time=rules.number("rampTimeS"),
-        fall_multiple=rules.number("fallMultiple"),
-        tip_after=rules.number("tipAfterS"),
+        costs=Costs(handshake=prices.number("handshake", 0.0)),
+        subscribes_to_discovery=root.choice("discovery", {"push": False, "ask": True}),
+        discovery_poll_interval=rules.number("askWithinS", 10.0),
+        initial_capacity_fraction=rules.number("coldFrom"),
+        slow_start_duration=rules.number("rampTimeS"),
+        slow_start_rate_multiple=rules.number("fallMultiple"),
+        slow_start_window=rules.number("tipAfterS"),
         max_attempts=int(ceilings.number("sendCap")),
-        retry_after_max=ceilings.number("maxRetryAfterS", 0.0) if ceilings.flag("retryAfter", False) else 0.0,
-        keepalive=ceilings.number("keepaliveS", 0.0),
-        round_gap=root.number("roundS", 0.001),
-        probes=ceilings.flag("probes", False),
-        tells_delay=family.flag("tellsDelay", True),
+        max_retry_after=ceilings.number("maxRetryAfterS", 0.0) if ceilings.flag("retryAfter", False) else 0.0,
+        keepalive_timeout=ceilings.number("keepaliveS", 0.0),
+        min_round_interval=root.number("roundS", 0.001),
+        health_checks=ceilings.flag("probes", False),
+        reports_delay=family.flag("tellsDelay", True),
         live_weights=root.text("weightSource", "off") == "live",
     )
--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -180,7 +180,7 @@
 
     def _busy(self, retry_after: float) -> bytes:
         """``BUSY``, with the time to come again where the settings allow one."""
-        return busy_line(retry_after if self._config.settings.retry_after_max > 0.0 else 0.0)
+        return busy_line(retry_after if self._config.settings.max_retry_after > 0.0 else 0.0)
 
     def _send_off(self, retry_after: float) -> None:
         """The last answer and the close, without a wait: its descriptor is needed."""
--- a/ironmill/net/probe.py
+++ b/ironmill/net/probe.py
@@ -50,7 +50,7 @@
         except TimedOutError:
             outcome = Outcome.TIMEOUT
         except OSError as error:
-            outcome = Outcome.MOOT if error.errno in EXHAUSTED else Outcome.CONNECT_FAILED
+            outcome = Outcome.NOT_SENT if error.errno in EXHAUSTED else Outcome.CONNECT_FAILED
         finally:
             self._asking.discard(server.number)
         if outcome is not Outcome.OK or server.leaving_since is not None:
@@ -69,7 +69,7 @@
         else:
             # Whoever is asked holds a connection, or is about to.
             if len(self._streams.keys() | self._asking) > KEPT_MOST and not self._make_room():
-                return Outcome.MOOT, ()
+                return Outcome.NOT_SENT, ()
             stream = self._streams[server.number] = self._dial(server.address, self._connect_timeout)
             stream.shake(time.monotonic() + self._connect_timeout)
         return self._put(stream)
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -82,9 +82,9 @@
             self.gateway.succeed(SUCCESSION_MOST)
         pace = partial(
             CallPace,
-            config.settings.relays,
+            config.settings.proxies,
             random.Random(config.seed),
-            config.settings.ask_discovery,
+            config.settings.subscribes_to_discovery,
             first_at_once=self.listener.succeeds,
         )
         known = config.known.revision if config.known.listed else None
@@ -191,7 +191,7 @@
         # Where discovery must be asked nothing counts as told before it was written, and the first call of a
         # crowd is spread over seconds. Guards clients of proxies that were killed together: ten of fourteen
         # listened 0.5 s before they took anybody, and in the meantime nobody else did.
-        return 0.0 if self._config.settings.ask_discovery else FIRST_ANSWER_WAIT
+        return 0.0 if self._config.settings.subscribes_to_discovery else FIRST_ANSWER_WAIT
 
     def _open(self) -> None:
         """Discovery has answered once, or does not: take what clients come."""
--- a/ironmill/net/server.py
+++ b/ironmill/net/server.py
@@ -97,7 +97,7 @@
         except UnsentError as error:
             outcome = self.side.end()
             if error.errno in EXHAUSTED:  # else it is this address that cannot be had
-                outcome = Outcome.MOOT  # the server was not asked, and is not to blame
+                outcome = Outcome.NOT_SENT  # the server was not asked, and is not to blame
         except OSError:
             outcome, broke = self.side.end(), True
         self.close()
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -21,24 +21,24 @@
 from ironmill.balancing.interface import (
     Abandoned,
     Action,
-    Carried,
-    CutShort,
+    AnswerDue,
+    CheckHealth,
+    ConnectionSample,
     Ended,
     Established,
     Event,
     Fail,
-    Move,
-    Note,
-    NoteKind,
+    HandoverStarted,
+    HealthChecked,
+    Migrate,
     Outcome,
-    Probe,
-    Probed,
-    Refuse,
+    Reject,
     Request,
+    Resumed,
+    SampleKind,
     Send,
     SetTimer,
     Subscribe,
-    Succession,
     TimerFired,
 )
 from ironmill.configuration.proxy_config import Config
@@ -170,7 +170,7 @@
 
     def succeed(self, within: float) -> None:
         """Another process of this proxy, which is about to end, serves beside it for so long at the most."""
-        self._feed(Succession(self.now() + within))
+        self._feed(HandoverStarted(self.now() + within))
 
     def pending(self) -> int:
         """How many requests are owed an answer."""
@@ -250,7 +250,7 @@
         request.attempt, request.attempts = attempt, 1
         self._meter(server).add(request.id)
         self._count("carried")
-        self._feed(Carried(Request(request.id, class_name, 0.0, **fields), server.number))
+        self._feed(Resumed(Request(request.id, class_name, 0.0, **fields), server.number))
         return attempt
 
     def may_start(self, attempt: Attempt) -> bool:
@@ -282,7 +282,7 @@
         request = attempt.request
         request.attempt = None
         if outcome is Outcome.CONNECT_FAILED and self.now() >= attempt.start_by:
-            outcome = Outcome.MOOT  # it came too late, and its server is not to blame
+            outcome = Outcome.NOT_SENT  # it came too late, and its server is not to blame
         if request.silent and outcome is Outcome.CANCELLED:
             outcome = Outcome.RESET  # it was the server that was lost, not the client that left
         if request.standing:
@@ -326,12 +326,16 @@
 
     def load(self, attempt: Attempt, value: float) -> None:
         """The server told the connection's load."""
-        self._feed(Note(attempt.request.id, attempt.number, attempt.server.number, NoteKind.LOAD, value))
+        self._feed(
+            ConnectionSample(
+                attempt.request.id, attempt.number, attempt.server.number, SampleKind.LOAD, value
+            )
+        )
 
     def probed(self, server: Server, outcome: Outcome, report: tuple[tuple[str, float], ...] = ()) -> None:
         """A probe's answer came, or none did."""
         self._count(f"probe {outcome.name}")
-        self._feed(Probed(server.number, outcome, report))
+        self._feed(HealthChecked(server.number, outcome, report))
 
     # The decisions
 
@@ -364,25 +368,27 @@
                 self._send(action)
             case SetTimer():
                 self._timers.call_later(action.delay, self._feed, TimerFired(action.name))
-            case Refuse():
-                self._answer(action.id, Count.dropped, lambda holder: holder.refuse(action.retry_after))
+            case Reject():
+                self._answer(
+                    action.request_id, Count.dropped, lambda holder: holder.refuse(action.retry_after)
+                )
             case Fail():
-                self._answer(action.id, Count.failed, lambda holder: holder.fail())
-            case Move():
-                request = self._requests.get(action.id)
+                self._answer(action.request_id, Count.failed, lambda holder: holder.fail())
+            case Migrate():
+                request = self._requests.get(action.request_id)
                 if request is not None and request.standing:
                     self._count("moved")
                     request.holder.move()
-            case Probe():
-                server = self._table.by_number(action.backend)
+            case CheckHealth():
+                server = self._table.by_number(action.server_id)
                 if server is not None and self.prober is not None:
                     self.prober.probe(server)
             case Subscribe():
                 pass  # the watch on discovery always stands
 
     def _send(self, send: Send) -> None:
-        request = self._requests.get(send.id)
-        server = self._table.by_number(send.backend)
+        request = self._requests.get(send.request_id)
+        server = self._table.by_number(send.server_id)
         left = 0.0 if request is None else request.give_up_at - self.now()
         moot = (
             request is None
@@ -393,7 +399,7 @@
         )
         if request is None or server is None or moot:
             number = 0 if request is None else request.attempts
-            self._feed(Ended(send.id, number, send.backend, Outcome.MOOT, 0.0, request is None))
+            self._feed(Ended(send.request_id, number, send.server_id, Outcome.NOT_SENT, 0.0, request is None))
             return
         timeout = min(left, send.timeout) if send.timeout > 0.0 else left
         attempt = Attempt(request, request.attempts, server, self.now(), timeout, send.start_by)
@@ -436,11 +442,11 @@
             if request.over:
                 continue
             self._count("settled at the end")
-            self._feed(CutShort(request.id))
+            self._feed(AnswerDue(request.id))
             attempt = request.attempt
             if attempt is not None:
                 may_have_run = request.holder.stop_attempt()
-                self.ended(attempt, Outcome.CANCELLED if may_have_run else Outcome.MOOT)
+                self.ended(attempt, Outcome.CANCELLED if may_have_run else Outcome.NOT_SENT)
             self._overdue(request)  # guards against decisions that fail; else it is over
 
     # Book-keeping
@@ -483,7 +489,7 @@
         request = self._requests.get(id_)
         if request is not None and request.attempt is not None:
             number = request.attempt.number
-            self._feed(Note(id_, number, server.number, NoteKind.DELAY, delay * 1000.0))
+            self._feed(ConnectionSample(id_, number, server.number, SampleKind.DELAY, delay * 1000.0))
 
     def _silent(self, id_: str) -> None:
         """Nothing has come back for long: the server's machine may have vanished without a word."""
--- a/ironmill/requests/routing_table.py
+++ b/ironmill/requests/routing_table.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from ironmill.balancing.interface import Entry, ListChanged, ListKind, Stage
+from ironmill.balancing.interface import EndpointEntry, Stage, WatchEvent, WatchEventKind
 from ironmill.protocol.discovery import Listed, Routing
 from ironmill.requests.start_times import StartTimes
 
@@ -33,7 +33,7 @@
         self._by_number: dict[int, Server] = {}
         self._starts = StartTimes()
 
-    def apply(self, routing: Routing, now: float, answered: bool = True) -> ListChanged:
+    def apply(self, routing: Routing, now: float, answered: bool = True) -> WatchEvent:
         """Take in a list; what it means to the decisions.
 
         ``answered``: discovery has told it now. Else it is from before the start of this process.
@@ -52,7 +52,7 @@
                     self._leave(server, now)
         if answered:
             self._starts.answered(now)
-        return ListChanged(ListKind.FULL if routing.full else ListKind.DELTA, entries)
+        return WatchEvent(WatchEventKind.FULL if routing.full else WatchEventKind.DELTA, entries)
 
     def listed(self) -> list[Server]:
         """The servers in the list, the draining ones among them."""
@@ -66,7 +66,7 @@
         """The server that the decisions know by this number."""
         return self._by_number.get(number)
 
-    def _entry(self, listed: Listed, now: float) -> Entry:
+    def _entry(self, listed: Listed, now: float) -> EndpointEntry:
         address = (listed.host, listed.port)
         server = self._by_uid.get(listed.uid)
         if server is None:
@@ -80,7 +80,7 @@
         else:
             self._leave(server, now)
         start = self._starts.start_of(listed.uid, listed.boot, now)
-        return Entry(server.number, listed.stage, listed.zone, listed.cell, start, listed.weight)
+        return EndpointEntry(server.number, listed.stage, listed.zone, listed.cell, start, listed.weight)
 
     def _number(self, uid: str) -> int:
         """From the uid alone, so that every proxy, also one that restarted, gives it the same."""
--- a/ironmill/simulator/host.py
+++ b/ironmill/simulator/host.py
@@ -15,27 +15,27 @@
 from ironmill.balancing.interface import (
     Abandoned,
     Action,
-    Carried,
+    CheckHealth,
+    ConnectionSample,
     Ended,
-    Entry,
+    EndpointEntry,
     Established,
     Event,
     Fail,
-    ListChanged,
-    ListKind,
-    Move,
-    Note,
-    NoteKind,
+    HealthChecked,
+    Migrate,
     Outcome,
-    Probe,
-    Probed,
-    Refuse,
+    Reject,
     Request,
+    Resumed,
+    SampleKind,
     Send,
     SetTimer,
     Stage,
     Subscribe,
     TimerFired,
+    WatchEvent,
+    WatchEventKind,
 )
 from ironmill.configuration.site_settings import parse_settings
 from ironmill.protocol.json_object import MalformedError
@@ -43,8 +43,13 @@
 Fields = dict[str, str]
 
 STAGES = {"on": Stage.READY, "fading": Stage.DRAINING, "off": Stage.GONE}
-LIST_KINDS = {"D": ListKind.DELTA, "F": ListKind.FULL, "C": ListKind.FULL, "X": ListKind.FAILED}
-NOTE_KINDS = {"1": NoteKind.LOAD, "2": NoteKind.DELAY}
+LIST_KINDS = {
+    "D": WatchEventKind.DELTA,
+    "F": WatchEventKind.FULL,
+    "C": WatchEventKind.FULL,
+    "X": WatchEventKind.FAILED,
+}
+NOTE_KINDS = {"1": SampleKind.LOAD, "2": SampleKind.DELAY}
 OUTCOMES = {
     "pass": Outcome.OK,
     "fault": Outcome.ERROR,
@@ -53,7 +58,7 @@
     "no_route": Outcome.CONNECT_FAILED,
     "cut": Outcome.RESET,
     "undone": Outcome.CANCELLED,
-    "stale_send": Outcome.MOOT,
+    "stale_send": Outcome.NOT_SENT,
 }
 
 
@@ -129,7 +134,7 @@
     return Request(
         id=need(fields, "msgId"),
         class_name=need(fields, "category"),
-        give_up_at=number(fields, "giveUpAtS", 0.0 if fields.get("backend") else None),
+        deadline=number(fields, "giveUpAtS", 0.0 if fields.get("backend") else None),
         tenant="" if tenant == "0" else tenant,
         key=optional_whole(fields, "object"),
         group=optional_whole(fields, "channel"),
@@ -142,9 +147,9 @@
 def parse_established(fields: Fields) -> Event:
     """The connection that HEADERS says stands."""
     return Established(
-        id=need(fields, "msgId"),
+        request_id=need(fields, "msgId"),
         attempt=whole(fields, "leg"),
-        backend=whole(fields, "backend"),
+        server_id=whole(fields, "backend"),
         delay=number(fields, "delaySeenS", 0.0),
     )
 
@@ -152,9 +157,9 @@
 def parse_ended(fields: Fields) -> Event:
     """The end of an attempt that DONE tells."""
     return Ended(
-        id=need(fields, "msgId"),
+        request_id=need(fields, "msgId"),
         attempt=whole(fields, "leg"),
-        backend=whole(fields, "backend"),
+        server_id=whole(fields, "backend"),
         outcome=OUTCOMES.get(need(fields, "outcome"), Outcome.OTHER),
         delay=number(fields, "delaySeenS", 0.0),
         final=fields.get("complete") == "1",
@@ -167,18 +172,18 @@
     kind = NOTE_KINDS.get(need(fields, "sort"))
     if kind is None:
         return None
-    return Note(
+    return ConnectionSample(
         need(fields, "msgId"), whole(fields, "leg"), whole(fields, "backend"), kind, number(fields, "value")
     )
 
 
 PARSERS: dict[str, Callable[[Fields], Event | None]] = {
     "REQ": parse_request,
-    "CARRIED": lambda fields: Carried(parse_request(fields), whole(fields, "backend")),
+    "CARRIED": lambda fields: Resumed(parse_request(fields), whole(fields, "backend")),
     "HEADERS": parse_established,
     "HINT_UPDATE": parse_note,
     "DONE": parse_ended,
-    "STATUS_BACK": lambda fields: Probed(
+    "STATUS_BACK": lambda fields: HealthChecked(
         whole(fields, "backend"), OUTCOMES.get(need(fields, "outcome"), Outcome.OTHER), report(fields)
     ),
     "LAPSED": lambda fields: Abandoned(need(fields, "msgId")),
@@ -186,7 +191,7 @@
 }
 
 
-def parse_entry(line: str) -> Entry | None:
+def parse_entry(line: str) -> EndpointEntry | None:
     """One entry of a numbered list; None for a stage that this library does not know."""
     name, fields = split(line)
     if name != "M":
@@ -194,8 +199,8 @@
     stage = STAGES.get(need(fields, "stageState"))
     if stage is None:
         return None
-    return Entry(
-        backend=whole(fields, "backend"),
+    return EndpointEntry(
+        server_id=whole(fields, "backend"),
         stage=stage,
         zone=fields.get("campus", ""),
         cell=int(number(fields, "pod", 0.0)),
@@ -212,19 +217,22 @@
     match action:
         case Send():
             return (
-                f"FORWARD\trelay={relay}\tmsgId={action.id}\tbackend={action.backend}"
+                f"FORWARD\trelay={relay}\tmsgId={action.request_id}\tbackend={action.server_id}"
                 f"\ttimeoutS={action.timeout:.6f}"
             )
         case SetTimer():
             return f"AFTER\trelay={relay}\toffsetS={action.delay:.6f}\tname={action.name}"
-        case Refuse():
-            return f"OVERLOAD_REPLY\trelay={relay}\tmsgId={action.id}\tcomeBackS={action.retry_after:.6f}"
+        case Reject():
+            return (
+                f"OVERLOAD_REPLY\trelay={relay}\tmsgId={action.request_id}"
+                f"\tcomeBackS={action.retry_after:.6f}"
+            )
         case Fail():
-            return f"REPORT_FAILURE\trelay={relay}\tmsgId={action.id}"
-        case Move():
-            return f"REDIRECT\trelay={relay}\tmsgId={action.id}"
-        case Probe():
-            return f"PROBE\trelay={relay}\tbackend={action.backend}"
+            return f"REPORT_FAILURE\trelay={relay}\tmsgId={action.request_id}"
+        case Migrate():
+            return f"REDIRECT\trelay={relay}\tmsgId={action.request_id}"
+        case CheckHealth():
+            return f"PROBE\trelay={relay}\tbackend={action.server_id}"
         case Subscribe():
             return f"STREAM_CHANGES\trelay={relay}\ton=1"
 
@@ -237,7 +245,7 @@
 
     def __init__(self) -> None:
         self._balancers: dict[str, Balancer] = {}
-        self._lists: dict[str, tuple[Entry, ...]] = {}
+        self._lists: dict[str, tuple[EndpointEntry, ...]] = {}
 
     def batch(self, lines: Sequence[str]) -> list[str]:
         """The reply to one batch, its first line being BEGIN_BATCH and its last EOF_BATCH."""
@@ -289,16 +297,16 @@
             return
         reply.extend(format_action(relay, action) for action in actions)
 
-    def _list_event(self, fields: Fields) -> ListChanged | None:
+    def _list_event(self, fields: Fields) -> WatchEvent | None:
         kind = LIST_KINDS.get(need(fields, "kind"))
         if kind is None:
             return None
-        if kind is ListKind.FAILED:
-            return ListChanged(kind)
+        if kind is WatchEventKind.FAILED:
+            return WatchEvent(kind)
         entries = self._lists.get(need(fields, "list"))
         if entries is None:
             raise MalformedError(f"list {fields['list']} was never registered")
-        return ListChanged(kind, entries)
+        return WatchEvent(kind, entries)
 
 
 def serve(source: IO[str], sink: IO[str]) -> None:
--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -111,11 +111,11 @@
         for action in actions:
             if isinstance(action, Send):
                 self._standing.append(action)
-                established = Established(action.id, 0, action.backend, 0.01)
+                established = Established(action.request_id, 0, action.server_id, 0.01)
                 self.balancer.handle(established, self.now)
         if len(self._standing) > self._most:
             oldest = self._standing.popleft()
-            ended = Ended(oldest.id, 0, oldest.backend, Outcome.OK, 0.01, final=True)
+            ended = Ended(oldest.request_id, 0, oldest.server_id, Outcome.OK, 0.01, final=True)
             self.balancer.handle(ended, self.now)
         return took
 
--- a/tests/support/balancing.py
+++ b/tests/support/balancing.py
@@ -9,69 +9,81 @@
 from ironmill.balancing import Balancer
 from ironmill.balancing.interface import (
     Action,
-    Effect,
+    Costs,
+    DeduplicationScope,
     Ended,
-    Entry,
+    EndpointEntry,
     Established,
     Event,
-    ListChanged,
-    ListKind,
+    Idempotency,
     Outcome,
-    Prices,
     Request,
     RequestClass,
-    Scope,
     Send,
     SetTimer,
     Settings,
     Stage,
     TimerFired,
+    WatchEvent,
+    WatchEventKind,
 )
 
-SAFE = RequestClass("read", aim=0.3, worth=1.0, message_aim=0.1)
+SAFE = RequestClass("read", latency_objective=0.3, priority_weight=1.0, message_latency_objective=0.1)
 KEYED = RequestClass(
-    "write", aim=0.3, worth=1.0, message_aim=0.1, effect=Effect.KEYED, scope=Scope.ZONE, window=1.0
+    "write",
+    latency_objective=0.3,
+    priority_weight=1.0,
+    message_latency_objective=0.1,
+    idempotency=Idempotency.BY_KEY,
+    deduplication_scope=DeduplicationScope.ZONE,
+    deduplication_window=1.0,
+)
+UNSAFE = RequestClass(
+    "order",
+    latency_objective=0.3,
+    priority_weight=1.0,
+    message_latency_objective=0.1,
+    idempotency=Idempotency.NONE,
 )
-UNSAFE = RequestClass("order", aim=0.3, worth=1.0, message_aim=0.1, effect=Effect.UNSAFE)
 
 SETTINGS = Settings(
-    relays=4,
+    proxies=4,
     classes=(SAFE, KEYED, UNSAFE),
     tenants=(),
-    prices=Prices(),
-    ask_discovery=False,
-    ask_within=10.0,
-    cold_from=0.3,
-    ramp_time=8.0,
-    fall_multiple=3.0,
-    tip_after=2.0,
+    costs=Costs(),
+    subscribes_to_discovery=False,
+    discovery_poll_interval=10.0,
+    initial_capacity_fraction=0.3,
+    slow_start_duration=8.0,
+    slow_start_rate_multiple=3.0,
+    slow_start_window=2.0,
     max_attempts=4,
-    retry_after_max=1.0,
-    keepalive=10.0,
-    round_gap=0.002,
+    max_retry_after=1.0,
+    keepalive_timeout=10.0,
+    min_round_interval=0.002,
 )
 
 
-def entries(count: int, **changes: Any) -> tuple[Entry, ...]:
-    """Ready backends 1 to count, in two zones."""
+def entries(count: int, **changes: Any) -> tuple[EndpointEntry, ...]:
+    """Ready servers 1 to count, in two zones."""
     return tuple(
-        structs.replace(Entry(backend, Stage.READY, zone="ab"[backend % 2], cell=backend % 4), **changes)
-        for backend in range(1, count + 1)
+        structs.replace(EndpointEntry(server, Stage.READY, zone="ab"[server % 2], cell=server % 4), **changes)
+        for server in range(1, count + 1)
     )
 
 
-class Relay:
-    """A relay for tests: keeps the clock, plays events in and remembers what came out."""
+class SimulatedProxy:
+    """A proxy for tests: keeps the clock, plays events in and remembers what came out."""
 
-    def __init__(self, backends: int = 0, seed: int = 1, **changes: Any) -> None:
+    def __init__(self, servers: int = 0, seed: int = 1, **changes: Any) -> None:
         self.settings = structs.replace(SETTINGS, **changes)
         self.now = 100.0
         self.balancer = Balancer(self.settings, seed, self.now)
         self.actions: list[Action] = []
         self.timers: list[tuple[float, str]] = []
         self.serial = 0
-        if backends:
-            self.play(ListChanged(ListKind.FULL, entries(backends)))
+        if servers:
+            self.play(WatchEvent(WatchEventKind.FULL, entries(servers)))
 
     def play(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(event, self.now)
@@ -84,10 +96,10 @@
         return self.play(Request(f"r{self.serial}", cls.name, self.now + wait, **fields))
 
     def stand(self, send: Send, attempt: int = 0, delay: float = 0.01) -> list[Action]:
-        return self.play(Established(send.id, attempt, send.backend, delay))
+        return self.play(Established(send.request_id, attempt, send.server_id, delay))
 
     def end(self, send: Send, outcome: Outcome, attempt: int = 0, final: bool = False) -> list[Action]:
-        return self.play(Ended(send.id, attempt, send.backend, outcome, 0.01, final))
+        return self.play(Ended(send.request_id, attempt, send.server_id, outcome, 0.01, final))
 
     def run(self, until: float) -> list[Action]:
         """Let the clock go on and fire what timers come due."""
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -88,7 +88,7 @@
     seen: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as agent:
         known = config(Routing(15, True, ()))
-        settings = structs.replace(known.settings, ask_discovery=asks, relays=1000)
+        settings = structs.replace(known.settings, subscribes_to_discovery=asks, proxies=1000)
         told = structs.replace(
             known, listen=("127.0.0.1", 0), discovery=agent.getsockname(), settings=settings
         )
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -15,7 +15,16 @@
 from msgspec import structs
 
 from ironmill.balancing.balancer import Balancer
-from ironmill.balancing.interface import Carried, Ended, Event, Outcome, Refuse, Request, Scope, TimerFired
+from ironmill.balancing.interface import (
+    DeduplicationScope,
+    Ended,
+    Event,
+    Outcome,
+    Reject,
+    Request,
+    Resumed,
+    TimerFired,
+)
 from ironmill.net import client as client_module
 from ironmill.net import discovery as discovery_module
 from ironmill.net import probe as probe_module
@@ -252,13 +261,15 @@
     Town().run(story)
 
 
-@pytest.mark.parametrize(("scope", "answer"), [(Scope.ZONE, b"ERR"), (Scope.ALL, b"BUSY")])
+@pytest.mark.parametrize(
+    ("scope", "answer"), [(DeduplicationScope.ZONE, b"ERR"), (DeduplicationScope.ALL, b"BUSY")]
+)
 def test_a_repeat_whose_connection_comes_up_late_is_not_sent(
-    scope: Scope, answer: bytes, monkeypatch: pytest.MonkeyPatch
+    scope: DeduplicationScope, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Repeats are dropped within the window alone: what begins later could take effect a second time."""
     window = 10.0
-    keyed = structs.replace(KEYED, scope=scope, window=window)
+    keyed = structs.replace(KEYED, deduplication_scope=scope, deduplication_window=window)
     settings = structs.replace(SETTINGS, classes=(SAFE, keyed, UNSAFE))
 
     def story(town: Town) -> None:
@@ -281,7 +292,7 @@
         second = town.attempt()
         assert second.receive(5.0) == b""
         assert read_line(client).split()[0] == answer
-        assert town.gateway.counts == {"attempts": 2, "attempt RESET": 1, "attempt MOOT": 1}
+        assert town.gateway.counts == {"attempts": 2, "attempt RESET": 1, "attempt NOT_SENT": 1}
 
     Town(2, settings=settings, wait_limits=LIMITS).run(story)
 
@@ -292,7 +303,7 @@
         with dialled(town, OPEN) as client:
             assert rest(town, client) == b"BUSY\r\n"
 
-    Town(settings=structs.replace(SETTINGS, retry_after_max=0.0)).run(story)
+    Town(settings=structs.replace(SETTINGS, max_retry_after=0.0)).run(story)
 
 
 def test_every_accepted_connection_sends_small_writes_at_once() -> None:
@@ -414,8 +425,8 @@
     handle = Balancer.handle
 
     def recorded(balancer: Balancer, event: Event, now: float) -> object:
-        if isinstance(event, Request | Carried):
-            told.append(event.request if isinstance(event, Carried) else event)
+        if isinstance(event, Request | Resumed):
+            told.append(event.request if isinstance(event, Resumed) else event)
         return handle(balancer, event, now)
 
     monkeypatch.setattr(Balancer, "handle", recorded)
@@ -577,7 +588,7 @@
         assert asked(town.attempt()) == b"/api/targets"
 
     Town().run(story)
-    assert told == [(Outcome.MOOT, ())]
+    assert told == [(Outcome.NOT_SENT, ())]
     assert len(failed) == 2
 
 
@@ -625,7 +636,7 @@
         first, second = (town.client(OPEN.replace(b"1a", name)) for name in (b"1a", b"1b"))
         town.until(lambda: town.gateway.pending() == 2)
         ids = list(town.gateway._requests)
-        orders = [Refuse(ids[0], 0.1), Refuse(ids[1], 0.1)]
+        orders = [Reject(ids[0], 0.1), Reject(ids[1], 0.1)]
         holder = town.gateway._requests[ids[0]].holder
 
         def failing(self: ClientDriver, retry_after: float) -> None:
@@ -766,7 +777,7 @@
         assert len(dialling) == KEPT_MOST
 
     Town(KEPT_MOST + 2).run(story)
-    assert told == [(Outcome.MOOT, ())] * 2
+    assert told == [(Outcome.NOT_SENT, ())] * 2
 
 
 class Broken:
--- a/tests/unit/balancing/test_request_lifetime.py
+++ b/tests/unit/balancing/test_request_lifetime.py
@@ -6,158 +6,160 @@
 
 from ironmill.balancing.interface import (
     Abandoned,
+    ConnectionSample,
     Ended,
-    Entry,
+    EndpointEntry,
     Established,
     Fail,
-    ListChanged,
-    ListKind,
-    Note,
-    NoteKind,
     Outcome,
-    Refuse,
+    Reject,
+    SampleKind,
     Stage,
     TimerFired,
+    WatchEvent,
+    WatchEventKind,
 )
-from tests.support.balancing import KEYED, UNSAFE, Relay, entries, sends
+from tests.support.balancing import KEYED, UNSAFE, SimulatedProxy, entries, sends
 
 
-def answers(relay: Relay) -> list[object]:
-    return [action for action in relay.actions if isinstance(action, Refuse | Fail)]
+def answers(proxy: SimulatedProxy) -> list[object]:
+    return [action for action in proxy.actions if isinstance(action, Reject | Fail)]
 
 
-def test_further_attempts_go_to_other_backends_until_the_cap_then_one_answer() -> None:
-    relay = Relay(6)
-    relay.request()
+def test_further_attempts_go_to_other_servers_until_the_cap_then_one_answer() -> None:
+    proxy = SimulatedProxy(6)
+    proxy.request()
     for attempt in range(4):
-        sent = sends(relay.actions)
+        sent = sends(proxy.actions)
         assert len(sent) == attempt + 1
-        relay.end(sent[-1], Outcome.FULL, attempt)
-        relay.run(relay.now + 0.5)
-    assert len({send.backend for send in sends(relay.actions)}) == 4
-    assert len(answers(relay)) == 1
-    relay.run(relay.now + 5)
-    assert len(answers(relay)) == 1
+        proxy.end(sent[-1], Outcome.FULL, attempt)
+        proxy.run(proxy.now + 0.5)
+    assert len({send.server_id for send in sends(proxy.actions)}) == 4
+    assert len(answers(proxy)) == 1
+    proxy.run(proxy.now + 5)
+    assert len(answers(proxy)) == 1
 
 
 def test_time_out_at_the_deadline_is_still_answered() -> None:
-    relay = Relay(3)
-    relay.request(wait=0.2)
-    relay.now += 0.2
-    relay.end(sends(relay.actions)[0], Outcome.TIMEOUT)
-    relay.run(relay.now + 0.001)
-    assert len(answers(relay)) == 1
+    proxy = SimulatedProxy(3)
+    proxy.request(wait=0.2)
+    proxy.now += 0.2
+    proxy.end(sends(proxy.actions)[0], Outcome.TIMEOUT)
+    proxy.run(proxy.now + 0.001)
+    assert len(answers(proxy)) == 1
 
 
 def test_attempt_time_out_leaves_time_for_another() -> None:
-    relay = Relay(3)
-    relay.request(wait=2.0)
-    assert sends(relay.actions)[0].timeout == pytest.approx(0.3)
+    proxy = SimulatedProxy(3)
+    proxy.request(wait=2.0)
+    assert sends(proxy.actions)[0].timeout == pytest.approx(0.3)
 
 
-def test_without_a_ready_backend_the_request_is_held_and_answered_in_time() -> None:
-    relay = Relay()
-    relay.request(wait=1.0)
-    start = relay.now
-    assert not answers(relay)
-    relay.run(start + 0.7)
-    assert not answers(relay)
-    relay.run(start + 1.0)
-    assert len(answers(relay)) == 1
-    assert not sends(relay.actions)
+def test_without_a_ready_server_the_request_is_held_and_answered_in_time() -> None:
+    proxy = SimulatedProxy()
+    proxy.request(wait=1.0)
+    start = proxy.now
+    assert not answers(proxy)
+    proxy.run(start + 0.7)
+    assert not answers(proxy)
+    proxy.run(start + 1.0)
+    assert len(answers(proxy)) == 1
+    assert not sends(proxy.actions)
 
 
-def test_held_request_is_sent_once_a_backend_is_listed() -> None:
-    relay = Relay()
-    relay.request(wait=1.0)
-    relay.play(ListChanged(ListKind.DELTA, entries(1)))
-    relay.run(relay.now + 0.3)
-    assert len(sends(relay.actions)) == 1
+def test_held_request_is_sent_once_a_server_is_listed() -> None:
+    proxy = SimulatedProxy()
+    proxy.request(wait=1.0)
+    proxy.play(WatchEvent(WatchEventKind.DELTA, entries(1)))
+    proxy.run(proxy.now + 0.3)
+    assert len(sends(proxy.actions)) == 1
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.OTHER])
 def test_unsafe_request_that_may_have_run_fails_at_once_and_is_never_sent_again(outcome: Outcome) -> None:
-    relay = Relay(6)
-    relay.request(UNSAFE)
-    relay.end(sends(relay.actions)[0], outcome)
-    relay.run(relay.now + 3)
-    assert len(sends(relay.actions)) == 1
-    assert [type(answer) for answer in answers(relay)] == [Fail]
+    proxy = SimulatedProxy(6)
+    proxy.request(UNSAFE)
+    proxy.end(sends(proxy.actions)[0], outcome)
+    proxy.run(proxy.now + 3)
+    assert len(sends(proxy.actions)) == 1
+    assert [type(answer) for answer in answers(proxy)] == [Fail]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
 def test_unsafe_request_that_never_ran_is_sent_again(outcome: Outcome) -> None:
-    relay = Relay(6)
-    relay.request(UNSAFE)
-    relay.end(sends(relay.actions)[0], outcome)
-    relay.run(relay.now + 0.5)
-    assert len(sends(relay.actions)) == 2
+    proxy = SimulatedProxy(6)
+    proxy.request(UNSAFE)
+    proxy.end(sends(proxy.actions)[0], outcome)
+    proxy.run(proxy.now + 0.5)
+    assert len(sends(proxy.actions)) == 2
 
 
 def test_keyed_request_stays_in_its_group_and_window() -> None:
-    relay = Relay(8)
-    zones = {entry.backend: entry.zone for entry in entries(8)}
+    proxy = SimulatedProxy(8)
+    zones = {entry.server_id: entry.zone for entry in entries(8)}
     for _ in range(40):
-        relay.actions.clear()
-        relay.request(KEYED)
-        relay.end(sends(relay.actions)[0], Outcome.ERROR)
-        relay.run(relay.now + 0.4)
-        sent = sends(relay.actions)
+        proxy.actions.clear()
+        proxy.request(KEYED)
+        proxy.end(sends(proxy.actions)[0], Outcome.ERROR)
+        proxy.run(proxy.now + 0.4)
+        sent = sends(proxy.actions)
         assert len(sent) == 2
-        assert zones[sent[1].backend] == zones[sent[0].backend]
-        relay.now += 0.8  # past the window of one second
-        relay.end(sent[1], Outcome.TIMEOUT, 1)
-        relay.run(relay.now + 1)
-        assert len(sends(relay.actions)) == 2
-        assert [type(answer) for answer in answers(relay)] == [Fail]
+        assert zones[sent[1].server_id] == zones[sent[0].server_id]
+        proxy.now += 0.8  # past the window of one second
+        proxy.end(sent[1], Outcome.TIMEOUT, 1)
+        proxy.run(proxy.now + 1)
+        assert len(sends(proxy.actions)) == 2
+        assert [type(answer) for answer in answers(proxy)] == [Fail]
 
 
 def test_nothing_is_sent_for_a_request_whose_client_left() -> None:
-    relay = Relay(4)
-    relay.request()
-    relay.play(Abandoned("r1"))
-    relay.end(sends(relay.actions)[0], Outcome.TIMEOUT, final=True)
-    relay.run(relay.now + 3)
-    assert len(sends(relay.actions)) == 1
-    assert not answers(relay)
-    assert sum(relay.balancer.live_counts().values()) == 0
+    proxy = SimulatedProxy(4)
+    proxy.request()
+    proxy.play(Abandoned("r1"))
+    proxy.end(sends(proxy.actions)[0], Outcome.TIMEOUT, final=True)
+    proxy.run(proxy.now + 3)
+    assert len(sends(proxy.actions)) == 1
+    assert not answers(proxy)
+    assert sum(proxy.balancer.live_counts().values()) == 0
 
 
 def test_moot_send_ends_in_an_answer() -> None:
-    relay = Relay(4)
-    relay.request()
-    relay.end(sends(relay.actions)[0], Outcome.MOOT)
-    assert len(answers(relay)) == 1
+    proxy = SimulatedProxy(4)
+    proxy.request()
+    proxy.end(sends(proxy.actions)[0], Outcome.NOT_SENT)
+    assert len(answers(proxy)) == 1
 
 
 def test_unknown_and_finished_requests_are_ignored() -> None:
-    relay = Relay(2)
+    proxy = SimulatedProxy(2)
     for event in (
         Established("x", 0, 1, 0.1),
         Ended("x", 0, 1, Outcome.OK, 0.1, True),
-        Note("x", 0, 1, NoteKind.DELAY, 500.0),
+        ConnectionSample("x", 0, 1, SampleKind.DELAY, 500.0),
         Abandoned("x"),
         TimerFired("x"),
     ):
-        assert relay.play(event) == []
+        assert proxy.play(event) == []
 
 
 def test_class_that_settings_do_not_name_is_treated_as_unsafe() -> None:
-    relay = Relay(6)
-    relay.balancer.handle(ListChanged(ListKind.DELTA, (Entry(1, Stage.READY),)), relay.now)
+    proxy = SimulatedProxy(6)
+    proxy.balancer.handle(WatchEvent(WatchEventKind.DELTA, (EndpointEntry(1, Stage.READY),)), proxy.now)
     from ironmill.balancing.interface import Request
 
-    relay.play(Request("n1", "new-class", relay.now + 2))
-    relay.end(sends(relay.actions)[0], Outcome.ERROR)
-    relay.run(relay.now + 3)
-    assert len(sends(relay.actions)) == 1
-    assert [type(answer) for answer in answers(relay)] == [Fail]
+    proxy.play(Request("n1", "new-class", proxy.now + 2))
+    proxy.end(sends(proxy.actions)[0], Outcome.ERROR)
+    proxy.run(proxy.now + 3)
+    assert len(sends(proxy.actions)) == 1
+    assert [type(answer) for answer in answers(proxy)] == [Fail]
 
 
-def test_nothing_new_goes_to_a_draining_or_missing_backend() -> None:
-    relay = Relay(4)
-    relay.play(ListChanged(ListKind.DELTA, (Entry(1, Stage.DRAINING), Entry(2, Stage.GONE))))
-    relay.play(ListChanged(ListKind.FULL, (*entries(1, stage=Stage.DRAINING), *entries(3)[2:])))
+def test_nothing_new_goes_to_a_draining_or_missing_server() -> None:
+    proxy = SimulatedProxy(4)
+    proxy.play(
+        WatchEvent(WatchEventKind.DELTA, (EndpointEntry(1, Stage.DRAINING), EndpointEntry(2, Stage.GONE)))
+    )
+    proxy.play(WatchEvent(WatchEventKind.FULL, (*entries(1, stage=Stage.DRAINING), *entries(3)[2:])))
     for _ in range(20):
-        relay.request()
-    assert {send.backend for send in sends(relay.actions)} == {3}
+        proxy.request()
+    assert {send.server_id for send in sends(proxy.actions)} == {3}
--- a/tests/unit/balancing/test_threshold.py
+++ b/tests/unit/balancing/test_threshold.py
@@ -8,65 +8,65 @@
 from ironmill.balancing.balancer import ALPHA
 from ironmill.balancing.interface import (
     Abandoned,
-    Carried,
-    Entry,
+    EndpointEntry,
     Established,
-    ListChanged,
-    ListKind,
     Outcome,
     Request,
+    Resumed,
     Send,
     Stage,
+    WatchEvent,
+    WatchEventKind,
 )
-from tests.support.balancing import Relay, entries, sends
+from tests.support.balancing import SimulatedProxy, entries, sends
 
 
-def carried(number: int, backend: int) -> Carried:
-    return Carried(Request(f"c{number}", "read", 0.0), backend)
+def carried(number: int, server: int) -> Resumed:
+    return Resumed(Request(f"c{number}", "read", 0.0), server)
 
 
 def test_threshold_starts_at_the_mean_of_what_is_open() -> None:
-    relay = Relay(4)
+    proxy = SimulatedProxy(4)
     for number in range(9):
-        relay.play(carried(number, 1 + number % 4))
-    relay.request()
-    # 9 over 4 is 2: backends 2, 3 and 4 hold 2, backend 1 holds 3; no green, three yellow, so no step.
-    assert relay.balancer.threshold == 2
-    assert sends(relay.actions)[0].backend != 1
+        proxy.play(carried(number, 1 + number % 4))
+    proxy.request()
+    # 9 over 4 is 2: servers 2, 3 and 4 hold 2, server 1 holds 3; no green, three yellow, so no step.
+    assert proxy.balancer.threshold == 2
+    assert sends(proxy.actions)[0].server_id != 1
 
 
 def test_green_goes_before_yellow() -> None:
-    relay = Relay(4)
+    proxy = SimulatedProxy(4)
     for number in range(8):
-        relay.play(carried(number, 1 + number % 3))
-    relay.request()
-    assert sends(relay.actions)[0].backend == 4
+        proxy.play(carried(number, 1 + number % 3))
+    proxy.request()
+    assert sends(proxy.actions)[0].server_id == 4
 
 
 def test_threshold_rises_when_at_most_one_yellow_token_is_left() -> None:
-    relay = Relay(4)
+    proxy = SimulatedProxy(4)
     for _ in range(3):
-        relay.request()
-        assert relay.balancer.threshold == 0
-    relay.request()  # the fourth takes the last yellow token
-    assert relay.balancer.threshold == 1
-    assert len({send.backend for send in sends(relay.actions)}) == 4
+        proxy.request()
+        assert proxy.balancer.threshold == 0
+    proxy.request()  # the fourth takes the last yellow token
+    assert proxy.balancer.threshold == 1
+    assert len({send.server_id for send in sends(proxy.actions)}) == 4
 
 
 def test_threshold_falls_when_green_is_plenty_and_never_below_zero() -> None:
-    relay = Relay(20)
+    proxy = SimulatedProxy(20)
     for number in range(20):
-        relay.play(carried(number, 1 + number))
-    relay.request()
-    assert relay.balancer.threshold == 1
+        proxy.play(carried(number, 1 + number))
+    proxy.request()
+    assert proxy.balancer.threshold == 1
     for number in range(20):
-        relay.play(Abandoned(f"c{number}"))
-        relay.end(Send(f"c{number}", 1 + number, 0.0), Outcome.CANCELLED, final=True)
+        proxy.play(Abandoned(f"c{number}"))
+        proxy.end(Send(f"c{number}", 1 + number, 0.0), Outcome.CANCELLED, final=True)
     assert (1 - ALPHA) * 20 <= 19
-    relay.request()
-    assert relay.balancer.threshold == 0
-    relay.request()
-    assert relay.balancer.threshold == 0
+    proxy.request()
+    assert proxy.balancer.threshold == 0
+    proxy.request()
+    assert proxy.balancer.threshold == 0
 
 
 OUTCOMES = st.sampled_from(list(Outcome))
@@ -80,7 +80,7 @@
 @given(STEPS)
 def test_counts_agree_with_a_recount_over_any_events(steps: list[tuple[int, int, Outcome, float]]) -> None:
     """Counts never leak or go negative, at most one attempt is out, and each request has one answer."""
-    relay = Relay(6)
+    proxy = SimulatedProxy(6)
     out: dict[str, Send] = {}
     attempts: dict[str, int] = {}
     over: set[str] = set()
@@ -89,79 +89,89 @@
     def take(actions: list[object]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                assert action.id not in out, "two attempts out at once"
-                assert action.id not in over, "sent after the end"
-                out[action.id] = action
-                attempts[action.id] = attempts.get(action.id, -1) + 1
-            elif type(action).__name__ in ("Refuse", "Fail"):
-                answered[action.id] = answered.get(action.id, 0) + 1  # type: ignore[attr-defined]
-                over.add(action.id)  # type: ignore[attr-defined]
+                assert action.request_id not in out, "two attempts out at once"
+                assert action.request_id not in over, "sent after the end"
+                out[action.request_id] = action
+                attempts[action.request_id] = attempts.get(action.request_id, -1) + 1
+            elif type(action).__name__ in ("Reject", "Fail"):
+                answered[action.request_id] = answered.get(action.request_id, 0) + 1  # type: ignore[attr-defined]
+                over.add(action.request_id)  # type: ignore[attr-defined]
 
     for kind, pick, outcome, wait in steps:
         if kind <= 3:
-            take(list(relay.request(wait=wait)))
+            take(list(proxy.request(wait=wait)))
         elif kind == 4:
-            take(list(relay.run(relay.now + wait)))
+            take(list(proxy.run(proxy.now + wait)))
         elif kind == 5:
             stage = (Stage.READY, Stage.DRAINING, Stage.GONE)[pick % 3]
-            entry = Entry(1 + pick % 6, stage, started_at=relay.now if pick % 2 else 0.0)
-            take(list(relay.play(ListChanged(ListKind.DELTA, (entry,)))))
+            entry = EndpointEntry(1 + pick % 6, stage, started_at=proxy.now if pick % 2 else 0.0)
+            take(list(proxy.play(WatchEvent(WatchEventKind.DELTA, (entry,)))))
         elif out:
             send = list(out.values())[pick % len(out)]
             if kind == 6:
-                take(list(relay.play(Established(send.id, attempts[send.id], send.backend, 0.2))))
-                over.add(send.id)
+                take(
+                    list(
+                        proxy.play(
+                            Established(send.request_id, attempts[send.request_id], send.server_id, 0.2)
+                        )
+                    )
+                )
+                over.add(send.request_id)
             elif kind == 7:
-                over.add(send.id)
-                take(list(relay.play(Abandoned(send.id))))
+                over.add(send.request_id)
+                take(list(proxy.play(Abandoned(send.request_id))))
             else:
-                del out[send.id]
-                final = outcome is Outcome.OK or send.id in over
+                del out[send.request_id]
+                final = outcome is Outcome.OK or send.request_id in over
                 if final:
-                    over.add(send.id)
-                take(list(relay.end(send, outcome, attempts[send.id], final)))
-        live = relay.balancer.live_counts()
-        for backend, count in live.items():
-            assert count == sum(send.backend == backend for send in out.values())
-        for backend, count in relay.balancer.token_counts().items():
-            assert count >= live[backend] >= 0
-    take(list(relay.run(relay.now + 5.0)))
+                    over.add(send.request_id)
+                take(list(proxy.end(send, outcome, attempts[send.request_id], final)))
+        live = proxy.balancer.live_counts()
+        for server, count in live.items():
+            assert count == sum(send.server_id == server for send in out.values())
+        for server, count in proxy.balancer.token_counts().items():
+            assert count >= live[server] >= 0
+    take(list(proxy.run(proxy.now + 5.0)))
     for send in list(out.values()):
-        take(list(relay.end(send, Outcome.TIMEOUT, attempts[send.id], send.id in over)))
+        take(list(proxy.end(send, Outcome.TIMEOUT, attempts[send.request_id], send.request_id in over)))
         over.discard("")
-    take(list(relay.run(relay.now + 5.0)))
-    for number in range(1, relay.serial + 1):
+    take(list(proxy.run(proxy.now + 5.0)))
+    for number in range(1, proxy.serial + 1):
         assert answered.get(f"r{number}", 0) == 1 or f"r{number}" in over or f"r{number}" in out
     assert all(count == 1 for count in answered.values())
 
 
 def test_fleet_changes_keep_the_table_whole() -> None:
-    relay = Relay(5)
-    relay.play(ListChanged(ListKind.FULL, entries(3)))
-    assert sorted(relay.balancer.token_counts()) == [1, 2, 3]
-    relay.play(ListChanged(ListKind.DELTA, (Entry(9, Stage.READY), Entry(2, Stage.GONE))))
-    assert sorted(relay.balancer.token_counts()) == [1, 3, 9]
-    relay.play(ListChanged(ListKind.FAILED))
-    assert sorted(relay.balancer.token_counts()) == [1, 3, 9]
-
-
-def test_backend_of_half_the_size_takes_half_of_the_placements() -> None:
+    proxy = SimulatedProxy(5)
+    proxy.play(WatchEvent(WatchEventKind.FULL, entries(3)))
+    assert sorted(proxy.balancer.token_counts()) == [1, 2, 3]
+    proxy.play(
+        WatchEvent(WatchEventKind.DELTA, (EndpointEntry(9, Stage.READY), EndpointEntry(2, Stage.GONE)))
+    )
+    assert sorted(proxy.balancer.token_counts()) == [1, 3, 9]
+    proxy.play(WatchEvent(WatchEventKind.FAILED))
+    assert sorted(proxy.balancer.token_counts()) == [1, 3, 9]
+
+
+def test_server_of_half_the_size_takes_half_of_the_placements() -> None:
     """A fleet of unlike machines: equal draws jam the small ones."""
     small = large = 0
     for number in range(400):
-        relay = Relay(seed=number)
-        fleet = [Entry(backend, Stage.READY, weight=1.0 if backend <= 5 else 2.0) for backend in range(1, 11)]
-        relay.play(ListChanged(ListKind.FULL, tuple(fleet)))
-        chosen = sends(relay.request())[0].backend
+        proxy = SimulatedProxy(seed=number)
+        fleet = [
+            EndpointEntry(server, Stage.READY, weight=1.0 if server <= 5 else 2.0) for server in range(1, 11)
+        ]
+        proxy.play(WatchEvent(WatchEventKind.FULL, tuple(fleet)))
+        chosen = sends(proxy.request())[0].server_id
         small += chosen <= 5
         large += chosen > 5
     assert 1.5 < large / small < 2.7
 
 
 def test_small_machine_is_used_at_once_when_the_large_one_is_not_ready() -> None:
-    """Passing over small machines must never leave a request waiting beside a ready backend."""
+    """Passing over small machines must never leave a request waiting beside a ready server."""
     for number in range(60):
-        relay = Relay(seed=number)
-        cold = Entry(2, Stage.READY, weight=50.0, started_at=relay.now)
-        relay.play(ListChanged(ListKind.FULL, (Entry(1, Stage.READY, weight=1.0), cold)))
-        assert len(sends(relay.request(returning=True))) == 1
+        proxy = SimulatedProxy(seed=number)
+        cold = EndpointEntry(2, Stage.READY, weight=50.0, started_at=proxy.now)
+        proxy.play(WatchEvent(WatchEventKind.FULL, (EndpointEntry(1, Stage.READY, weight=1.0), cold)))
+        assert len(sends(proxy.request(returning=True))) == 1
--- a/tests/unit/balancing/test_token_table.py
+++ b/tests/unit/balancing/test_token_table.py
@@ -18,13 +18,13 @@
 def test_table_agrees_with_a_recount(steps: list[tuple[int, int]]) -> None:
     table, plain = TokenTable(), dict[int, int]()
     rng = random.Random(3)
-    for backend, count in steps:
+    for server, count in steps:
         if count >= 0:
-            table.put(backend, count)
-            plain[backend] = count
-        elif backend in plain:
-            table.drop(backend)
-            del plain[backend]
+            table.put(server, count)
+            plain[server] = count
+        elif server in plain:
+            table.drop(server)
+            del plain[server]
         assert len(table) == len(plain)
         for limit in range(9):
             expected = {member for member, held in plain.items() if held < limit}
@@ -36,18 +36,18 @@
 
 def test_draw_is_even_within_its_range() -> None:
     table, rng = TokenTable(), random.Random(5)
-    for backend in range(10):
-        table.put(backend, 0 if backend < 5 else 1)
+    for server in range(10):
+        table.put(server, 0 if server < 5 else 1)
     drawn = [table.draw(0, table.below(1), rng, lambda _: True) for _ in range(5000)]
     assert set(drawn) == set(range(5))
-    assert all(850 < drawn.count(backend) < 1150 for backend in range(5))
+    assert all(850 < drawn.count(server) < 1150 for server in range(5))
 
 
 def test_draw_finds_the_only_fitting_member() -> None:
     table, rng = TokenTable(), random.Random(5)
-    for backend in range(50):
-        table.put(backend, 0)
-    assert table.draw(0, 50, rng, lambda backend: backend == 37) == 37
+    for server in range(50):
+        table.put(server, 0)
+    assert table.draw(0, 50, rng, lambda server: server == 37) == 37
     assert table.draw(0, 50, rng, lambda _: False) is None
 
 
@@ -57,15 +57,15 @@
     class Counting(TokenTable):
         swaps = 0
 
-        def _swap(self, backend: int, to: int) -> None:
+        def _swap(self, server: int, to: int) -> None:
             self.swaps += 1
-            super()._swap(backend, to)
+            super()._swap(server, to)
 
     work = []
     for size in (10, 1000):
         table = Counting()
-        for backend in range(size):
-            table.put(backend, 2)
+        for server in range(size):
+            table.put(server, 2)
         table.swaps = 0
         table.put(3, 3)
         table.put(3, 2)
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from ironmill.balancing.balancer import Balancer
-from ironmill.balancing.interface import Abandoned, Carried, Ended, Event, ListKind, Outcome, Stage
+from ironmill.balancing.interface import Abandoned, Ended, Event, Outcome, Resumed, Stage, WatchEventKind
 from ironmill.configuration.proxy_config import Config
 from ironmill.protocol.discovery import Listed, Routing, parse_routing
 from ironmill.protocol.json_object import MalformedError, Tree
@@ -166,7 +166,7 @@
 
     @invariant()
     def one_end_for_each_attempt(self) -> None:
-        ends = [(event.id, event.attempt) for event in self.fed if isinstance(event, Ended)]
+        ends = [(event.request_id, event.attempt) for event in self.fed if isinstance(event, Ended)]
         assert len(ends) == len(set(ends))
         attempts = [attempt for holder, _ in self.holders for attempt in holder.attempts]
         assert set(ends) >= {(attempt.request.id, attempt.number) for attempt in attempts if attempt.ended}
@@ -234,9 +234,9 @@
     attempt = gateway.carry(FakeHolder(), host, "read", key=5)
     gateway.ended(attempt, Outcome.OK)
     carried, ended = fed
-    assert isinstance(carried, Carried)
+    assert isinstance(carried, Resumed)
     assert isinstance(ended, Ended)
-    assert (carried.backend, carried.request.key, ended.attempt, ended.final) == (host.number, 5, 0, True)
+    assert (carried.server_id, carried.request.key, ended.attempt, ended.final) == (host.number, 5, 0, True)
     assert gateway.standing() == []
 
 
@@ -317,15 +317,15 @@
 def test_routing_table_numbers_stay_and_a_full_list_drops_the_absent() -> None:
     table = RoutingTable()
     first = table.apply(Routing(4, True, (listed("s-1"), listed("s-2", boot=7.5))), 1.0)
-    assert first.kind is ListKind.FULL
-    numbers = [entry.backend for entry in first.entries]
+    assert first.kind is WatchEventKind.FULL
+    numbers = [entry.server_id for entry in first.entries]
     assert [entry.started_at for entry in first.entries] == [0.0, 1.0]  # 7.5 is yet to come
     # Another proxy, told in another order, has the same numbers.
     other = RoutingTable().apply(Routing(9, True, (listed("s-2"), listed("s-1"))), 1.0)
-    assert [entry.backend for entry in other.entries] == numbers[::-1]
+    assert [entry.server_id for entry in other.entries] == numbers[::-1]
     delta = table.apply(Routing(5, False, (listed("s-1", Stage.DRAINING),)), 2.0)
     (entry,) = delta.entries
-    assert (delta.kind, entry.backend, entry.stage) == (ListKind.DELTA, numbers[0], Stage.DRAINING)
+    assert (delta.kind, entry.server_id, entry.stage) == (WatchEventKind.DELTA, numbers[0], Stage.DRAINING)
     table.apply(Routing(6, True, (listed("s-1", Stage.DRAINING), listed("s-3"))), 3.0)
     hosts = [table.by_uid(uid) for uid in ("s-1", "s-2", "s-3")]
     assert [host.leaving_since for host in hosts if host] == [2.0, 3.0, None]
--- a/tests/unit/simulator/test_simulator.py
+++ b/tests/unit/simulator/test_simulator.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ironmill.balancing.balancer import Balancer
-from ironmill.balancing.interface import Effect
+from ironmill.balancing.interface import Idempotency
 from ironmill.configuration.site_settings import parse_settings
 from ironmill.protocol.json_object import MalformedError
 from ironmill.simulator.host import main
@@ -169,19 +169,19 @@
 @pytest.mark.parametrize(
     ("effect", "group", "taken", "warned"),
     [
-        ("odd", "all", Effect.UNSAFE, "effect 'odd'"),
-        ("token", "odd", Effect.UNSAFE, "group 'odd'"),
-        ("pure", "odd", Effect.SAFE, ""),
-        ("token", "zone", Effect.KEYED, ""),
+        ("odd", "all", Idempotency.NONE, "effect 'odd'"),
+        ("token", "odd", Idempotency.NONE, "group 'odd'"),
+        ("pure", "odd", Idempotency.ALWAYS, ""),
+        ("token", "zone", Idempotency.BY_KEY, ""),
     ],
 )
 def test_an_effect_that_is_not_known_is_served_and_never_repeated(
-    effect: str, group: str, taken: Effect, warned: str, caplog: pytest.LogCaptureFixture
+    effect: str, group: str, taken: Idempotency, warned: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     value = json.loads(json.dumps(SETTINGS))
     value["categories"][0] |= {"effect": effect, "group": group}
     (cls,) = parse_settings(json.dumps(value)).classes
-    assert cls.effect is taken
+    assert cls.idempotency is taken
     assert [warned in record.getMessage() for record in caplog.records] == [True] * bool(warned)
 
 
