--- a/ironmill/balancing/__init__.py
+++ b/ironmill/balancing/__init__.py
@@ -1,7 +1,8 @@
-"""Every decision on placement, retries, admission by load and migration.
+"""Every decision on placement, retries, load shedding and migration.
 
-Owns what one proxy knows of servers, groups and requests. No I/O and no clock: a caller hands in events with
-their time and carries out the actions that come back. Imports nothing else of the project.
+Owns what one proxy knows of servers, connection groups and requests. It has no I/O and no clock: a caller
+hands in events with their time and carries out the actions that are returned. Imports nothing else of the
+project.
 """
 
 from ironmill.balancing.balancer import Balancer
--- /dev/null
+++ b/ironmill/balancing/draining.py
@@ -0,0 +1,59 @@
+"""Migration of established connections off draining servers."""
+
+from __future__ import annotations
+
+from ironmill.balancing.interface import SetTimer
+from ironmill.balancing.load_shedding import LoadShedder
+from ironmill.balancing.migration import Migration
+from ironmill.balancing.slow_start import SlowStartBudget
+from ironmill.balancing.state import BalancerState
+
+DRAIN_INTERVAL_S = 0.2  # between two migrations off one server
+# Migrated clients connect again at once, and while a server is in slow start all go to the others.
+DRAIN_INTERVAL_IN_SLOW_START_S = 1.0
+DRAIN_TIMER_PREFIX = "drain:"  # timer names are visible on the simulator's wire
+
+
+class Draining:
+    """Migrates the connections of a draining server one at a time, before it stops and cuts them off."""
+
+    def __init__(
+        self,
+        state: BalancerState,
+        slow_start: SlowStartBudget,
+        shedder: LoadShedder,
+        migration: Migration,
+    ) -> None:
+        self._state = state
+        self._slow_start = slow_start
+        self._shedder = shedder
+        self._migration = migration
+
+    def schedule(self, server_id: int) -> None:
+        """Sets the timer of the next migration off a server."""
+        warming_up = any(
+            server.ready and self._slow_start.is_warming_up(server, self._state.now)
+            for server in self._state.servers.values()
+        )
+        interval = DRAIN_INTERVAL_IN_SLOW_START_S if warming_up else DRAIN_INTERVAL_S
+        delay = interval * self._state.fleet_scale * (0.5 + self._state.rng.random())
+        self._state.actions.append(SetTimer(delay, f"{DRAIN_TIMER_PREFIX}{server_id}"))
+
+    def migrate_next(self, server_id: int) -> None:
+        """Migrates the connection of the highest priority, unless new requests are shed.
+
+        Goes on until nothing is in flight on the server, since an attempt may still be established.
+        """
+        server = self._state.servers.get(server_id)
+        if server is None or server.ready:
+            return
+        in_flight = [
+            tracked
+            for tracked in self._state.requests.values()
+            if tracked.in_flight and tracked.server_id == server_id
+        ]
+        established = [tracked for tracked in in_flight if tracked.established and not tracked.migrating]
+        if established and not self._shedder.is_shedding:
+            self._migration.migrate(max(established, key=lambda one: one.request_class.priority_weight))
+        if in_flight:
+            self.schedule(server_id)
--- a/ironmill/balancing/load_shedding.py
+++ b/ironmill/balancing/load_shedding.py
@@ -1,58 +1,114 @@
-"""Load shedding: which part of the arrivals is let in while most servers are jammed."""
+"""Load shedding: which fraction of new requests is admitted while most servers are overloaded."""
 
 from __future__ import annotations
 
 import random
 
-# Load shedding: the part of the own connections (where reports tell: of the backends) that may be jammed
-# before the gate closes a step, and below which it opens again; seconds between steps; factor down, step up.
-SHED_ABOVE = 0.2
-SHED_BELOW = 0.1
-SHED_ABOVE_REPORTED = 0.3
-SHED_BELOW_REPORTED = 0.2
-SHED_MEAN = 0.7  # load over all that report, under which the others can take what a jammed one cannot
-SHED_LEAST_JAMMED = 2  # one jammed backend is a matter of health, however few there are
-SHED_STEP = 0.5
-SHED_FACTOR = 0.35
-SHED_RISE = 0.04
-SHED_FLOOR = 0.02
-SHED_OVER_SHARE = 3  # power of the chance for work beyond its tenant's share
-SHARE_SLACK = 1.25  # a proxy sees only its slice: so much more than its part is still within the share
-SHED_LEAST = 8  # connections that say enough to judge by
-
-
-class Gate:
-    """Which part of the arrivals is let in.
-
-    Where more is asked of the fleet than it can do, every backend piles up work, drops connections,
-    and takes them back a moment later: nobody is served, and it does not mend by itself. A proxy
-    can tell, for then a good part of its connections stand on jammed backends. It then lets in fewer and
-    fewer, and more again as the jam clears. It acts only on a jam that several of its backends
-    share; one bad backend is a matter of health, and nobody is refused for it.
+from msgspec import Struct
+
+from ironmill.balancing.interface import Request
+from ironmill.balancing.overload import OverloadTracker
+from ironmill.balancing.state import BalancerState
+from ironmill.balancing.tenant_quotas import TenantQuotas
+
+OVERLOADED_LOAD = 0.9  # reported load from which a server misses its latency objectives
+
+
+class SheddingThresholds(Struct, frozen=True):
+    """Overloaded fractions above which shedding increases, and below which it decreases."""
+
+    increase_above: float
+    decrease_below: float
+
+
+BY_CONNECTIONS = SheddingThresholds(increase_above=0.2, decrease_below=0.1)
+BY_REPORTS = SheddingThresholds(increase_above=0.3, decrease_below=0.2)
+
+STEP_INTERVAL_S = 0.5
+MAX_INCREASE_STEPS = 20  # at once, after a time without requests
+DECREASE_FACTOR = 0.35
+INCREASE = 0.04
+MIN_ADMITTED_FRACTION = 0.02
+OVER_QUOTA_EXPONENT = 3  # of the probability that work over a tenant's quota is admitted
+
+MIN_OVERLOADED_SERVERS = 2  # a single one is a fault of that server
+MIN_MEAN_LOAD = 0.7  # below it the other servers can take over from the overloaded ones
+MIN_CONNECTIONS = 8  # fewer are too few to judge by
+
+
+class LoadShedder:
+    """The admitted fraction of new requests: decreased multiplicatively, increased additively.
+
+    If the fleet gets more work than it can do, every server queues work, drops connections and takes them
+    back a moment later. That state does not end by itself, and only fewer connections end it.
     """
 
     def __init__(self, rng: random.Random, now: float) -> None:
         self._rng = rng
-        self._open = 1.0
-        self._step_at = now
+        self._admitted_fraction = 1.0
+        self._stepped_at = now
+
+    @property
+    def is_shedding(self) -> bool:
+        """True while some new requests are rejected."""
+        return self._admitted_fraction < 1.0
 
-    def update(self, part: float, above: float, below: float, now: float) -> None:
-        """Take the steps due, by the part that is jammed now."""
-        if now - self._step_at < SHED_STEP:
+    def update(self, overloaded_fraction: float, thresholds: SheddingThresholds, now: float) -> None:
+        """Takes the steps that are due."""
+        elapsed = now - self._stepped_at
+        if elapsed < STEP_INTERVAL_S:
             return
-        steps = min(20, int((now - self._step_at) / SHED_STEP))
-        self._step_at = now
-        if part > above:
-            self._open = max(SHED_FLOOR, self._open * SHED_FACTOR)
-        elif part < below:
-            self._open = min(1.0, self._open + SHED_RISE * steps)
+        self._stepped_at = now
+        if overloaded_fraction > thresholds.increase_above:
+            self._admitted_fraction = max(MIN_ADMITTED_FRACTION, self._admitted_fraction * DECREASE_FACTOR)
+        elif overloaded_fraction < thresholds.decrease_below:
+            steps = min(MAX_INCREASE_STEPS, int(elapsed / STEP_INTERVAL_S))
+            self._admitted_fraction = min(1.0, self._admitted_fraction + INCREASE * steps)
 
-    @property
-    def closing(self) -> bool:
-        """True while some arrivals are turned away."""
-        return self._open < 1.0
-
-    def admits(self, over_share: bool) -> bool:
-        """Seeded chance: proxies that see the same jam do not act in step."""
-        chance = self._open**SHED_OVER_SHARE if over_share else self._open
-        return chance >= 1.0 or self._rng.random() < chance
+    def admits(self, *, over_quota: bool) -> bool:
+        """Decides by chance, so that proxies with the same view do not act in step."""
+        probability = self._admitted_fraction
+        if over_quota:
+            probability = probability**OVER_QUOTA_EXPONENT
+        return probability >= 1.0 or self._rng.random() < probability
+
+
+class AdmissionControl:
+    """Admits new requests by the load of the fleet and the quota of the tenant."""
+
+    def __init__(
+        self, state: BalancerState, shedder: LoadShedder, overload: OverloadTracker, quotas: TenantQuotas
+    ) -> None:
+        self._state = state
+        self._shedder = shedder
+        self._overload = overload
+        self._quotas = quotas
+
+    def admits(self, request: Request) -> bool:
+        """Returns False if the request is to be rejected."""
+        self._update()
+        if request.rerouted:
+            return True
+        return self._shedder.admits(over_quota=self._quotas.is_exceeded(request.tenant))
+
+    def _update(self) -> None:
+        """Updates the shedder by fresh load reports; by own connections where too few servers report.
+
+        Reports come first, since connections that are slow to establish may only mean that many clients
+        reconnect at once. A proxy of a large fleet checks each server too rarely to have many fresh reports.
+        """
+        now = self._state.now
+        loads = [
+            server.load
+            for server in self._state.servers.values()
+            if server.ready and server.has_fresh_report(now)
+        ]
+        if len(loads) < MIN_OVERLOADED_SERVERS:
+            fraction = self._overload.connections() / max(MIN_CONNECTIONS, len(self._state.requests))
+            self._shedder.update(fraction, BY_CONNECTIONS, now)
+            return
+        overloaded = sum(1 for load in loads if load >= OVERLOADED_LOAD)
+        if overloaded >= MIN_OVERLOADED_SERVERS and sum(loads) >= MIN_MEAN_LOAD * len(loads):
+            self._shedder.update(overloaded / len(loads), BY_REPORTS, now)
+        else:
+            self._shedder.update(0.0, BY_REPORTS, now)
--- /dev/null
+++ b/ironmill/balancing/placement.py
@@ -0,0 +1,166 @@
+"""Placement by the self-learning threshold rule of Goldsztajn, Borst and van Leeuwaarden.
+
+A server whose count is below the threshold has a green token, and one whose count equals it a yellow token. A
+request goes to a random server with a green token, else to one with a yellow token, else to any ready one.
+After a placement the threshold rises by one if at most one server had a token, and falls by one if most
+servers had a green token.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+from collections.abc import Callable
+from functools import partial
+
+from msgspec import Struct
+
+from ironmill.balancing.connection_groups import GroupConnections, preference
+from ironmill.balancing.server_counts import ServerCounts
+from ironmill.balancing.server_state import ServerState
+from ironmill.balancing.slow_start import SlowStartBudget
+from ironmill.balancing.state import BalancerState
+from ironmill.balancing.tracked_request import TrackedRequest
+
+# The rule's parameter: the threshold falls if the fraction of green servers is at least 1 - ALPHA.
+ALPHA = 0.9
+# Each server with connections of a group pays for the group once, so for that group its count is lower by so
+# many connections.
+GROUP_DISCOUNT = 3
+# With live weights the discount also holds for the servers that the group prefers, as the other proxies
+# probably have connections of the group there.
+GROUP_PREFERRED_SERVERS = 3
+
+
+class _TokenRange(Struct, frozen=True):
+    """Servers of one colour: indexes of the token table, and the exclusive limit of their counts."""
+
+    start: int
+    end: int
+    count_limit: float
+
+
+class Placement:
+    """Selects servers and adapts the threshold."""
+
+    def __init__(
+        self,
+        state: BalancerState,
+        counts: ServerCounts,
+        slow_start: SlowStartBudget,
+        groups: GroupConnections,
+    ) -> None:
+        self.threshold: int | None = None  # set at the first placement
+        self._state = state
+        self._counts = counts
+        self._slow_start = slow_start
+        self._groups = groups
+
+    def select(self, tracked: TrackedRequest) -> ServerState | None:
+        """Returns the server for the next attempt, or None if no server may get it now."""
+        self._counts.refresh()
+        table = self._counts.table
+        if self.threshold is None:
+            self.threshold = table.mean()  # of the connections that were open before
+        green = table.below(self.threshold)
+        yellow = table.below(self.threshold + 1)
+        ranges = (
+            _TokenRange(0, green, self.threshold),
+            _TokenRange(green, yellow, self.threshold + 1),
+            _TokenRange(yellow, len(table), math.inf),
+        )
+        server_id = self._select_from(ranges, tracked)
+        if server_id is None:
+            return None
+        if yellow <= 1:
+            self.threshold += 1
+        elif green >= (1.0 - ALPHA) * len(table) and self.threshold > 0:
+            self.threshold -= 1
+        return self._state.servers[server_id]
+
+    def follow_list(self) -> None:
+        """Moves the threshold one step towards the mean count, which the list of live weights has changed.
+
+        The own placements of a proxy are too rare in a large fleet for its threshold to follow the load. So
+        the probability of a step is larger in a larger fleet.
+        """
+        probability = 1.0 - 1.0 / self._state.fleet_scale
+        table = self._counts.table
+        if self.threshold is None or not len(table) or not probability:
+            return
+        if self._state.rng.random() < probability:
+            mean = table.mean()
+            self.threshold += (mean > self.threshold) - (mean < self.threshold)
+
+    def _select_from(self, ranges: tuple[_TokenRange, ...], tracked: TrackedRequest) -> int | None:
+        state, table = self._state, self._counts.table
+        servers, random_number, now = state.servers, state.rng.random, state.now
+        max_weight, by_weight = self._counts.max_weight, not state.settings.live_weights
+
+        def accepts(server_id: int) -> bool:
+            # A server of half the weight is accepted for half of its draws.
+            if by_weight and random_number() * max_weight > servers[server_id].weight:
+                return False
+            return server_id not in tracked.tried and tracked.may_retry_at(servers[server_id], now)
+
+        for tokens in ranges:
+            if tracked.request.group is None:
+                selected = table.draw(tokens.start, tokens.end, state.rng, accepts)
+            else:
+                selected = self._select_for_group(tracked, tokens, accepts)
+            if selected is not None:
+                return selected
+        # All were tried before, or not accepted by weight.
+        return table.draw(
+            0, len(table), state.rng, lambda server_id: tracked.may_retry_at(servers[server_id], now)
+        )
+
+    def _select_for_group(
+        self, tracked: TrackedRequest, tokens: _TokenRange, accepts: Callable[[int], bool]
+    ) -> int | None:
+        """Returns the server that the request's group prefers among those with tokens.
+
+        A server that has connections of the group, here or probably elsewhere, may have a higher count.
+        """
+        group, rerouted = tracked.request.group, tracked.request.rerouted
+        assert group is not None
+        table, own = self._counts.table, self._groups.counts(group)
+        discounted = dict.fromkeys(own)
+        limit = tokens.count_limit
+        if self._state.settings.live_weights:
+            preferred = heapq.nlargest(
+                GROUP_PREFERRED_SERVERS, table.first(len(table)), partial(preference, group)
+            )
+            discounted |= dict.fromkeys(preferred)
+            if not rerouted and not self._has_server_in_slow_start():
+                # The same result as below, without a look at every server of a large fleet.
+                for server_id in preferred:
+                    if table.count(server_id) < limit + GROUP_DISCOUNT and accepts(server_id):
+                        return server_id
+        candidates = [server_id for server_id in table.first(tokens.end) if accepts(server_id)]
+        candidates += [
+            server_id
+            for server_id in discounted
+            if server_id in table
+            and limit <= table.count(server_id) < limit + GROUP_DISCOUNT
+            and accepts(server_id)
+        ]
+        if rerouted:
+            # The connection is probably open where most of its group is, with a token or not.
+            present = [server_id for server_id in own if server_id in table and accepts(server_id)]
+            if present:
+                return max(present, key=lambda server_id: (own[server_id], server_id))
+        else:
+            # First a server in slow start, for its budget is not carried over.
+            candidates = [one for one in candidates if self._is_warming_up(one)] or candidates
+        return max(candidates, key=partial(preference, group), default=None)
+
+    def _is_warming_up(self, server_id: int) -> bool:
+        return self._slow_start.is_warming_up(self._state.servers[server_id], self._state.now)
+
+    def _has_server_in_slow_start(self) -> bool:
+        """Returns True if a server in slow start may get a connection now."""
+        table = self._counts.table
+        return any(
+            server_id in table and self._is_warming_up(server_id) for server_id in self._counts.time_dependent
+        )
--- /dev/null
+++ b/ironmill/balancing/server_counts.py
@@ -0,0 +1,147 @@
+"""The count of each ready server, which the threshold rule compares."""
+
+from __future__ import annotations
+
+from ironmill.balancing.circuit_breaker import EJECT_AFTER_FAILURES, CircuitBreaker
+from ironmill.balancing.fault_penalty import current_penalty
+from ironmill.balancing.server_state import ServerState
+from ironmill.balancing.slow_start import SlowStartBudget
+from ironmill.balancing.state import BalancerState
+from ironmill.balancing.token_table import TokenTable
+
+LIST_DELAY_S = 1.2  # a listed live weight does not include own sends younger than this
+# Limits of what a load report changes in the listed connections of a server.
+MIN_COST_RATIO = 0.7
+MAX_COST_RATIO = 3.0
+# A new connection to a server without an idle link costs a handshake. Where that cost is relevant, the count
+# is higher by this many connections.
+MIN_HANDSHAKE_COST = 0.02
+NEW_LINK_SURCHARGE = 2
+ROUNDING_TOLERANCE = 1e-9
+FULL_SERVER_QUANTILE = 0.9  # the fullest tenth of the servers may be overloaded
+
+
+class ServerCounts:
+    """Keeps the token table up to date: the only class that writes to it.
+
+    A count is the number of connections on a server, plus its fault penalty, plus the cost of a new link. A
+    server is in the table while it may get new connections.
+    """
+
+    def __init__(self, state: BalancerState, slow_start: SlowStartBudget, breaker: CircuitBreaker) -> None:
+        self.table = TokenTable()
+        self.max_weight = 1.0  # of the listed servers
+        self.time_dependent: dict[int, None] = {}  # servers whose count changes with time
+        self._state = state
+        self._slow_start = slow_start
+        self._breaker = breaker
+        self._mean_weight = 1.0
+        self._largest_weight = 0.0  # ever listed: the size of a server where weights are live
+        # Mean reported load of an own connection; with live weights of a listed connection.
+        self._connection_cost = 0.0
+
+    def update(self, server: ServerState) -> None:
+        """Recomputes the count of one server. To be called after each change of its state."""
+        now = self._state.now
+        idle = server.idle_links_until
+        while idle and idle[0] <= now:
+            del idle[0]
+        warming_up = self._slow_start.is_warming_up(server, now)
+        penalty = current_penalty(server, now)
+        if (
+            server.ready
+            and not self._breaker.is_ejected(server)
+            # Without connections it would win every draw, so it is ready only within its budget.
+            and (not warming_up or self._slow_start.allows(server, now))
+        ):
+            connections = int(self._connections_on(server) + ROUNDING_TOLERANCE)
+            self.table.put(server.server_id, connections + int(penalty) + self._surcharge(server))
+        elif server.server_id in self.table:
+            self.table.remove(server.server_id)
+        if server.ready and (
+            warming_up
+            or penalty > 0.0
+            or idle
+            or server.failures >= EJECT_AFTER_FAILURES
+            or server.has_fresh_report(now)
+        ):
+            self.time_dependent[server.server_id] = None
+        else:
+            self.time_dependent.pop(server.server_id, None)
+
+    def refresh(self) -> None:
+        """Recomputes all counts that change with time."""
+        servers = self._state.servers
+        for server_id in list(self.time_dependent):
+            self.update(servers[server_id])
+
+    def weights_changed(self, *, listed: bool) -> None:
+        """Recomputes what depends on the weights of all servers; ``listed`` if an event listed any server."""
+        weights = [server.weight for server in self._state.servers.values() if server.ready]
+        self.max_weight = max(weights, default=1.0)
+        self._mean_weight = sum(weights) / max(1, len(weights))
+        previous_largest = self._largest_weight
+        self._largest_weight = max(self._largest_weight, self.max_weight)
+        if self._state.settings.live_weights and listed:
+            self._update_listed(every_server=self._largest_weight != previous_largest)
+            self._update_slow_start()
+
+    def report_received(self, server: ServerState) -> None:
+        """Takes in the load report of a server. The caller updates its count."""
+        server.connection_cost = server.load * server.weight / self._largest_weight
+        now = self._state.now
+        reporting = [one for one in self._state.servers.values() if one.ready and one.has_fresh_report(now)]
+        if self._state.settings.live_weights:
+            total = sum(one.connection_cost for one in reporting)
+            self._connection_cost = total / len(reporting) if reporting else 0.0
+            return
+        connections = sum(one.connections_at_report for one in reporting)
+        total = sum(one.load for one in reporting)
+        self._connection_cost = total / connections if connections > 0 else 0.0
+
+    def _update_listed(self, *, every_server: bool) -> None:
+        now = self._state.now
+        for server in self._state.servers.values():
+            if every_server or server.unlisted_sends or server.server_id in self.time_dependent:
+                server.unlisted_sends = [at for at in server.unlisted_sends if now - at < LIST_DELAY_S]
+                self.update(server)
+
+    def _update_slow_start(self) -> None:
+        now, largest = self._state.now, self._largest_weight
+        warm = [
+            server.weight
+            for server in self._state.servers.values()
+            if server.ready and not self._slow_start.is_warming_up(server, now)
+        ]
+        connections = sorted(largest * (largest / weight - 1.0) for weight in warm)
+        mean = sum(connections) / max(1, len(connections))
+        full = connections[int(FULL_SERVER_QUANTILE * (len(connections) - 1))] if connections else 0.0
+        self._slow_start.set_listed_connections(mean, full)
+
+    def _connections_on(self, server: ServerState) -> float:
+        """Returns the connections on a server, in units of the count.
+
+        Live weights show the connections of all proxies per core, with a delay. An own send that is not yet
+        listed counts for those of the other proxies too, for they choose by the same list. A fresh report
+        corrects the number where a connection costs more or less than elsewhere.
+
+        Without live weights, own connections count. A fresh report replaces them, since it also includes the
+        other proxies and other load on the machine; own changes since the report are added to it.
+        """
+        fleet_scale = self._state.fleet_scale
+        has_cost = self._connection_cost > 0.0 and server.has_fresh_report(self._state.now)
+        if self._state.settings.live_weights:
+            listed = self._largest_weight / server.weight
+            if has_cost:
+                ratio = server.connection_cost / self._connection_cost
+                listed *= min(MAX_COST_RATIO, max(MIN_COST_RATIO, ratio))
+            return max(0.0, listed - 1.0) + fleet_scale * len(server.unlisted_sends)
+        if has_cost:
+            reported = server.load / self._connection_cost
+            return max(0.0, reported + server.connections - server.connections_at_report) * fleet_scale
+        return server.connections * fleet_scale * self._mean_weight / server.weight
+
+    def _surcharge(self, server: ServerState) -> int:
+        if server.idle_links_until or self._state.settings.costs.handshake < MIN_HANDSHAKE_COST:
+            return 0
+        return NEW_LINK_SURCHARGE
--- /dev/null
+++ b/ironmill/balancing/server_state.py
@@ -0,0 +1,68 @@
+"""The state that one proxy keeps of a server."""
+
+from __future__ import annotations
+
+import math
+
+REPORT_LIFETIME_S = 8.0
+
+
+class ServerState:
+    """What this proxy knows of one server. Times are in seconds on the caller's clock."""
+
+    __slots__ = (
+        "attempts_connecting",
+        "cell",
+        "connection_cost",
+        "connections",
+        "connections_at_report",
+        "ejected_until",
+        "failures",
+        "health_checked_at",
+        "identical_reports",
+        "idle_links_until",
+        "load",
+        "load_reported_at",
+        "overloaded_at",
+        "penalty",
+        "penalty_updated_at",
+        "ready",
+        "report",
+        "server_id",
+        "slow_start_tokens",
+        "slow_start_window",
+        "started_at",
+        "unlisted_sends",
+        "weight",
+        "zone",
+    )
+
+    def __init__(self, server_id: int) -> None:
+        self.server_id = server_id
+        self.zone = ""
+        self.cell = 0
+        self.started_at = 0.0
+        self.weight = 1.0  # as listed, relative to other servers
+        self.ready = False
+        self.connections = 0  # own established connections and attempts in flight
+        self.attempts_connecting = 0  # own attempts in flight that are not established
+        self.idle_links_until: list[float] = []  # when each own idle link to it will be closed
+        self.unlisted_sends: list[float] = []  # own sends that are too recent for any listed weight
+        self.penalty = 0.0  # of its faults, in connections, as of penalty_updated_at
+        self.penalty_updated_at = 0.0
+        self.failures = 0  # consecutive failed attempts and health checks
+        self.ejected_until = -math.inf
+        self.health_checked_at = -math.inf
+        self.report: tuple[tuple[str, float], ...] = ()
+        self.load = 0.0  # as last reported: requested work over capacity
+        self.load_reported_at = -math.inf
+        self.connection_cost = 0.0  # reported load over listed load, as of the last report
+        self.connections_at_report = 0
+        self.identical_reports = 0  # consecutive reports that did not change at all
+        self.overloaded_at = -math.inf  # when it was last slow enough to count as overloaded
+        self.slow_start_window = -1  # number of the window that slow_start_tokens are for
+        self.slow_start_tokens = 0
+
+    def has_fresh_report(self, now: float) -> bool:
+        """Returns True if the last load report is recent enough to use."""
+        return now - self.load_reported_at <= REPORT_LIFETIME_S
--- /dev/null
+++ b/ironmill/balancing/state.py
@@ -0,0 +1,28 @@
+"""The state that the decision modules of one proxy share."""
+
+from __future__ import annotations
+
+import random
+
+from ironmill.balancing.interface import Action, Settings
+from ironmill.balancing.server_state import ServerState
+from ironmill.balancing.tracked_request import TrackedRequest
+
+# Rates of health checks and migrations hold for a fleet of this size. In a larger one each proxy acts less
+# often, so that the whole fleet does not act more, and an own connection counts for those of more proxies.
+REFERENCE_PROXIES = 4
+
+
+class BalancerState:
+    """Servers, requests, pending actions, the time of the current event and the random generator."""
+
+    __slots__ = ("actions", "fleet_scale", "now", "requests", "rng", "servers", "settings")
+
+    def __init__(self, settings: Settings, seed: int, now: float) -> None:
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.now = now
+        self.fleet_scale = max(1.0, settings.proxies / REFERENCE_PROXIES)
+        self.servers: dict[int, ServerState] = {}
+        self.requests: dict[str, TrackedRequest] = {}
+        self.actions: list[Action] = []  # to be returned for the current event
--- a/ironmill/balancing/subscription.py
+++ b/ironmill/balancing/subscription.py
@@ -1,44 +1,49 @@
-"""When to ask a discovery that answers only when asked."""
+"""When to call a discovery that reports changes only to subscribers."""
 
 from __future__ import annotations
 
-import random
+from ironmill.balancing.interface import SetTimer, Subscribe
+from ironmill.balancing.state import BalancerState
 
-from ironmill.balancing.interface import Action, SetTimer, Settings
+MAX_FIRST_CALL_DELAY_S = 4.0
+BACKOFF_S = 1.0  # after the first failure, doubled with each further one
+MAX_BACKOFF_S = 8.0
 
-# Discovery by asking: spread of the first calls and the backoff after failures, seconds.
-ASK_SPREAD = 4.0
-ASK_BACKOFF = 1.0
-ASK_BACKOFF_MAX = 8.0
+SUBSCRIBE_TIMER = "ask"  # timer names are visible on the simulator's wire
 
 
 class Subscription:
-    """When to ask a discovery that answers only when asked.
+    """Spreads the first calls of all proxies and backs off after failures.
 
-    The list service is small and all proxies share it: calls are spread at the start and back off
-    with jitter after a failure. The list held serves meanwhile.
+    Discovery is small and all proxies share it. The cached endpoint list is used meanwhile.
     """
 
-    TIMER = "ask"
-
-    def __init__(self, settings: Settings, rng: random.Random) -> None:
-        self._rng = rng
-        self._asks = settings.subscribes_to_discovery
-        self._spread = min(ASK_SPREAD, settings.discovery_poll_interval / 2)
+    def __init__(self, state: BalancerState) -> None:
+        self._state = state
+        self._enabled = state.settings.subscribes_to_discovery
         self._failures = 0
 
-    def start(self) -> list[Action]:
-        """The first call, at a time of this proxy's own."""
-        return [SetTimer(self._rng.random() * self._spread, self.TIMER)] if self._asks else []
+    def start(self) -> None:
+        """Sets the timer of the first call."""
+        if self._enabled:
+            latest = min(MAX_FIRST_CALL_DELAY_S, self._state.settings.discovery_poll_interval / 2)
+            self._set_timer(self._state.rng.random() * latest)
+
+    def call(self) -> None:
+        """Subscribes: the timer fired."""
+        self._state.actions.append(Subscribe())
 
-    def answered(self) -> None:
-        """A list came, so the service answers."""
+    def succeeded(self) -> None:
+        """Ends the backoff: discovery sent a list."""
         self._failures = 0
 
-    def failed(self) -> list[Action]:
-        """A call failed or the subscription broke: ask again, later each time."""
-        if not self._asks:
-            return []
-        pause = min(ASK_BACKOFF_MAX, ASK_BACKOFF * 2.0**self._failures)
+    def failed(self) -> None:
+        """Sets the timer of the next call after a failed call or a lost subscription."""
+        if not self._enabled:
+            return
+        pause = min(MAX_BACKOFF_S, BACKOFF_S * 2.0**self._failures)
         self._failures += 1
-        return [SetTimer(pause * (0.5 + self._rng.random()), self.TIMER)]
+        self._set_timer(pause * (0.5 + self._state.rng.random()))
+
+    def _set_timer(self, delay: float) -> None:
+        self._state.actions.append(SetTimer(delay, SUBSCRIBE_TIMER))
--- a/ironmill/balancing/token_table.py
+++ b/ironmill/balancing/token_table.py
@@ -1,97 +1,102 @@
-"""The token table: the ready servers in the order of their counts, and draws among them."""
+"""The token table: the ready servers ordered by their counts, and random draws among them."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
 
+MAX_RANDOM_DRAWS = 12  # before all candidates are examined
+
 
 class TokenTable:
-    """The ready backends, ordered by count.
+    """The ready servers in one list, ordered by count.
 
-    Backends of equal count stand together, so "all below c" is a prefix of one list: a draw is one
-    index, a count goes up or down by one swap with the edge of its bucket, and a step of the
-    threshold moves no backend at all. All three cost the same in a fleet of any size.
+    Servers of equal count form a contiguous bucket, so all servers under a count are a prefix of the list. A
+    draw is one random index, a change of a count by one is one swap with the edge of its bucket, and a step
+    of the threshold moves no server. The cost of all three is independent of the number of servers.
     """
 
     def __init__(self) -> None:
         self._order: list[int] = []
-        self._place: dict[int, int] = {}
+        self._index: dict[int, int] = {}
         self._count: dict[int, int] = {}
-        self._below: list[int] = [0, 0]  # _below[c]: how many have a count under c
+        self._below: list[int] = [0, 0]  # _below[c]: number of servers with a count under c
 
     def __len__(self) -> int:
         return len(self._order)
 
-    def __contains__(self, backend: int) -> bool:
-        return backend in self._count
+    def __contains__(self, server_id: int) -> bool:
+        return server_id in self._count
 
-    def count(self, backend: int) -> int:
-        """The count that the table holds for a member."""
-        return self._count[backend]
+    def count(self, server_id: int) -> int:
+        """Returns the count of a server. Raises KeyError if it is not in the table."""
+        return self._count[server_id]
 
     def below(self, count: int) -> int:
-        """How many members have a count under the one given: the tokens of that threshold."""
+        """Returns the number of servers under a count: the tokens of that threshold."""
         return self._below[count] if count < len(self._below) else len(self._order)
 
-    def put(self, backend: int, count: int) -> None:
-        """Make the backend a member with this count, or change its count."""
-        if backend not in self._count:
-            self._place[backend] = len(self._order)
-            self._order.append(backend)
-            self._count[backend] = len(self._below) - 2
+    def put(self, server_id: int, count: int) -> None:
+        """Adds a server with this count, or changes its count."""
+        if server_id not in self._count:
+            self._index[server_id] = len(self._order)
+            self._order.append(server_id)
+            self._count[server_id] = len(self._below) - 2
             self._below[-1] += 1
-        while self._count[backend] < count:
-            self._up(backend)
-        while self._count[backend] > count:
-            self._down(backend)
-
-    def drop(self, backend: int) -> None:
-        """End the membership."""
-        while self._count[backend] < len(self._below) - 2:
-            self._up(backend)
-        self._swap(backend, len(self._order) - 1)
+        while self._count[server_id] < count:
+            self._increment(server_id)
+        while self._count[server_id] > count:
+            self._decrement(server_id)
+
+    def remove(self, server_id: int) -> None:
+        """Removes a server. Raises KeyError if it is not in the table."""
+        while self._count[server_id] < len(self._below) - 2:
+            self._increment(server_id)
+        self._swap(server_id, len(self._order) - 1)
         self._order.pop()
-        del self._place[backend], self._count[backend]
+        del self._index[server_id], self._count[server_id]
         self._below[-1] -= 1
 
-    def draw(self, start: int, end: int, rng: random.Random, fits: Callable[[int], bool]) -> int | None:
-        """A random fitting member among those placed from start to before end."""
+    def draw(self, start: int, end: int, rng: random.Random, accepts: Callable[[int], bool]) -> int | None:
+        """Returns a random acceptable server at an index in ``range(start, end)``, or None."""
         if end <= start:
             return None
-        for _ in range(12):  # most fit, mostly
-            backend = self._order[start + int(rng.random() * (end - start))]
-            if fits(backend):
-                return backend
-        fitting = [backend for backend in self._order[start:end] if fits(backend)]
-        return rng.choice(fitting) if fitting else None
+        for _ in range(MAX_RANDOM_DRAWS):
+            server_id = self._order[start + int(rng.random() * (end - start))]
+            if accepts(server_id):
+                return server_id
+        acceptable = [server_id for server_id in self._order[start:end] if accepts(server_id)]
+        return rng.choice(acceptable) if acceptable else None
 
     def mean(self) -> int:
-        """The mean count, rounded down; 0 without members."""
+        """Returns the mean count, rounded down; 0 for an empty table."""
         return sum(self._count.values()) // max(1, len(self._order))
 
-    def members(self, end: int) -> list[int]:
-        """The members placed before end, the lowest counts first."""
+    def first(self, end: int) -> list[int]:
+        """Returns the servers at indexes before ``end``, the lowest counts first."""
         return self._order[:end]
 
-    def _up(self, backend: int) -> None:
-        count = self._count[backend]
+    def _increment(self, server_id: int) -> None:
+        count = self._count[server_id]
         edge = self._below[count + 1] - 1
-        self._swap(backend, edge)
+        self._swap(server_id, edge)
         self._below[count + 1] = edge
-        self._count[backend] = count + 1
+        self._count[server_id] = count + 1
         if count + 2 == len(self._below):
             self._below.append(len(self._order))
 
-    def _down(self, backend: int) -> None:
-        count = self._count[backend]
+    def _decrement(self, server_id: int) -> None:
+        count = self._count[server_id]
         edge = self._below[count]
-        self._swap(backend, edge)
+        self._swap(server_id, edge)
         self._below[count] = edge + 1
-        self._count[backend] = count - 1
-
-    def _swap(self, backend: int, to: int) -> None:
-        order, place = self._order, self._place
-        other, at = order[to], place[backend]
-        order[at], order[to] = other, backend
-        place[other], place[backend] = at, to
+        self._count[server_id] = count - 1
+
+    def _swap(self, server_id: int, to: int) -> None:
+        order, index = self._order, self._index
+        other = order[to]
+        at = index[server_id]
+        order[at] = other
+        order[to] = server_id
+        index[other] = at
+        index[server_id] = to
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -186,11 +186,11 @@
 
     def skipped_servers(self) -> int:
         """How many of those get nothing new now: they drain, or too much has failed there."""
-        left_out = self._balancer.left_out()
+        ejected = self._balancer.ejected()
         return sum(
             1
             for server in self._table.listed()
-            if server.leaving_since is not None or server.number in left_out
+            if server.leaving_since is not None or server.number in ejected
         )
 
     def held(self) -> int:
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -5,8 +5,8 @@
 import math
 from itertools import pairwise
 
-from ironmill.balancing.balancer import GROUP_LESS, PROBE_OVER, REPORT_MEMORY, REPORT_SAME
-from ironmill.balancing.health import OUT_AFTER
+from ironmill.balancing.circuit_breaker import EJECT_AFTER_FAILURES
+from ironmill.balancing.health_checks import STALE_AFTER_IDENTICAL_REPORTS
 from ironmill.balancing.interface import (
     CheckHealth,
     EndpointEntry,
@@ -19,6 +19,9 @@
     WatchEvent,
     WatchEventKind,
 )
+from ironmill.balancing.load_shedding import OVERLOADED_LOAD
+from ironmill.balancing.placement import GROUP_DISCOUNT
+from ironmill.balancing.server_state import REPORT_LIFETIME_S
 from ironmill.net.probe import ProbeDriver
 from ironmill.net.sockets import Stream
 from ironmill.protocol.server import ProbeSide, Report
@@ -57,7 +60,7 @@
     assert counts.pop(1) == 4  # four sixths of the load that is reported, whatever stands there
     assert counts.pop(send.server_id) == 2  # and one placed since
     assert list(counts.values()) == [1]
-    proxy.run(proxy.now + REPORT_MEMORY + 1.0)
+    proxy.run(proxy.now + REPORT_LIFETIME_S + 1.0)
     proxy.request()
     assert sum(proxy.balancer.token_counts().values()) == 8  # old reports count no longer
 
@@ -67,11 +70,11 @@
     for _ in range(4):
         for send in sends(proxy.request()):
             proxy.stand(send)
-    live = proxy.balancer.live_counts()
+    live = proxy.balancer.connection_counts()
     for bad in (math.nan, math.inf, -1.0):
         proxy.play(HealthChecked(1, Outcome.OK, (("x0", bad),)))
     assert proxy.balancer.token_counts() == live
-    for at in range(REPORT_SAME + 1):
+    for at in range(STALE_AFTER_IDENTICAL_REPORTS + 1):
         proxy.play(HealthChecked(1, Outcome.OK, (("x0", 0.1),)))
         proxy.play(HealthChecked(2, Outcome.OK, (("x0", 0.5 + at / 100.0),)))
     assert proxy.balancer.token_counts()[1] == live[1]
@@ -115,7 +118,7 @@
     used: dict[int, set[int]] = {77: set(), 78: set(), 79: set()}
     for seed in (1, 2):
         proxy = SimulatedProxy(8, seed=seed)
-        for at in range(3 * (GROUP_LESS - 2)):
+        for at in range(3 * (GROUP_DISCOUNT - 2)):
             group = 77 + at % 3
             for send in sends(proxy.request(group=group)):
                 proxy.stand(send)
@@ -125,21 +128,21 @@
 
 def test_a_group_leaves_a_server_that_has_far_more_than_the_others() -> None:
     proxy = SimulatedProxy(4)
-    for _ in range(6 * GROUP_LESS):
+    for _ in range(6 * GROUP_DISCOUNT):
         for send in sends(proxy.request(group=77)):
             proxy.stand(send)
-    counts = sorted(proxy.balancer.live_counts().values())
-    assert counts[1] > GROUP_LESS  # three of the four share it
-    assert counts[-1] < 3 * GROUP_LESS
+    counts = sorted(proxy.balancer.connection_counts().values())
+    assert counts[1] > GROUP_DISCOUNT  # three of the four share it
+    assert counts[-1] < 3 * GROUP_DISCOUNT
 
 
 def test_an_ended_connection_no_longer_holds_its_group() -> None:
     proxy = SimulatedProxy(4)
     (send,) = sends(proxy.request(group=77))
     proxy.stand(send)
-    assert proxy.balancer._groups == {77: {send.server_id: 1}}
+    assert proxy.balancer._connections.groups.by_group == {77: {send.server_id: 1}}
     proxy.end(send, Outcome.OK, final=True)
-    assert proxy.balancer._groups == {}
+    assert proxy.balancer._connections.groups.by_group == {}
 
 
 def test_what_came_mid_flow_goes_where_its_group_stands() -> None:
@@ -161,7 +164,7 @@
             else:
                 proxy.stand(send)
         proxy.run(proxy.now + 0.05)
-    assert failed <= OUT_AFTER + 3
+    assert failed <= EJECT_AFTER_FAILURES + 3
     proxy.run(proxy.now + 20.0)
     tries = [send for _ in range(30) for send in sends(proxy.request()) if send.server_id == 1]
     assert len(tries) == 1
@@ -184,7 +187,7 @@
         proxy.stand(send)
     bad, good = out[0].server_id, out[1].server_id
     before = proxy.balancer.token_counts()
-    assert proxy.play(HealthChecked(good, Outcome.OK, (("x0", PROBE_OVER - 0.1),))) == []
+    assert proxy.play(HealthChecked(good, Outcome.OK, (("x0", OVERLOADED_LOAD - 0.1),))) == []
     assert proxy.play(HealthChecked(good, Outcome.TIMEOUT)) == []
     assert proxy.play(HealthChecked(99, Outcome.OK, (("x0", 5.0),))) == []
     (action,) = proxy.play(HealthChecked(bad, Outcome.OK, (("x0", 1.5),)))
--- a/tests/unit/balancing/test_fleet.py
+++ b/tests/unit/balancing/test_fleet.py
@@ -9,8 +9,7 @@
 
 from msgspec import structs
 
-from ironmill.balancing.group_order import preference
-from ironmill.balancing.health import Backend
+from ironmill.balancing.connection_groups import preference
 from ironmill.balancing.interface import (
     Action,
     CheckHealth,
@@ -24,7 +23,8 @@
     WatchEvent,
     WatchEventKind,
 )
-from ironmill.balancing.slow_start import LIFE, SlowStartBudget
+from ironmill.balancing.server_state import ServerState
+from ironmill.balancing.slow_start import ASSUMED_LIFETIME_S, SlowStartBudget
 from ironmill.configuration.site_settings import parse_settings
 from tests.support.balancing import SETTINGS as BASE
 from tests.support.balancing import SimulatedProxy, entries, sends
@@ -187,8 +187,8 @@
     for seed in range(2000):
         budget = SlowStartBudget(structs.replace(BASE, proxies=FORTY), random.Random(seed), 0.0)
         for at in range(4, 84, 4):
-            budget.arrived(10, float(at))
-        cold = Backend(1)
+            budget.request_arrived(10, float(at))
+        cold = ServerState(1)
         cold.started_at = 84.0
         if budget.allows(cold, 84.0):
             granted += 1
@@ -265,12 +265,12 @@
 
 def test_the_mean_life_is_learnt_from_own_connections() -> None:
     budget = SlowStartBudget(BASE, random.Random(1), 0.0)
-    assert budget._life(0.0) == LIFE
+    assert budget.mean_lifetime(0.0) == ASSUMED_LIFETIME_S
     for number in range(30):
-        budget.stands(1, float(number))
+        budget.connection_established(float(number))
     for number in range(30):
-        budget.stands(-1, 20.0 + number, served=True)
-    assert 20.0 < budget._life(50.0) < 25.0
+        budget.connection_closed(20.0 + number, completed=True)
+    assert 20.0 < budget.mean_lifetime(50.0) < 25.0
 
 
 def test_the_settings_say_whether_weights_are_live() -> None:
--- a/tests/unit/balancing/test_request_lifetime.py
+++ b/tests/unit/balancing/test_request_lifetime.py
@@ -120,7 +120,7 @@
     proxy.run(proxy.now + 3)
     assert len(sends(proxy.actions)) == 1
     assert not answers(proxy)
-    assert sum(proxy.balancer.live_counts().values()) == 0
+    assert sum(proxy.balancer.connection_counts().values()) == 0
 
 
 def test_moot_send_ends_in_an_answer() -> None:
--- a/tests/unit/balancing/test_slow_start_and_health.py
+++ b/tests/unit/balancing/test_slow_start_and_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ironmill.balancing.health import STANDING_HALF_LIFE
+from ironmill.balancing.fault_penalty import PENALTY_HALF_LIFE_S
 from ironmill.balancing.interface import (
     ConnectionSample,
     Costs,
@@ -14,7 +14,7 @@
     WatchEvent,
     WatchEventKind,
 )
-from ironmill.balancing.slow_start import COLD_SAFETY
+from ironmill.balancing.slow_start import BUDGET_SAFETY_FACTOR
 from tests.support.balancing import SAFE, SimulatedProxy, entries, sends
 
 
@@ -48,7 +48,7 @@
     warm_rate = 100 * 1.0 / 10  # what a warm server takes a second in ordinary times: surely within it
     budget = multiple * cold_from * warm_rate * window
     assert all(count <= budget for count in took[:7])
-    assert sum(took[:7]) > 0.2 * COLD_SAFETY * 7 * budget, "the budget is there to be used"
+    assert sum(took[:7]) > 0.2 * BUDGET_SAFETY_FACTOR * 7 * budget, "the budget is there to be used"
 
 
 def test_cold_server_does_not_win_every_draw() -> None:
@@ -80,7 +80,7 @@
     for _ in range(4):
         proxy.request()
     assert bad.server_id not in {send.server_id for send in sends(proxy.actions)[1:]}
-    proxy.now += 8 * STANDING_HALF_LIFE
+    proxy.now += 8 * PENALTY_HALF_LIFE_S
     proxy.request()
     assert proxy.balancer.token_counts()[bad.server_id] <= 2
 
@@ -158,10 +158,12 @@
     proxy = SimulatedProxy(2)
     first = sends(proxy.request())[0]
     proxy.stand(first, delay=0.2 * SAFE.message_latency_objective)
-    assert proxy.balancer._jammed == {}
+    assert proxy.balancer._overload.server_ids == {}
     second = sends(proxy.request())[0]
     proxy.stand(second, delay=0.6 * SAFE.message_latency_objective)
-    assert list(proxy.balancer._jammed) == [second.server_id]
+    assert list(proxy.balancer._overload.server_ids) == [second.server_id]
     third = sends(proxy.request())[0]
     proxy.stand(third, delay=5.0 * SAFE.message_latency_objective)
-    assert proxy.balancer.token_counts()[third.server_id] > proxy.balancer.live_counts()[third.server_id]
+    assert (
+        proxy.balancer.token_counts()[third.server_id] > proxy.balancer.connection_counts()[third.server_id]
+    )
--- a/tests/unit/balancing/test_slow_start_of_fleet.py
+++ b/tests/unit/balancing/test_slow_start_of_fleet.py
@@ -131,5 +131,5 @@
     monkeypatch: pytest.MonkeyPatch, proxies: int, live: bool
 ) -> None:
     """That the test above can fail. A proxy that has just started knows no rate, and grants nothing by it."""
-    monkeypatch.setattr(slow_start, "COLD_SAFETY", 1.0)
+    monkeypatch.setattr(slow_start, "BUDGET_SAFETY_FACTOR", 1.0)
     assert over_the_rule(proxies, live, 0.7 if live else 0.0, 1) > 0.0
--- a/tests/unit/balancing/test_threshold.py
+++ b/tests/unit/balancing/test_threshold.py
@@ -5,7 +5,6 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from ironmill.balancing.balancer import ALPHA
 from ironmill.balancing.interface import (
     Abandoned,
     EndpointEntry,
@@ -18,6 +17,7 @@
     WatchEvent,
     WatchEventKind,
 )
+from ironmill.balancing.placement import ALPHA
 from tests.support.balancing import SimulatedProxy, entries, sends
 
 
@@ -126,7 +126,7 @@
                 if final:
                     over.add(send.request_id)
                 take(list(proxy.end(send, outcome, attempts[send.request_id], final)))
-        live = proxy.balancer.live_counts()
+        live = proxy.balancer.connection_counts()
         for server, count in live.items():
             assert count == sum(send.server_id == server for send in out.values())
         for server, count in proxy.balancer.token_counts().items():
--- a/tests/unit/balancing/test_token_table.py
+++ b/tests/unit/balancing/test_token_table.py
@@ -23,7 +23,7 @@
             table.put(server, count)
             plain[server] = count
         elif server in plain:
-            table.drop(server)
+            table.remove(server)
             del plain[server]
         assert len(table) == len(plain)
         for limit in range(9):
--- a/tests/unit/testbed/test_sweeps.py
+++ b/tests/unit/testbed/test_sweeps.py
@@ -39,7 +39,7 @@
         held = sweep_table.Held(100, 1, live)
         for _ in range(100):
             held.place(True)
-        assert sum(held.balancer.live_counts().values()) == 10
+        assert sum(held.balancer.connection_counts().values()) == 10
 
 
 def test_a_table_of_more_entries_holds_more() -> None:
