--- a/ironmill/configuration/operator_files.py
+++ b/ironmill/configuration/operator_files.py
@@ -65,9 +65,11 @@
 
 def read_keys(path: str, whose: str) -> tuple[bytes, ...]:
     """One or two keys, a line each in hexadecimal; MalformedError, one line, if they are not fit for use."""
-    from ironmill.membership.envelope import KEY_LEAST, KEY_MOST, check_keys
+    from ironmill.membership.envelope import check_keys
+    from ironmill.membership.limits import MAX_KEY_BYTES, MIN_KEY_BYTES
 
-    right = f"one or two lines of {2 * KEY_LEAST} to {2 * KEY_MOST} hexadecimal digits, the signing one first"
+    digits = f"{2 * MIN_KEY_BYTES} to {2 * MAX_KEY_BYTES}"
+    right = f"one or two lines of {digits} hexadecimal digits, the signing one first"
     try:
         return check_keys([bytes.fromhex(line) for line in Path(path).read_text("ascii").split()])
     except OSError as error:
--- a/ironmill/distribution/link.py
+++ b/ironmill/distribution/link.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from ironmill.distribution.wire import Codec, Message
-from ironmill.membership.envelope import Address, Card, Datagram, Tokens
+from ironmill.membership.contact_tokens import ContactTokens
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
 
 OnEvent = Callable[[str, dict[str, Any]], object]
 
@@ -15,13 +16,15 @@
 class Link:
     """Writes datagrams; what is to be sent waits in ``out`` until the driver takes it."""
 
-    def __init__(self, card: Card, codec: Codec, rng: random.Random, now: float, told: OnEvent) -> None:
+    def __init__(
+        self, card: MemberIdentity, codec: Codec, rng: random.Random, now: float, told: OnEvent
+    ) -> None:
         self.card = card
         self.codec = codec
         self.rng = rng
         self.told = told
         self.now = now
-        self.tokens = Tokens(rng.randbytes(16))
+        self.tokens = ContactTokens(rng.randbytes(16))
         self.out: list[Datagram] = []
         self.dropped: dict[str, int] = {}
         self.sent_bytes = 0
@@ -31,7 +34,7 @@
     def send(self, to: str, address: Address, message: Message) -> int:
         """Put a message on its way; its count."""
         self._count += 1
-        data = self.codec.write(self.card, to, self._count, message)
+        data = self.codec.encode(self.card, to, self._count, message)
         self.sent_bytes += len(data)
         self.sent_datagrams += 1
         self.out.append((address, data))
--- a/ironmill/distribution/node.py
+++ b/ironmill/distribution/node.py
@@ -55,7 +55,8 @@
     Tally,
     Word,
 )
-from ironmill.membership.envelope import Address, Card, Datagram, DroppedError, Envelope
+from ironmill.membership.envelope import DroppedError, Envelope
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
 
 LAGGARDS_SHOWN = 1 << 16  # bytes of them, where staff ask
 Check = Callable[[Changes], Refusal | None]
@@ -66,7 +67,9 @@
 
     role = ""
 
-    def __init__(self, card: Card, codec: Codec, rng: random.Random, now: float, told: OnEvent) -> None:
+    def __init__(
+        self, card: MemberIdentity, codec: Codec, rng: random.Random, now: float, told: OnEvent
+    ) -> None:
         self.card = card
         self.link = Link(card, codec, rng, now, told)
 
@@ -90,7 +93,7 @@
         """A datagram came. Whatever is wrong with it, it is counted and dropped."""
         self.link.now = now
         try:
-            envelope = self.link.codec.read(data)
+            envelope = self.link.codec.decode(data)
             if envelope.to not in ("", self.card.name) or envelope.sender == self.card.name:
                 raise DroppedError("misdirected")
             self._take(envelope, source)
@@ -163,7 +166,7 @@
 
     def __init__(
         self,
-        card: Card,
+        card: MemberIdentity,
         codec: Codec,
         timing: Timing,
         parents: Sequence[Place],
@@ -205,7 +208,7 @@
 
     def __init__(
         self,
-        card: Card,
+        card: MemberIdentity,
         codec: Codec,
         timing: Timing,
         origins: Sequence[Place],
@@ -263,7 +266,7 @@
 
     def __init__(
         self,
-        card: Card,
+        card: MemberIdentity,
         codec: Codec,
         timing: Timing,
         store: RevisionStore,
--- a/ironmill/distribution/publisher.py
+++ b/ironmill/distribution/publisher.py
@@ -57,7 +57,9 @@
     Tally,
     Word,
 )
-from ironmill.membership.envelope import DATAGRAM_MOST, Address, DroppedError, Envelope
+from ironmill.membership.envelope import DroppedError, Envelope
+from ironmill.membership.identity import Address
+from ironmill.membership.limits import MAX_DATAGRAM_BYTES
 
 CHILDREN_MOST = 4096  # guards memory; a machine of the plan has 104, three times that when others are down
 PARTS_A_TICK = 1024  # datagrams of pushes in a tenth of a second; what is left goes with the next
@@ -202,7 +204,7 @@
     def poll(self, envelope: Envelope[Message], poll: Poll, source: Address) -> None:
         """A child's poll."""
         link, now, name = self._link, self._link.now, envelope.sender
-        proven = link.tokens.proves(name, envelope.incarnation, poll.echo, now)
+        proven = link.tokens.verify(name, envelope.incarnation, poll.echo, now)
         if not proven or poll.probe:
             # Nothing is kept of whom nothing is proven of, and it is told no more than it has sent.
             self._word(envelope, source, poll, counted=False)
@@ -266,7 +268,7 @@
     def _word(self, envelope: Envelope[Message], source: Address, poll: Poll, counted: bool) -> None:
         replica, name, incarnation = self._replica, envelope.sender, envelope.incarnation
         assert replica.log is not None
-        token = self._link.tokens.give(name, incarnation, self._link.now)
+        token = self._link.tokens.issue(name, incarnation, self._link.now)
         reaches = replica.log.reaches(poll.held)
         word = Word(
             poll.token,
@@ -286,7 +288,7 @@
         child = self.children.get(envelope.sender)
         if child is None or child.incarnation != envelope.incarnation:
             raise DroppedError("stale")
-        if not self._link.tokens.proves(envelope.sender, envelope.incarnation, leave.echo, self._link.now):
+        if not self._link.tokens.verify(envelope.sender, envelope.incarnation, leave.echo, self._link.now):
             raise DroppedError("unproven")
         self._forget(child)
 
@@ -434,11 +436,11 @@
     def _serve(self, envelope: Envelope[Message], echo: int) -> None:
         """DroppedError where nothing is proven, or the rate of answers is used up: it is asked again."""
         now, rate = self._link.now, self._timing.serve_rate
-        if not self._link.tokens.proves(envelope.sender, envelope.incarnation, echo, now):
+        if not self._link.tokens.verify(envelope.sender, envelope.incarnation, echo, now):
             raise DroppedError("unproven")
         self._serve_credit = min(rate * SERVE_BURST, self._serve_credit + (now - self._serve_at) * rate)
         self._serve_at = now
-        if self._serve_credit < DATAGRAM_MOST:
+        if self._serve_credit < MAX_DATAGRAM_BYTES:
             raise DroppedError("busy")
 
     # The sum
--- a/ironmill/distribution/subscriber.py
+++ b/ironmill/distribution/subscriber.py
@@ -46,7 +46,8 @@
     Summary,
     Word,
 )
-from ironmill.membership.envelope import DroppedError, Tokens
+from ironmill.membership.contact_tokens import ContactTokens
+from ironmill.membership.envelope import DroppedError
 
 PREVIOUS_TOLD = 5.0  # seconds after a change of parent
 POLLS_KEPT = 64  # that may be answered yet
@@ -258,7 +259,7 @@
         refusal = replica.refusal
         poll = Poll(
             contact.token,
-            self._link.tokens.give(contact.place.name, 0, now),
+            self._link.tokens.issue(contact.place.name, 0, now),
             probe,
             replica.lineage,
             held,
@@ -291,7 +292,7 @@
         contact = self._by_name.get(sender)
         if contact is None:
             raise DroppedError("stranger")
-        if not self._link.tokens.proves(sender, 0, echo, self._link.now):
+        if not self._link.tokens.verify(sender, 0, echo, self._link.now):
             raise DroppedError("unproven")
         return contact
 
@@ -301,7 +302,7 @@
         if self._foreign(word.lineage):
             raise DroppedError("lineage")
         # Its token of then proves nothing any more: the poll that it has answered did not count.
-        revived = contact.token == 0 or now - contact.answered_at > Tokens.EVERY
+        revived = contact.token == 0 or now - contact.answered_at > ContactTokens.ROTATION_INTERVAL_S
         contact.token = word.token
         contact.answered_at, contact.unanswered = now, 0
         if word.head >= contact.head or now - contact.pushed_at > OVERTAKEN:
@@ -458,7 +459,7 @@
         parent = self.parent
         if self._catch_up is None or parent is None or parent.token == 0:
             return
-        token = self._link.tokens.give(parent.place.name, 0, self._link.now)
+        token = self._link.tokens.issue(parent.place.name, 0, self._link.now)
         for question in self._catch_up.questions(self._link.now):
             if isinstance(question, Ask):
                 message: Ask | Fetch = Ask(parent.token, token, question.level, question.prefix)
--- a/ironmill/distribution/wire.py
+++ b/ironmill/distribution/wire.py
@@ -12,7 +12,9 @@
 
 from ironmill.distribution.keyspace import LEAVES, LEVEL_BITS
 from ironmill.distribution.revision import KEY_MOST, NUMBER_MOST, Position, Refusal
-from ironmill.membership.envelope import Address, DroppedError, Envelope, SignedCodec, named, short
+from ironmill.membership.envelope import DroppedError, Envelope, SignedCodec
+from ironmill.membership.identity import Address
+from ironmill.membership.limits import fits_text, is_name
 
 BODY_MOST = 940  # bytes of packed entries in a datagram; with all else it stays under what one may hold
 PARTS_MOST = 256  # of one delta
@@ -243,7 +245,7 @@
         """The first key signs; at most one more is taken as well, while keys are being replaced."""
         super().__init__(cluster, keys, _DECODER)
 
-    def check(self, message: Message) -> None:
+    def validate(self, message: Message) -> None:
         """Bounds that types do not say. Guards memory against a process that is out of its mind."""
         if not _fits(message):
             raise DroppedError("malformed")
@@ -289,11 +291,11 @@
                 and (not message.partial or message.body != b"")
             )
         case Moved() | Noted():
-            return named(message.name) and _number(message.attached)
+            return is_name(message.name) and _number(message.attached)
         case Sought():
             return len(message.children) <= SOUGHT_MOST and all(
-                named(one.name)
-                and short(one.zone)
+                is_name(one.name)
+                and fits_text(one.zone)
                 and _position(one.in_force)
                 and 0 < one.incarnation < NUMBER_MOST
                 and _number(one.attached)
@@ -310,10 +312,10 @@
         and _number(poll.lineage)
         and _number(poll.term)
         and _number(poll.attached)
-        and short(poll.zone)
+        and fits_text(poll.zone)
         and len(poll.missing) <= MISSING_MOST
         and len(poll.previous) <= PREVIOUS_MOST
-        and all(short(one) for one in poll.previous)
+        and all(fits_text(one) for one in poll.previous)
     )
     if refusal is not None and not _refusal(refusal.key, refusal.reason):
         return False
@@ -324,13 +326,16 @@
         and len(summary.tallies) <= TALLIES_MOST
         and summary.more >= 0
         and all(
-            short(one.zone)
+            fits_text(one.zone)
             and _position(one.lowest)
             and min(one.proxies, one.refused, one.unreachable, one.stale) >= 0
             for one in summary.tallies
         )
         and all(
-            named(one.name) and short(one.zone) and _refusal(one.key, one.reason) and _position(one.in_force)
+            is_name(one.name)
+            and fits_text(one.zone)
+            and _refusal(one.key, one.reason)
+            and _position(one.in_force)
             for one in summary.laggards
         )
     )
--- a/ironmill/membership/member.py
+++ b/ironmill/membership/member.py
@@ -13,7 +13,10 @@
 
 from msgspec import Raw, Struct, structs
 
-from ironmill.membership.envelope import Datagram, Tokens
+from ironmill.membership.contact_tokens import ContactTokens
+from ironmill.membership.envelope import DroppedError, Envelope
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
+from ironmill.membership.limits import MAX_DATAGRAM_BYTES
 from ironmill.membership.timing import (
     BOOT,
     DISPUTE,
@@ -32,15 +35,10 @@
 from ironmill.membership.view import View
 from ironmill.membership.wire import (
     ACCUSES,
-    DATAGRAM_MOST,
     NOTHING,
     VOUCHES,
     Ack,
-    Address,
-    Card,
     Codec,
-    DroppedError,
-    Envelope,
     Fact,
     Message,
     Opinion,
@@ -115,7 +113,7 @@
 
     def __init__(
         self,
-        card: Card,
+        card: MemberIdentity,
         codec: Codec,
         timing: Timing,
         seeds: Sequence[Address],
@@ -143,7 +141,7 @@
         self._told = told
         self._where = peers or {}
         self._peers: dict[str, Peer] = {}
-        self._tokens = Tokens(rng.randbytes(16))
+        self._tokens = ContactTokens(rng.randbytes(16))
         self._count = 0
         self._stamp = card.incarnation
         self._number = 0
@@ -209,7 +207,7 @@
         try:
             if self.superseded:
                 raise DroppedError("superseded")
-            self._take(self._codec.read(data), source)
+            self._take(self._codec.decode(data), source)
         except DroppedError as why:
             self.dropped[str(why)] = self.dropped.get(str(why), 0) + 1
         return self._flush()
@@ -320,7 +318,7 @@
         self._told("superseded", {"incarnation": self.card.incarnation, "by": incarnation})
 
     def _echoes(self, envelope: Envelope[Message], echo: int) -> bool:
-        return self._tokens.proves(envelope.sender, envelope.incarnation, echo, self._now)
+        return self._tokens.verify(envelope.sender, envelope.incarnation, echo, self._now)
 
     def _proven(self, envelope: Envelope[Message], source: Address, rumours: Sequence[Raw]) -> None:
         """Both ways work. Only now anything of the sender is kept."""
@@ -362,7 +360,7 @@
     def _ack(self, envelope: Envelope[Message], source: Address, news: bool) -> None:
         message = envelope.message
         assert isinstance(message, Ping)
-        token = self._tokens.give(envelope.sender, envelope.incarnation, self._now)
+        token = self._tokens.issue(envelope.sender, envelope.incarnation, self._now)
         first: list[Raw] = []
         fact = self.view.facts.get(envelope.sender)
         # Who is out of the view, or an older process, has to hear so from whomever it asks.
@@ -463,7 +461,7 @@
     def _want(self, name: str, after: str) -> None:
         self._want_at = self._now
         peer = self._peer(name)
-        token = self._tokens.give(name, peer.incarnation, self._now)
+        token = self._tokens.issue(name, peer.incarnation, self._now)
         self._send(name, self._address(name), Want(peer.token, token, after))
 
     # Decisions
@@ -676,7 +674,7 @@
 
     def _send(self, name: str, address: Address, message: Message) -> None:
         self._count += 1
-        data = self._codec.write(self.card, name, self._count, message)
+        data = self._codec.encode(self.card, name, self._count, message)
         self.sent_bytes += len(data)
         self._out.append((address, data))
 
@@ -745,4 +743,4 @@
                 self._told("forgotten", {"member": name})
 
 
-assert RUMOUR_BYTES < DATAGRAM_MOST
+assert RUMOUR_BYTES < MAX_DATAGRAM_BYTES
--- a/ironmill/membership/wire.py
+++ b/ironmill/membership/wire.py
@@ -11,27 +11,15 @@
 import msgspec
 from msgspec import Struct
 
-from ironmill.membership.envelope import (
-    DATAGRAM_MOST,
-    INT_MOST,
-    Address,
-    Card,
-    DroppedError,
-    Envelope,
-    SignedCodec,
-    check_keys,
-    named,
-    short,
-    spelled,
-)
-
-__all__ = ["DATAGRAM_MOST", "Address", "Card", "DroppedError", "Envelope", "check_keys", "spelled"]
+from ironmill.membership.envelope import DroppedError, Envelope, SignedCodec
+from ironmill.membership.identity import MemberIdentity
+from ironmill.membership.limits import INTEGER_LIMIT, fits_text, is_name
 
 
 class Fact(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """A member's place in the view. Facts of one name are ordered; the higher one holds everywhere."""
 
-    card: Card
+    card: MemberIdentity
     flips: int  # even: in the view; odd: out of it
     left: bool = False  # it said that it goes, which is final for this incarnation
 
@@ -138,22 +126,22 @@
     """Bounds that types do not say. Guards memory, and sums, against a member that is out of its mind."""
     if isinstance(rumour, Fact):
         check_card(rumour.card)
-        fits = 0 <= rumour.flips < INT_MOST
+        fits = 0 <= rumour.flips < INTEGER_LIMIT
     else:
         fits = (
-            named(rumour.observer)
-            and named(rumour.subject)
+            is_name(rumour.observer)
+            and is_name(rumour.subject)
             and ACCUSES <= rumour.value <= VOUCHES
-            and all(0 <= n < INT_MOST for n in (rumour.stamp, rumour.incarnation, rumour.flips))
+            and all(0 <= n < INTEGER_LIMIT for n in (rumour.stamp, rumour.incarnation, rumour.flips))
         )
     if not fits:
         raise DroppedError("malformed")
 
 
-def check_card(card: Card) -> None:
+def check_card(card: MemberIdentity) -> None:
     """The same for a card."""
-    texts = named(card.name) and named(card.host) and short(card.zone) and short(card.region)
-    if not (texts and 0 < card.port < 65536 and 0 < card.incarnation < INT_MOST):
+    texts = is_name(card.name) and is_name(card.host) and fits_text(card.zone) and fits_text(card.region)
+    if not (texts and 0 < card.port < 65536 and 0 < card.incarnation < INTEGER_LIMIT):
         raise DroppedError("malformed")
 
 
@@ -164,7 +152,7 @@
         """The first key signs; at most one more is taken as well, while keys are being replaced."""
         super().__init__(cluster, keys, _ENVELOPE)
 
-    def check(self, message: Message) -> None:
+    def validate(self, message: Message) -> None:
         """Facts of a page are looked at here, rumours where they are unpacked."""
         if isinstance(message, Page):
             for fact in message.facts:
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -13,7 +13,7 @@
 from ironmill.configuration.operator_files import Operator
 from ironmill.distribution.node import Origin
 from ironmill.distribution.revision import Changes, Entry, Position, StoreError
-from ironmill.membership.envelope import Address
+from ironmill.membership.identity import Address
 from ironmill.net.control import Control
 from ironmill.net.distribution import Distribution
 from ironmill.net.revision_store import SqliteStore
--- a/ironmill/net/datagrams.py
+++ b/ironmill/net/datagrams.py
@@ -12,7 +12,8 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from ironmill.membership.envelope import DATAGRAM_MOST, Address, Datagram
+from ironmill.membership.identity import Address, Datagram
+from ironmill.membership.limits import MAX_DATAGRAM_BYTES
 from ironmill.runtime.scheduler import READ, Scheduler, Task
 from ironmill.runtime.system_calls import retry_at_start
 
@@ -84,7 +85,7 @@
             self._scheduler.wait(self._sock.fileno(), READ)
             for _ in range(AT_ONCE):
                 try:
-                    data, source = self._sock.recvfrom(DATAGRAM_MOST + 1)
+                    data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except BlockingIOError:
                     break
                 except OSError:
--- a/ironmill/net/distribution.py
+++ b/ironmill/net/distribution.py
@@ -11,7 +11,7 @@
 from ironmill.distribution.node import Leaf, Node, Origin, Relay
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place
-from ironmill.membership.envelope import Address, Card, spelled
+from ironmill.membership.identity import Address, MemberIdentity, format_address
 from ironmill.net.datagrams import Datagrams
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Scheduler
@@ -41,7 +41,7 @@
         self.codec = Codec(settings.cluster, keys)
         self.node: Node | None = None
         self._datagrams = Datagrams(scheduler, settings.listen)
-        self._card = Card(
+        self._card = MemberIdentity(
             name, *settings.listen, settings.zone, settings.region, max(1, int(time.time() * 1000.0))
         )
         self._timing = Timing(settings.stale_after, settings.forget_after, settings.catch_up_rate)
@@ -110,7 +110,10 @@
         """Take part from now on."""
         assert self.node is not None
         log.info(
-            "distribution", address=spelled(self.address), cluster=self.settings.cluster, role=self.node.role
+            "distribution",
+            address=format_address(self.address),
+            cluster=self.settings.cluster,
+            role=self.node.role,
         )
         self._datagrams.start(self.node, TICK)
 
--- a/ironmill/net/membership.py
+++ b/ironmill/net/membership.py
@@ -11,9 +11,10 @@
 
 from ironmill.administration.messages import Answer, Call
 from ironmill.configuration.settings.model import MembershipSettings
+from ironmill.membership.identity import Address, MemberIdentity, format_address
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK
-from ironmill.membership.wire import Address, Card, Codec, spelled
+from ironmill.membership.wire import Codec
 from ironmill.net.datagrams import Datagrams
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Scheduler
@@ -30,7 +31,9 @@
         self.settings = settings
         self._datagrams = Datagrams(scheduler, settings.listen)
         self.codec = Codec(settings.cluster, keys)
-        card = Card(name, *settings.listen, settings.zone, settings.region, max(1, int(time.time() * 1000.0)))
+        card = MemberIdentity(
+            name, *settings.listen, settings.zone, settings.region, max(1, int(time.time() * 1000.0))
+        )
         self.member = Member(
             card,
             self.codec,
@@ -49,7 +52,7 @@
 
     def start(self) -> None:
         """Take part from now on."""
-        log.info("membership", address=spelled(self.address), cluster=self.settings.cluster)
+        log.info("membership", address=format_address(self.address), cluster=self.settings.cluster)
         self._datagrams.start(self.member, TICK)
 
     def leave(self) -> None:
@@ -65,7 +68,7 @@
         members = [
             {
                 "name": fact.card.name,
-                "address": spelled(fact.card.address),
+                "address": format_address(fact.card.address),
                 "zone": fact.card.zone,
                 "region": fact.card.region,
                 "incarnation": fact.card.incarnation,
--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -22,7 +22,7 @@
 from ironmill.distribution.revision import START, Changes
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place, Poll
-from ironmill.membership.envelope import Address, Card, Datagram
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
 from ironmill_testbed.capacity.stories import scaled
@@ -129,11 +129,11 @@
     """Events are of no interest here."""
 
 
-def _card(name: str, at: int) -> Card:
-    return Card(name, f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}", 7100, "z0", "r0", 1000)
+def _card(name: str, at: int) -> MemberIdentity:
+    return MemberIdentity(name, f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}", 7100, "z0", "r0", 1000)
 
 
-def _origin(card: Card, size: int, timing: Timing, relays: list[Place]) -> Origin:
+def _origin(card: MemberIdentity, size: int, timing: Timing, relays: list[Place]) -> Origin:
     disk = Disk()
     disk.fill(keys_of(size))
     return Origin(
@@ -255,9 +255,9 @@
     polls = []
     for at in range(size):
         card = _card(f"p{at:05d}", at + 2)
-        echo = node.link.tokens.give(card.name, card.incarnation, 1.0)
+        echo = node.link.tokens.issue(card.name, card.incarnation, 1.0)
         poll = Poll(echo, 1, False, 0, START, START, 0, 1, [], "z0", -1, START, [])
-        polls.append((codec.write(card, "r", 1, poll), card.address))
+        polls.append((codec.encode(card, "r", 1, poll), card.address))
     gc.collect()
     tracemalloc.start()
     for data, source in polls:
--- a/ironmill_testbed/capacity/sweep_membership.py
+++ b/ironmill_testbed/capacity/sweep_membership.py
@@ -16,9 +16,10 @@
 
 from msgspec import Raw
 
+from ironmill.membership.identity import MemberIdentity
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK, Timing
-from ironmill.membership.wire import Card, Codec, Fact, Rumour, pack, unpack
+from ironmill.membership.wire import Codec, Fact, Rumour, pack, unpack
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
 from ironmill_testbed.faults.shared import Shared
@@ -96,7 +97,11 @@
     """Bytes of one member whose view has so many, each fact as it comes off the wire."""
     del quick
     data = [
-        pack(Fact(Card(f"p{at:05d}", f"10.0.{at >> 8}.{at & 255}", 7000, f"z{at % ZONES}", "r1", 1), 2))
+        pack(
+            Fact(
+                MemberIdentity(f"p{at:05d}", f"10.0.{at >> 8}.{at & 255}", 7000, f"z{at % ZONES}", "r1", 1), 2
+            )
+        )
         for at in range(size)
     ]
     gc.collect()
--- a/ironmill_testbed/faults/control_town.py
+++ b/ironmill_testbed/faults/control_town.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from ironmill.membership.wire import Address, spelled
+from ironmill.membership.identity import Address, format_address
 from ironmill_testbed.faults.checker import Seen, read_logs
 from ironmill_testbed.faults.town import Town
 from ironmill_testbed.processes import Process, ProxyProcess
@@ -19,7 +19,7 @@
 
 
 def place(text: str) -> Form:
-    """A position as it is spelled."""
+    """A position as it is format_address."""
     epoch, _, number = text.partition(".")
     return int(epoch), int(number)
 
@@ -49,10 +49,10 @@
         lines = [
             '<ironmill xmlns="urn:ironmill:settings:1">',
             '<log form="json"/>',
-            f'<distribution cluster="town" listen="{spelled(self._homes[name])}" keys="members.keys" '
+            f'<distribution cluster="town" listen="{format_address(self._homes[name])}" keys="members.keys" '
             f'zone="{self.zone(name)}" region="r" role="{role}"{store} stale-after="4s">',
             *(
-                f'<control name="{one}" address="{spelled(self.switch.door(name, one))}" '
+                f'<control name="{one}" address="{format_address(self.switch.door(name, one))}" '
                 f'zone="{self.zone(one)}" region="r"{self._origin(one)}/>'
                 for one in known
             ),
@@ -70,7 +70,14 @@
         settings = f"--settings={self.folder / f'{name}.xml'}"
         if name in self.proxies:
             return ProxyProcess(self.folder / f"{name}.json", self.folder, more=[settings])
-        words = ["-m", "ironmill", "control", name, settings, f"--staff={spelled(self.controls[name])}"]
+        words = [
+            "-m",
+            "ironmill",
+            "control",
+            name,
+            settings,
+            f"--staff={format_address(self.controls[name])}",
+        ]
         return Process(words, self.folder, name)
 
     # Calls
--- a/ironmill_testbed/faults/fleet_world.py
+++ b/ironmill_testbed/faults/fleet_world.py
@@ -20,7 +20,7 @@
 from ironmill.distribution.revision import Changes, Consumer, Position, Refusal
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place
-from ironmill.membership.envelope import Address, Card, Datagram
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
 from ironmill_testbed.faults.fleet_watch import Watch
 from ironmill_testbed.faults.memory_store import Disk
 from ironmill_testbed.faults.schedule import Fault, Links
@@ -215,7 +215,7 @@
         process = self.processes[name]
         process.starts += 1
         incarnation = int((EPOCH + ahead + self.now) * 1000.0) + process.starts
-        card = Card(name, *process.address, process.zone, process.region, incarnation)
+        card = MemberIdentity(name, *process.address, process.zone, process.region, incarnation)
         process.waiting.clear()
         process.paused_until = 0.0
         process.received_bytes = 0
--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -21,7 +21,7 @@
 from ironmill.configuration.settings.model import DistributionSettings
 from ironmill.distribution.revision import START, Position, Refusal
 from ironmill.distribution.timing import TICK
-from ironmill.membership.envelope import Address, Datagram
+from ironmill.membership.identity import Address, Datagram
 from ironmill.net.datagrams import Machine
 from ironmill.net.distribution import Distribution
 from ironmill.runtime.scheduler import Scheduler
--- a/ironmill_testbed/faults/shared.py
+++ b/ironmill_testbed/faults/shared.py
@@ -12,11 +12,12 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
+from ironmill.membership.identity import Address, MemberIdentity
 from ironmill.membership.member import Member
 from ironmill.membership.rings import Rings, _places
 from ironmill.membership.timing import Timing
 from ironmill.membership.view import View
-from ironmill.membership.wire import Address, Card, Codec, Fact, Opinion, Rumour
+from ironmill.membership.wire import Codec, Fact, Opinion, Rumour
 
 
 class Shared:
@@ -30,7 +31,7 @@
 
     def __call__(
         self,
-        card: Card,
+        card: MemberIdentity,
         codec: Codec,
         timing: Timing,
         seeds: Sequence[Address],
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -16,7 +16,7 @@
 
 from ironmill.commands import config
 from ironmill.distribution.revision import Position
-from ironmill.membership.envelope import spelled
+from ironmill.membership.identity import format_address
 from ironmill_testbed.faults.checker import Seen, read_logs
 from ironmill_testbed.faults.hollow import region, zone
 from ironmill_testbed.processes import CommandedProcess, Neighbours, Process, ProxyProcess, Usage, free_port
@@ -91,11 +91,11 @@
             listen = self._homes.get(name, ("127.0.0.1", 9))  # each hollow proxy has one of its own
             store = ' store="store"' if role == "origin" else ""
             lines += [
-                f'<distribution cluster="fleet" listen="{spelled(listen)}" keys="members.keys" '
+                f'<distribution cluster="fleet" listen="{format_address(listen)}" keys="members.keys" '
                 f'zone="{zone(at)}" region="{region(at)}" role="{role}"{store}>',
                 *(
-                    f'<control name="{one}" address="{spelled(self._homes[one])}" zone="{zone(place)}" '
-                    f'region="{region(place)}"{self._origin(one)}/>'
+                    f'<control name="{one}" address="{format_address(self._homes[one])}" '
+                    f'zone="{zone(place)}" region="{region(place)}"{self._origin(one)}/>'
                     for place, one in enumerate(self.controls)
                     if one != name
                 ),
@@ -126,13 +126,20 @@
     def _process(self, name: str) -> Process:
         if name in self.controls:
             settings = f"--settings={self.folder / f'{name}.xml'}"
-            words = ["-m", "ironmill", "control", name, settings, f"--staff={spelled(self.staff[name])}"]
+            words = [
+                "-m",
+                "ironmill",
+                "control",
+                name,
+                settings,
+                f"--staff={format_address(self.staff[name])}",
+            ]
             return Process(words, self.folder, name)
         settings = f"--settings={self.folder / ('plain.xml' if name in self.plain else f'{name}.xml')}"
         value = proxy_config(
             name, self.clients[name], self.neighbours.discovery, 1024, platform_settings(len(self.real))
         )
-        value["control"] = spelled(self.staff[name])
+        value["control"] = format_address(self.staff[name])
         return ProxyProcess(write_config(self.folder, value), self.folder, more=[settings])
 
     def all(self) -> list[Process]:
--- a/ironmill_testbed/faults/swim.py
+++ b/ironmill_testbed/faults/swim.py
@@ -15,8 +15,8 @@
 import msgspec
 from msgspec import Struct
 
-from ironmill.membership.envelope import Datagram
-from ironmill.membership.wire import Address, Card, Fact
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
+from ironmill.membership.wire import Fact
 
 PERIOD = 0.6  # seconds
 ACK_WITHIN = 0.3
@@ -31,7 +31,7 @@
 class State(Struct, array_like=True):
     """What is known of one member: the higher incarnation holds, then the worse state."""
 
-    card: Card
+    card: MemberIdentity
     incarnation: int
     status: int
 
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        card: Card,
+        card: MemberIdentity,
         _codec: object,
         _timing: object,
         seeds: Sequence[Address],
--- a/ironmill_testbed/faults/switch.py
+++ b/ironmill_testbed/faults/switch.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Sequence
 
-from ironmill.membership.wire import Address
+from ironmill.membership.identity import Address
 from ironmill_testbed.faults.schedule import Links
 
 HOST = "127.0.0.1"
--- a/ironmill_testbed/faults/town.py
+++ b/ironmill_testbed/faults/town.py
@@ -12,7 +12,7 @@
 from typing import Any, Self
 
 from ironmill.commands import members
-from ironmill.membership.wire import Address, spelled
+from ironmill.membership.identity import Address, format_address
 from ironmill_testbed.faults.checker import Seen, read_logs
 from ironmill_testbed.faults.schedule import Fault, Links
 from ironmill_testbed.faults.switch import Switch
@@ -69,7 +69,7 @@
     def _write_config(self, name: str, proxies: int) -> None:
         settings = platform_settings(proxies)
         value = proxy_config(name, self.clients[name], self.neighbours.discovery, 1024, settings)
-        value["control"] = spelled(self.controls[name])
+        value["control"] = format_address(self.controls[name])
         write_config(self.folder, value)
 
     def _write(self, name: str) -> None:
@@ -81,11 +81,11 @@
         lines = ['<ironmill xmlns="urn:ironmill:settings:1">', '<log form="json"/>']
         if self._membership:
             lines += [
-                f'<membership cluster="town" listen="{spelled(self._homes[name])}" keys="members.keys"'
+                f'<membership cluster="town" listen="{format_address(self._homes[name])}" keys="members.keys"'
                 f' zone="{zone}" region="r">',
-                *(f'<seed address="{spelled(seed)}"/>' for seed in seeds),
+                *(f'<seed address="{format_address(seed)}"/>' for seed in seeds),
                 *(
-                    f'<peer name="{other}" address="{spelled(self.switch.door(name, other))}"/>'
+                    f'<peer name="{other}" address="{format_address(self.switch.door(name, other))}"/>'
                     for other in self.names
                     if other != name
                 ),
--- a/ironmill_testbed/faults/world.py
+++ b/ironmill_testbed/faults/world.py
@@ -10,10 +10,10 @@
 
 from msgspec import Struct
 
-from ironmill.membership.envelope import Datagram
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK, Timing
-from ironmill.membership.wire import Address, Card, Codec, Fact
+from ironmill.membership.wire import Codec, Fact
 from ironmill_testbed.faults.schedule import Fault, Links
 
 KEY = b"a key of the simulated cluster.."
@@ -23,7 +23,7 @@
 class Runs(Protocol):
     """What the world asks of a member."""
 
-    card: Card
+    card: MemberIdentity
     sent_bytes: int
 
     def members(self) -> list[Fact]:
@@ -43,7 +43,15 @@
 
 
 Make = Callable[
-    [Card, Codec, Timing, Sequence[Address], random.Random, float, Callable[[str, dict[str, Any]], object]],
+    [
+        MemberIdentity,
+        Codec,
+        Timing,
+        Sequence[Address],
+        random.Random,
+        float,
+        Callable[[str, dict[str, Any]], object],
+    ],
     Runs,
 ]
 
@@ -135,7 +143,7 @@
         """Start the process, anew if it ran before, by a wall clock that is so many seconds ahead."""
         node = self.nodes[name]
         node.starts += 1
-        card = Card(
+        card = MemberIdentity(
             name, *node.address, node.zone, "r1", int((EPOCH + ahead + self.now) * 1000.0) + node.starts
         )
         codec = Codec("sim", [KEY])
--- a/ironmill_testbed/measures/membership.py
+++ b/ironmill_testbed/measures/membership.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
+from ironmill.membership.identity import Address
 from ironmill.membership.member import Member
-from ironmill.membership.wire import Address
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.faults import checker
 from ironmill_testbed.faults.schedule import Fault, both_ways
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -7,12 +7,13 @@
 from ironmill.distribution import wire as distribution
 from ironmill.distribution.revision import Position, Refusal
 from ironmill.membership import wire as membership
-from ironmill.membership.envelope import Card, Envelope
+from ironmill.membership.envelope import Envelope
+from ironmill.membership.identity import MemberIdentity
 
 KEY, OLDER_KEY = bytes(range(32)), bytes(range(100, 116))
 CLUSTER = "pos-east"
-SENDER = Card("n1", "10.0.0.4", 7946, "a", "east", 1764700000123)
-OTHER = Card("n2", "10.0.0.5", 7946, "b", "east", 1764700000456)
+SENDER = MemberIdentity("n1", "10.0.0.4", 7946, "a", "east", 1764700000123)
+OTHER = MemberIdentity("n2", "10.0.0.5", 7946, "b", "east", 1764700000456)
 
 FACTS = {
     "joined": membership.Fact(SENDER, 0),
--- a/tests/system/test_distribution_processes.py
+++ b/tests/system/test_distribution_processes.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ironmill.membership.wire import spelled
+from ironmill.membership.identity import format_address
 from ironmill_testbed.faults.checker import Seen
 from ironmill_testbed.faults.control_town import ORIGIN, ControlTown, Form
 from ironmill_testbed.faults.schedule import Fault, both_ways
@@ -184,7 +184,7 @@
 
 
 def test_what_staff_see_and_do(town: ControlTown) -> None:
-    at = spelled(town.controls[ORIGIN])
+    at = format_address(town.controls[ORIGIN])
     pushed = _run("config", "push", at, "shard/a=s-1", "log/level=debug", "--author=ann", "--wait")
     assert (pushed.returncode, pushed.stderr) == (0, "")
     refused = _run("config", "push", at, "no/such=1", "--author=ann")
@@ -214,7 +214,7 @@
     history = _run("config", "history", at)
     assert history.returncode == 0
     assert "ann" in history.stdout
-    elsewhere = _run("config", "push", spelled(town.controls["c01"]), "shard/a=1", "--author=ann")
+    elsewhere = _run("config", "push", format_address(town.controls["c01"]), "shard/a=1", "--author=ann")
     assert elsewhere.returncode == 2
     assert ORIGIN in elsewhere.stderr
 
--- a/tests/system/test_membership_processes.py
+++ b/tests/system/test_membership_processes.py
@@ -12,7 +12,7 @@
 import pytest
 from msgspec import structs
 
-from ironmill.membership.wire import spelled
+from ironmill.membership.identity import format_address
 from ironmill_testbed.faults import checker
 from ironmill_testbed.faults.schedule import Fault, both_ways, load
 from ironmill_testbed.faults.town import Town
@@ -113,7 +113,7 @@
     with Town(tmp_path, 2) as town:
         town.start()
         town.until(lambda: town.agree(town.names))
-        shown = run("members", spelled(town.controls["m00"]))
+        shown = run("members", format_address(town.controls["m00"]))
         assert shown.returncode == 0
         assert shown.stdout.startswith("m00 is a member of town, view ")
         assert "m01" in shown.stdout
@@ -127,7 +127,7 @@
         town.start()
         town.proxy("m00").wait_ready()
         assert town.ask("m00") == {} or town.ask("m00") is None
-        shown = run("members", spelled(town.controls["m00"]))
+        shown = run("members", format_address(town.controls["m00"]))
         assert "no membership" in shown.stderr
     story = (
         "import sys; import ironmill.cli, ironmill.net.proxy; "
--- a/tests/unit/distribution/test_distribution.py
+++ b/tests/unit/distribution/test_distribution.py
@@ -31,7 +31,7 @@
 )
 from ironmill.distribution.subscriber import preferred
 from ironmill.distribution.wire import BODY_MOST, Ask, Codec, Digests, Fetch, Page, Part, Place, Poll, Word
-from ironmill.membership.envelope import Card
+from ironmill.membership.identity import MemberIdentity
 from ironmill_testbed.faults.fleet_world import KEY, FleetWorld, Plan
 
 KEYS = st.text("abß/", min_size=1, max_size=6) | st.integers(0, 400).map(lambda at: f"shard/{at}")
@@ -438,12 +438,12 @@
     cluster: str = "sim",
     key: bytes = KEY,
 ) -> bytes:
-    return Codec(cluster, [key]).write(node_of(world, sender).card, to, count, message)
+    return Codec(cluster, [key]).encode(node_of(world, sender).card, to, count, message)
 
 
 def part(world: FleetWorld, leaf: Leaf, **changes: Any) -> Part:
     """A good next step for the proxy, but for what is changed."""
-    token = leaf.link.tokens.give(leaf.subscriber.parent.place.name, 0, world.now)  # type: ignore[union-attr]
+    token = leaf.link.tokens.issue(leaf.subscriber.parent.place.name, 0, world.now)  # type: ignore[union-attr]
     held = leaf.replica.held
     fields: dict[str, Any] = {
         "echo": token,
@@ -533,7 +533,7 @@
     class Other(wire.Struct, array_like=True, tag=77):
         text: str
 
-    data = codec.write(node_of(world, parent).card, "", 1 << 30, Other("x"))  # type: ignore[arg-type]
+    data = codec.encode(node_of(world, parent).card, "", 1 << 30, Other("x"))  # type: ignore[arg-type]
     leaf.receive(data, node_of(world, parent).card.address, world.now)
     assert leaf.dropped == {"malformed": 1}
 
@@ -550,7 +550,7 @@
         made = [
             data
             for address, data in leaf.tick(now)
-            if address == relay.card.address and isinstance(Codec("sim", [KEY]).read(data).message, Poll)
+            if address == relay.card.address and isinstance(Codec("sim", [KEY]).decode(data).message, Poll)
         ]
         polls += made
         for data in made:
@@ -571,16 +571,16 @@
 
     def flood(count: int) -> None:
         for at in range(count):
-            card = Card(f"stranger{rng.random()}", "10.9.9.9", 7, "z0", "r0", 5)
+            card = MemberIdentity(f"stranger{rng.random()}", "10.9.9.9", 7, "z0", "r0", 5)
             echo = rng.randrange(1 << 30)
             poll = Poll(echo, 1, bool(at % 2), 77, START, START, 1, 0, ["c02"], "z0", 0, START, [])
-            relay.receive(codec.write(card, "", at, poll), card.address, world.now)
+            relay.receive(codec.encode(card, "", at, poll), card.address, world.now)
             fetch = Fetch(rng.randrange(1 << 30), 1, at, 0, "", LEAVES)
-            relay.receive(codec.write(card, "", at, fetch), card.address, world.now)
+            relay.receive(codec.encode(card, "", at, fetch), card.address, world.now)
             moved = wire.Moved(card.name, 5, 1)
-            relay.receive(codec.write(card, "", at, moved), card.address, world.now)
+            relay.receive(codec.encode(card, "", at, moved), card.address, world.now)
             sought = wire.Sought([wire.Missed(card.name, "z0", START, 5, 1)])
-            relay.receive(codec.write(card, "", at, sought), card.address, world.now)
+            relay.receive(codec.encode(card, "", at, sought), card.address, world.now)
             relay.receive(rng.randbytes(200), card.address, world.now)
 
     flood(200)
@@ -599,7 +599,7 @@
     world = settled()
     leaf, parent = parent_of(world)
     card = node_of(world, parent).card
-    token = leaf.link.tokens.give(parent, 0, world.now)
+    token = leaf.link.tokens.issue(parent, 0, world.now)
     word = Word(token, 1, 78, 9, Position(9, 9), 0, True, 1, True)
     leaf.receive(signed(world, parent, word, leaf.card.name), card.address, world.now)
     assert leaf.dropped == {"lineage": 1}
--- a/tests/unit/membership/test_membership.py
+++ b/tests/unit/membership/test_membership.py
@@ -10,11 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from ironmill.membership.identity import MemberIdentity
 from ironmill.membership.member import Member
 from ironmill.membership.rings import RINGS, Rings
 from ironmill.membership.timing import Timing
 from ironmill.membership.view import View
-from ironmill.membership.wire import ACCUSES, VOUCHES, Card, Codec, Fact, Opinion, Ping
+from ironmill.membership.wire import ACCUSES, VOUCHES, Codec, Fact, Opinion, Ping
 from ironmill_testbed.faults.schedule import Fault, both_ways
 from ironmill_testbed.faults.world import KEY, World
 
@@ -195,8 +196,8 @@
     it.kill(NAMES[5])
     it.run(8.0)
     assert one._spread  # there is news
-    stranger = Card("stranger", "10.9.9.9", 1, "z", "r", 5)
-    ping = codec.write(stranger, "", 1, Ping(1, 0, 0, []))
+    stranger = MemberIdentity("stranger", "10.9.9.9", 1, "z", "r", 5)
+    ping = codec.encode(stranger, "", 1, Ping(1, 0, 0, []))
     for _ in range(3):
         ((address, data),) = one.receive(ping, ("10.9.9.9", 1), it.now)
         assert address == ("10.9.9.9", 1)
@@ -205,7 +206,7 @@
     # Who asks by chance has no token yet, and the news must reach it all the same where it is known to be.
     known = it.nodes[NAMES[7]]
     old = member(it, NAMES[7])
-    ping = codec.write(old.card, "", 10_000, Ping(1, 0, 0, []))
+    ping = codec.encode(old.card, "", 10_000, Ping(1, 0, 0, []))
     ((_, data),) = one.receive(ping, known.address, it.now)
     assert len(data) > 2 * len(ping)
 
@@ -312,7 +313,7 @@
 
 
 def _fact(name: str, flips: int, incarnation: int = 5, left: bool = False) -> Fact:
-    return Fact(Card(name, "127.0.0.1", 7000, "a", "r", incarnation), flips, left)
+    return Fact(MemberIdentity(name, "127.0.0.1", 7000, "a", "r", incarnation), flips, left)
 
 
 FACTS = st.builds(_fact, st.sampled_from("abcd"), st.integers(0, 5), st.integers(1, 3), st.booleans())
--- a/tests/unit/membership/test_membership_wire.py
+++ b/tests/unit/membership/test_membership_wire.py
@@ -7,13 +7,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from ironmill.membership.envelope import DroppedError, Envelope
+from ironmill.membership.identity import MemberIdentity
+from ironmill.membership.limits import MAX_DATAGRAM_BYTES
 from ironmill.membership.wire import (
-    DATAGRAM_MOST,
     Ack,
-    Card,
     Codec,
-    DroppedError,
-    Envelope,
     Fact,
     Message,
     Opinion,
@@ -27,9 +26,9 @@
 )
 
 KEY, OTHER = b"0123456789abcdef", b"fedcba9876543210"
-CARD = Card("p1", "127.0.0.1", 7001, "hall-a", "south", 1_700_000_000_000)
+CARD = MemberIdentity("p1", "127.0.0.1", 7001, "hall-a", "south", 1_700_000_000_000)
 LONG = "x" * 64
-LONGEST = Card(LONG, LONG, 65535, LONG, LONG, 1 << 61)
+LONGEST = MemberIdentity(LONG, LONG, 65535, LONG, LONG, 1 << 61)
 MESSAGES: list[Message] = [
     Ping(1, 2, 3, [msgspec.Raw(pack(Fact(CARD, 2)))]),
     Ack(1, 2, 3, [msgspec.Raw(pack(Opinion("p1", "p2", 5, 2, 7, -1)))], "p3"),
@@ -41,25 +40,25 @@
 
 def why(codec: Codec, data: bytes) -> str:
     with pytest.raises(DroppedError) as caught:
-        codec.read(data)
+        codec.decode(data)
     return str(caught.value)
 
 
 @pytest.mark.parametrize("message", MESSAGES)
 def test_what_is_written_is_read(message: Message) -> None:
-    data = Codec("town", [KEY]).write(CARD, "p2", 9, message)
-    assert Codec("town", [KEY]).read(data) == Envelope("town", "p1", CARD.incarnation, "p2", 9, message)
+    data = Codec("town", [KEY]).encode(CARD, "p2", 9, message)
+    assert Codec("town", [KEY]).decode(data) == Envelope("town", "p1", CARD.incarnation, "p2", 9, message)
     assert len(data) < 200
 
 
 def test_who_is_not_of_the_cluster_is_dropped_by_name() -> None:
     codec = Codec("town", [KEY])
-    data = codec.write(CARD, "p2", 9, MESSAGES[0])
+    data = codec.encode(CARD, "p2", 9, MESSAGES[0])
     assert why(Codec("town", [OTHER]), data) == "forged"
     assert why(Codec("village", [KEY]), data) == "foreign"
     assert why(codec, data[:16]) == "truncated"
     assert why(codec, data[:-1]) == "forged"
-    assert why(codec, data + b"\0" * DATAGRAM_MOST) == "oversized"
+    assert why(codec, data + b"\0" * MAX_DATAGRAM_BYTES) == "oversized"
     signed = codec._mac(KEY, b"\xc1") + b"\xc1"
     assert why(codec, signed) == "malformed"
 
@@ -69,10 +68,10 @@
     ahead = Codec("town", [OTHER, KEY])
     pairs = ((old, (both, ahead)), (both, (old, ahead)), (ahead, (both, new)), (new, (ahead,)))
     for writer, readers in pairs:
-        data = writer.write(CARD, "", 1, MESSAGES[2])
+        data = writer.encode(CARD, "", 1, MESSAGES[2])
         for reader in readers:
-            assert reader.read(data).sender == "p1"
-    assert why(new, old.write(CARD, "", 1, MESSAGES[2])) == "forged"
+            assert reader.decode(data).sender == "p1"
+    assert why(new, old.encode(CARD, "", 1, MESSAGES[2])) == "forged"
     for keys in ([], [KEY, OTHER, KEY], [b"short"], [b"x" * 65]):
         with pytest.raises(ValueError, match="keys"):
             both.keys = keys
@@ -103,7 +102,7 @@
     codec = Codec("town", [KEY])
     for one in (data, codec._mac(KEY, data) + data):
         try:
-            codec.read(one)
+            codec.decode(one)
         except DroppedError as error:
             assert str(error) in ("forged", "malformed", "truncated", "foreign")
     try:
@@ -115,7 +114,7 @@
 @given(st.data())
 def test_no_change_of_a_byte_goes_unseen(data: st.DataObject) -> None:
     codec = Codec("town", [KEY])
-    good = codec.write(CARD, "p2", 9, data.draw(st.sampled_from(MESSAGES)))
+    good = codec.encode(CARD, "p2", 9, data.draw(st.sampled_from(MESSAGES)))
     at = data.draw(st.integers(0, len(good) - 1))
     bad = good[:at] + bytes([good[at] ^ data.draw(st.integers(1, 255))]) + good[at + 1 :]
     assert why(codec, bad) == "forged"
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -59,8 +59,8 @@
     kind, message = list(messages.MEMBERSHIP.items())[at]
     data = bytes.fromhex(recorded("datagrams.json")["membership"][kind])
     codec, _ = codecs()
-    assert codec.write(messages.SENDER, "n2", 1000 + at, message) == data
-    assert codec.read(data) == messages.envelope(message, "n2", 1000 + at)
+    assert codec.encode(messages.SENDER, "n2", 1000 + at, message) == data
+    assert codec.decode(data) == messages.envelope(message, "n2", 1000 + at)
 
 
 @pytest.mark.parametrize("at", range(len(messages.DISTRIBUTION)))
@@ -68,8 +68,8 @@
     kind, message = list(messages.DISTRIBUTION.items())[at]
     data = bytes.fromhex(recorded("datagrams.json")["distribution"][kind])
     _, codec = codecs()
-    assert codec.write(messages.SENDER, "c1", 2000 + at, message) == data
-    assert codec.read(data) == messages.envelope(message, "c1", 2000 + at)
+    assert codec.encode(messages.SENDER, "c1", 2000 + at, message) == data
+    assert codec.decode(data) == messages.envelope(message, "c1", 2000 + at)
 
 
 def test_every_recorded_datagram_is_of_a_known_kind() -> None:
@@ -92,9 +92,9 @@
     data = bytes.fromhex(recorded("datagrams.json")["older key"])
     codec, _ = codecs()
     ping = messages.MEMBERSHIP["ping"]
-    assert codec.read(data) == messages.envelope(ping, "n2", 3000)
+    assert codec.decode(data) == messages.envelope(ping, "n2", 3000)
     older = membership.Codec(messages.CLUSTER, [messages.OLDER_KEY])
-    assert older.write(messages.SENDER, "n2", 3000, ping) == data
+    assert older.encode(messages.SENDER, "n2", 3000, ping) == data
 
 
 def test_words_that_travel_are_as_recorded() -> None:
