--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -24,7 +24,7 @@
 
 from ironmill.commands.config import ConfigError, to_position
 from ironmill.distribution.revision import START, Position
-from ironmill_testbed.faults.checker import Seen
+from ironmill_testbed.faults.checker import LoggedEvent
 from ironmill_testbed.faults.hollow import TWINS
 from ironmill_testbed.faults.socket_fleet import LOOK, ORIGIN, Fleet
 from ironmill_testbed.measures.membership import Load
@@ -349,7 +349,7 @@
     return sum(count * max(0, last.number - at.number) for at, count in in_force)
 
 
-def states_of(seen: Iterable[Seen]) -> dict[Position, Counter[str]]:
+def states_of(seen: Iterable[LoggedEvent]) -> dict[Position, Counter[str]]:
     """The digests that were in force at each position, by count."""
     states: dict[Position, Counter[str]] = {}
     for one in seen:
@@ -358,7 +358,7 @@
     return states
 
 
-def origin_states(seen: Iterable[Seen]) -> dict[Position, str]:
+def origin_states(seen: Iterable[LoggedEvent]) -> dict[Position, str]:
     """The digest of each position at the origin."""
     return {
         _position(one): one.fields["digest"] for one in seen if one.name == ORIGIN and one.what == "in-force"
@@ -375,7 +375,7 @@
     )
 
 
-def out_of_order(seen: Iterable[Seen]) -> int:
+def out_of_order(seen: Iterable[LoggedEvent]) -> int:
     """How often a process had one in force that is not newer than the one before."""
     found, last = 0, dict[str, Position]()
     for one in seen:
@@ -387,7 +387,7 @@
     return found
 
 
-def false_everywhere(seen: Iterable[Seen], reached: dict[int, list[float]], proxies: int) -> int:
+def false_everywhere(seen: Iterable[LoggedEvent], reached: dict[int, list[float]], proxies: int) -> int:
     """How often the origin told of a change as in force everywhere while a hollow proxy did not have it."""
     found = 0
     for one in seen:
@@ -406,5 +406,5 @@
     return values[min(len(values) - 1, int(part * len(values)))] if values else None
 
 
-def _position(one: Seen) -> Position:
+def _position(one: LoggedEvent) -> Position:
     return Position(int(one.fields["epoch"]), int(one.fields["number"]))
--- a/ironmill_testbed/capacity/sweep_membership.py
+++ b/ironmill_testbed/capacity/sweep_membership.py
@@ -23,7 +23,7 @@
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
 from ironmill_testbed.faults.shared import Shared
-from ironmill_testbed.faults.world import KEY, World
+from ironmill_testbed.faults.simulated_cluster import KEY, SimulatedCluster
 
 ZONES = 11
 SETTLED = 5.0  # seconds before anything is measured
@@ -38,8 +38,8 @@
 VIEWS = (30, 100, 300, 1000, 3000)
 
 
-def _world(size: int, seed: int) -> World:
-    world = World(size, [], seed, zones=ZONES, make=Shared())
+def _world(size: int, seed: int) -> SimulatedCluster:
+    world = SimulatedCluster(size, [], seed, zones=ZONES, make=Shared())
     world.settle()
     world.run(SETTLED)
     return world
--- a/ironmill_testbed/faults/checker.py
+++ b/ironmill_testbed/faults/checker.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 
-class Seen(Struct, frozen=True):
+class LoggedEvent(Struct, frozen=True):
     """One event of one process."""
 
     at: float  # by the clock that all processes of a machine share
@@ -19,9 +19,9 @@
     fields: dict[str, Any]
 
 
-def read_logs(folder: Path, names: Sequence[str], about: str = "member") -> list[Seen]:
+def read_logs(folder: Path, names: Sequence[str], about: str = "member") -> list[LoggedEvent]:
     """What these have told of it, in the order of time. A line that is cut off by a kill is passed over."""
-    seen: list[Seen] = []
+    seen: list[LoggedEvent] = []
     for name in names:
         path = folder / f"{name}.log"
         for line in path.read_bytes().splitlines() if path.exists() else ():
@@ -31,12 +31,12 @@
                 continue
             text = str(event.get("event", ""))
             if text.startswith(f"{about} ") and "at" in event:
-                seen.append(Seen(float(event["at"]), name, text.removeprefix(f"{about} "), event))
+                seen.append(LoggedEvent(float(event["at"]), name, text.removeprefix(f"{about} "), event))
     seen.sort(key=lambda one: one.at)
     return seen
 
 
-def removals(seen: Iterable[Seen], since: float, until: float = float("inf")) -> list[Seen]:
+def removals(seen: Iterable[LoggedEvent], since: float, until: float = float("inf")) -> list[LoggedEvent]:
     """Whom members put out of their views, but for themselves and for those that told that they leave."""
     return [
         one
@@ -45,7 +45,7 @@
     ]
 
 
-def gone_after(seen: Iterable[Seen], names: Sequence[str], dead: str, since: float) -> list[float]:
+def gone_after(seen: Iterable[LoggedEvent], names: Sequence[str], dead: str, since: float) -> list[float]:
     """For each of the members, how many seconds after that moment it had the dead one out of its view."""
     first: dict[str, float] = {}
     for one in removals(seen, since):
@@ -54,7 +54,7 @@
     return [first.get(name, float("inf")) for name in names]
 
 
-def flaps(seen: Iterable[Seen], since: float, until: float) -> int:
+def flaps(seen: Iterable[LoggedEvent], since: float, until: float) -> int:
     """How often a member was put out of one view more than once within the span."""
     counts: dict[tuple[str, str], int] = {}
     for one in removals(seen, since, until):
@@ -63,7 +63,7 @@
     return sum(count - 1 for count in counts.values())
 
 
-def sequences(seen: Iterable[Seen], names: Sequence[str], since: float) -> int:
+def sequences(seen: Iterable[LoggedEvent], names: Sequence[str], since: float) -> int:
     """Through how many different sequences of views these members went: 1 where all went through the same."""
     steps: dict[str, list[str]] = {name: [] for name in names}
     for one in seen:
--- a/ironmill_testbed/faults/control_town.py
+++ b/ironmill_testbed/faults/control_town.py
@@ -9,8 +9,8 @@
 import orjson
 
 from ironmill.membership.identity import Address, format_address
-from ironmill_testbed.faults.checker import Seen, read_logs
-from ironmill_testbed.faults.town import Town
+from ironmill_testbed.faults.checker import LoggedEvent, read_logs
+from ironmill_testbed.faults.process_cluster import ProcessCluster
 from ironmill_testbed.processes import Process, ProxyProcess
 
 ORIGIN = "c00"
@@ -24,7 +24,7 @@
     return int(epoch), int(number)
 
 
-class ControlTown(Town):
+class ControlPlaneCluster(ProcessCluster):
     """``c00`` is the origin, the other ``c`` are relays, ``p`` are proxies. Their logs are the story."""
 
     def __init__(self, folder: Path, proxies: int = 8, controls: int = 3, identity: str = "") -> None:
@@ -118,7 +118,7 @@
         """True if that, or something newer, is in force at all of these, by default all proxies."""
         return all(self.in_force(name) >= position for name in names or self.proxies)
 
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[LoggedEvent]:
         """What all have logged of distribution."""
         return read_logs(self.folder, self.names, "distribution")
 
--- a/ironmill_testbed/faults/town.py
+++ b/ironmill_testbed/faults/process_cluster.py
@@ -13,7 +13,7 @@
 
 from ironmill.commands import members
 from ironmill.membership.identity import Address, format_address
-from ironmill_testbed.faults.checker import Seen, read_logs
+from ironmill_testbed.faults.checker import LoggedEvent, read_logs
 from ironmill_testbed.faults.schedule import Fault, Links
 from ironmill_testbed.faults.switch import Switch
 from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
@@ -24,7 +24,7 @@
 KEY = "0f" * 32
 
 
-class Town:
+class ProcessCluster:
     """The processes, by name. Their logs are the story."""
 
     def __init__(
@@ -169,6 +169,6 @@
             time.sleep(LOOK)
         return time.monotonic() - began
 
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[LoggedEvent]:
         """What all have logged so far."""
         return read_logs(self.folder, self.names)
--- a/ironmill_testbed/faults/world.py
+++ b/ironmill_testbed/faults/simulated_cluster.py
@@ -76,7 +76,7 @@
         self.waiting: deque[tuple[bytes, Address]] = deque(maxlen=2000)  # as a kernel holds them
 
 
-class World:
+class SimulatedCluster:
     """Members, links and the clock."""
 
     def __init__(
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -17,7 +17,7 @@
 from ironmill.commands import config
 from ironmill.distribution.revision import Position
 from ironmill.membership.identity import format_address
-from ironmill_testbed.faults.checker import Seen, read_logs
+from ironmill_testbed.faults.checker import LoggedEvent, read_logs
 from ironmill_testbed.faults.hollow import region, zone
 from ironmill_testbed.processes import CommandedProcess, Neighbours, Process, ProxyProcess, Usage, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
@@ -223,7 +223,7 @@
         named = self.processes | {f"hollow{at:02d}": process for at, process in enumerate(self.hollow)}
         return {name: process.usage() for name, process in named.items()}
 
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[LoggedEvent]:
         """What control machines and whole proxies have logged of distribution."""
         return read_logs(self.folder, [*self.controls, *self.real], "distribution")
 
--- a/ironmill_testbed/measures/membership.py
+++ b/ironmill_testbed/measures/membership.py
@@ -19,10 +19,10 @@
 from ironmill.membership.member import Member
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.faults import checker
+from ironmill_testbed.faults.process_cluster import ProcessCluster
 from ironmill_testbed.faults.schedule import Fault, both_ways
+from ironmill_testbed.faults.simulated_cluster import Make, SimulatedCluster
 from ironmill_testbed.faults.swim import Swim
-from ironmill_testbed.faults.town import Town
-from ironmill_testbed.faults.world import Make, World
 from ironmill_testbed.fleet import Client, Fleet, in_parallel, play
 
 PLOTS = Path("found")
@@ -66,8 +66,8 @@
     return {name: round(value, 3) if isinstance(value, float) else value for name, value in found.items()}
 
 
-def _world(kind: str, size: int, faults: Sequence[Fault], seed: int) -> World:
-    world = World(size, faults, seed, make=KINDS[kind])
+def _world(kind: str, size: int, faults: Sequence[Fault], seed: int) -> SimulatedCluster:
+    world = SimulatedCluster(size, faults, seed, make=KINDS[kind])
     world.settle()
     world.run(SETTLED)
     return world
@@ -158,7 +158,7 @@
     held = []
     for count in (size, 2 * size):
         tracemalloc.start()
-        one = World(count, [], 1)
+        one = SimulatedCluster(count, [], 1)
         one.settle()
         held.append(tracemalloc.get_traced_memory()[0] / count)
         tracemalloc.stop()
@@ -168,7 +168,7 @@
 def _processes(count: int) -> dict[str, Any]:
     """Real ones: kills, a deaf one, a sleeper, two halves, loss; judged by their logs."""
     found: dict[str, Any] = {"processes": count}
-    with tempfile.TemporaryDirectory() as name, Town(Path(name), count) as town:
+    with tempfile.TemporaryDirectory() as name, ProcessCluster(Path(name), count) as town:
         names = town.names
         town.start()
         town.until(lambda: town.agree(names))
@@ -241,7 +241,7 @@
     """Milliseconds from the connect to UP at the 99th percentile, with membership and without, in turns."""
     took: dict[bool, list[float]] = {True: [], False: []}
     for on in (True, False, True, False):
-        with tempfile.TemporaryDirectory() as name, Town(Path(name), count, membership=on) as town:
+        with tempfile.TemporaryDirectory() as name, ProcessCluster(Path(name), count, membership=on) as town:
             town.start()
             for one in town.names:
                 town.proxy(one).wait_ready()
--- a/tests/system/test_distribution_processes.py
+++ b/tests/system/test_distribution_processes.py
@@ -16,8 +16,8 @@
 import pytest
 
 from ironmill.membership.identity import format_address
-from ironmill_testbed.faults.checker import Seen
-from ironmill_testbed.faults.control_town import ORIGIN, ControlTown, Form
+from ironmill_testbed.faults.checker import LoggedEvent
+from ironmill_testbed.faults.control_town import ORIGIN, ControlPlaneCluster, Form
 from ironmill_testbed.faults.schedule import Fault, both_ways
 from ironmill_testbed.measures.membership import Load
 
@@ -25,27 +25,27 @@
 
 
 @pytest.fixture
-def town(tmp_path: Path) -> Iterator[ControlTown]:
-    with ControlTown(tmp_path) as it:
+def town(tmp_path: Path) -> Iterator[ControlPlaneCluster]:
+    with ControlPlaneCluster(tmp_path) as it:
         it.start()
         it.until(lambda: bool(it.status(ORIGIN).get("settled")) and _counted(it) == len(it.proxies))
         yield it
 
 
-def _counted(town: ControlTown) -> int:
+def _counted(town: ControlPlaneCluster) -> int:
     return sum(zone["proxies"] for zone in town.status(ORIGIN).get("zones", []))
 
 
-def _everywhere(town: ControlTown, position: Form) -> bool:
+def _everywhere(town: ControlPlaneCluster, position: Form) -> bool:
     status = town.status(ORIGIN)
     return bool(status.get("everywhere")) and status["held"] == f"{position[0]}.{position[1]}"
 
 
-def _laggards(town: ControlTown) -> dict[str, str]:
+def _laggards(town: ControlPlaneCluster) -> dict[str, str]:
     return {one["name"]: one["why"] for one in town.status(ORIGIN)["laggards"]}
 
 
-def _check_order(seen: list[Seen], proxies: list[str]) -> None:
+def _check_order(seen: list[LoggedEvent], proxies: list[str]) -> None:
     """Never an older one after a newer one within a process, and one state for each position."""
     states: dict[Form, set[str]] = {}
     last: dict[str, Form] = {}
@@ -63,7 +63,7 @@
     assert all(len(digests) == 1 for digests in states.values())
 
 
-def test_faults_between_and_under_them_and_clients_lose_nothing(town: ControlTown) -> None:
+def test_faults_between_and_under_them_and_clients_lose_nothing(town: ControlPlaneCluster) -> None:
     proxies = town.proxies
     load = Load([town.clients[name] for name in proxies[:3]])  # which stay up
 
@@ -146,7 +146,7 @@
     _check_order(town.seen(), proxies)
 
 
-def test_a_slow_relay_and_a_proxy_that_ends_in_an_orderly_way(town: ControlTown) -> None:
+def test_a_slow_relay_and_a_proxy_that_ends_in_an_orderly_way(town: ControlPlaneCluster) -> None:
     town.pause("c02")
     latest = town.push({"shard/a": "s-1"})
     town.until(lambda: town.all_at(latest))  # its children have found another parent
@@ -160,7 +160,7 @@
     _check_order(town.seen(), town.proxies)
 
 
-def test_keys_replaced_and_a_stranger(town: ControlTown) -> None:
+def test_keys_replaced_and_a_stranger(town: ControlPlaneCluster) -> None:
     keys = town.folder / "members.keys"
     keys.write_text("0f" * 32 + "\n" + "a1" * 32 + "\n")
     town.processes["p00"].popen.send_signal(signal.SIGHUP)
@@ -183,7 +183,7 @@
     )
 
 
-def test_what_staff_see_and_do(town: ControlTown) -> None:
+def test_what_staff_see_and_do(town: ControlPlaneCluster) -> None:
     at = format_address(town.controls[ORIGIN])
     pushed = _run("config", "push", at, "shard/a=s-1", "log/level=debug", "--author=ann", "--wait")
     assert (pushed.returncode, pushed.stderr) == (0, "")
--- a/tests/system/test_membership_processes.py
+++ b/tests/system/test_membership_processes.py
@@ -14,15 +14,15 @@
 
 from ironmill.membership.identity import format_address
 from ironmill_testbed.faults import checker
+from ironmill_testbed.faults.process_cluster import ProcessCluster
 from ironmill_testbed.faults.schedule import Fault, both_ways, load
-from ironmill_testbed.faults.town import Town
 from ironmill_testbed.processes import free_port
 
 COUNT = 8
 
 
 def test_eight_processes_through_kills_cuts_and_sleep(tmp_path: Path) -> None:
-    with Town(tmp_path, COUNT) as town:
+    with ProcessCluster(tmp_path, COUNT) as town:
         names = town.names
         town.start()
         town.until(lambda: town.agree(names))
@@ -73,7 +73,7 @@
 
 def test_a_second_process_under_a_name_and_keys_that_are_replaced(tmp_path: Path) -> None:
     keys = tmp_path / "members.keys"
-    with Town(tmp_path, 3) as town:
+    with ProcessCluster(tmp_path, 3) as town:
         town.start()
         town.until(lambda: town.agree(town.names))
 
@@ -110,7 +110,7 @@
 
 
 def test_what_staff_see(tmp_path: Path) -> None:
-    with Town(tmp_path, 2) as town:
+    with ProcessCluster(tmp_path, 2) as town:
         town.start()
         town.until(lambda: town.agree(town.names))
         shown = run("members", format_address(town.controls["m00"]))
@@ -123,7 +123,7 @@
 
 
 def test_without_membership_nothing_of_it_is_imported_or_listens(tmp_path: Path) -> None:
-    with Town(tmp_path, 1, membership=False) as town:
+    with ProcessCluster(tmp_path, 1, membership=False) as town:
         town.start()
         town.proxy("m00").wait_ready()
         assert town.ask("m00") == {} or town.ask("m00") is None
@@ -175,7 +175,7 @@
 
 
 def test_an_address_that_is_taken_is_a_refused_start(tmp_path: Path) -> None:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken, Town(tmp_path, 1) as town:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken, ProcessCluster(tmp_path, 1) as town:
         taken.bind(town._homes["m00"])
         town.start()
         assert town.processes["m00"].popen.wait(30.0) == 2
--- a/tests/system/test_simulated_proxies.py
+++ b/tests/system/test_simulated_proxies.py
@@ -17,7 +17,7 @@
 from ironmill.distribution.revision import START, Position
 from ironmill_testbed import processes
 from ironmill_testbed.capacity import on_sockets
-from ironmill_testbed.faults.checker import Seen
+from ironmill_testbed.faults.checker import LoggedEvent
 from ironmill_testbed.faults.hollow import TWINS, Taker, Tally, region, zone
 from ironmill_testbed.faults.socket_fleet import Fleet
 from ironmill_testbed.processes import CommandedProcess
@@ -29,8 +29,8 @@
     return {"epoch": epoch, "number": number, "changes": 1, "digest": digest}
 
 
-def _seen(name: str, what: str, number: int = 0, digest: str = "a", at: float = 0.0) -> Seen:
-    return Seen(at, name, what, _in_force(1, number, digest))
+def _seen(name: str, what: str, number: int = 0, digest: str = "a", at: float = 0.0) -> LoggedEvent:
+    return LoggedEvent(at, name, what, _in_force(1, number, digest))
 
 
 def test_thirty_hollow_ones_and_a_whole_proxy_lose_nothing_whoever_is_killed() -> None:
--- a/tests/unit/membership/test_membership.py
+++ b/tests/unit/membership/test_membership.py
@@ -17,29 +17,31 @@
 from ironmill.membership.view import View
 from ironmill.membership.wire import ACCUSES, VOUCHES, Codec, Fact, Opinion, Ping
 from ironmill_testbed.faults.schedule import Fault, both_ways
-from ironmill_testbed.faults.world import KEY, World
+from ironmill_testbed.faults.simulated_cluster import KEY, SimulatedCluster
 
 COUNT = 14
 NAMES = tuple(f"p{at:05d}" for at in range(COUNT))
 SEEDS = (1, 2, 3)
 
 
-def world(*faults: Fault, seed: int = 1, count: int = COUNT) -> World:
+def world(*faults: Fault, seed: int = 1, count: int = COUNT) -> SimulatedCluster:
     """Members that have known each other for long; faults begin at 5 s."""
-    it = World(count, faults, seed)
+    it = SimulatedCluster(count, faults, seed)
     it.settle()
     it.run(5.0)
     assert it.agree()
     return it
 
 
-def within(it: World, seconds: float, names: tuple[str, ...], on: tuple[str, ...] | None = None) -> None:
+def within(
+    it: SimulatedCluster, seconds: float, names: tuple[str, ...], on: tuple[str, ...] | None = None
+) -> None:
     took = it.run_until(lambda: it.agree(names, on), seconds + 1.0)
     assert took is not None, it.views(names)
     assert took <= seconds + 0.05
 
 
-def member(it: World, name: str) -> Member:
+def member(it: SimulatedCluster, name: str) -> Member:
     found = it.nodes[name].member
     assert isinstance(found, Member)
     return found
@@ -158,7 +160,7 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 40])
 def test_a_fleet_that_starts_at_once_finds_itself(count: int) -> None:
-    it = World(count, seed=4)
+    it = SimulatedCluster(count, seed=4)
     it.start_all(0.2)
     assert it.run_until(it.agree, 10.0) is not None, it.views()
     assert not [event for event in it.removals() if event.fields["why"] == "decided"]
@@ -178,7 +180,7 @@
 
 
 def test_one_that_is_out_for_long_is_forgotten_and_may_come_again() -> None:
-    it = World(COUNT, seed=2, timing=Timing(forget_after=50.0))
+    it = SimulatedCluster(COUNT, seed=2, timing=Timing(forget_after=50.0))
     it.settle()
     it.run(5.0)
     it.kill(NAMES[6])
--- a/tests/unit/testbed/test_sweeps.py
+++ b/tests/unit/testbed/test_sweeps.py
@@ -15,7 +15,7 @@
 from ironmill_testbed.capacity.runs import Runs, fill
 from ironmill_testbed.faults.schedule import Fault
 from ironmill_testbed.faults.shared import Shared
-from ironmill_testbed.faults.world import World
+from ironmill_testbed.faults.simulated_cluster import SimulatedCluster
 
 SIZES = (10, 20, 30, 40, 50)
 
@@ -152,7 +152,7 @@
 
 
 def test_members_that_share_hold_one_object_of_each_fact() -> None:
-    world = World(12, seed=3, make=Shared())
+    world = SimulatedCluster(12, seed=3, make=Shared())
     world.settle()
     world.run(3.0)
     world.kill("p00003")
@@ -173,7 +173,7 @@
         Fault("pause", 4.0, 8.0, names=("p00007",)),
         Fault("start", 14.0, names=("p00004",)),
     ]
-    worlds = [World(15, faults, seed), World(15, faults, seed, make=Shared())]
+    worlds = [SimulatedCluster(15, faults, seed), SimulatedCluster(15, faults, seed, make=Shared())]
     for world in worlds:
         world.settle()
     for until in (2.5, 6.0, 10.0, 14.0, 20.0):
@@ -189,7 +189,7 @@
 
 def test_what_is_shared_is_equal_and_the_newest() -> None:
     shared = Shared()
-    world = World(3)
+    world = SimulatedCluster(3)
     world.settle()
     fact = world.running()[0].members()[0]
     copy = structs.replace(fact)
