--- /dev/null
+++ b/tests/unit/distribution/test_status.py
@@ -0,0 +1,49 @@
+"""What the admin API tells of a node of each role: the same keys, in the same order, as recorded."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from ironmill_testbed.faults.fleet_world import FleetWorld, HollowConsumer, Plan
+from ironmill_testbed.faults.schedule import both_ways
+
+RECORDED = Path(__file__).parents[2] / "golden" / "distribution_status.json"
+PLAN = Plan(proxies=4, control=3, regions=1, zones=2, entries=20, standby=False)
+FAULTS = both_ways(8.0, 50.0, ("p00001",), ("control",))
+
+
+def statuses() -> dict[str, str]:
+    """JSON by state and name: of a fleet that is well, then with a rejected change and a proxy cut off."""
+    fleet = FleetWorld(PLAN, FAULTS)
+    fleet.processes["p00002"].consumer = HollowConsumer(("bad/",))
+    fleet.settle()
+    found: dict[str, str] = {}
+
+    def look(state: str, *names: str) -> None:
+        for name in names:
+            node = fleet.processes[name].node
+            assert node is not None
+            found[f"{state} {name}"] = msgspec.json.encode(node.status(fleet.now)).decode()
+
+    look("converged", "origin", "c01", "p00000")
+    for name in ("origin", "c01", "p00001"):
+        node = fleet.processes[name].node
+        assert node is not None
+        node.receive(b"", ("10.9.9.9", 7), fleet.now)
+    fleet.push({"bad/1": b"x"})
+    fleet.run(13.0)
+    look("faulty", "origin", "c01", "p00001", "p00002")
+    return found
+
+
+def test_status_is_the_recorded_json() -> None:
+    assert statuses() == msgspec.json.decode(RECORDED.read_bytes(), type=dict[str, str])
+
+
+@pytest.mark.parametrize("role", ["origin", "relay", "subscriber"])
+def test_each_role_is_recorded(role: str) -> None:
+    recorded = msgspec.json.decode(RECORDED.read_bytes(), type=dict[str, str])
+    assert any(msgspec.json.decode(text)["role"] == role for text in recorded.values())
