--- a/ironmill/administration/configuration_api.py
+++ b/ironmill/administration/configuration_api.py
@@ -17,21 +17,24 @@
 
 from ironmill.administration.messages import Answer, Call
 from ironmill.administration.routes import Routes
-from ironmill.distribution.revision import (
-    AUTHOR_MOST,
-    NOTE_MOST,
-    NUMBER_MOST,
-    TICKET_MOST,
-    Changes,
-    Entry,
+from ironmill.distribution.changes import Changes
+from ironmill.distribution.errors import (
     FencedError,
-    HeadError,
     NotOriginError,
-    Position,
-    RefusedError,
+    PositionConflictError,
     RevisionError,
+    RevisionRejectedError,
     StoreError,
 )
+from ironmill.distribution.revision import (
+    MAX_AUTHOR_LENGTH,
+    MAX_NOTE_LENGTH,
+    MAX_TICKET_LENGTH,
+    NUMBER_LIMIT,
+    Position,
+    RevisionMetadata,
+    StoredRevision,
+)
 
 STATUS = "/admin/configuration"
 REVISIONS = "/admin/configuration/revisions"
@@ -53,30 +56,24 @@
     """The origin, as calls see it; whoever is behind it also sends what there is to be sent."""
 
     def push(
-        self,
-        changes: Changes,
-        at: float,
-        author: str,
-        note: str,
-        ticket: str,
-        now: float,
-        expect: Position | None = None,
+        self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
         """Keep the changes as the next revision; its position, or the one that the ticket got before.
 
-        RevisionError, RefusedError, HeadError, NotOriginError, StoreError: then nothing was kept.
+        RevisionError, RevisionRejectedError, PositionConflictError, NotOriginError, StoreError: then nothing
+        was kept.
         """
 
     def undo(self, number: int) -> Changes:
         """What brings every key back to its value as of that revision. StoreError."""
 
-    def history(self, most: int) -> list[Entry]:
+    def history(self, max_count: int) -> list[StoredRevision]:
         """The last revisions, the newest first. StoreError."""
 
 
-_Author = Annotated[str, Meta(min_length=1, max_length=AUTHOR_MOST)]
-_Note = Annotated[str, Meta(max_length=NOTE_MOST)]
-_Ticket = Annotated[str, Meta(min_length=1, max_length=TICKET_MOST)]
+_Author = Annotated[str, Meta(min_length=1, max_length=MAX_AUTHOR_LENGTH)]
+_Note = Annotated[str, Meta(max_length=MAX_NOTE_LENGTH)]
+_Ticket = Annotated[str, Meta(min_length=1, max_length=MAX_TICKET_LENGTH)]
 _Expect = Annotated[str, Meta(max_length=40)]
 
 
@@ -93,7 +90,7 @@
 class Revert(Struct, forbid_unknown_fields=True, kw_only=True):
     """The body of a call that goes back to what was in force as of a revision, by a new one."""
 
-    number: Annotated[int, Meta(ge=0, lt=NUMBER_MOST)]
+    number: Annotated[int, Meta(ge=0, lt=NUMBER_LIMIT)]
     author: _Author
     note: _Note = ""
     ticket: _Ticket
@@ -176,7 +173,8 @@
             expect = read_position(told.expect) if told.expect else None
         except ValueError as error:
             raise _CallError(f"expect: {error}") from None
-        return writer.push(changes, self._clock(), told.author, told.note, told.ticket, self._now(), expect)
+        metadata = RevisionMetadata(self._clock(), told.author, told.note, told.ticket)
+        return writer.push(changes, metadata, self._now(), expect)
 
     def _history(self, call: Call) -> Answer:
         if self._writer is None:
@@ -205,10 +203,10 @@
             position = write(self._writer)
         except (_CallError, RevisionError) as error:
             return _reason(HTTPStatus.BAD_REQUEST, str(error))
-        except RefusedError as error:
-            refusal = error.refusal
-            return _answer(HTTPStatus.CONFLICT, {"key": refusal.key, "reason": refusal.reason})
-        except HeadError as error:
+        except RevisionRejectedError as error:
+            rejection = error.rejection
+            return _answer(HTTPStatus.CONFLICT, {"key": rejection.key, "reason": rejection.reason})
+        except PositionConflictError as error:
             return _reason(HTTPStatus.PRECONDITION_FAILED, str(error))
         except (NotOriginError, FencedError) as error:
             return self._no_origin(str(error))
@@ -229,7 +227,7 @@
         raise _CallError(f"the body is not right: {str(error).splitlines()[0]}") from None
 
 
-def _entry(entry: Entry) -> dict[str, Any]:
+def _entry(entry: StoredRevision) -> dict[str, Any]:
     changes = {
         key: None if value is None else value.decode(errors="backslashreplace")
         for key, value in entry.changes.items()
--- a/ironmill/configuration/distributed_keys.py
+++ b/ironmill/configuration/distributed_keys.py
@@ -18,7 +18,7 @@
 
 from msgspec import Struct
 
-from ironmill.distribution.revision import Refusal
+from ironmill.distribution.revision import Rejection
 from ironmill.runtime import logs
 
 if TYPE_CHECKING:  # a proxy without identity, and a control machine, need none of it
@@ -32,11 +32,11 @@
 FINGERPRINTS_MOST = 20_000
 
 
-def check_form(changes: Mapping[str, bytes | None]) -> Refusal | None:
+def check_form(changes: Mapping[str, bytes | None]) -> Rejection | None:
     """Why these can be no configuration of any proxy; None if they can."""
     for key, value in changes.items():
         if value is not None and (reason := _wrong(key, value)):
-            return Refusal(key, reason)
+            return Rejection(key, reason)
     return None
 
 
@@ -120,7 +120,7 @@
         self._set_level = set_level
         self.in_force = InForce()
 
-    def check(self, changes: Mapping[str, bytes | None]) -> Refusal | None:
+    def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
         """Why these cannot come into force here; None if they can. Nothing changes by it."""
         refusal = check_form(changes)
         if refusal is not None:
@@ -128,10 +128,10 @@
         if self._callers is None:
             for key, value in changes.items():
                 if value is not None and key.startswith((SUBJECT, FINGERPRINT)):
-                    return Refusal(key, "this proxy's settings hold no identity, so nobody can be denied")
+                    return Rejection(key, "this proxy's settings hold no identity, so nobody can be denied")
         if wrong := self.in_force.with_changes(changes).too_many():
             more = (key for key, value in changes.items() if value is not None and key.startswith("deny/"))
-            return Refusal(next(more, ""), wrong)
+            return Rejection(next(more, ""), wrong)
         return None
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
--- a/ironmill/distribution/catch_up.py
+++ b/ironmill/distribution/catch_up.py
@@ -17,6 +17,7 @@
 
 from msgspec import Struct
 
+from ironmill.distribution.changes import Changes, pack_entry, packed_size, unpack_entries
 from ironmill.distribution.keyspace import (
     LEAVES,
     LEVEL_BITS,
@@ -25,15 +26,7 @@
     leaf_of,
     leaves_of,
 )
-from ironmill.distribution.revision import (
-    START,
-    Changes,
-    Delta,
-    Position,
-    pack_entry,
-    packed_size,
-    unpack_entries,
-)
+from ironmill.distribution.revision import START, Delta, Position
 from ironmill.distribution.wire import Ask, Digests, Fetch, Page
 
 WINDOW = 16  # questions that are out
--- /dev/null
+++ b/ironmill/distribution/changes.py
@@ -0,0 +1,85 @@
+"""Keyed changes: their limits, and their packed form on the wire and in the leaves of the keyspace.
+
+A packed entry is one byte with the key's length, the key in UTF-8, two bytes with the value's length plus one
+(0 for a deleted key), and the value. The limits let any single entry fit into one datagram.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator, Mapping
+
+from ironmill.distribution.errors import RevisionError
+
+MAX_KEY_BYTES = 200  # of UTF-8
+MAX_VALUE_BYTES = 640
+MAX_REVISION_BYTES = 1 << 16  # in packed form
+MAX_REVISION_CHANGES = 4096
+
+Changes = dict[str, bytes | None]  # None deletes the key
+
+
+def check_changes(changes: Mapping[str, bytes | None]) -> None:
+    """Raises ``RevisionError`` if the changes cannot be a revision: none, too many, or one out of bounds."""
+    if not changes:
+        raise RevisionError("a revision has one change at least")
+    if len(changes) > MAX_REVISION_CHANGES:
+        raise RevisionError(f"{len(changes)} changes; a revision has {MAX_REVISION_CHANGES} at most")
+    for key, value in changes.items():
+        if reason := invalid_change_reason(key, value):
+            raise RevisionError(f"{key[:MAX_KEY_BYTES]}: {reason}")
+    if (size := packed_size(changes)) > MAX_REVISION_BYTES:
+        raise RevisionError(f"{size} bytes; a revision has {MAX_REVISION_BYTES} at most")
+
+
+def invalid_change_reason(key: str, value: bytes | None) -> str:
+    """Returns which limit a key and its value break; empty if they break none."""
+    try:
+        length = len(key.encode())
+    except UnicodeEncodeError:
+        return "the key is not UTF-8"
+    if not 0 < length <= MAX_KEY_BYTES:
+        return f"a key has 1 to {MAX_KEY_BYTES} bytes"
+    if not key.isprintable():
+        return "a key has printable characters only"
+    if value is not None and len(value) > MAX_VALUE_BYTES:
+        return f"a value has {MAX_VALUE_BYTES} bytes at most"
+    return ""
+
+
+def pack_entry(key: str, value: bytes | None) -> bytes:
+    """Returns one change in packed form."""
+    name = key.encode()
+    if value is None:
+        return bytes((len(name),)) + name + b"\0\0"
+    return bytes((len(name),)) + name + (len(value) + 1).to_bytes(2) + value
+
+
+def packed_size(changes: Mapping[str, bytes | None]) -> int:
+    """Returns the size of the changes in packed form, in bytes."""
+    return sum(3 + len(key.encode()) + len(value or b"") for key, value in changes.items())
+
+
+def unpack_entries(data: bytes) -> Iterator[tuple[str, bytes | None]]:
+    """Yields the changes of packed data. Raises ``ValueError`` where they are truncated or out of bounds."""
+    at, end = 0, len(data)
+    while at < end:
+        start = at + 1
+        at = start + data[at]
+        size = int.from_bytes(data[at : at + 2])
+        stop = at + 2 + max(0, size - 1)
+        if start == at or stop > end or at + 2 > end:
+            raise ValueError("packed entries are cut off")
+        key = data[start:at].decode()
+        value = data[at + 2 : stop] if size else None
+        if invalid_change_reason(key, value):
+            raise ValueError("a packed entry is out of bounds")
+        yield key, value
+        at = stop
+
+
+def merge_changes(steps: Iterable[Mapping[str, bytes | None]]) -> Changes:
+    """Returns the steps as one: of each key the last value."""
+    merged: Changes = {}
+    for step in steps:
+        merged.update(step)
+    return merged
--- a/ironmill/distribution/keyspace.py
+++ b/ironmill/distribution/keyspace.py
@@ -10,7 +10,7 @@
 import hashlib
 from collections.abc import Iterator, Mapping
 
-from ironmill.distribution.revision import pack_entry, unpack_entries
+from ironmill.distribution.changes import pack_entry, unpack_entries
 
 # Ranges by level: 64 of the whole, 64 of each of those, 16 leaves of each. One answer has 64 digests.
 LEVEL_BITS = (6, 12, 16)
--- a/ironmill/distribution/log.py
+++ b/ironmill/distribution/log.py
@@ -5,7 +5,8 @@
 from bisect import bisect_right
 from operator import attrgetter
 
-from ironmill.distribution.revision import Delta, Position, fold, packed_size
+from ironmill.distribution.changes import merge_changes, packed_size
+from ironmill.distribution.revision import Delta, Position
 
 STEPS_MOST = 4096  # an hour of 45,000 changes a day is 1,900; all of them within an hour last 5 minutes
 BYTES_MOST = 4 << 20
@@ -72,5 +73,5 @@
             steps.append(step)
         if len(steps) == 1 and steps[0].base == base:
             return steps[0]
-        changes = fold(step.changes for step in steps)
+        changes = merge_changes(step.changes for step in steps)
         return Delta(base, steps[-1].target, steps[-1].digest, changes, packed_size(changes))
--- a/ironmill/distribution/node.py
+++ b/ironmill/distribution/node.py
@@ -10,28 +10,21 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
+from ironmill.distribution.changes import Changes, check_changes, packed_size
+from ironmill.distribution.errors import (
+    FencedError,
+    NotOriginError,
+    PositionConflictError,
+    RevisionRejectedError,
+    StoreError,
+)
+from ironmill.distribution.interfaces import Consumer, RevisionStore
 from ironmill.distribution.link import Link, OnEvent
 from ironmill.distribution.log import RevisionLog
 from ironmill.distribution.missing import MissingList
 from ironmill.distribution.publisher import NO_LOWEST, Publisher, add_tally
 from ironmill.distribution.replica import Replica
-from ironmill.distribution.revision import (
-    START,
-    Changes,
-    Consumer,
-    Delta,
-    Entry,
-    FencedError,
-    HeadError,
-    NotOriginError,
-    Position,
-    Refusal,
-    RefusedError,
-    RevisionStore,
-    StoreError,
-    check_changes,
-    packed_size,
-)
+from ironmill.distribution.revision import START, Delta, Position, Rejection, RevisionMetadata, StoredRevision
 from ironmill.distribution.subscriber import Subscriber
 from ironmill.distribution.timing import STORE_CHECK, Timing
 from ironmill.distribution.wire import (
@@ -58,7 +51,7 @@
 from ironmill.membership.envelope import Address, Card, Datagram, DroppedError, Envelope
 
 LAGGARDS_SHOWN = 1 << 16  # bytes of them, where staff ask
-Check = Callable[[Changes], Refusal | None]
+ChangeCheck = Callable[[Changes], Rejection | None]
 
 
 class Node:
@@ -268,7 +261,7 @@
         timing: Timing,
         store: RevisionStore,
         relays: Sequence[Place],
-        check: Check,
+        check: ChangeCheck,
         rng: random.Random,
         now: float,
         told: OnEvent,
@@ -296,14 +289,7 @@
         self._pushed_at: dict[Position, float] = {}
 
     def push(
-        self,
-        changes: Changes,
-        at: float,
-        author: str,
-        note: str,
-        ticket: str,
-        now: float,
-        expect: Position | None = None,
+        self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
         """Keep the changes as the next revision and send it out; its position.
 
@@ -313,7 +299,7 @@
         self.link.now = now
         if self.publisher.stopped:
             raise NotOriginError(f"{self.card.name} is no origin any more: another writer has taken over")
-        before = self._store.committed(ticket)
+        before = self._store.committed(metadata.ticket)
         if before is not None:
             return before
         if self._ahead is not None:
@@ -322,14 +308,14 @@
                 "higher epoch, and what only the fleet has is undone"
             )
         if expect is not None and expect != self.replica.held:
-            raise HeadError(f"the newest revision is {self.replica.held}, not {expect}")
+            raise PositionConflictError(f"the newest revision is {self.replica.held}, not {expect}")
         check_changes(changes)
         refusal = self._check(changes)
         if refusal is not None:
-            raise RefusedError(refusal)
+            raise RevisionRejectedError(refusal)
         digest = self.replica.keyspace.digest_after(changes)
         try:
-            position = self._store.commit(changes, at, author, note, ticket)
+            position = self._store.commit(changes, metadata)
         except FencedError:
             self._stop()
             raise
@@ -346,7 +332,7 @@
         """What brings every key back to its value as of that revision; StoreError."""
         return self._store.undo(number)
 
-    def history(self, most: int) -> list[Entry]:
+    def history(self, most: int) -> list[StoredRevision]:
         """The last revisions, the newest first; StoreError."""
         return self._store.history(most)
 
--- a/ironmill/distribution/publisher.py
+++ b/ironmill/distribution/publisher.py
@@ -12,10 +12,11 @@
 
 from msgspec import Struct
 
+from ironmill.distribution.changes import pack_entry
 from ironmill.distribution.keyspace import LEVEL_BITS, children_of
 from ironmill.distribution.link import Link
 from ironmill.distribution.replica import Replica
-from ironmill.distribution.revision import START, Position, Refusal, pack_entry
+from ironmill.distribution.revision import START, Position, Rejection
 from ironmill.distribution.timing import (
     BEHIND_AFTER,
     LEASE,
@@ -78,7 +79,7 @@
     token: int = 0  # to be echoed to it
     held: Position = START
     in_force: Position = START
-    refusal: Refusal | None = None
+    refusal: Rejection | None = None
     summary: Summary | None = None
     stale: bool = False
     attached: int = 0
@@ -499,10 +500,10 @@
 
     def _laggard(self, child: Child) -> Laggard:
         why = UNREACHABLE if not child.reachable else REFUSED if child.refusal is not None else BEHIND
-        refusal = child.refusal or Refusal("", "")
+        refusal = child.refusal or Rejection("", "")
         if child.summary is not None:
             below = sum(tally.proxies for tally in child.summary.tallies)
-            refusal = Refusal("", f"a relay; {below} proxies were behind it")
+            refusal = Rejection("", f"a relay; {below} proxies were behind it")
         return Laggard(child.name, child.zone, child.in_force, why, refusal.key, refusal.reason)
 
 
--- a/ironmill/distribution/replica.py
+++ b/ironmill/distribution/replica.py
@@ -5,19 +5,12 @@
 from collections.abc import Mapping
 from typing import Any
 
+from ironmill.distribution.changes import Changes, packed_size, unpack_entries
+from ironmill.distribution.interfaces import Consumer
 from ironmill.distribution.keyspace import LEAVES, Keyspace
 from ironmill.distribution.link import OnEvent
 from ironmill.distribution.log import RevisionLog
-from ironmill.distribution.revision import (
-    START,
-    Changes,
-    Consumer,
-    Delta,
-    Position,
-    Refusal,
-    packed_size,
-    unpack_entries,
-)
+from ironmill.distribution.revision import START, Delta, Position, Rejection
 from ironmill.distribution.wire import REASON_MOST
 
 PENDING_BYTES_MOST = 1 << 18  # of changes that are held and refused; beyond it they are asked for again
@@ -36,7 +29,7 @@
         self.held = START
         self.in_force = START
         self.digest = 0  # as of ``held``
-        self.refusal: Refusal | None = None
+        self.refusal: Rejection | None = None
         self.log = log
         self._consumer = consumer
         self._pending: Changes = {}
@@ -86,7 +79,7 @@
         self._pending = {}
 
     def _refuse(
-        self, position: Position, digest: int, pending: Changes, refusal: Refusal, told: OnEvent
+        self, position: Position, digest: int, pending: Changes, refusal: Rejection, told: OnEvent
     ) -> None:
         self.refusal = refusal
         self.held, self.digest = position, digest
@@ -104,7 +97,7 @@
     def _fields(position: Position) -> dict[str, Any]:
         return {"epoch": position.epoch, "number": position.number}
 
-    def _ask(self, changes: Mapping[str, bytes | None]) -> Refusal | None:
+    def _ask(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
         """The consumer's check, and the change itself if that passes. What fails there is a refusal."""
         consumer = self._consumer
         assert consumer is not None
@@ -114,8 +107,8 @@
                 consumer.apply(changes)
                 return None
         except Exception as error:  # guards service: the old configuration is still fit for use
-            refusal = Refusal("", f"{type(error).__name__}: {error}")
-        return Refusal(refusal.key, refusal.reason[:REASON_MOST])
+            refusal = Rejection("", f"{type(error).__name__}: {error}")
+        return Rejection(refusal.key, refusal.reason[:REASON_MOST])
 
     def _difference(self, whole: Keyspace, looked_up: tuple[str, ...]) -> Changes:
         """What changes for the consumer between the keyspace in force and this one."""
--- a/ironmill/distribution/subscriber.py
+++ b/ironmill/distribution/subscriber.py
@@ -12,9 +12,10 @@
 from msgspec import Struct
 
 from ironmill.distribution.catch_up import CatchUp
+from ironmill.distribution.changes import Changes, packed_size, unpack_entries
 from ironmill.distribution.link import Link
 from ironmill.distribution.replica import Replica
-from ironmill.distribution.revision import START, Changes, Delta, Position, packed_size, unpack_entries
+from ironmill.distribution.revision import START, Delta, Position
 from ironmill.distribution.timing import (
     ACK_EVERY,
     FAILED_FOR,
--- a/ironmill/distribution/wire.py
+++ b/ironmill/distribution/wire.py
@@ -10,8 +10,9 @@
 import msgspec
 from msgspec import Struct
 
+from ironmill.distribution.changes import MAX_KEY_BYTES
 from ironmill.distribution.keyspace import LEAVES, LEVEL_BITS
-from ironmill.distribution.revision import KEY_MOST, NUMBER_MOST, Position, Refusal
+from ironmill.distribution.revision import NUMBER_LIMIT, Position, Rejection
 from ironmill.membership.envelope import Address, DroppedError, Envelope, SignedCodec, named, short
 
 BODY_MOST = 940  # bytes of packed entries in a datagram; with all else it stays under what one may hold
@@ -87,7 +88,7 @@
     age: int  # milliseconds since the origin's word, AGE_NEVER if there was none
     target: Position  # the delta that is being put together
     missing: list[int]  # what it lacks of that
-    refusal: Refusal | None = None
+    refusal: Rejection | None = None
     summary: Summary | None = None
 
 
@@ -217,7 +218,7 @@
 
 
 def _number(value: int) -> bool:
-    return 0 <= value < NUMBER_MOST
+    return 0 <= value < NUMBER_LIMIT
 
 
 def _position(position: Position) -> bool:
@@ -229,7 +230,7 @@
 
 
 def _key(key: str) -> bool:
-    return len(key) <= KEY_MOST and len(key.encode(errors="replace")) <= KEY_MOST
+    return len(key) <= MAX_KEY_BYTES and len(key.encode(errors="replace")) <= MAX_KEY_BYTES
 
 
 def _refusal(key: str, reason: str) -> bool:
@@ -295,7 +296,7 @@
                 named(one.name)
                 and short(one.zone)
                 and _position(one.in_force)
-                and 0 < one.incarnation < NUMBER_MOST
+                and 0 < one.incarnation < NUMBER_LIMIT
                 and _number(one.attached)
                 for one in message.children
             )
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -11,8 +11,10 @@
 from ironmill.administration.routes import Routes
 from ironmill.configuration.distributed_keys import check_form
 from ironmill.configuration.operator_files import Operator
+from ironmill.distribution.changes import Changes
+from ironmill.distribution.errors import StoreError
 from ironmill.distribution.node import Origin
-from ironmill.distribution.revision import Changes, Entry, Position, StoreError
+from ironmill.distribution.revision import Position, RevisionMetadata, StoredRevision
 from ironmill.membership.envelope import Address
 from ironmill.net.control import Control
 from ironmill.net.distribution import Distribution
@@ -34,18 +36,11 @@
         self._distribution = distribution
 
     def push(
-        self,
-        changes: Changes,
-        at: float,
-        author: str,
-        note: str,
-        ticket: str,
-        now: float,
-        expect: Position | None = None,
+        self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
         """As ``Origin.push``."""
         try:
-            return self._origin.push(changes, at, author, note, ticket, now, expect)
+            return self._origin.push(changes, metadata, now, expect)
         finally:
             self._distribution.flush()
 
@@ -53,9 +48,9 @@
         """As ``Origin.undo``."""
         return self._origin.undo(number)
 
-    def history(self, most: int) -> list[Entry]:
+    def history(self, max_count: int) -> list[StoredRevision]:
         """As ``Origin.history``."""
-        return self._origin.history(most)
+        return self._origin.history(max_count)
 
 
 class ControlMachine:
--- a/ironmill/net/distribution.py
+++ b/ironmill/net/distribution.py
@@ -17,8 +17,7 @@
 from ironmill.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:  # what a role has no use for is not imported
-    from ironmill.distribution.node import Check
-    from ironmill.distribution.revision import Consumer, RevisionStore
+    from ironmill.distribution.interfaces import ChangeCheck, Consumer, RevisionStore
 
 # What an operator may want to look at, the rest is the course of things.
 _LOUD = {"stale", "refused", "superseded", "fleet-ahead", "child-unreachable", "parent-lost"}
@@ -89,7 +88,7 @@
         self.node = node
         return node
 
-    def origin(self, store: RevisionStore, check: Check) -> Origin:
+    def origin(self, store: RevisionStore, check: ChangeCheck) -> Origin:
         """Be the origin: the order of changes is the store's. StoreError where it cannot be read."""
         relays = [place for place, origin in self._controls if not origin and place.name != self._card.name]
         node = Origin(
--- a/ironmill/net/revision_store.py
+++ b/ironmill/net/revision_store.py
@@ -1,7 +1,8 @@
-"""The embedded store of revisions: one SQLite file, on disk before a commit returns.
+"""The embedded store of revisions: one SQLite file. A commit is durable before it returns.
 
-A revision is one transaction. An opening takes the next epoch in one as well, and each commit asks in its own
-whether the epoch is still the one it took, so of two processes on one file the later one writes alone.
+A revision is one transaction. Each opening takes the next epoch in a transaction too, and each commit checks
+within its own that the epoch is still the one this opening took: of two processes on one file only the later
+one can write.
 """
 
 from __future__ import annotations
@@ -12,29 +13,30 @@
 import sqlite3
 from collections.abc import Iterator
 
+from ironmill.distribution.changes import MAX_REVISION_CHANGES, Changes, check_changes
+from ironmill.distribution.errors import FencedError, RevisionError, StoreError
 from ironmill.distribution.revision import (
-    AUTHOR_MOST,
-    NOTE_MOST,
-    NUMBER_MOST,
-    REVISION_CHANGES_MOST,
+    MAX_AUTHOR_LENGTH,
+    MAX_NOTE_LENGTH,
+    MAX_TICKET_LENGTH,
+    NUMBER_LIMIT,
     START,
-    TICKET_MOST,
-    Changes,
-    Entry,
-    FencedError,
     Position,
-    RevisionError,
-    StoreError,
-    check_changes,
+    RevisionMetadata,
+    StoredRevision,
 )
 
-REVISIONS_KEPT = 100_000  # two days of 45,000; what is older cannot be undone, and its ticket is not known
-READ_MOST = 1000  # revisions of one look at the history; guards memory
-BUSY_WAIT = 1.0  # seconds for another process that writes just now
-FORM = 1
-APPLICATION = int.from_bytes(b"IMrv")  # in the file's header: that it is one of these
+MAX_KEPT_REVISIONS = 100_000  # older ones cannot be undone, and their tickets are unknown
+MAX_HISTORY_REVISIONS = 1000  # in one answer
+BUSY_TIMEOUT_S = 1.0  # wait for another process that is writing
+FILE_MODE = 0o600
+FORMAT_VERSION = 1
+APPLICATION_ID = int.from_bytes(b"IMrv")  # in the file's header
 
-_TABLES = """
+# Rows of the table of numbers.
+LINEAGE, EPOCH, OBSERVED_EPOCH = "lineage", "epoch", "observed"
+
+_CREATE_TABLES = """
 CREATE TABLE numbers (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;
 CREATE TABLE current (key TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
 CREATE TABLE revisions (
@@ -46,8 +48,26 @@
 ) WITHOUT ROWID
 """
 
-# Of each key that later revisions changed the value before the first of those, where it is another one now.
-_UNDO = """
+_COUNT_TABLES = "SELECT count(*) FROM sqlite_master"
+_SELECT_NUMBER = "SELECT value FROM numbers WHERE name = ?"
+_SET_NUMBER = "INSERT OR REPLACE INTO numbers (name, value) VALUES (?, ?)"
+_SELECT_ENTRIES = "SELECT key, value FROM current ORDER BY key"
+_SET_ENTRY = "INSERT OR REPLACE INTO current (key, value) VALUES (?, ?)"
+_DELETE_ENTRY = "DELETE FROM current WHERE key = ?"
+_INSERT_REVISION = "INSERT INTO revisions (number, epoch, at, author, note, ticket) VALUES (?, ?, ?, ?, ?, ?)"
+_INSERT_CHANGE = (
+    "INSERT INTO changes (number, key, value, previous) "
+    "VALUES (?1, ?2, ?3, (SELECT value FROM current WHERE key = ?2))"
+)
+_DELETE_OLD_CHANGES = "DELETE FROM changes WHERE number <= ?"
+_DELETE_OLD_REVISIONS = "DELETE FROM revisions WHERE number <= ?"
+_SELECT_BY_TICKET = "SELECT epoch, number FROM revisions WHERE ticket = ?"
+_SELECT_LATEST = "SELECT epoch, number FROM revisions ORDER BY number DESC LIMIT 1"
+_SELECT_OLDEST_NUMBER = "SELECT min(number) FROM revisions"
+_SELECT_HISTORY = "SELECT epoch, number, at, author, note FROM revisions ORDER BY number DESC LIMIT ?"
+_SELECT_CHANGES = "SELECT key, value FROM changes WHERE number = ?"
+# Of each key that later revisions changed: the value before the first of those, unless it is current.
+_SELECT_UNDO = """
 SELECT changes.key, changes.previous
 FROM (SELECT key, min(number) AS number FROM changes WHERE number > ? GROUP BY key) AS first
 JOIN changes USING (number, key) LEFT JOIN current ON current.key = changes.key
@@ -56,225 +76,236 @@
 
 
 class SqliteStore:
-    """A ``RevisionStore`` in one file, opened for writing. StoreError, one line, if it is not fit for use."""
+    """A ``RevisionStore`` in one file, opened for writing."""
 
-    def __init__(self, path: str, keep: int = REVISIONS_KEPT) -> None:
+    def __init__(self, path: str, max_kept_revisions: int = MAX_KEPT_REVISIONS) -> None:
+        """Opens the file, creating it if there is none. Raises ``StoreError`` if it cannot be used."""
         self.path = path
-        self._keep = keep
+        self._max_kept_revisions = max_kept_revisions
         try:
-            # Made here, for nobody else is to read what it will hold, and for the system's own word on it.
-            os.close(os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600))
+            # SQLite would create the file readable by others, and report the system's error less precisely.
+            os.close(os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE))
         except OSError as error:
             raise StoreError(f"{path}: the store cannot be opened: {error.strerror}") from None
-        with self._plain():
-            self._connection = sqlite3.connect(path, BUSY_WAIT, isolation_level=None)
+        with self._translate_errors():
+            self._connection = sqlite3.connect(path, BUSY_TIMEOUT_S, isolation_level=None)
         try:
-            with self._plain():
+            with self._translate_errors():
                 self._open()
         except BaseException:
             self.close()
             raise
 
     def _open(self) -> None:
-        self._is_one()  # before anything of the file is changed
-        # EXTRA is FULL in this mode; where the file system cannot do it the journal's folder is synced too.
+        self._check_format()  # before anything in the file is changed
+        # With WAL, EXTRA is the same as FULL; where there is no WAL it syncs the journal's folder as well.
         self._connection.execute("PRAGMA journal_mode = WAL")
         self._connection.execute("PRAGMA synchronous = EXTRA")
         with self._transaction():
-            if not self._is_one():
-                self._make()
-            self.lineage = self._number("lineage")
-            self.epoch = max(self._number("epoch"), self._number("observed")) + 1
-            if self.epoch >= NUMBER_MOST:
+            if not self._check_format():
+                self._create()
+            self.lineage = self._read_number(LINEAGE)
+            self.epoch = max(self._read_number(EPOCH), self._read_number(OBSERVED_EPOCH)) + 1
+            if self.epoch >= NUMBER_LIMIT:
                 raise StoreError(f"{self.path}: the store has no epoch left")
-            self._set("epoch", self.epoch)
-            self.position = self._head()
+            self._write_number(EPOCH, self.epoch)
+            self.position = self._latest_position()
 
-    def _is_one(self) -> bool:
-        """True if the file is a store, False if it is empty; StoreError if it is something else."""
-        if self._one("SELECT count(*) FROM sqlite_master") == 0:
+    def _check_format(self) -> bool:
+        """Returns True for a store, False for an empty file. Raises ``StoreError`` for anything else."""
+        if self._query_int(_COUNT_TABLES) == 0:
             return False
-        if self._one("PRAGMA application_id") != APPLICATION:
+        if self._query_int("PRAGMA application_id") != APPLICATION_ID:
             raise StoreError(f"{self.path}: is a database, but no store of revisions")
-        if (form := self._one("PRAGMA user_version")) != FORM:
-            raise StoreError(f"{self.path}: the store is of form {form}; this program reads form {FORM}")
+        if (version := self._query_int("PRAGMA user_version")) != FORMAT_VERSION:
+            raise StoreError(
+                f"{self.path}: the store is of form {version}; this program reads form {FORMAT_VERSION}"
+            )
         return True
 
-    def _make(self) -> None:
-        for statement in _TABLES.split(";"):
+    def _create(self) -> None:
+        for statement in _CREATE_TABLES.split(";"):
             self._connection.execute(statement)
-        self._connection.execute(f"PRAGMA application_id = {APPLICATION}")
-        self._connection.execute(f"PRAGMA user_version = {FORM}")
-        self._set("lineage", 1 + secrets.randbelow((1 << 62) - 1))
-        self._set("epoch", 0)
-        self._set("observed", 0)
+        self._connection.execute(f"PRAGMA application_id = {APPLICATION_ID}")
+        self._connection.execute(f"PRAGMA user_version = {FORMAT_VERSION}")
+        self._write_number(LINEAGE, 1 + secrets.randbelow(NUMBER_LIMIT - 1))
+        self._write_number(EPOCH, 0)
+        self._write_number(OBSERVED_EPOCH, 0)
 
     def close(self) -> None:
-        """Write no more. Afterwards every call is a StoreError."""
+        """Closes the file. Every later call raises ``StoreError``."""
         with contextlib.suppress(sqlite3.Error):
             self._connection.close()
 
-    # As RevisionStore says
+    # RevisionStore
 
     def entries(self) -> Iterator[tuple[str, bytes]]:
-        """All keys and values, by key. To be read to its end before the next commit. StoreError."""
-        with self._plain():
-            for key, value in self._connection.execute("SELECT key, value FROM current ORDER BY key"):
+        """Yields all keys and values, by key. Must be read to its end before the next commit.
+
+        Raises ``StoreError``.
+        """
+        with self._translate_errors():
+            for key, value in self._connection.execute(_SELECT_ENTRIES):
                 if not isinstance(key, str) or not isinstance(value, bytes):
                     raise StoreError(f"{self.path}: the store is damaged: an entry is of no right kind")
                 yield key, value
 
-    def commit(self, changes: Changes, at: float, author: str, note: str, ticket: str) -> Position:
-        """One more revision, on disk when this returns. RevisionError, FencedError, StoreError."""
+    def commit(self, changes: Changes, metadata: RevisionMetadata) -> Position:
+        """Stores one more revision, durably. Raises ``RevisionError``, ``FencedError`` and ``StoreError``."""
         check_changes(changes)
-        for name, text, most in (("author", author, AUTHOR_MOST), ("note", note, NOTE_MOST)):
-            if len(text) > most:
-                raise RevisionError(f"{name}: it has {most} characters at most")
-        if not 0 < len(ticket) <= TICKET_MOST:
-            raise RevisionError(f"ticket: it has 1 to {TICKET_MOST} characters")
-        with self._plain():
+        _check_metadata(metadata)
+        with self._translate_errors():
             with self._transaction():
-                if self._number("epoch") != self.epoch:
+                if self._read_number(EPOCH) != self.epoch:
                     raise FencedError(f"{self.path}: another process has opened the store since this one did")
-                known = self._by_ticket(ticket)
+                known = self._position_by_ticket(metadata.ticket)
                 if known is not None:
                     return known
                 target = Position(self.epoch, self.position.number + 1)
-                if target.number >= NUMBER_MOST:
+                if target.number >= NUMBER_LIMIT:
                     raise StoreError(f"{self.path}: the store has no number left")
-                self._keep_revision(target, changes, at, author, note, ticket)
+                self._insert_revision(target, changes, metadata)
             self.position = target
             return target
 
     def committed(self, ticket: str) -> Position | None:
-        """The position that the ticket got, None if it is of no revision that is kept. StoreError."""
-        with self._plain():
-            return self._by_ticket(ticket)
-
-    def history(self, most: int) -> list[Entry]:
-        """The last revisions, the newest first; no more than are kept, and READ_MOST. StoreError."""
-        with self._plain():
-            rows = self._connection.execute(
-                "SELECT epoch, number, at, author, note FROM revisions ORDER BY number DESC LIMIT ?",
-                (max(0, min(most, READ_MOST)),),
-            ).fetchall()
+        """Returns the position of the kept revision with this ticket, or None. Raises ``StoreError``."""
+        with self._translate_errors():
+            return self._position_by_ticket(ticket)
+
+    def history(self, max_count: int) -> list[StoredRevision]:
+        """Returns the last kept revisions, newest first, at most ``MAX_HISTORY_REVISIONS``.
+
+        Raises ``StoreError``.
+        """
+        limit = max(0, min(max_count, MAX_HISTORY_REVISIONS))
+        with self._translate_errors():
+            rows = self._connection.execute(_SELECT_HISTORY, (limit,)).fetchall()
             return [
-                Entry(Position(epoch, number), at, author, note, self._changes(number))
+                StoredRevision(Position(epoch, number), at, author, note, self._changes_of(number))
                 for epoch, number, at, author, note in rows
             ]
 
     def undo(self, number: int) -> Changes:
-        """What brings every key back to its value as of that revision, 0 for before the first; none if all
-        are as they were. StoreError if that is not kept, or is more than one revision may hold.
+        """Returns the changes that restore all values as of a revision; 0 is before the first one.
+
+        Raises ``StoreError`` if that revision is not kept or the changes are more than one revision may have.
         """
-        with self._plain():
-            oldest = self._one("SELECT min(number) FROM revisions")
-            last = self.position.number
-            if not 0 <= number <= last:
-                raise StoreError(f"{self.path}: there is no revision {number}; the last one is {last}")
-            if number < last and (oldest is None or number < oldest - 1):
-                raise StoreError(
-                    f"{self.path}: revision {number} is too old to go back to; "
-                    f"the oldest one that is kept is {oldest}"
-                )
-            changes: Changes = dict(self._connection.execute(_UNDO, (number, REVISION_CHANGES_MOST + 1)))
-            if len(changes) > REVISION_CHANGES_MOST:
+        with self._translate_errors():
+            self._check_undo(number)
+            parameters = (number, MAX_REVISION_CHANGES + 1)
+            changes: Changes = dict(self._connection.execute(_SELECT_UNDO, parameters))
+            if len(changes) > MAX_REVISION_CHANGES:
                 raise StoreError(
-                    f"{self.path}: to go back to revision {number} takes more than {REVISION_CHANGES_MOST} "
+                    f"{self.path}: to go back to revision {number} takes more than {MAX_REVISION_CHANGES} "
                     "changes, more than one revision may hold"
                 )
             return changes
 
     def fenced(self) -> bool:
-        """True once another process has opened the store since this one did. StoreError."""
-        with self._plain():
-            return self._number("epoch") != self.epoch
+        """Returns True once another process has opened the store since. Raises ``StoreError``."""
+        with self._translate_errors():
+            return self._read_number(EPOCH) != self.epoch
 
     def observe(self, epoch: int) -> None:
-        """An epoch was seen in the fleet: the next opening takes a higher one. StoreError."""
-        if not 0 <= epoch < NUMBER_MOST - 1:
+        """Makes the next opening take an epoch above this one. Raises ``StoreError``."""
+        if not 0 <= epoch < NUMBER_LIMIT - 1:
             raise StoreError(f"{self.path}: {epoch} is no epoch")
         if epoch <= self.epoch:
             return  # the next opening takes a higher one anyway
-        with self._plain(), self._transaction():
-            self._set("observed", max(epoch, self._number("observed")))
+        with self._translate_errors(), self._transaction():
+            self._write_number(OBSERVED_EPOCH, max(epoch, self._read_number(OBSERVED_EPOCH)))
 
     # Within a transaction
 
-    def _keep_revision(
-        self, target: Position, changes: Changes, at: float, author: str, note: str, ticket: str
-    ) -> None:
+    def _check_undo(self, number: int) -> None:
+        oldest = self._query_int(_SELECT_OLDEST_NUMBER)
+        last = self.position.number
+        if not 0 <= number <= last:
+            raise StoreError(f"{self.path}: there is no revision {number}; the last one is {last}")
+        if number < last and (oldest is None or number < oldest - 1):
+            raise StoreError(
+                f"{self.path}: revision {number} is too old to go back to; "
+                f"the oldest one that is kept is {oldest}"
+            )
+
+    def _insert_revision(self, target: Position, changes: Changes, metadata: RevisionMetadata) -> None:
         execute = self._connection.execute
+        number = target.number
         execute(
-            "INSERT INTO revisions (number, epoch, at, author, note, ticket) VALUES (?, ?, ?, ?, ?, ?)",
-            (target.number, target.epoch, at, author, note, ticket),
+            _INSERT_REVISION,
+            (number, target.epoch, metadata.at, metadata.author, metadata.note, metadata.ticket),
         )
         for key, value in changes.items():
-            execute(
-                "INSERT INTO changes (number, key, value, previous) "
-                "VALUES (?1, ?2, ?3, (SELECT value FROM current WHERE key = ?2))",
-                (target.number, key, value),
-            )
+            execute(_INSERT_CHANGE, (number, key, value))  # before the entry: it stores the previous value
             if value is None:
-                execute("DELETE FROM current WHERE key = ?", (key,))
+                execute(_DELETE_ENTRY, (key,))
             else:
-                execute("INSERT OR REPLACE INTO current (key, value) VALUES (?, ?)", (key, value))
-        for table in ("changes", "revisions"):
-            execute(f"DELETE FROM {table} WHERE number <= ?", (target.number - self._keep,))
-
-    def _by_ticket(self, ticket: str) -> Position | None:
-        found = self._connection.execute(
-            "SELECT epoch, number FROM revisions WHERE ticket = ?", (ticket,)
-        ).fetchone()
-        return None if found is None else Position(*found)
-
-    def _changes(self, number: int) -> Changes:
-        rows = self._connection.execute("SELECT key, value FROM changes WHERE number = ?", (number,))
-        return dict(rows.fetchall())
-
-    def _head(self) -> Position:
-        found = self._connection.execute(
-            "SELECT epoch, number FROM revisions ORDER BY number DESC LIMIT 1"
-        ).fetchone()
-        return START if found is None else Position(*found)
-
-    def _number(self, name: str) -> int:
-        value = self._one("SELECT value FROM numbers WHERE name = ?", name)
+                execute(_SET_ENTRY, (key, value))
+        last_deleted = number - self._max_kept_revisions
+        execute(_DELETE_OLD_CHANGES, (last_deleted,))
+        execute(_DELETE_OLD_REVISIONS, (last_deleted,))
+
+    def _position_by_ticket(self, ticket: str) -> Position | None:
+        row = self._connection.execute(_SELECT_BY_TICKET, (ticket,)).fetchone()
+        return None if row is None else Position(*row)
+
+    def _changes_of(self, number: int) -> Changes:
+        return dict(self._connection.execute(_SELECT_CHANGES, (number,)).fetchall())
+
+    def _latest_position(self) -> Position:
+        row = self._connection.execute(_SELECT_LATEST).fetchone()
+        return START if row is None else Position(*row)
+
+    def _read_number(self, name: str) -> int:
+        value = self._query_int(_SELECT_NUMBER, name)
         if value is None:
             raise StoreError(f"{self.path}: the store is damaged: it has no {name}")
         return value
 
-    def _set(self, name: str, value: int) -> None:
-        self._connection.execute("INSERT OR REPLACE INTO numbers (name, value) VALUES (?, ?)", (name, value))
+    def _write_number(self, name: str, value: int) -> None:
+        self._connection.execute(_SET_NUMBER, (name, value))
 
-    def _one(self, statement: str, *values: object) -> int | None:
-        found = self._connection.execute(statement, values).fetchone()
-        if found is None or found[0] is None:
+    def _query_int(self, statement: str, *parameters: object) -> int | None:
+        row = self._connection.execute(statement, parameters).fetchone()
+        if row is None or row[0] is None:
             return None
-        if not isinstance(found[0], int):
+        if not isinstance(row[0], int):
             raise StoreError(f"{self.path}: the store is damaged: {statement!r} gives no number")
-        return found[0]
+        return row[0]
 
     @contextlib.contextmanager
     def _transaction(self) -> Iterator[None]:
-        """All that is written within it, or nothing of it."""
+        """Commits what is written within it, or rolls all of it back on an exception."""
         self._connection.execute("BEGIN IMMEDIATE")
         try:
             yield
             self._connection.execute("COMMIT")
         except BaseException:
-            if self._connection.in_transaction:  # a full disk may have ended it already
+            if self._connection.in_transaction:  # SQLite itself rolls back on some errors, as of a full disk
                 with contextlib.suppress(sqlite3.Error):
                     self._connection.execute("ROLLBACK")
             raise
 
     @contextlib.contextmanager
-    def _plain(self) -> Iterator[None]:
-        """SQLite's errors as one line."""
+    def _translate_errors(self) -> Iterator[None]:
+        """Turns errors of SQLite into ``StoreError``, with a message of one line."""
         try:
             yield
         except sqlite3.Error as error:
-            # Only errors of the module itself, such as a closed connection, have no name.
+            # Errors of the Python module itself, such as a closed connection, have no name.
             name = getattr(error, "sqlite_errorname", "")
             hint = "; make room, and it takes revisions again" if name == "SQLITE_FULL" else ""
             raise StoreError(f"{self.path}: the store fails: {error}{hint}") from None
+
+
+def _check_metadata(metadata: RevisionMetadata) -> None:
+    """Raises ``RevisionError`` if a text is longer than its limit, or the ticket is empty."""
+    for name, text, limit in (
+        ("author", metadata.author, MAX_AUTHOR_LENGTH),
+        ("note", metadata.note, MAX_NOTE_LENGTH),
+    ):
+        if len(text) > limit:
+            raise RevisionError(f"{name}: it has {limit} characters at most")
+    if not 0 < len(metadata.ticket) <= MAX_TICKET_LENGTH:
+        raise RevisionError(f"ticket: it has 1 to {MAX_TICKET_LENGTH} characters")
--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -17,9 +17,10 @@
 from functools import partial
 from typing import Any, TypeVar
 
+from ironmill.distribution.changes import Changes
 from ironmill.distribution.keyspace import Keyspace
 from ironmill.distribution.node import Leaf, Node, Origin, Relay
-from ironmill.distribution.revision import START, Changes
+from ironmill.distribution.revision import START, RevisionMetadata
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place, Poll
 from ironmill.membership.envelope import Address, Card, Datagram
@@ -218,7 +219,7 @@
 
     def push(self, changes: Changes, at: int) -> None:
         """One revision; what follows from it at once, without a tick."""
-        self.origin.push(changes, 0.0, "sweep", "", f"t{at}", self.now)
+        self.origin.push(changes, RevisionMetadata(0.0, "sweep", "", f"t{at}"), self.now)
         self.send(self.origin, self.origin.flush())
         self.drain()
 
--- a/ironmill_testbed/faults/fleet_world.py
+++ b/ironmill_testbed/faults/fleet_world.py
@@ -15,9 +15,11 @@
 
 from msgspec import Struct
 
+from ironmill.distribution.changes import Changes
+from ironmill.distribution.interfaces import Consumer
 from ironmill.distribution.keyspace import Keyspace
 from ironmill.distribution.node import Leaf, Node, Origin, Relay
-from ironmill.distribution.revision import Changes, Consumer, Position, Refusal
+from ironmill.distribution.revision import Position, Rejection, RevisionMetadata
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place
 from ironmill.membership.envelope import Address, Card, Datagram
@@ -54,11 +56,11 @@
     def __init__(self, refuses: tuple[str, ...] = ()) -> None:
         self.refuses = refuses
 
-    def check(self, changes: Mapping[str, bytes | None]) -> Refusal | None:
+    def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
         """The first key that it does not take."""
         for key, value in changes.items():
             if self.refuses and value is not None and key.startswith(self.refuses):
-                return Refusal(key, "this proxy does not take it")
+                return Rejection(key, "this proxy does not take it")
         return None
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
@@ -143,7 +145,7 @@
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._serial = 0
         self._codec = Codec("sim", [KEY])
-        self.check: Callable[[Changes], Refusal | None] = lambda changes: None
+        self.check: Callable[[Changes], Rejection | None] = lambda changes: None
         control = []
         for at in range(plan.control):
             role = "relay" if at else "origin"
@@ -297,7 +299,7 @@
         assert isinstance(node, Origin)
         ticket = ticket or f"t{self.now}-{self._serial}"
         self._serial += 1
-        position = node.push(changes, EPOCH + self.now, "story", "", ticket, self.now)
+        position = node.push(changes, RevisionMetadata(EPOCH + self.now, "story", "", ticket), self.now)
         self.watch.pushed(position, node.replica.digest)
         self._send(process, node.flush())
         return position
--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -19,7 +19,7 @@
 
 from ironmill.configuration.operator_files import read_operator
 from ironmill.configuration.settings.model import DistributionSettings
-from ironmill.distribution.revision import START, Position, Refusal
+from ironmill.distribution.revision import START, Position, Rejection
 from ironmill.distribution.timing import TICK
 from ironmill.membership.envelope import Address, Datagram
 from ironmill.net.datagrams import Machine
@@ -135,7 +135,7 @@
     def __init__(self, tally: Tally) -> None:
         self._tally = tally
 
-    def check(self, changes: Mapping[str, bytes | None]) -> Refusal | None:
+    def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
         """Nothing is refused."""
         return None
 
--- a/ironmill_testbed/faults/memory_store.py
+++ b/ironmill_testbed/faults/memory_store.py
@@ -5,15 +5,10 @@
 from collections.abc import Iterator
 from typing import Literal
 
-from ironmill.distribution.revision import (
-    START,
-    Changes,
-    Entry,
-    FencedError,
-    Position,
-    RevisionStore,
-    StoreError,
-)
+from ironmill.distribution.changes import Changes
+from ironmill.distribution.errors import FencedError, StoreError
+from ironmill.distribution.interfaces import RevisionStore
+from ironmill.distribution.revision import START, Position, RevisionMetadata, StoredRevision
 
 
 class Disk:
@@ -26,7 +21,7 @@
         self.observed = 0
         self.position = START
         self.values: dict[str, bytes] = {}
-        self.kept: list[tuple[Entry, Changes]] = []  # with what its keys had before
+        self.kept: list[tuple[StoredRevision, Changes]] = []  # with what its keys had before
         self.tickets: dict[str, Position] = {}
         self.trouble: Literal["", "fails", "full"] = ""
         self._keep = keep
@@ -41,7 +36,7 @@
         self.epoch = max(self.epoch, self.observed) + 1
         return MemoryStore(self)
 
-    def commit(self, entry: Entry, ticket: str) -> None:
+    def commit(self, entry: StoredRevision, ticket: str) -> None:
         """Keep it."""
         before = {key: self.values.get(key) for key in entry.changes}
         for key, value in entry.changes.items():
@@ -75,26 +70,27 @@
         """All keys and values."""
         return iter(list(self._disk.values.items()))
 
-    def commit(self, changes: Changes, at: float, author: str, note: str, ticket: str) -> Position:
+    def commit(self, changes: Changes, metadata: RevisionMetadata) -> Position:
         """Keep the changes as the next revision; FencedError, StoreError."""
         if self._disk.trouble:
             raise StoreError(f"the store cannot be written: the disk {self._disk.trouble}")
         if self.fenced():
             raise FencedError(f"epoch {self.epoch} is over")
-        before = self.committed(ticket)
+        before = self.committed(metadata.ticket)
         if before is not None:
             return before
         position = Position(self.epoch, self._disk.position.number + 1)
-        self._disk.commit(Entry(position, at, author, note, dict(changes)), ticket)
+        revision = StoredRevision(position, metadata.at, metadata.author, metadata.note, dict(changes))
+        self._disk.commit(revision, metadata.ticket)
         return position
 
     def committed(self, ticket: str) -> Position | None:
         """The position that this ticket got."""
         return self._disk.tickets.get(ticket)
 
-    def history(self, most: int) -> list[Entry]:
+    def history(self, max_count: int) -> list[StoredRevision]:
         """The last revisions, the newest first."""
-        return [entry for entry, _ in reversed(self._disk.kept[-most:])]
+        return [entry for entry, _ in reversed(self._disk.kept[-max_count:])]
 
     def undo(self, number: int) -> Changes:
         """What brings every key back to its value as of that revision; StoreError."""
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -5,7 +5,7 @@
 from msgspec import Raw
 
 from ironmill.distribution import wire as distribution
-from ironmill.distribution.revision import Position, Refusal
+from ironmill.distribution.revision import Position, Rejection
 from ironmill.membership import wire as membership
 from ironmill.membership.envelope import Card, Envelope
 
@@ -64,7 +64,7 @@
         1500,
         _TARGET,
         [0, 5],
-        Refusal("log.level", "no such level"),
+        Rejection("log.level", "no such level"),
         _SUMMARY,
     ),
     "first poll": distribution.Poll(
--- a/tests/system/test_revision_store.py
+++ b/tests/system/test_revision_store.py
@@ -18,24 +18,23 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from ironmill.distribution.changes import MAX_KEY_BYTES, MAX_REVISION_CHANGES, MAX_VALUE_BYTES, Changes
+from ironmill.distribution.errors import FencedError, RevisionError, StoreError
+from ironmill.distribution.interfaces import RevisionStore
 from ironmill.distribution.revision import (
-    KEY_MOST,
-    NUMBER_MOST,
-    REVISION_CHANGES_MOST,
+    MAX_AUTHOR_LENGTH,
+    MAX_NOTE_LENGTH,
+    MAX_TICKET_LENGTH,
+    NUMBER_LIMIT,
     START,
-    VALUE_MOST,
-    Changes,
-    Entry,
-    FencedError,
     Position,
-    RevisionError,
-    RevisionStore,
-    StoreError,
+    RevisionMetadata,
+    StoredRevision,
 )
 from ironmill.net import revision_store
-from ironmill.net.revision_store import AUTHOR_MOST, NOTE_MOST, TICKET_MOST, SqliteStore
+from ironmill.net.revision_store import SqliteStore
 
-KEYS = st.sampled_from([f"shard/{name}" for name in "abcdefgh"] + ["straße", "x" * KEY_MOST])
+KEYS = st.sampled_from([f"shard/{name}" for name in "abcdefgh"] + ["straße", "x" * MAX_KEY_BYTES])
 CHANGES = st.dictionaries(KEYS, st.none() | st.binary(max_size=4), min_size=1, max_size=5)
 KEEP = 12
 MEMORY = Path("/dev/shm")
@@ -50,7 +49,7 @@
 
 def put(store: RevisionStore, changes: Changes, ticket: str = "") -> Position:
     ticket = ticket or f"t{store.position.number + 1}-{store.epoch}"
-    return store.commit(changes, 1.5, "ann", "a note", ticket)
+    return store.commit(changes, RevisionMetadata(1.5, "ann", "a note", ticket))
 
 
 def applied(state: dict[str, bytes], changes: Changes) -> dict[str, bytes]:
@@ -84,7 +83,7 @@
         self.store = SqliteStore(str(self.folder / "store"), KEEP)
         self.fenced: SqliteStore | None = None
         self.states: list[dict[str, bytes]] = [{}]
-        self.entries: list[Entry] = []
+        self.entries: list[StoredRevision] = []
         self.tickets: dict[str, Position] = {}
 
     def teardown(self) -> None:
@@ -96,12 +95,12 @@
     def keep(self, changes: Changes) -> None:
         ticket = f"ticket-{len(self.tickets)}"
         number = len(self.states)
-        position = self.store.commit(changes, float(number), f"by-{number}", "", ticket)
+        position = self.store.commit(changes, RevisionMetadata(float(number), f"by-{number}", "", ticket))
         assert position == Position(self.store.epoch, number) == self.store.position
         assert self.store.committed(ticket) == position
         self.tickets[ticket] = position
         self.states.append(applied(self.states[-1], changes))
-        self.entries.append(Entry(position, float(number), f"by-{number}", "", changes))
+        self.entries.append(StoredRevision(position, float(number), f"by-{number}", "", changes))
 
     @rule(changes=CHANGES)
     def commit(self, changes: Changes) -> None:
@@ -111,7 +110,7 @@
     @rule(data=st.data(), changes=CHANGES)
     def again(self, data: st.DataObject, changes: Changes) -> None:
         ticket = data.draw(st.sampled_from(list(self.tickets)[-KEEP:]))
-        assert self.store.commit(changes, 0.0, "", "", ticket) == self.tickets[ticket]
+        assert self.store.commit(changes, RevisionMetadata(0.0, "", "", ticket)) == self.tickets[ticket]
 
     @rule(back=st.integers(0, KEEP))
     def undo(self, back: int) -> None:
@@ -145,16 +144,16 @@
         assert self.fenced is not None
         assert self.fenced.fenced()
         with pytest.raises(FencedError, match="another process has opened the store"):
-            self.fenced.commit(changes, 0.0, "", "", "fenced")
+            self.fenced.commit(changes, RevisionMetadata(0.0, "", "", "fenced"))
 
     @rule()
     def no_room(self) -> None:
         connection = self.store._connection
         (pages,) = connection.execute("PRAGMA page_count").fetchone()
         connection.execute(f"PRAGMA max_page_count = {pages}")
-        many: Changes = {f"big/{at}": b"x" * VALUE_MOST for at in range(80)}
+        many: Changes = {f"big/{at}": b"x" * MAX_VALUE_BYTES for at in range(80)}
         with pytest.raises(StoreError, match="is full; make room") as caught:
-            self.store.commit(many, 0.0, "", "", "full")
+            self.store.commit(many, RevisionMetadata(0.0, "", "", "full"))
         assert "\n" not in str(caught.value)
         connection.execute("PRAGMA max_page_count = 1000000")
         assert self.store.committed("full") is None
@@ -182,7 +181,7 @@
 
 
 def test_what_is_older_than_the_history_is_not_gone_back_to(tmp_path: Path) -> None:
-    it = SqliteStore(str(tmp_path / "store"), keep=3)
+    it = SqliteStore(str(tmp_path / "store"), max_kept_revisions=3)
     for at in range(6):
         put(it, {"a": b"%d" % at})
     assert it.undo(3) == {"a": b"2"}
@@ -212,8 +211,8 @@
 
 def test_an_undo_that_is_no_revision_says_so(store: SqliteStore) -> None:
     for half in range(2):
-        put(store, {f"{half}-{at}": b"" for at in range(REVISION_CHANGES_MOST // 2 + 1)})
-    assert len(store.undo(1)) == REVISION_CHANGES_MOST // 2 + 1
+        put(store, {f"{half}-{at}": b"" for at in range(MAX_REVISION_CHANGES // 2 + 1)})
+    assert len(store.undo(1)) == MAX_REVISION_CHANGES // 2 + 1
     with pytest.raises(StoreError, match="to go back to revision 0 takes more than 4096 changes"):
         store.undo(0)
 
@@ -223,24 +222,24 @@
     [
         ({}, "", "", "t", "one change at least"),
         ({"": b""}, "", "", "t", "a key has 1 to"),
-        ({"a": b"x" * (VALUE_MOST + 1)}, "", "", "t", "a: a value has"),
-        ({"a": b""}, "x" * (AUTHOR_MOST + 1), "", "t", "author: it has 128 characters at most"),
-        ({"a": b""}, "", "x" * (NOTE_MOST + 1), "t", "note: it has 1024 characters at most"),
+        ({"a": b"x" * (MAX_VALUE_BYTES + 1)}, "", "", "t", "a: a value has"),
+        ({"a": b""}, "x" * (MAX_AUTHOR_LENGTH + 1), "", "t", "author: it has 128 characters at most"),
+        ({"a": b""}, "", "x" * (MAX_NOTE_LENGTH + 1), "t", "note: it has 1024 characters at most"),
         ({"a": b""}, "", "", "", "ticket: it has 1 to 64 characters"),
-        ({"a": b""}, "", "", "t" * (TICKET_MOST + 1), "ticket: it has 1 to 64 characters"),
+        ({"a": b""}, "", "", "t" * (MAX_TICKET_LENGTH + 1), "ticket: it has 1 to 64 characters"),
     ],
 )
 def test_what_is_out_of_bounds_is_not_kept(
     store: SqliteStore, changes: Changes, author: str, note: str, ticket: str, wrong: str
 ) -> None:
     with pytest.raises(RevisionError, match=wrong):
-        store.commit(changes, 1.0, author, note, ticket)
+        store.commit(changes, RevisionMetadata(1.0, author, note, ticket))
     assert (store.position, list(store.entries())) == (START, [])
 
 
 def test_a_time_that_is_none_leaves_the_store_as_it_was(store: SqliteStore) -> None:
     with pytest.raises(StoreError, match="NOT NULL"):
-        store.commit({"a": b"1"}, float("nan"), "", "", "t")
+        store.commit({"a": b"1"}, RevisionMetadata(float("nan"), "", "", "t"))
     assert (list(store.entries()), put(store, {"a": b"2"})) == ([], Position(1, 1))
 
 
@@ -263,7 +262,7 @@
     it = SqliteStore(str(path))
     assert it.epoch == 5
     assert put(it, {"a": b"after"}) == Position(5, 2) > Position(4, 4)
-    for epoch in (-1, NUMBER_MOST - 1, 1 << 70):  # what would leave no epoch is not taken
+    for epoch in (-1, NUMBER_LIMIT - 1, 1 << 70):  # what would leave no epoch is not taken
         with pytest.raises(StoreError, match="is no epoch"):
             it.observe(epoch)
     it.close()
@@ -334,10 +333,10 @@
     path = tmp_path / "store"
     it = SqliteStore(str(path))
     for at in range(50):
-        put(it, {f"k{at}-{more}": b"v" * VALUE_MOST for more in range(20)})
+        put(it, {f"k{at}-{more}": b"v" * MAX_VALUE_BYTES for more in range(20)})
     it.close()
     whole = path.read_bytes()
-    expected = {f"k{at}-{more}": b"v" * VALUE_MOST for at in range(50) for more in range(20)}
+    expected = {f"k{at}-{more}": b"v" * MAX_VALUE_BYTES for at in range(50) for more in range(20)}
     rng, found = random.Random(5), 0
     for _ in range(40):
         data = bytearray(whole)
@@ -388,6 +387,7 @@
 
 WRITER = """
 import sys
+from ironmill.distribution.revision import RevisionMetadata
 from ironmill.net.revision_store import SqliteStore
 store = SqliteStore(sys.argv[1])
 state = dict(store.entries())
@@ -395,7 +395,8 @@
 while True:
     number = store.position.number + 1
     value = b"%d" % number * 20
-    told = store.commit({f"k{at}": value for at in range(200)}, 1.0, "a", "", f"{number}-{store.epoch}")
+    metadata = RevisionMetadata(1.0, "a", "", f"{number}-{store.epoch}")
+    told = store.commit({f"k{at}": value for at in range(200)}, metadata)
     print(told.number, flush=True)
 """
 
@@ -425,4 +426,4 @@
 def test_the_interface_is_kept(store: SqliteStore) -> None:
     it: RevisionStore = store  # mypy says whether it is
     assert it.position == START
-    assert revision_store.REVISIONS_KEPT == 100_000
+    assert revision_store.MAX_KEPT_REVISIONS == 100_000
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -18,13 +18,10 @@
 
 from ironmill.administration import configuration_api
 from ironmill.administration.configuration_api import (
-    AUTHOR_MOST,
     HISTORY_MOST,
-    NOTE_MOST,
     REVERT,
     REVISIONS,
     STATUS,
-    TICKET_MOST,
     ConfigurationCalls,
     read_position,
 )
@@ -32,17 +29,22 @@
 from ironmill.administration.routes import Routes
 from ironmill.commands import config
 from ironmill.commands.config import ConfigError
-from ironmill.distribution.revision import (
-    Changes,
-    Entry,
+from ironmill.distribution.changes import Changes, check_changes
+from ironmill.distribution.errors import (
     FencedError,
-    HeadError,
     NotOriginError,
-    Position,
-    Refusal,
-    RefusedError,
+    PositionConflictError,
+    RevisionRejectedError,
     StoreError,
-    check_changes,
+)
+from ironmill.distribution.revision import (
+    MAX_AUTHOR_LENGTH,
+    MAX_NOTE_LENGTH,
+    MAX_TICKET_LENGTH,
+    Position,
+    Rejection,
+    RevisionMetadata,
+    StoredRevision,
 )
 from ironmill.net import revision_store
 from ironmill.net.control import Control
@@ -61,33 +63,26 @@
         self.pushed: list[tuple[float, float]] = []
 
     def push(
-        self,
-        changes: Changes,
-        at: float,
-        author: str,
-        note: str,
-        ticket: str,
-        now: float,
-        expect: Position | None = None,
+        self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
-        self.pushed.append((at, now))
+        self.pushed.append((metadata.at, now))
         if self.fails is not None:
             raise self.fails
-        known = self.store.committed(ticket)
+        known = self.store.committed(metadata.ticket)
         if known is not None:
             return known
         if expect is not None and expect != self.store.position:
-            raise HeadError(f"the newest revision is {self.store.position}, not {expect}")
+            raise PositionConflictError(f"the newest revision is {self.store.position}, not {expect}")
         check_changes(changes)
         for key in changes:
             if key.startswith("bad/"):
-                raise RefusedError(Refusal(key, "unknown key"))
-        return self.store.commit(changes, at, author, note, ticket)
+                raise RevisionRejectedError(Rejection(key, "unknown key"))
+        return self.store.commit(changes, metadata)
 
     def undo(self, number: int) -> Changes:
         return self.store.undo(number)
 
-    def history(self, most: int) -> list[Entry]:
+    def history(self, most: int) -> list[StoredRevision]:
         return self.store.history(most)
 
     def status(self, now: float) -> dict[str, Any]:
@@ -173,12 +168,12 @@
         (REVISIONS, body({"a": 1}), "changes"),
         (REVISIONS, body(more=1), "more"),  # type: ignore[dict-item]
         (REVISIONS, body(author=""), "author"),
-        (REVISIONS, body(author="x" * (AUTHOR_MOST + 1)), "author"),
+        (REVISIONS, body(author="x" * (MAX_AUTHOR_LENGTH + 1)), "author"),
         (REVISIONS, body(author="a\x1b[2J"), "author has printable characters only"),
-        (REVISIONS, body(note="x" * (NOTE_MOST + 1)), "note"),
+        (REVISIONS, body(note="x" * (MAX_NOTE_LENGTH + 1)), "note"),
         (REVISIONS, body(note="a\nb"), "note has printable characters only"),
         (REVISIONS, body(ticket=""), "ticket"),
-        (REVISIONS, body(ticket="x" * (TICKET_MOST + 1)), "ticket"),
+        (REVISIONS, body(ticket="x" * (MAX_TICKET_LENGTH + 1)), "ticket"),
         (REVISIONS, body(expect="1" * 41), "expect"),
         (REVISIONS, body(expect="now"), "'now' is no position"),
         (REVISIONS, body(expect="1.\u0664"), "is no position"),
@@ -208,7 +203,7 @@
         def undo(self, number: int) -> Changes:
             return {}
 
-        def history(self, most: int) -> list[Entry]:
+        def history(self, most: int) -> list[StoredRevision]:
             return []
 
     routes = Routes()
@@ -219,12 +214,12 @@
 
 
 def test_what_the_calls_let_pass_the_store_takes(stub: Stub) -> None:
-    assert (AUTHOR_MOST, NOTE_MOST, TICKET_MOST) == (
-        revision_store.AUTHOR_MOST,
-        revision_store.NOTE_MOST,
-        revision_store.TICKET_MOST,
+    assert (MAX_AUTHOR_LENGTH, MAX_NOTE_LENGTH, MAX_TICKET_LENGTH) == (
+        revision_store.MAX_AUTHOR_LENGTH,
+        revision_store.MAX_NOTE_LENGTH,
+        revision_store.MAX_TICKET_LENGTH,
     )
-    longest = body(author="ß" * AUTHOR_MOST, note="ß" * NOTE_MOST, ticket="ß" * TICKET_MOST)
+    longest = body(author="ß" * MAX_AUTHOR_LENGTH, note="ß" * MAX_NOTE_LENGTH, ticket="ß" * MAX_TICKET_LENGTH)
     assert ask(routes_of(stub), "POST", REVISIONS, longest)[0] == 201
 
 
@@ -251,8 +246,8 @@
 def test_history_and_its_bounds(stub: Stub, monkeypatch: pytest.MonkeyPatch) -> None:
     routes = routes_of(stub)
     for at in range(30):
-        stub.store.commit({"a": b"%d" % at, "b": None}, float(at), "ann", "why", f"t{at}")
-    stub.store.commit({"raw": b"\xff\x00"}, 99.5, "bob", "", "raw")
+        stub.store.commit({"a": b"%d" % at, "b": None}, RevisionMetadata(float(at), "ann", "why", f"t{at}"))
+    stub.store.commit({"raw": b"\xff\x00"}, RevisionMetadata(99.5, "bob", "", "raw"))
     status, told = ask(routes, "GET", REVISIONS)
     assert (status, len(told["revisions"]), told["cut"]) == (200, 20, False)
     assert told["revisions"][:2] == [
@@ -276,7 +271,7 @@
 def test_a_revert_is_a_revision_of_its_own_and_has_a_ticket(stub: Stub) -> None:
     routes = routes_of(stub)
     for at in range(4):
-        stub.store.commit({"a": b"%d" % at, f"k{at}": b""}, 1.0, "ann", "", f"t{at}")
+        stub.store.commit({"a": b"%d" % at, f"k{at}": b""}, RevisionMetadata(1.0, "ann", "", f"t{at}"))
     revert = {"number": 2, "author": "bob", "note": "wrong", "ticket": "r"}
     assert ask(routes, "POST", REVERT, revert) == (201, {"position": "1.5"})
     assert ask(routes, "POST", REVERT, revert) == (201, {"position": "1.5"})
@@ -449,7 +444,7 @@
 
 def test_a_wait_that_ends_without_all_names_those_that_are_not(stub: Stub) -> None:
     town = Town(stub)
-    stub.store.commit({"a": b"1"}, 1.0, "", "", "t")
+    stub.store.commit({"a": b"1"}, RevisionMetadata(1.0, "", "", "t"))
     zones = [ZONE | {"lowest": "1.1"}, ZONE | {"zone": "y", "lowest": "1.0", "refused": 1, "unreachable": 1}]
     laggards = [
         {"name": "p1", "zone": "y", "in_force": "1.0", "why": "refused", "key": "a", "reason": "un\x1bknown"},
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -20,7 +20,9 @@
 from ironmill.configuration import distributed_keys
 from ironmill.configuration.distributed_keys import Configuration, InForce, check_form
 from ironmill.configuration.settings.model import LogSettings
-from ironmill.distribution.revision import Changes, Consumer, Refusal
+from ironmill.distribution.changes import Changes
+from ironmill.distribution.interfaces import Consumer
+from ironmill.distribution.revision import Rejection
 from ironmill.identity import rules
 from ironmill.identity.callers import Callers
 from ironmill.identity.gate import Admitted, Refused
@@ -117,7 +119,7 @@
     it = Configuration(None)
     for key in ("deny/subject/x", f"deny/fingerprint/{PRINT}"):
         refusal = it.check({"log/level": b"debug", key: b""})
-        assert refusal == Refusal(key, "this proxy's settings hold no identity, so nobody can be denied")
+        assert refusal == Rejection(key, "this proxy's settings hold no identity, so nobody can be denied")
         assert it.check({key: None, "log/level": b"debug", "shard/a": b"r"}) is None
     it.apply({"log/level": b"debug", "deny/subject/x": None, "shard/a": b"r"})
     assert level.level == logging.DEBUG
@@ -128,7 +130,7 @@
     it = Configuration(callers, lambda level: pytest.fail(level))
     before, gate = it.in_force, callers.gate.identity
     assert it.check({"deny/subject/a": b"", "log/level": b"debug"}) is None
-    assert it.check({"deny/subject/a": b"", "other": b""}) == Refusal("other", "unknown key")
+    assert it.check({"deny/subject/a": b"", "other": b""}) == Rejection("other", "unknown key")
     assert it.in_force is before
     assert callers.gate.identity is gate
 
@@ -144,7 +146,7 @@
     ):
         it.apply(dict.fromkeys(names[:2], b""))
         reason = f"3 {what} would be denied; a proxy takes 2 at most"
-        assert it.check({"shard/x": b"r", names[2]: b""}) == Refusal(names[2], reason)
+        assert it.check({"shard/x": b"r", names[2]: b""}) == Rejection(names[2], reason)
         assert it.check({names[0]: None, names[2]: b""}) is None  # one goes, one comes
         assert it.check({names[1]: b"another note"}) is None
 
--- a/tests/unit/distribution/test_distribution.py
+++ b/tests/unit/distribution/test_distribution.py
@@ -13,22 +13,13 @@
 
 from ironmill.distribution import wire
 from ironmill.distribution.catch_up import OVERLAY_BYTES_MOST, CatchUp
+from ironmill.distribution.changes import Changes, check_changes, pack_entry, packed_size, unpack_entries
+from ironmill.distribution.errors import RevisionError
 from ironmill.distribution.keyspace import LEAVES, LEVEL_BITS, Keyspace, children_of, leaf_of, leaf_sum
 from ironmill.distribution.log import DELTA_BYTES_MOST, RevisionLog
 from ironmill.distribution.node import Leaf, Node, Relay
 from ironmill.distribution.replica import PENDING_BYTES_MOST, Replica
-from ironmill.distribution.revision import (
-    START,
-    Changes,
-    Delta,
-    Position,
-    Refusal,
-    RevisionError,
-    check_changes,
-    pack_entry,
-    packed_size,
-    unpack_entries,
-)
+from ironmill.distribution.revision import START, Delta, Position, Rejection
 from ironmill.distribution.subscriber import preferred
 from ironmill.distribution.wire import BODY_MOST, Ask, Codec, Digests, Fetch, Page, Part, Place, Poll, Word
 from ironmill.membership.envelope import Card
@@ -215,12 +206,12 @@
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
 
-    def check(self, changes: Mapping[str, bytes | None]) -> Refusal | None:
+    def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
         for key, value in changes.items():
             if key.startswith("worse/") and value is not None:
                 raise RuntimeError("fell over")
             if key.startswith("bad/") and value is not None:
-                return Refusal(key, "bad" * 100)
+                return Rejection(key, "bad" * 100)
         return None
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
--- a/tests/unit/distribution/test_failing_store.py
+++ b/tests/unit/distribution/test_failing_store.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from ironmill.distribution.revision import Position, StoreError
+from ironmill.distribution.errors import StoreError
+from ironmill.distribution.revision import Position
 from ironmill_testbed.faults.fleet_world import FleetWorld, Plan
 
 PLAN = Plan(proxies=4, control=3, entries=20)
--- a/tests/unit/distribution/test_random_schedules.py
+++ b/tests/unit/distribution/test_random_schedules.py
@@ -8,8 +8,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from ironmill.distribution.changes import Changes
+from ironmill.distribution.errors import NotOriginError, StoreError
 from ironmill.distribution.node import Leaf, Origin, Relay
-from ironmill.distribution.revision import Changes, NotOriginError, Position, Refusal, StoreError
+from ironmill.distribution.revision import Position, Rejection
 from ironmill_testbed.faults.fleet_world import FleetWorld, Plan, Process
 from ironmill_testbed.faults.schedule import Fault, both_ways
 
@@ -33,10 +35,10 @@
         self.values: dict[str, bytes] = {}
         self._refuses = refuses
 
-    def check(self, changes: Mapping[str, bytes | None]) -> Refusal | None:
+    def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
         for key, value in changes.items():
             if self._refuses and key.startswith("bad/") and value is not None:
-                return Refusal(key, "bad")
+                return Rejection(key, "bad")
         return None
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -23,8 +23,9 @@
 from ironmill.balancing.interface import Outcome, Stage
 from ironmill.configuration.proxy_config import load
 from ironmill.distribution import wire as distribution
+from ironmill.distribution.changes import pack_entry, unpack_entries
 from ironmill.distribution.keyspace import Keyspace
-from ironmill.distribution.revision import pack_entry, unpack_entries
+from ironmill.distribution.revision import RevisionMetadata
 from ironmill.identity.keyring import KeyState, parse_ring
 from ironmill.membership import wire as membership
 from ironmill.net.revision_store import SqliteStore
@@ -164,7 +165,7 @@
 def test_the_recorded_store_takes_the_next_revision(store_path: str) -> None:
     found = recorded("revisions.json")
     store = SqliteStore(store_path)
-    position = store.commit({"log.level": b"info"}, 1764700100.0, "ann", "", "t9")
+    position = store.commit({"log.level": b"info"}, RevisionMetadata(1764700100.0, "ann", "", "t9"))
     assert position == (found["epoch"] + 1, read_position(found["position"]).number + 1)
     assert dict(store.entries())["log.level"] == b"info"
     store.close()
@@ -455,8 +456,8 @@
     class Writer:
         """An origin that keeps what it is given and asks no consumer."""
 
-        def push(self, changes, at, author, note, ticket, now, expect=None):  # type: ignore[no-untyped-def]
-            return store.commit(changes, at, author, note, ticket)
+        def push(self, changes, metadata, now, expect=None):  # type: ignore[no-untyped-def]
+            return store.commit(changes, metadata)
 
         undo, history = store.undo, store.history
 
--- a/tests/unit/testbed/test_capacity.py
+++ b/tests/unit/testbed/test_capacity.py
@@ -12,8 +12,8 @@
 import pytest
 from msgspec.structs import replace
 
+from ironmill.distribution.changes import MAX_REVISION_CHANGES
 from ironmill.distribution.log import DELTA_BYTES_MOST
-from ironmill.distribution.revision import REVISION_CHANGES_MOST
 from ironmill.distribution.timing import POLL_EVERY
 from ironmill.distribution.timing import Timing as DistributionTiming
 from ironmill.membership.rings import RINGS
@@ -566,7 +566,7 @@
     assert today.catch_up_bytes_per_s == DistributionTiming().catch_up_rate
     assert today.serve_bytes_per_s == DistributionTiming().serve_rate
     assert today.delta_bytes == DELTA_BYTES_MOST
-    assert today.revision_changes == REVISION_CHANGES_MOST
+    assert today.revision_changes == MAX_REVISION_CHANGES
     assert (today.call_spacing_s, today.call_pause_most_s, today.call_pause_least) == (
         discovery_backoff.SPACING,
         discovery_backoff.PAUSE_MOST,
