--- a/ironmill/__main__.py
+++ b/ironmill/__main__.py
@@ -3,7 +3,7 @@
 import gc
 import sys
 
-# What modules make stays: to look through it again and again is a tenth of the start. ``Collector`` turns
+# What modules make stays: to look through it again and again is a tenth of the start. ``GcSchedule`` turns
 # the collector on.
 gc.disable()
 
--- a/ironmill/administration/configuration_api.py
+++ b/ironmill/administration/configuration_api.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ironmill.administration.messages import Answer, Call
+from ironmill.administration.messages import ApiRequest, ApiResponse
 from ironmill.administration.routes import Routes
 from ironmill.distribution.revision import (
     AUTHOR_MOST,
@@ -37,9 +37,9 @@
 REVISIONS = "/admin/configuration/revisions"
 REVERT = "/admin/configuration/revert"
 
-HISTORY_MOST = 1000  # revisions in one answer
-HISTORY_USUAL = 20
-HISTORY_BYTES = 1 << 20  # of their keys and values in one answer; the newest is there however large it is
+MAX_HISTORY = 1000  # revisions in one answer
+DEFAULT_HISTORY = 20
+MAX_HISTORY_BYTES = 1 << 20  # of their keys and values in one answer; the newest is there however large it is
 
 
 class Reader(Protocol):
@@ -115,7 +115,7 @@
     return Position(int(epoch), int(number))
 
 
-class ConfigurationCalls:
+class ConfigurationApi:
     """Answers them; without a writer those that write are told who could."""
 
     def __init__(
@@ -139,10 +139,10 @@
         routes.add(REVISIONS, {"GET": self._history, "POST": self._push}, detailed=True)
         routes.add(REVERT, {"POST": self._revert}, detailed=True)
 
-    def _status(self, _: Call) -> Answer:
+    def _status(self, _: ApiRequest) -> ApiResponse:
         return _answer(HTTPStatus.OK, self._reader.status(self._now()))
 
-    def _push(self, call: Call) -> Answer:
+    def _push(self, call: ApiRequest) -> ApiResponse:
         def push(writer: Writer) -> Position:
             told = _body(call, Push)
             try:
@@ -153,7 +153,7 @@
 
         return self._written(push)
 
-    def _revert(self, call: Call) -> Answer:
+    def _revert(self, call: ApiRequest) -> ApiResponse:
         def revert(writer: Writer) -> Position:
             told = _body(call, Revert)
             changes = writer.undo(told.number)
@@ -178,13 +178,13 @@
             raise _CallError(f"expect: {error}") from None
         return writer.push(changes, self._clock(), told.author, told.note, told.ticket, self._now(), expect)
 
-    def _history(self, call: Call) -> Answer:
+    def _history(self, call: ApiRequest) -> ApiResponse:
         if self._writer is None:
             return self._no_origin()
-        words = parse_qs(call.query, max_num_fields=8).get("most", [str(HISTORY_USUAL)])[-1]
+        words = parse_qs(call.query, max_num_fields=8).get("most", [str(DEFAULT_HISTORY)])[-1]
         if re.fullmatch(r"[0-9]{1,6}", words, re.ASCII) is None:
             return _reason(HTTPStatus.BAD_REQUEST, f"most is no number: {words[:20]!r}")
-        most = min(int(words), HISTORY_MOST)
+        most = min(int(words), MAX_HISTORY)
         try:
             entries = self._writer.history(most)
         except StoreError as error:
@@ -193,12 +193,12 @@
         size = 0
         for entry in entries:
             size += sum(len(key) + len(value or b"") for key, value in entry.changes.items())
-            if shown and size > HISTORY_BYTES:
+            if shown and size > MAX_HISTORY_BYTES:
                 break
             shown.append(_entry(entry))
         return _answer(HTTPStatus.OK, {"revisions": shown, "cut": len(shown) < len(entries)})
 
-    def _written(self, write: Callable[[Writer], Position]) -> Answer:
+    def _written(self, write: Callable[[Writer], Position]) -> ApiResponse:
         if self._writer is None:
             return self._no_origin()
         try:
@@ -216,13 +216,13 @@
             return _reason(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
         return _answer(HTTPStatus.CREATED, {"position": str(position)})
 
-    def _no_origin(self, why: str = "this process is no origin") -> Answer:
+    def _no_origin(self, why: str = "this process is no origin") -> ApiResponse:
         who = " or ".join(self._origins) or "not known here"
         told = {"reason": f"{why}; the origin is {who}", "origins": list(self._origins)}
         return _answer(HTTPStatus.SERVICE_UNAVAILABLE, told)
 
 
-def _body(call: Call, kind: type[_Body]) -> _Body:
+def _body(call: ApiRequest, kind: type[_Body]) -> _Body:
     try:
         return msgspec.json.decode(call.body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -243,9 +243,9 @@
     }
 
 
-def _reason(status: HTTPStatus, why: str) -> Answer:
+def _reason(status: HTTPStatus, why: str) -> ApiResponse:
     return _answer(status, {"reason": why})
 
 
-def _answer(status: HTTPStatus, told: dict[str, Any]) -> Answer:
-    return Answer(status, msgspec.json.encode(told) + b"\n")
+def _answer(status: HTTPStatus, told: dict[str, Any]) -> ApiResponse:
+    return ApiResponse(status, msgspec.json.encode(told) + b"\n")
--- a/ironmill/administration/messages.py
+++ b/ironmill/administration/messages.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 
-class Call(Struct, frozen=True):
+class ApiRequest(Struct, frozen=True):
     """A whole call."""
 
     method: str
@@ -18,7 +18,7 @@
     body: bytes = b""
 
 
-class Answer(Struct, frozen=True):
+class ApiResponse(Struct, frozen=True):
     """What it is answered."""
 
     status: HTTPStatus
--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from ironmill.administration.messages import Answer, Call
+from ironmill.administration.messages import ApiRequest, ApiResponse
 from ironmill.administration.routes import Routes
 from ironmill.requests.metrics import Figures
-from ironmill.runtime.lifecycle import LAST, Event, Lifecycle
+from ironmill.runtime.lifecycle import TERMINAL_STATES, Lifecycle, LifecycleEvent
 
 
 class Served(Protocol):
@@ -27,7 +27,7 @@
         """How many of those get nothing new now."""
 
 
-class Staff(Routes):
+class ProxyApi(Routes):
     """Answers the calls that each proxy takes."""
 
     def __init__(self, served: Served) -> None:
@@ -40,12 +40,12 @@
         self.add("/admin/quiesce", {"POST": self._quiesce})
         self.add("/admin/resume", {"POST": self._resume})
 
-    def _health(self, _: Call) -> Answer:
+    def _health(self, _: ApiRequest) -> ApiResponse:
         ready = self._lifecycle.policy.ready
         more = {} if self.more_of_health is None else self.more_of_health()
         return self._told(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, **more)
 
-    def _stats(self, _: Call) -> Answer:
+    def _stats(self, _: ApiRequest) -> ApiResponse:
         figures = self._served.figures
         return self._told(
             HTTPStatus.OK,
@@ -56,13 +56,15 @@
             skipped_servers=self._served.skipped_servers(),
         )
 
-    def _quiesce(self, _: Call) -> Answer:
-        self._lifecycle.tell(Event.QUIESCE)
+    def _quiesce(self, _: ApiRequest) -> ApiResponse:
+        self._lifecycle.handle(LifecycleEvent.DRAIN_REQUESTED)
         return self._told(HTTPStatus.OK)  # also where it ends: its clients are being sent away
 
-    def _resume(self, _: Call) -> Answer:
-        self._lifecycle.tell(Event.RESUME)
-        return self._told(HTTPStatus.CONFLICT if self._lifecycle.state in LAST else HTTPStatus.OK)
+    def _resume(self, _: ApiRequest) -> ApiResponse:
+        self._lifecycle.handle(LifecycleEvent.RESUME_REQUESTED)
+        return self._told(HTTPStatus.CONFLICT if self._lifecycle.state in TERMINAL_STATES else HTTPStatus.OK)
 
-    def _told(self, status: HTTPStatus, **more: Any) -> Answer:
-        return Answer(status, msgspec.json.encode({"state": self._lifecycle.state.value, **more}) + b"\n")
+    def _told(self, status: HTTPStatus, **more: Any) -> ApiResponse:
+        return ApiResponse(
+            status, msgspec.json.encode({"state": self._lifecycle.state.value, **more}) + b"\n"
+        )
--- a/ironmill/administration/routes.py
+++ b/ironmill/administration/routes.py
@@ -9,9 +9,9 @@
 from http import HTTPStatus
 from typing import TypeAlias
 
-from ironmill.administration.messages import Answer, Call
+from ironmill.administration.messages import ApiRequest, ApiResponse
 
-Action: TypeAlias = Callable[[Call], Answer]
+Action: TypeAlias = Callable[[ApiRequest], ApiResponse]
 
 
 class Routes:
@@ -28,12 +28,12 @@
         if detailed:
             self.detailed.add(path)
 
-    def answer(self, call: Call) -> Answer:
+    def answer(self, call: ApiRequest) -> ApiResponse:
         """Carry out the call. 404 for a path that is not there, 405 for another method."""
         methods = self.routes.get(call.path)
         if methods is None:
-            return Answer(HTTPStatus.NOT_FOUND)
+            return ApiResponse(HTTPStatus.NOT_FOUND)
         action = methods.get(call.method)
         if action is None:
-            return Answer(HTTPStatus.METHOD_NOT_ALLOWED, headers={"Allow": ", ".join(methods)})
+            return ApiResponse(HTTPStatus.METHOD_NOT_ALLOWED, headers={"Allow": ", ".join(methods)})
         return action(call)
--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -77,7 +77,7 @@
 from ironmill.runtime.system_calls import retry_at_start
 
 if TYPE_CHECKING:
-    from ironmill.configuration.operator_files import Operator
+    from ironmill.configuration.operator_files import OperatorFiles
 
 
 DEFAULT_POLLER = "epoll"
@@ -126,10 +126,10 @@
 
 def _check_control(settings: str) -> int:
     """A control machine has settings and no configuration."""
-    from ironmill.configuration.operator_files import read_operator
+    from ironmill.configuration.operator_files import read_operator_files
 
     try:
-        distribution = read_operator(settings, ()).settings.distribution
+        distribution = read_operator_files(settings, ()).settings.distribution
         if distribution is None or distribution.role == "subscriber":
             load(os.environ)  # a proxy's, which are nothing without its configuration
     except MalformedError as error:
@@ -198,11 +198,11 @@
 
 
 def _control(name: str, settings: str, staff: str) -> int:
-    from ironmill.configuration.operator_files import read_operator
+    from ironmill.configuration.operator_files import read_operator_files
     from ironmill.configuration.proxy_config import address
 
     try:
-        operator, at = read_operator(settings, ()), address(staff, "--staff")
+        operator, at = read_operator_files(settings, ()), address(staff, "--staff")
     except MalformedError as error:
         print(f"ironmill: {error}", file=sys.stderr)
         return 2
@@ -270,7 +270,7 @@
 
 def read(
     env: Mapping[str, str], path: str | None, settings: str | None
-) -> tuple[Config, Operator | None] | None:
+) -> tuple[Config, OperatorFiles | None] | None:
     """The configuration and the settings, or one line on what is wrong with them."""
     try:
         config = retry_at_start(load, env, path)
@@ -280,13 +280,15 @@
         return None
 
 
-def operator_of(config: Config, settings: str | None) -> Operator | None:
+def operator_of(config: Config, settings: str | None) -> OperatorFiles | None:
     """What the settings file says, None where none is named; MalformedError if it is not fit for use."""
     if settings is None:
         return None
-    from ironmill.configuration.operator_files import read_operator  # here, for what is off is not imported
+    from ironmill.configuration.operator_files import (
+        read_operator_files,
+    )  # here, for what is off is not imported
 
-    operator = read_operator(settings, config.wait_limits)
+    operator = read_operator_files(settings, config.wait_limits)
     distribution = operator.settings.distribution
     if distribution is not None and distribution.role != "subscriber":
         raise MalformedError(
--- a/ironmill/commands/caller.py
+++ b/ironmill/commands/caller.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Iterator
 
-from ironmill.configuration.operator_files import Operator
+from ironmill.configuration.operator_files import OperatorFiles
 from ironmill.identity.gate import Admitted, Gate, Refused
 from ironmill.identity.rules import explain as steps_of
 from ironmill.identity.tokens import TokenError, read
 
 
-def explain(operator: Operator, token: bytes, now: float) -> Iterator[str]:
+def explain(operator: OperatorFiles, token: bytes, now: float) -> Iterator[str]:
     """Lines of text; the last says what would become of the credential at this Unix time."""
     identity, ring = operator.settings.identity, operator.ring
     if identity is None or ring is None:
--- a/ironmill/configuration/distributed_keys.py
+++ b/ironmill/configuration/distributed_keys.py
@@ -26,10 +26,10 @@
 
 SUBJECT, FINGERPRINT, LEVEL, SHARD = "deny/subject/", "deny/fingerprint/", "log/level", "shard/"
 LEVELS = ("debug", "info", "warning", "error")
-UID_MOST = 64  # characters
-SUBJECTS_MOST = 20_000  # whole ones; guards memory, and the time in which one more is taken in
-PATTERNS_MOST = 256  # with wildcards; guards the time that each credential takes
-FINGERPRINTS_MOST = 20_000
+MAX_UID_CHARACTERS = 64  # characters
+MAX_SUBJECTS = 20_000  # whole ones; guards memory, and the time in which one more is taken in
+MAX_PATTERNS = 256  # with wildcards; guards the time that each credential takes
+MAX_FINGERPRINTS = 20_000
 
 
 def check_form(changes: Mapping[str, bytes | None]) -> Refusal | None:
@@ -58,14 +58,14 @@
             uid = value.decode()
         except UnicodeDecodeError:
             return "a server's uid is UTF-8"
-        if not 1 <= len(uid) <= UID_MOST or not uid.isprintable():
-            return f"a server's uid is 1 to {UID_MOST} printable characters"
+        if not 1 <= len(uid) <= MAX_UID_CHARACTERS or not uid.isprintable():
+            return f"a server's uid is 1 to {MAX_UID_CHARACTERS} printable characters"
     else:
         return "unknown key"
     return ""
 
 
-class InForce(Struct, frozen=True):
+class AppliedKeys(Struct, frozen=True):
     """What the keys say that are not looked up one at a time."""
 
     subjects: frozenset[str] = frozenset()
@@ -73,7 +73,7 @@
     fingerprints: frozenset[str] = frozenset()
     level: str = ""  # empty: as the settings say
 
-    def with_changes(self, changes: Mapping[str, bytes | None]) -> InForce:
+    def with_changes(self, changes: Mapping[str, bytes | None]) -> AppliedKeys:
         """The same with these changes, which are in form."""
         kinds = {"subjects": self.subjects, "patterns": self.patterns, "fingerprints": self.fingerprints}
         more: dict[str, set[str]] = {kind: set() for kind in kinds}
@@ -93,21 +93,21 @@
             names - less[kind] | more[kind] if less[kind] or more[kind] else names
             for kind, names in kinds.items()
         )
-        return InForce(subjects, patterns, fingerprints, level)
+        return AppliedKeys(subjects, patterns, fingerprints, level)
 
     def too_many(self) -> str:
         """What there is too much of; empty if nothing is."""
         for what, found, most in (
-            ("subjects", self.subjects, SUBJECTS_MOST),
-            ("subjects with wildcards", self.patterns, PATTERNS_MOST),
-            ("fingerprints", self.fingerprints, FINGERPRINTS_MOST),
+            ("subjects", self.subjects, MAX_SUBJECTS),
+            ("subjects with wildcards", self.patterns, MAX_PATTERNS),
+            ("fingerprints", self.fingerprints, MAX_FINGERPRINTS),
         ):
             if len(found) > most:
                 return f"{len(found)} {what} would be denied; a proxy takes {most} at most"
         return ""
 
 
-class Configuration:
+class ConfigurationConsumer:
     """A proxy's ``Consumer``: it puts what the keys say into force."""
 
     looked_up: tuple[str, ...] = (SHARD,)
@@ -118,7 +118,7 @@
         """``callers`` are there where the settings hold an identity."""
         self._callers = callers
         self._set_level = set_level
-        self.in_force = InForce()
+        self.applied = AppliedKeys()
 
     def check(self, changes: Mapping[str, bytes | None]) -> Refusal | None:
         """Why these cannot come into force here; None if they can. Nothing changes by it."""
@@ -129,15 +129,15 @@
             for key, value in changes.items():
                 if value is not None and key.startswith((SUBJECT, FINGERPRINT)):
                     return Refusal(key, "this proxy's settings hold no identity, so nobody can be denied")
-        if wrong := self.in_force.with_changes(changes).too_many():
+        if wrong := self.applied.with_changes(changes).too_many():
             more = (key for key, value in changes.items() if value is not None and key.startswith("deny/"))
             return Refusal(next(more, ""), wrong)
         return None
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
         """All of them are in force from now on, at once. They have passed ``check``."""
-        old, new = self.in_force, self.in_force.with_changes(changes)
-        self.in_force = new
+        old, new = self.applied, self.applied.with_changes(changes)
+        self.applied = new
         if self._callers is not None and (new.subjects, new.patterns, new.fingerprints) != (
             old.subjects,
             old.patterns,
--- a/ironmill/configuration/operator_files.py
+++ b/ironmill/configuration/operator_files.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorFiles:
     """One reading of all files, which belongs together."""
 
     settings: OperatorSettings
@@ -30,7 +30,7 @@
     distribution_keys: tuple[bytes, ...] = ()  # there if the settings hold a distribution
 
 
-def read_operator(path: str, classes: Collection[str]) -> Operator:
+def read_operator_files(path: str, classes: Collection[str]) -> OperatorFiles:
     """The settings file and what it names; MalformedError, one line, if any of it is not fit for use."""
     try:
         from ironmill.configuration.settings.load import (
@@ -50,10 +50,10 @@
     distribution = settings.distribution
     distribution_keys = () if distribution is None else read_keys(distribution.keys, "distribution's")
     if settings.tls is None and settings.upstream is None:
-        return Operator(settings, ring, member_keys=member_keys, distribution_keys=distribution_keys)
+        return OperatorFiles(settings, ring, member_keys=member_keys, distribution_keys=distribution_keys)
     from ironmill.configuration.tls_context import server_tls, upstream_tls
 
-    return Operator(
+    return OperatorFiles(
         settings,
         ring,
         None if settings.tls is None else server_tls(settings.tls),
--- a/ironmill/configuration/proxy_config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -10,11 +10,11 @@
 from ironmill.configuration.site_settings import settings_from
 from ironmill.protocol.discovery import Routing, parse_routing
 from ironmill.protocol.json_object import MalformedError, Tree, from_json
-from ironmill.runtime.system_calls import TRANSIENT_AT_START, TransientError
+from ironmill.runtime.system_calls import TRANSIENT_START_ERRNOS, TransientError
 
 Address = tuple[str, int]
 
-SOCKETS_LEAST, SOCKETS_MOST = 64, 1 << 20
+MIN_SOCKETS, MAX_SOCKETS = 64, 1 << 20
 
 
 class UnreadableNowError(MalformedError, TransientError):
@@ -35,7 +35,7 @@
     drain_grace: float
     packets_pass: bool  # connections go on through another proxy when this one ends
     wait_limits: Mapping[str, float]  # by class: how long a client waits that does not say so
-    shortest_aim: float  # of the aims for a message on an open connection
+    shortest_latency_objective_s: float  # of the aims for a message on an open connection
     stated: Mapping[str, object]  # the file as it is, by key in full
     control: Address | None = None  # where staff call; nothing listens without it
 
@@ -70,7 +70,7 @@
         with open(path, "rb") as file:
             value = from_json(file.read(), f"configuration: PROXY_CONFIG: {path} is")
     except OSError as error:
-        kind = UnreadableNowError if error.errno in TRANSIENT_AT_START else MalformedError
+        kind = UnreadableNowError if error.errno in TRANSIENT_START_ERRNOS else MalformedError
         raise kind(f"configuration: PROXY_CONFIG: {path}: {error.strerror}") from None
     root = Tree(value, "", "configuration")
     seed_text = root.text("seed", "0")
@@ -83,8 +83,8 @@
     # its server take, so the decisions must not count on being told of a jam.
     settings = structs.replace(settings_from(settings_tree), tells_delay=False)
     sockets = root.tree("limits", {}).number("sockets", 1024)
-    if not SOCKETS_LEAST <= sockets <= SOCKETS_MOST:
-        raise MalformedError(f"configuration: limits.sockets is not from {SOCKETS_LEAST} to {SOCKETS_MOST}")
+    if not MIN_SOCKETS <= sockets <= MAX_SOCKETS:
+        raise MalformedError(f"configuration: limits.sockets is not from {MIN_SOCKETS} to {MAX_SOCKETS}")
     control = env.get("PROXY_CONTROL") or root.text("control", "")
     return Config(
         name=env.get("PROXY_NAME") or root.text("name"),
@@ -100,7 +100,7 @@
         wait_limits={
             item.text("name"): item.number("hardLimitS", 10.0) for item in settings_tree.trees("categories")
         },
-        shortest_aim=min((cls.message_aim for cls in settings.classes), default=0.1),
+        shortest_latency_objective_s=min((cls.message_aim for cls in settings.classes), default=0.1),
         stated=flat(value),
         control=address(control, "control") if control else None,
     )
--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -251,7 +251,7 @@
         match event:
             case Asked():
                 self._first_by = time.monotonic() + FIRST_LINE_WAIT
-                pong = self._gateway.lifecycle.policy.pong
+                pong = self._gateway.lifecycle.policy.answers_pong
                 self._stream.send(b"PONG\r\n" if pong else b"DRAINING\r\n", GENTLE)
             case Shown():
                 self._show(event.token)
@@ -302,7 +302,7 @@
             self._turn_away("a class that does not exist")
             return
         self._count = self._gateway.figures.take(first.fields["c"])
-        if not self._gateway.lifecycle.policy.opens:
+        if not self._gateway.lifecycle.policy.admits_requests:
             self._refuse(RETRY_DRAINED)
             return
         if self._guest is not None and not self._go_on(self._guest.ask(first.fields["c"])):
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -7,14 +7,14 @@
 import time
 from typing import Any
 
-from ironmill.administration.configuration_api import ConfigurationCalls
+from ironmill.administration.configuration_api import ConfigurationApi
 from ironmill.administration.routes import Routes
 from ironmill.configuration.distributed_keys import check_form
-from ironmill.configuration.operator_files import Operator
+from ironmill.configuration.operator_files import OperatorFiles
 from ironmill.distribution.node import Origin
 from ironmill.distribution.revision import Changes, Entry, Position, StoreError
 from ironmill.membership.envelope import Address
-from ironmill.net.control import Control
+from ironmill.net.admin_server import AdminServer
 from ironmill.net.distribution import Distribution
 from ironmill.net.revision_store import SqliteStore
 from ironmill.net.signals import Signals
@@ -62,7 +62,7 @@
     """Takes part once it is made and run, until it is told to end."""
 
     def __init__(
-        self, name: str, operator: Operator, staff: Address, signals: Signals, poller: str = "epoll"
+        self, name: str, operator: OperatorFiles, staff: Address, signals: Signals, poller: str = "epoll"
     ) -> None:
         """OSError where an address is not to be had, StoreError where the store is not fit for use."""
         settings = operator.settings.distribution
@@ -80,8 +80,8 @@
             reader = self.distribution.relay()
         routes = Routes()
         origins = [one.name for one in settings.controls if one.origin]
-        ConfigurationCalls(reader, writer, origins).add_to(routes)
-        self.control = Control(self.scheduler, staff, routes)
+        ConfigurationApi(reader, writer, origins).add_to(routes)
+        self.control = AdminServer(self.scheduler, staff, routes)
 
     def serve(self) -> None:
         """Run until SIGTERM or SIGINT."""
@@ -102,7 +102,7 @@
         self.scheduler.call_later(LAST_WORDS, self.scheduler.stop)
 
 
-def serve(name: str, operator: Operator, staff: Address) -> int:
+def serve(name: str, operator: OperatorFiles, staff: Address) -> int:
     """Run one control machine; the exit status. One line on standard error where it cannot begin."""
     import sys
 
--- a/ironmill/net/keywatch.py
+++ b/ironmill/net/key_ring_watcher.py
@@ -11,12 +11,12 @@
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Timers
 
-LOOK = 0.25  # seconds between two looks at the file
+CHECK_INTERVAL_S = 0.25  # seconds between two looks at the file
 
 log = EventLog("ironmill.keys")
 
 
-class KeyWatch:
+class KeyRingWatcher:
     """Reads the ring anew whenever its file has changed; one that is not fit for use changes nothing."""
 
     def __init__(self, timers: Timers, path: str, take: Callable[[KeyRing], None]) -> None:
@@ -27,11 +27,11 @@
 
     def start(self) -> None:
         """Look from now on."""
-        self._timers.call_later(LOOK, self.look)
+        self._timers.call_later(CHECK_INTERVAL_S, self.look)
 
     def look(self) -> None:
         """One look, and another later."""
-        self._timers.call_later(LOOK, self.look)
+        self._timers.call_later(CHECK_INTERVAL_S, self.look)
         stamp = self._stamp()
         if stamp is None or stamp == self._seen:
             return
--- a/ironmill/net/listener.py
+++ b/ironmill/net/listener.py
@@ -18,9 +18,9 @@
 from enum import Enum, auto
 
 from ironmill.net.sockets import Stream
-from ironmill.runtime.rate_limited_log import LogThrottle
+from ironmill.runtime.rate_limited_log import LogRateLimiter
 from ironmill.runtime.scheduler import READ, Scheduler, Task
-from ironmill.runtime.system_calls import RETRY_PAUSE, retry_at_start
+from ironmill.runtime.system_calls import RETRY_INTERVAL_S, retry_at_start
 
 BACKLOG = 1024
 AT_ONCE = 16  # accepted in one turn; the others run in between
@@ -60,7 +60,7 @@
         self._take = take
         self._shared = shared
         self.succeeds = shared and _taken(address)  # another process listens there
-        self._failures = LogThrottle()
+        self._failures = LogRateLimiter()
         self._waits_since: float | None = None  # how long whoever is accepted next may have waited
         self._sock = retry_at_start(socket.socket, socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -130,7 +130,7 @@
             if accepted is Accepted.FAILED:
                 if time.monotonic() >= until:
                     break
-                self._scheduler.sleep(RETRY_PAUSE)
+                self._scheduler.sleep(RETRY_INTERVAL_S)
         self._scheduler.forget(self._sock.fileno())
         self._sock.close()
 
@@ -144,7 +144,7 @@
                 if accepted is Accepted.FAILED:
                     # Guards against a busy loop: the waiting connection keeps the listener readable. No
                     # longer, for whoever waits there waits for its answer, too.
-                    self._scheduler.sleep(RETRY_PAUSE)
+                    self._scheduler.sleep(RETRY_INTERVAL_S)
 
     def _accept_one(self) -> Accepted:
         try:
--- a/ironmill/net/membership.py
+++ b/ironmill/net/membership.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ironmill.administration.messages import Answer, Call
+from ironmill.administration.messages import ApiRequest, ApiResponse
 from ironmill.configuration.settings.model import MembershipSettings
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK
@@ -59,7 +59,7 @@
         self._datagrams.send(self.member.leave(time.monotonic()))
         self._datagrams.close()
 
-    def shown(self, _: Call) -> Answer:
+    def shown(self, _: ApiRequest) -> ApiResponse:
         """The view, as staff ask for it."""
         member = self.member
         members = [
@@ -89,7 +89,7 @@
             "out": out,
             "dropped": member.dropped,
         }
-        return Answer(HTTPStatus.OK, msgspec.json.encode(told) + b"\n")
+        return ApiResponse(HTTPStatus.OK, msgspec.json.encode(told) + b"\n")
 
     def _state(self, name: str) -> str:
         if name == self.member.card.name:
--- a/ironmill/net/send_away.py
+++ b/ironmill/net/migration.py
@@ -8,16 +8,16 @@
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.scheduler import Scheduler
 
-LOOK = 0.02
-MOVE_WAIT = 0.2  # for the last line under way to end
+MIGRATION_INTERVAL_S = 0.02
+LAST_LINE_DELAY_S = 0.2  # for the last line under way to end
 
 
 def due(waiting: int, left: float) -> int:
     """How many of those that wait are sent away at this look, so that the last one goes in time."""
-    return math.ceil(waiting * LOOK / max(LOOK, left - MOVE_WAIT))
+    return math.ceil(waiting * MIGRATION_INTERVAL_S / max(MIGRATION_INTERVAL_S, left - LAST_LINE_DELAY_S))
 
 
-class SendAway:
+class Migration:
     """One planned departure of all that stands, and of all that comes to stand meanwhile."""
 
     def __init__(self, scheduler: Scheduler, gateway: Gateway) -> None:
@@ -35,4 +35,4 @@
             for request in waiting[: due(len(waiting), left)]:
                 self._moved.add(request.id)
                 request.holder.move()
-            self._scheduler.sleep(LOOK)
+            self._scheduler.sleep(MIGRATION_INTERVAL_S)
--- a/ironmill/net/probe.py
+++ b/ironmill/net/probe.py
@@ -12,7 +12,7 @@
 from ironmill.protocol.server import ProbeSide, Report
 from ironmill.requests.routing_table import Server
 from ironmill.runtime.scheduler import Scheduler
-from ironmill.runtime.system_calls import EXHAUSTED
+from ironmill.runtime.system_calls import RESOURCE_EXHAUSTED_ERRNOS
 
 ANSWER_WAIT = 0.5
 # Connections kept for probes. Guards the descriptors, of which ``admission.OWN`` sets so many aside: one to
@@ -50,7 +50,7 @@
         except TimedOutError:
             outcome = Outcome.TIMEOUT
         except OSError as error:
-            outcome = Outcome.MOOT if error.errno in EXHAUSTED else Outcome.CONNECT_FAILED
+            outcome = Outcome.MOOT if error.errno in RESOURCE_EXHAUSTED_ERRNOS else Outcome.CONNECT_FAILED
         finally:
             self._asking.discard(server.number)
         if outcome is not Outcome.OK or server.leaving_since is not None:
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -25,30 +25,30 @@
 from ironmill.requests.discovery_backoff import CallPace
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime import logs
-from ironmill.runtime.gc_schedule import Collector
-from ironmill.runtime.lifecycle import Event, Lifecycle
+from ironmill.runtime.gc_schedule import GcSchedule
+from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent
 from ironmill.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:  # what is off is not imported
-    from ironmill.configuration.operator_files import Operator
+    from ironmill.configuration.operator_files import OperatorFiles
     from ironmill.configuration.settings.model import DistributionSettings
     from ironmill.identity.callers import Callers
     from ironmill.identity.keyring import KeyRing
-    from ironmill.net.control import Control
+    from ironmill.net.admin_server import AdminServer
     from ironmill.net.distribution import Distribution
     from ironmill.net.membership import Membership
 
 # Clients wait so long at the most for the first answer of discovery, seconds. Guards the rule on draining
 # servers: what the agent holds counts as told from the process's start, 0.25 s before. Of 132 proxies
 # that started together four sent by the list they were started with. A silent agent has nothing to tell.
-FIRST_ANSWER_WAIT = 0.5
+FIRST_POLL_TIMEOUT_S = 0.5
 # The same where another process serves at the address meanwhile: it has 6 s, and what discovery told counts
 # as told 2 s after it has said yes.
-SUCCESSOR_WAIT = 3.0
+SUCCESSOR_FIRST_POLL_TIMEOUT_S = 3.0
 
 # The new process has 6 s to say yes; then the old one is told to end, and gets nothing new (DAYS). What the
 # two read of the clock may differ by a little.
-SUCCESSION_MOST = 6.5
+MAX_SUCCESSION_S = 6.5
 
 log = logging.getLogger("ironmill")
 
@@ -62,8 +62,8 @@
         signals: Signals,
         read_again: Callable[[], Config],
         poller: str = "epoll",
-        operator: Operator | None = None,
-        read_operator: Callable[[Config], Operator | None] = no_operator,
+        operator: OperatorFiles | None = None,
+        read_operator_files: Callable[[Config], OperatorFiles | None] = no_operator,
     ) -> None:
         self._config = config
         self._signals = signals
@@ -79,7 +79,7 @@
         )
         self.listener = Listener(self.scheduler, config.listen, self._take, at_once=False, shared=True)
         if self.listener.succeeds:
-            self.gateway.succeed(SUCCESSION_MOST)
+            self.gateway.succeed(MAX_SUCCESSION_S)
         pace = partial(
             CallPace,
             config.settings.relays,
@@ -102,16 +102,16 @@
         self._operator = operator
         if operator is not None and operator.settings.identity is not None and operator.ring is not None:
             from ironmill.identity.callers import Callers
-            from ironmill.net.keywatch import KeyWatch
+            from ironmill.net.key_ring_watcher import KeyRingWatcher
 
             self.callers = Callers(operator.settings.identity, operator.ring, self.scheduler)
-            self._watch = KeyWatch(self.scheduler, operator.settings.identity.keys, self._take_ring)
+            self._watch = KeyRingWatcher(self.scheduler, operator.settings.identity.keys, self._take_ring)
             self._watch.start()
         self.reload = Reload(
             config,
             read_again,
             self.discovery.watch_at,
-            read_operator,
+            read_operator_files,
             self._take_operator,
             self.scheduler.sleep,
         )
@@ -125,21 +125,21 @@
         self.distribution: Distribution | None = None
         if operator is not None and operator.settings.distribution is not None:
             self._take_part(operator, operator.settings.distribution)
-        self.control: Control | None = None
+        self.control: AdminServer | None = None
         if config.control is not None:
-            from ironmill.administration.proxy_api import Staff
-            from ironmill.net.control import Control
+            from ironmill.administration.proxy_api import ProxyApi
+            from ironmill.net.admin_server import AdminServer
 
-            staff = Staff(self.gateway)
+            staff = ProxyApi(self.gateway)
             if self.membership is not None:
                 staff.add("/admin/members", {"GET": self.membership.shown})
             if self.distribution is not None:
-                from ironmill.administration.configuration_api import ConfigurationCalls
+                from ironmill.administration.configuration_api import ConfigurationApi
 
                 assert self.distribution.node is not None
-                ConfigurationCalls(self.distribution.node, None, self.distribution.origins).add_to(staff)
+                ConfigurationApi(self.distribution.node, None, self.distribution.origins).add_to(staff)
                 staff.more_of_health = self.distribution.health
-            self.control = Control(self.scheduler, config.control, staff)
+            self.control = AdminServer(self.scheduler, config.control, staff)
         self.tls_listener: Listener | None = None
         if operator is not None and operator.settings.tls is not None and operator.tls is not None:
             from ironmill.net.tls import TlsStream
@@ -176,7 +176,7 @@
         self._signals.on(signal.SIGTERM, shutdown.run)
         self._signals.on(signal.SIGINT, shutdown.run)
         self._signals.start(self.scheduler)
-        Collector(self.scheduler, self.gateway.held).start()
+        GcSchedule(self.scheduler, self.gateway.held).start()
         log.info("listening on %s:%d", *self.listener.address)
         if self.listener.succeeds:
             log.info("another process listens there: clients come here too once discovery has answered")
@@ -187,18 +187,18 @@
 
     def _first_answer_wait(self) -> float:
         if self.listener.succeeds:
-            return SUCCESSOR_WAIT
+            return SUCCESSOR_FIRST_POLL_TIMEOUT_S
         # Where discovery must be asked nothing counts as told before it was written, and the first call of a
         # crowd is spread over seconds. Guards clients of proxies that were killed together: ten of fourteen
         # listened 0.5 s before they took anybody, and in the meantime nobody else did.
-        return 0.0 if self._config.settings.ask_discovery else FIRST_ANSWER_WAIT
+        return 0.0 if self._config.settings.ask_discovery else FIRST_POLL_TIMEOUT_S
 
     def _open(self) -> None:
         """Discovery has answered once, or does not: take what clients come."""
         self.listener.start()
         if self.tls_listener is not None:
             self.tls_listener.start()
-        self.lifecycle.tell(Event.OPENED)
+        self.lifecycle.handle(LifecycleEvent.STARTED)
 
     def give_way(self) -> None:
         """Leave new connections to a process that was started after this one, if there is one."""
@@ -236,18 +236,18 @@
         if self.callers is not None:
             self.callers.replace(self.callers.gate.identity, ring)
 
-    def _take_part(self, operator: Operator, settings: DistributionSettings) -> None:
+    def _take_part(self, operator: OperatorFiles, settings: DistributionSettings) -> None:
         """Take configuration from the control machines from now on."""
-        from ironmill.configuration.distributed_keys import Configuration
+        from ironmill.configuration.distributed_keys import ConfigurationConsumer
         from ironmill.net.distribution import Distribution
 
         self.distribution = Distribution(
             self.scheduler, self._config.name, settings, operator.distribution_keys
         )
-        self.configuration = Configuration(self.callers)
+        self.configuration = ConfigurationConsumer(self.callers)
         self.distribution.leaf(self.configuration)
 
-    def _take_distribution(self, operator: Operator) -> None:
+    def _take_distribution(self, operator: OperatorFiles) -> None:
         """Keys are replaced at once; where configuration comes from takes a restart."""
         settings, mine = operator.settings.distribution, self.distribution
         if (settings is None) is not (mine is None) or (mine is not None and settings != mine.settings):
@@ -255,7 +255,7 @@
         if mine is not None and operator.distribution_keys:
             mine.codec.keys = operator.distribution_keys
 
-    def _take_membership(self, operator: Operator) -> None:
+    def _take_membership(self, operator: OperatorFiles) -> None:
         """Keys are replaced at once; where and with whom this proxy is a member takes a restart."""
         settings, mine = operator.settings.membership, self.membership
         if (settings is None) is not (mine is None) or (mine is not None and settings != mine.settings):
@@ -263,7 +263,7 @@
         if mine is not None and operator.member_keys:
             mine.codec.keys = operator.member_keys
 
-    def _take_operator(self, operator: Operator) -> None:
+    def _take_operator(self, operator: OperatorFiles) -> None:
         """Other settings: what they say of callers holds from now on, for whoever shows a credential next."""
         old = self._operator
         if old is None:
--- a/ironmill/net/reload.py
+++ b/ironmill/net/reload.py
@@ -11,7 +11,7 @@
 from ironmill.protocol.json_object import MalformedError
 
 if TYPE_CHECKING:
-    from ironmill.configuration.operator_files import Operator
+    from ironmill.configuration.operator_files import OperatorFiles
 
 # Nothing to log: each start has its own, and the list that was known then is old news.
 _PER_START = ("seed", "known", "discovery")
@@ -24,12 +24,12 @@
 log = logging.getLogger("ironmill.reload")
 
 
-def no_operator(_: Config) -> Operator | None:
+def no_operator(_: Config) -> OperatorFiles | None:
     """No settings were named at the start."""
     return None
 
 
-def _ignore(_: Operator) -> None:
+def _ignore(_: OperatorFiles) -> None:
     """Nobody takes settings."""
 
 
@@ -41,14 +41,14 @@
         config: Config,
         read: Callable[[], Config],
         watch_at: Callable[[Address], object],
-        read_operator: Callable[[Config], Operator | None] = no_operator,
-        take: Callable[[Operator], None] = _ignore,
+        read_operator_files: Callable[[Config], OperatorFiles | None] = no_operator,
+        take: Callable[[OperatorFiles], None] = _ignore,
         sleep: Callable[[float], object] = time.sleep,
     ) -> None:
         self._config = config
         self._read = read
         self._watch_at = watch_at
-        self._read_operator = read_operator
+        self._read_operator = read_operator_files
         self._take = take
         self._sleep = sleep
 
--- a/ironmill/net/server.py
+++ b/ironmill/net/server.py
@@ -12,7 +12,7 @@
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.server import AttemptEvent, Refused, Relayed, Report, ServerSide, Up
 from ironmill.runtime.scheduler import Task
-from ironmill.runtime.system_calls import EXHAUSTED, UnsentError
+from ironmill.runtime.system_calls import RESOURCE_EXHAUSTED_ERRNOS, UnsentError
 
 
 class AttemptEnd(Struct, frozen=True):
@@ -96,7 +96,7 @@
             outcome = self.side.time_out()
         except UnsentError as error:
             outcome = self.side.end()
-            if error.errno in EXHAUSTED:  # else it is this address that cannot be had
+            if error.errno in RESOURCE_EXHAUSTED_ERRNOS:  # else it is this address that cannot be had
                 outcome = Outcome.MOOT  # the server was not asked, and is not to blame
         except OSError:
             outcome, broke = self.side.end(), True
@@ -115,7 +115,11 @@
             try:
                 return self._dial(address, min(connect_timeout, deadline - time.monotonic()))
             except UnsentError as error:
-                if error.errno not in EXHAUSTED or time.monotonic() >= deadline or not may_start():
+                if (
+                    error.errno not in RESOURCE_EXHAUSTED_ERRNOS
+                    or time.monotonic() >= deadline
+                    or not may_start()
+                ):
                     raise
 
     def close(self, reset: bool = False) -> None:
--- a/ironmill/net/signals.py
+++ b/ironmill/net/signals.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from ironmill.runtime.scheduler import READ, Scheduler
-from ironmill.runtime.system_calls import RETRY_PAUSE, retry_at_start
+from ironmill.runtime.system_calls import RETRY_INTERVAL_S, retry_at_start
 
 log = logging.getLogger("ironmill.signals")
 
@@ -56,7 +56,7 @@
                 rung = self._wake.recv(4096)
             except OSError as error:  # guards the signals, without which nothing ends this process in order
                 log.warning("signals: %s", error)
-                scheduler.sleep(RETRY_PAUSE)
+                scheduler.sleep(RETRY_INTERVAL_S)
                 continue
             for number in dict.fromkeys(rung):
                 if number in self._actions:
--- a/ironmill/net/sockets.py
+++ b/ironmill/net/sockets.py
@@ -14,7 +14,12 @@
 from typing import Any
 
 from ironmill.runtime.scheduler import READ, WRITE, Scheduler, Task
-from ironmill.runtime.system_calls import EXHAUSTED, RETRY_PAUSE, UNSENT, UnsentError
+from ironmill.runtime.system_calls import (
+    NOT_SENT_ERRNOS,
+    RESOURCE_EXHAUSTED_ERRNOS,
+    RETRY_INTERVAL_S,
+    UnsentError,
+)
 
 CHUNK = 16 * 1024  # the most that is read at once, and so the most that is held for the other side
 DISCARD = 64 * 1024  # the most that is read and thrown away of what a client sends after its last answer
@@ -91,7 +96,7 @@
             except UnsentError:
                 if time.monotonic() >= give_up_at:
                     raise
-            scheduler.sleep(RETRY_PAUSE)
+            scheduler.sleep(RETRY_INTERVAL_S)
 
     @classmethod
     def _connect_once(
@@ -106,7 +111,7 @@
             if source:
                 stream._sock.bind((source, 0))
             code = stream._sock.connect_ex(address)
-            if code in UNSENT:
+            if code in NOT_SENT_ERRNOS:
                 raise UnsentError(code, os.strerror(code))
             if code in (errno.EINPROGRESS, errno.EINTR):
                 if not scheduler.wait(stream._sock.fileno(), WRITE, timeout):
@@ -145,7 +150,7 @@
                 except BlockingIOError:
                     self._unparked = 0
                 except OSError as error:
-                    if error.errno not in EXHAUSTED:
+                    if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                         raise
                     self._wait_out(until)
                     continue
@@ -162,7 +167,7 @@
         """Park, for a call has failed for want of memory and the connection is sound. TimedOutError."""
         if time.monotonic() >= until:
             raise TimedOutError
-        self._scheduler.sleep(RETRY_PAUSE)
+        self._scheduler.sleep(RETRY_INTERVAL_S)
 
     def receive_now(self) -> bytes:
         """What has come by now, perhaps nothing."""
@@ -170,7 +175,7 @@
             try:
                 return self._sock.recv(CHUNK)
             except OSError as error:
-                if error.errno not in EXHAUSTED:
+                if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                     break
         return b""
 
@@ -188,7 +193,7 @@
         try:
             return bool(self._sock.recv(1, socket.MSG_PEEK))
         except OSError as error:  # else nothing, or no connection any more
-            return error.errno in EXHAUSTED
+            return error.errno in RESOURCE_EXHAUSTED_ERRNOS
 
     def stale(self) -> bool:
         """True if a kept connection is not to be asked on again: it ended, or holds what nobody asked for."""
@@ -208,7 +213,7 @@
             except BlockingIOError:
                 pass
             except OSError as error:
-                if error.errno not in EXHAUSTED:
+                if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                     raise
                 self._wait_out(until)
                 continue
@@ -232,7 +237,7 @@
             except BlockingIOError:
                 break
             except OSError as error:
-                if error.errno not in EXHAUSTED:
+                if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                     raise
         return 0
 
--- a/ironmill/requests/admission.py
+++ b/ironmill/requests/admission.py
@@ -12,7 +12,7 @@
 from enum import Enum, auto
 from itertools import islice
 
-from ironmill.runtime.rate_limited_log import LogThrottle
+from ironmill.runtime.rate_limited_log import LogRateLimiter
 
 # Descriptors that are not for clients: standard streams 3, poller 1, signals 2, listeners 3 (clients, TLS,
 # staff), staff's callers 12, discovery 2 while it changes its address, a file that is read 1, membership 1,
@@ -71,7 +71,7 @@
         self._admitted = 0
         self._leaving = 0
         self._names: set[str] = set()
-        self._complaints = LogThrottle()
+        self._complaints = LogRateLimiter()
 
     def used(self) -> int:
         """Descriptors held by clients, or set aside for their attempts."""
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -46,7 +46,7 @@
 from ironmill.requests.metrics import Count, Figures
 from ironmill.requests.response_delay import DelayMeter
 from ironmill.requests.routing_table import RoutingTable, Server
-from ironmill.runtime.lifecycle import Lifecycle, State
+from ironmill.runtime.lifecycle import Lifecycle, ProcessState
 from ironmill.runtime.scheduler import Timers
 from ironmill.runtime.timers import Timer
 
@@ -142,7 +142,7 @@
 
     def __init__(self, config: Config, timers: Timers, lifecycle: Lifecycle | None = None) -> None:
         self._config = config
-        self.lifecycle = lifecycle or Lifecycle(State.SERVING)
+        self.lifecycle = lifecycle or Lifecycle(ProcessState.SERVING)
         self.figures = Figures(config.wait_limits)
         self._timers = timers
         # One clock for all: Unix time as it was at the start, from then on as steady as the monotonic.
@@ -473,7 +473,7 @@
         if meter is None:
             meter = self._meters[server.number] = DelayMeter(
                 self._timers,
-                self._config.shortest_aim / 3.0,
+                self._config.shortest_latency_objective_s / 3.0,
                 lambda id_, delay: self._delayed(id_, server, delay),
                 self._silent,
             )
--- a/ironmill/runtime/gc_schedule.py
+++ b/ironmill/runtime/gc_schedule.py
@@ -13,14 +13,14 @@
 
 from ironmill.runtime.scheduler import Timers
 
-YOUNG = 2000  # objects made beyond those freed, between two collections of the youngest
-MIDDLE = 10  # of those, between two of the middle generation
-NEVER = 1 << 30
-LOOK = 30.0  # seconds between two looks
-FEW = 500  # connections: a full collection then takes some 10 ms
+YOUNG_THRESHOLD = 2000  # objects made beyond those freed, between two collections of the youngest
+MIDDLE_THRESHOLD = 10  # of those, between two of the middle generation
+DISABLED_THRESHOLD = 1 << 30
+CHECK_INTERVAL_S = 30.0  # seconds between two looks
+MAX_CONNECTIONS_FOR_FULL_COLLECTION = 500  # connections: a full collection then takes some 10 ms
 
 
-class Collector:
+class GcSchedule:
     """Keeps full collections to quiet times."""
 
     def __init__(self, timers: Timers, held: Callable[[], int]) -> None:
@@ -31,10 +31,10 @@
         """What is there now stays for good and is never looked through."""
         gc.freeze()
         gc.enable()  # ``__main__`` has turned it off
-        gc.set_threshold(YOUNG, MIDDLE, NEVER)
-        self._timers.call_later(LOOK, self._look)
+        gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, DISABLED_THRESHOLD)
+        self._timers.call_later(CHECK_INTERVAL_S, self._look)
 
     def _look(self) -> None:
-        if self._held() <= FEW:
+        if self._held() <= MAX_CONNECTIONS_FOR_FULL_COLLECTION:
             gc.collect()
-        self._timers.call_later(LOOK, self._look)
+        self._timers.call_later(CHECK_INTERVAL_S, self._look)
--- a/ironmill/runtime/lifecycle.py
+++ b/ironmill/runtime/lifecycle.py
@@ -1,102 +1,123 @@
-"""Where a process is between its start and its end: one table, no I/O, no clock.
+"""Lifecycle of one process, from its start to its exit, as a table of transitions. No I/O, no clock.
 
-Whoever takes clients, answers the front or the staff, or sends clients away asks here what to do; what
-happened is told here, and nothing else decides it.
+The drivers that accept clients, answer health checks or migrate clients read the current policy here and
+report events here; nothing else decides what the process does in a state.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from enum import Enum
+from enum import Enum, auto
 
 from msgspec import Struct
 
 
-class State(Enum):
-    """Where the process is."""
+class ProcessState(Enum):
+    """State of the process. The values are the words of ``/admin/health``."""
 
     STARTING = "starting"  # discovery has not answered yet
-    HELD = "held"  # the same, and told to drain meanwhile
+    DRAIN_PENDING = "held"  # not started yet, and a drain was requested meanwhile
     SERVING = "serving"
-    DRAINING = "draining"  # told to send its clients away; the front may not have heard of it yet
-    DRAINED = "drained"  # the front has heard
-    ENDING = "ending"  # it answers what it owes and exits
-    SETTLING = "settling"  # its last moment: an attempt that began now could not get its answer through
-    CLOSING = "closing"  # it ends after a drain, or both
+    DRAINING = "draining"  # clients are migrated; the front may not have observed the drain yet
+    DRAINED = "drained"  # the front has observed the drain
+    SHUTTING_DOWN = "ending"  # answers pending requests, then exits
+    FINALIZING = "settling"  # too close to the exit to begin an attempt
+    SHUTTING_DOWN_DRAINED = "closing"  # shutdown during or after a drain
 
 
-class Event(Enum):
-    """What may happen to it."""
+class LifecycleEvent(Enum):
+    """Event that may change the state."""
 
-    OPENED = "opened"  # discovery has answered or failed: clients are taken from now on
-    QUIESCE = "quiesce"
-    HEARD = "heard"  # the front has had the time to hear of the drain
-    RESUME = "resume"
-    END = "end"
-    SETTLE = "settle"  # the end has come so near that nothing new may begin
+    STARTED = auto()  # discovery has answered or failed: clients are accepted from now on
+    DRAIN_REQUESTED = auto()
+    DRAIN_PROPAGATED = auto()  # the front has had the time to observe the drain
+    RESUME_REQUESTED = auto()
+    SHUTDOWN_REQUESTED = auto()
+    GRACE_PERIOD_ENDED = auto()  # nothing new may begin before the exit
 
 
 class Policy(Struct, frozen=True):
-    """What is done in a state."""
+    """What the process does in a state."""
 
-    ready: bool  # the answer to the staff's question whether it serves
-    pong: bool  # and to the front's
-    opens: bool  # requests are taken; else they are refused at once, with a time to come again
-    stays_away: bool  # clients are sent away, and the process stays
+    ready: bool  # the answer of ``/admin/health``
+    answers_pong: bool  # the answer to the front's PING; ``DRAINING`` if false
+    admits_requests: bool  # else they are rejected at once, with a time to retry after
+    migrates_clients: bool  # established connections are migrated, and the process goes on
 
 
 POLICIES = {
-    State.STARTING: Policy(ready=False, pong=True, opens=True, stays_away=False),  # nobody is accepted yet
-    State.HELD: Policy(ready=False, pong=False, opens=False, stays_away=False),
-    State.SERVING: Policy(ready=True, pong=True, opens=True, stays_away=False),
-    State.DRAINING: Policy(ready=False, pong=False, opens=True, stays_away=True),
-    State.DRAINED: Policy(ready=False, pong=False, opens=False, stays_away=True),
-    # The front is not told no: where a successor listens at the same address it would take that for out.
-    State.ENDING: Policy(ready=False, pong=True, opens=True, stays_away=False),
-    State.SETTLING: Policy(ready=False, pong=True, opens=False, stays_away=False),
-    State.CLOSING: Policy(ready=False, pong=False, opens=False, stays_away=False),
+    # No connection is accepted in STARTING, so its other fields matter to no client.
+    ProcessState.STARTING: Policy(
+        ready=False, answers_pong=True, admits_requests=True, migrates_clients=False
+    ),
+    ProcessState.DRAIN_PENDING: Policy(
+        ready=False, answers_pong=False, admits_requests=False, migrates_clients=False
+    ),
+    ProcessState.SERVING: Policy(ready=True, answers_pong=True, admits_requests=True, migrates_clients=False),
+    ProcessState.DRAINING: Policy(
+        ready=False, answers_pong=False, admits_requests=True, migrates_clients=True
+    ),
+    ProcessState.DRAINED: Policy(
+        ready=False, answers_pong=False, admits_requests=False, migrates_clients=True
+    ),
+    # PONG goes on: a successor may listen at the same address, and the front would take DRAINING for its.
+    ProcessState.SHUTTING_DOWN: Policy(
+        ready=False, answers_pong=True, admits_requests=True, migrates_clients=False
+    ),
+    ProcessState.FINALIZING: Policy(
+        ready=False, answers_pong=True, admits_requests=False, migrates_clients=False
+    ),
+    ProcessState.SHUTTING_DOWN_DRAINED: Policy(
+        ready=False, answers_pong=False, admits_requests=False, migrates_clients=False
+    ),
 }
 
-# What is not named changes nothing. An end is never taken back.
-NEXT = {
-    (State.STARTING, Event.OPENED): State.SERVING,
-    (State.STARTING, Event.QUIESCE): State.HELD,
-    (State.STARTING, Event.END): State.ENDING,
-    (State.HELD, Event.OPENED): State.DRAINED,
-    (State.HELD, Event.RESUME): State.STARTING,
-    (State.HELD, Event.END): State.CLOSING,
-    (State.SERVING, Event.QUIESCE): State.DRAINING,
-    (State.SERVING, Event.END): State.ENDING,
-    (State.DRAINING, Event.HEARD): State.DRAINED,
-    (State.DRAINING, Event.RESUME): State.SERVING,
-    (State.DRAINING, Event.END): State.CLOSING,
-    (State.DRAINED, Event.RESUME): State.SERVING,
-    (State.DRAINED, Event.END): State.CLOSING,
-    (State.ENDING, Event.SETTLE): State.SETTLING,
+# An event that is not listed for a state changes nothing there. A shutdown cannot be cancelled.
+TRANSITIONS = {
+    (ProcessState.STARTING, LifecycleEvent.STARTED): ProcessState.SERVING,
+    (ProcessState.STARTING, LifecycleEvent.DRAIN_REQUESTED): ProcessState.DRAIN_PENDING,
+    (ProcessState.STARTING, LifecycleEvent.SHUTDOWN_REQUESTED): ProcessState.SHUTTING_DOWN,
+    (ProcessState.DRAIN_PENDING, LifecycleEvent.STARTED): ProcessState.DRAINED,
+    (ProcessState.DRAIN_PENDING, LifecycleEvent.RESUME_REQUESTED): ProcessState.STARTING,
+    (ProcessState.DRAIN_PENDING, LifecycleEvent.SHUTDOWN_REQUESTED): ProcessState.SHUTTING_DOWN_DRAINED,
+    (ProcessState.SERVING, LifecycleEvent.DRAIN_REQUESTED): ProcessState.DRAINING,
+    (ProcessState.SERVING, LifecycleEvent.SHUTDOWN_REQUESTED): ProcessState.SHUTTING_DOWN,
+    (ProcessState.DRAINING, LifecycleEvent.DRAIN_PROPAGATED): ProcessState.DRAINED,
+    (ProcessState.DRAINING, LifecycleEvent.RESUME_REQUESTED): ProcessState.SERVING,
+    (ProcessState.DRAINING, LifecycleEvent.SHUTDOWN_REQUESTED): ProcessState.SHUTTING_DOWN_DRAINED,
+    (ProcessState.DRAINED, LifecycleEvent.RESUME_REQUESTED): ProcessState.SERVING,
+    (ProcessState.DRAINED, LifecycleEvent.SHUTDOWN_REQUESTED): ProcessState.SHUTTING_DOWN_DRAINED,
+    (ProcessState.SHUTTING_DOWN, LifecycleEvent.GRACE_PERIOD_ENDED): ProcessState.FINALIZING,
 }
-LAST = (State.ENDING, State.SETTLING, State.CLOSING)
+TERMINAL_STATES = (
+    ProcessState.SHUTTING_DOWN,
+    ProcessState.FINALIZING,
+    ProcessState.SHUTTING_DOWN_DRAINED,
+)
+
+Listener = Callable[[ProcessState], object]
 
 
 class Lifecycle:
-    """The state of one process."""
+    """Holds the state of one process and notifies listeners of its changes."""
 
-    def __init__(self, state: State = State.STARTING) -> None:
+    def __init__(self, state: ProcessState = ProcessState.STARTING) -> None:
         self.state = state
-        self._watchers: list[Callable[[State], object]] = []
+        self._listeners: list[Listener] = []
 
     @property
     def policy(self) -> Policy:
-        """What is done now."""
+        """The policy of the current state."""
         return POLICIES[self.state]
 
-    def watch(self, told: Callable[[State], object]) -> None:
-        """Tell of each change of the state, after it."""
-        self._watchers.append(told)
+    def add_listener(self, listener: Listener) -> None:
+        """Calls the listener with the new state after each change."""
+        self._listeners.append(listener)
 
-    def tell(self, what: Event) -> None:
-        """Take in what happened."""
+    def handle(self, event: LifecycleEvent) -> None:
+        """Applies the event, and notifies the listeners if the state changes."""
         before = self.state
-        self.state = NEXT.get((before, what), before)
+        self.state = TRANSITIONS.get((before, event), before)
         if self.state is not before:
-            for told in self._watchers:
-                told(self.state)
+            for listener in self._listeners:
+                listener(self.state)
--- a/ironmill/runtime/rate_limited_log.py
+++ b/ironmill/runtime/rate_limited_log.py
@@ -7,7 +7,7 @@
 PAUSE = 1.0  # seconds between two lines
 
 
-class LogThrottle:
+class LogRateLimiter:
     """Guards processor and log against what others can make happen as often as they like."""
 
     def __init__(self) -> None:
--- a/ironmill/runtime/scheduler.py
+++ b/ironmill/runtime/scheduler.py
@@ -26,7 +26,7 @@
 _BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
 _READABLE, _WRITABLE = READ | _BROKEN, WRITE | _BROKEN
 
-IDLE_MOST = 64  # greenlets without a task that are kept
+MAX_IDLE_GREENLETS = 64  # greenlets without a task that are kept
 
 log = logging.getLogger("ironmill.runtime.scheduler")
 
@@ -224,7 +224,7 @@
         while task is not None:
             task.run()
             task.greenlet = None
-            if len(self._idle) >= IDLE_MOST:
+            if len(self._idle) >= MAX_IDLE_GREENLETS:
                 return
             self._idle.append(getcurrent())
             task = None  # not kept alive by the wait for the next
--- a/ironmill/runtime/system_calls.py
+++ b/ironmill/runtime/system_calls.py
@@ -13,15 +13,15 @@
 from typing import Any, TypeVar
 
 # This process or this machine has run out of something that others give back.
-EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+RESOURCE_EXHAUSTED_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 # connect(2) failed here, at once and before anything was sent.
-UNSENT = EXHAUSTED | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN}
-TRANSIENT_AT_START = UNSENT | {errno.EIO}
+NOT_SENT_ERRNOS = RESOURCE_EXHAUSTED_ERRNOS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN}
+TRANSIENT_START_ERRNOS = NOT_SENT_ERRNOS | {errno.EIO}
 
-RETRY_PAUSE = 0.001  # seconds between two tries while the process serves; costs a few percent of a core
-START_PAUSE = 0.02
+RETRY_INTERVAL_S = 0.001  # seconds between two tries while the process serves; costs a few percent of a core
+START_RETRY_INTERVAL_S = 0.02
 # A start may take 30 s, and nine in ten are to be ready within 10 s (STANDING).
-START_PATIENCE = 5.0
+START_RETRY_TIMEOUT_S = 5.0
 
 Result = TypeVar("Result")
 
@@ -39,7 +39,7 @@
 
 def retry_at_start(function: Callable[..., Result], *args: Any) -> Result:
     """Call the function, again while it fails for a moment. Blocks: not for a process that serves."""
-    until = time.monotonic() + START_PATIENCE
+    until = time.monotonic() + START_RETRY_TIMEOUT_S
     while True:
         try:
             return function(*args)
@@ -48,7 +48,7 @@
                 raise
             log.info("the start waits: %s", error)
         except OSError as error:
-            if error.errno not in TRANSIENT_AT_START or time.monotonic() >= until:
+            if error.errno not in TRANSIENT_START_ERRNOS or time.monotonic() >= until:
                 raise
             log.info("the start waits: %s", error)
-        time.sleep(START_PAUSE)
+        time.sleep(START_RETRY_INTERVAL_S)
--- a/ironmill/runtime/timers.py
+++ b/ironmill/runtime/timers.py
@@ -15,7 +15,7 @@
 
 # So many empty entries are worth a sweep, once they are also more than half of the queue. Guards memory
 # against long timers that are set and withdrawn all the time.
-SWEEP_FROM = 4096
+MIN_CANCELLED_TO_SWEEP = 4096
 
 log = logging.getLogger("ironmill.runtime.timers")
 
@@ -60,7 +60,7 @@
             return
         timer.action, timer.args = None, ()
         self._empty += 1
-        if self._empty >= SWEEP_FROM and self._empty * 2 > self._entries:
+        if self._empty >= MIN_CANCELLED_TO_SWEEP and self._empty * 2 > self._entries:
             self._sweep()
 
     def run(self) -> float | None:
--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -21,12 +21,12 @@
 
 from ironmill.balancing import Balancer
 from ironmill.balancing.interface import Ended, Established, Outcome, Request, Send
-from ironmill.configuration.operator_files import read_operator
+from ironmill.configuration.operator_files import read_operator_files
 from ironmill.configuration.site_settings import parse_settings
 from ironmill.protocol.discovery import Routing, parse_routing
 from ironmill.protocol.json_object import Tree, from_json
 from ironmill.requests.routing_table import RoutingTable
-from ironmill.runtime.gc_schedule import MIDDLE, NEVER, YOUNG
+from ironmill.runtime.gc_schedule import DISABLED_THRESHOLD, MIDDLE_THRESHOLD, YOUNG_THRESHOLD
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
 from ironmill_testbed.credentials import Issuer
@@ -70,7 +70,7 @@
     thresholds = gc.get_threshold()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG, MIDDLE, NEVER)
+    gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, DISABLED_THRESHOLD)
     try:
         yield
     finally:
@@ -214,11 +214,11 @@
         path = Issuer(Path(name)).settings
         path.write_text(settings_text(size))
         classes = ("index-sync", "archive-fetch")
-        read_operator(str(path), classes)
+        read_operator_files(str(path), classes)
         calls = max(1, 100 // size)
         batches = BATCHES_QUICK if quick else BATCHES
         with collecting():
-            return {"reload_cpu": _cost(lambda: read_operator(str(path), classes), calls, batches)}
+            return {"reload_cpu": _cost(lambda: read_operator_files(str(path), classes), calls, batches)}
 
 
 def _sweep(name: str, what: str, x: str = "entries", unit: str = "s", shape: Shape = Shape.LINE) -> Sweep:
@@ -307,7 +307,7 @@
         (
             _sweep(
                 "reload_cpu",
-                "CPU of read_operator, as at SIGHUP: settings of so many caller rules, the "
+                "CPU of read_operator_files, as at SIGHUP: settings of so many caller rules, the "
                 "schema's check of them, and a ring of two keys.",
                 "caller rules",
             ),
--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -17,7 +17,7 @@
 
 import psutil
 
-from ironmill.configuration.operator_files import read_operator
+from ironmill.configuration.operator_files import read_operator_files
 from ironmill.configuration.settings.model import DistributionSettings
 from ironmill.distribution.revision import START, Position, Refusal
 from ironmill.distribution.timing import TICK
@@ -191,7 +191,7 @@
 
 def run(settings: str, first: int, count: int) -> int:
     """Serve until standard input ends; the exit status. MalformedError where the settings are not fit."""
-    operator = read_operator(settings, ())
+    operator = read_operator_files(settings, ())
     distribution = operator.settings.distribution
     assert distribution is not None
     scheduler, tally, ps = Scheduler(), Tally(), psutil.Process()
--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -11,16 +11,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironmill.administration.http import BODY_MOST, HEAD_MOST, CallSide
-from ironmill.administration.messages import Answer, Call
-from ironmill.administration.proxy_api import Staff
-from ironmill.net import control as control_module
+from ironmill.administration.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, HttpExchange
+from ironmill.administration.messages import ApiRequest, ApiResponse
+from ironmill.administration.proxy_api import ProxyApi
+from ironmill.net import admin_server as admin_server_module
 from ironmill.net import drain as drain_module
-from ironmill.net.control import CALLERS_MOST, Control
+from ironmill.net.admin_server import MAX_CONNECTIONS, AdminServer
 from ironmill.net.drain import Drain
 from ironmill.net.sockets import Stream
 from ironmill.requests.metrics import ClassFigures, Figures
-from ironmill.runtime.lifecycle import Event, Lifecycle, State
+from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent, ProcessState
 from ironmill_testbed.staff import call
 from tests.system.test_net import OPEN, Town, read_line
 
@@ -30,7 +30,7 @@
 class Served:
     """What the figures come from."""
 
-    def __init__(self, state: State = State.SERVING) -> None:
+    def __init__(self, state: ProcessState = ProcessState.SERVING) -> None:
         self.lifecycle = Lifecycle(state)
         self.figures = Figures(["read"])
 
@@ -41,8 +41,8 @@
         return 1
 
 
-def hear(data: bytes, step: int = 1 << 20) -> Call | Answer | None:
-    side, heard = CallSide(), None
+def hear(data: bytes, step: int = 1 << 20) -> ApiRequest | ApiResponse | None:
+    side, heard = HttpExchange(), None
     for at in range(0, len(data), step):
         heard = side.receive(data[at : at + step])
         if heard is not None:
@@ -52,17 +52,17 @@
 
 @given(st.integers(1, 60))
 def test_a_call_is_whole_however_its_bytes_come(step: int) -> None:
-    assert hear(GET, step) == Call("GET", "/admin/health")
+    assert hear(GET, step) == ApiRequest("GET", "/admin/health")
     post = b"POST /admin/quiesce?a=b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
-    assert hear(post, step) == Call("POST", "/admin/quiesce")
+    assert hear(post, step) == ApiRequest("POST", "/admin/quiesce")
     assert hear(post[:-1], step) is None
 
 
 @given(st.binary(max_size=200))
 def test_rubbish_is_answered_or_waited_for_and_never_fails(data: bytes) -> None:
-    side = CallSide()
+    side = HttpExchange()
     heard = side.receive(data) if data else side.receive(b"")
-    if isinstance(heard, Answer):
+    if isinstance(heard, ApiResponse):
         assert heard.status >= 400
         assert side.answer(heard).startswith(b"HTTP/1.1 %d " % heard.status)
 
@@ -72,22 +72,25 @@
     [
         (b"HELLO\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\n\r\n", 400),  # no Host
-        (b"GET / HTTP/1.1\r\nHost: x\r\nx: " + b"y" * (2 * HEAD_MOST) + b"\r\n\r\n", 431),
-        (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n" + b"z" * (BODY_MOST + 1), 413),
+        (b"GET / HTTP/1.1\r\nHost: x\r\nx: " + b"y" * (2 * MAX_HEAD_BYTES) + b"\r\n\r\n", 431),
+        (
+            b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n" + b"z" * (MAX_BODY_BYTES + 1),
+            413,
+        ),
     ],
 )
 def test_what_can_be_no_call_has_an_answer(data: bytes, status: int) -> None:
     heard = hear(data, 4096)
-    assert isinstance(heard, Answer)
+    assert isinstance(heard, ApiResponse)
     assert heard.status == status
 
 
 def test_the_table_of_calls() -> None:
     served = Served()
-    staff = Staff(served)
+    staff = ProxyApi(served)
 
     def ask(method: str, path: str) -> tuple[int, Any]:
-        answer = staff.answer(Call(method, path))
+        answer = staff.answer(ApiRequest(method, path))
         return int(answer.status), orjson.loads(answer.body) if answer.body else dict(answer.headers)
 
     assert ask("GET", "/admin/health") == (200, {"state": "serving"})
@@ -110,7 +113,7 @@
     )
     assert (stats["in_progress"], stats["known_servers"], stats["skipped_servers"]) == (1, 4, 1)
     assert stats["upstream_tries"] == 0  # one number, as the platform reads it
-    served.lifecycle.tell(Event.END)
+    served.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
     assert ask("GET", "/admin/health")[0] == 503
     assert ask("POST", "/admin/quiesce")[0] == 200
     assert ask("POST", "/admin/resume")[0] == 409
@@ -146,7 +149,7 @@
 
     def __init__(self, keeps: bool = False) -> None:
         self.town = Town()
-        self.control = Control(self.town.scheduler, ("127.0.0.1", 0), Staff(self.town.gateway))
+        self.control = AdminServer(self.town.scheduler, ("127.0.0.1", 0), ProxyApi(self.town.gateway))
         self.control.start()
         Drain(self.town.scheduler, self.town.gateway, keeps)
 
@@ -164,7 +167,7 @@
 
 
 def test_half_calls_neither_hold_up_others_nor_stay(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control_module, "CALL_WAIT", 0.3)
+    monkeypatch.setattr(admin_server_module, "REQUEST_TIMEOUT_S", 0.3)
     it = Called()
 
     def story() -> None:
@@ -178,8 +181,8 @@
             answers.append(data[:12])
             stream.close()
         # The oldest made room; those that were left had their time.
-        assert answers.count(b"") >= 200 - CALLERS_MOST
-        assert set(answers[-CALLERS_MOST + 1 :]) == {b"HTTP/1.1 408"}
+        assert answers.count(b"") >= 200 - MAX_CONNECTIONS
+        assert set(answers[-MAX_CONNECTIONS + 1 :]) == {b"HTTP/1.1 408"}
         assert it.ask("GET", "/admin/health")[0] == 200
 
     it.run(story)
@@ -197,7 +200,12 @@
 
 
 def test_a_drain_and_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("FRONT", 0.05), ("MOVED_BY", 0.4), ("SETTLED_BY", 0.5), ("LOOK_FOR", 0.1)):
+    for name, value in (
+        ("FRONT_UPDATE_DELAY_S", 0.05),
+        ("MIGRATION_DEADLINE_S", 0.4),
+        ("FINAL_ANSWER_DEADLINE_S", 0.5),
+        ("LATE_MIGRATION_S", 0.1),
+    ):
         monkeypatch.setattr(drain_module, name, value)
     it = Called()
     town = it.town
@@ -239,7 +247,12 @@
 
 def test_where_packets_pass_a_drain_leaves_what_stands(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each move is a connection set up anew, and two proxies drained in turn moved every client once."""
-    for name, value in (("FRONT", 0.02), ("MOVED_BY", 0.1), ("SETTLED_BY", 0.2), ("LOOK_FOR", 0.1)):
+    for name, value in (
+        ("FRONT_UPDATE_DELAY_S", 0.02),
+        ("MIGRATION_DEADLINE_S", 0.1),
+        ("FINAL_ANSWER_DEADLINE_S", 0.2),
+        ("LATE_MIGRATION_S", 0.1),
+    ):
         monkeypatch.setattr(drain_module, name, value)
     it = Called(keeps=True)
     town = it.town
@@ -265,7 +278,7 @@
 
 
 def test_a_drain_that_is_taken_back_half_way_keeps_the_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(drain_module, "FRONT", 0.0)
+    monkeypatch.setattr(drain_module, "FRONT_UPDATE_DELAY_S", 0.0)
     it = Called()
     town = it.town
 
@@ -296,8 +309,8 @@
     it = Called()
 
     def story() -> None:
-        half = [it.connect(GET[:7]) for _ in range(CALLERS_MOST)]
-        it.town.until(lambda: len(it.control._callers) == CALLERS_MOST)
+        half = [it.connect(GET[:7]) for _ in range(MAX_CONNECTIONS)]
+        it.town.until(lambda: len(it.control._callers) == MAX_CONNECTIONS)
         half[0].send_now(GET[7:20])  # not read yet when the next one comes
         ours, theirs = socket.socketpair()
         it.control._take(Stream(it.town.scheduler, ours))
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -21,7 +21,7 @@
 from ironmill.identity.gate import BURST, SUSPECT_AFTER, Admitted
 from ironmill.identity.keyring import KeyRing
 from ironmill.identity.rules import Caller, Identity, Rights
-from ironmill.net.keywatch import KeyWatch
+from ironmill.net.key_ring_watcher import KeyRingWatcher
 from ironmill.net.sockets import Stream
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, play
@@ -234,7 +234,7 @@
 ) -> None:
     keys, timers = Keys(tmp_path), FakeTimers(monkeypatch)
     taken: list[KeyRing] = []
-    watch = KeyWatch(timers, str(keys.path), taken.append)
+    watch = KeyRingWatcher(timers, str(keys.path), taken.append)
     watch.start()
     data = keys.path.read_bytes()
     for cut in (data[:50], b"", data[:-9]):
--- a/tests/system/test_garbage_collection.py
+++ b/tests/system/test_garbage_collection.py
@@ -9,7 +9,7 @@
 
 from ironmill.net.sockets import Stream
 from ironmill.runtime import gc_schedule
-from ironmill.runtime.gc_schedule import Collector
+from ironmill.runtime.gc_schedule import GcSchedule
 from ironmill.runtime.timers import TimerQueue
 from tests.system.test_net import OPEN, Town, read_line
 
@@ -19,7 +19,7 @@
     called: list[str] = []
     for name in ("freeze", "enable", "set_threshold"):
         monkeypatch.setattr(gc, name, lambda *_, name=name: called.append(name))
-    Collector(TimerQueue(), lambda: 0).start()
+    GcSchedule(TimerQueue(), lambda: 0).start()
     assert called == ["freeze", "enable", "set_threshold"]
 
 
@@ -118,7 +118,7 @@
 
 
 def test_full_collections_wait_until_few_connections_stand(monkeypatch: pytest.MonkeyPatch) -> None:
-    now, held, full = 0.0, gc_schedule.FEW + 1, 0
+    now, held, full = 0.0, gc_schedule.MAX_CONNECTIONS_FOR_FULL_COLLECTION + 1, 0
 
     def collect() -> None:
         nonlocal full
@@ -129,15 +129,15 @@
     monkeypatch.setattr(gc, "collect", collect)
     monkeypatch.setattr(gc, "freeze", lambda: None)
     try:
-        Collector(timers, lambda: held).start()
-        assert gc.get_threshold()[2] == gc_schedule.NEVER
+        GcSchedule(timers, lambda: held).start()
+        assert gc.get_threshold()[2] == gc_schedule.DISABLED_THRESHOLD
     finally:
         gc.set_threshold(*before)
     for _ in range(4):
-        now += gc_schedule.LOOK
+        now += gc_schedule.CHECK_INTERVAL_S
         timers.run()
     assert full == 0
-    held = gc_schedule.FEW
-    now += gc_schedule.LOOK
+    held = gc_schedule.MAX_CONNECTIONS_FOR_FULL_COLLECTION
+    now += gc_schedule.CHECK_INTERVAL_S
     timers.run()
     assert full == 1
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -673,9 +673,9 @@
 
 @pytest.mark.parametrize("packets_pass", [True, False])
 def test_a_planned_end_answers_what_is_owed(monkeypatch: pytest.MonkeyPatch, packets_pass: bool) -> None:
-    monkeypatch.setattr(shutdown_module, "ACCEPT_FOR", 0.05)
-    monkeypatch.setattr(shutdown_module, "LONGEST", 0.9)
-    monkeypatch.setattr(shutdown_module, "MOVE_AFTER", 0.6)
+    monkeypatch.setattr(shutdown_module, "ACCEPT_PERIOD_S", 0.05)
+    monkeypatch.setattr(shutdown_module, "MAX_DEADLINE_S", 0.9)
+    monkeypatch.setattr(shutdown_module, "MIGRATION_DELAY_S", 0.6)
     signals = Signals()
     hung_up: list[bool] = []
     out: dict[str, bytes] = {}
@@ -826,7 +826,7 @@
     """PROTOCOL: after SIGTERM new connections go on coming for 0.2 to 0.4 s, whatever the deadlines are."""
     times = plan(longest)
     assert times.close_at >= 0.4 + 0.04
-    assert times.close_at < times.end_at - shutdown_module.FLUSH  # what came last is decided on
+    assert times.close_at < times.end_at - shutdown_module.FINAL_FLUSH_S  # what came last is decided on
 
 
 def test_a_first_line_may_be_written_in_two_seconds() -> None:
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -52,8 +52,8 @@
     monkeypatch: pytest.MonkeyPatch, answered: bool
 ) -> None:
     """Until then a drain may have been told long ago that the list at hand does not know of."""
-    monkeypatch.setattr(proxy_module, "FIRST_ANSWER_WAIT", 60.0)
-    monkeypatch.setattr(proxy_module, "Collector", Quiet)
+    monkeypatch.setattr(proxy_module, "FIRST_POLL_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(proxy_module, "GcSchedule", Quiet)
     known = Routing(15, True, (Listed("s-0", "127.0.0.1", 1, Stage.READY, "a", 0, 1.0, 0.0),))
     seen: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as agent:
@@ -83,8 +83,8 @@
 @pytest.mark.parametrize("asks", [False, True])
 def test_clients_are_taken_though_discovery_stays_silent(monkeypatch: pytest.MonkeyPatch, asks: bool) -> None:
     """At once where it must be asked, for the first call is spread over seconds there."""
-    monkeypatch.setattr(proxy_module, "FIRST_ANSWER_WAIT", 60.0 if asks else 0.02)
-    monkeypatch.setattr(proxy_module, "Collector", Quiet)
+    monkeypatch.setattr(proxy_module, "FIRST_POLL_TIMEOUT_S", 60.0 if asks else 0.02)
+    monkeypatch.setattr(proxy_module, "GcSchedule", Quiet)
     seen: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as agent:
         known = config(Routing(15, True, ()))
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -24,15 +24,14 @@
 from ironmill.net.client import ClientDriver
 from ironmill.net.discovery import Discovery
 from ironmill.net.listener import Listener
+from ironmill.net.migration import Migration
 from ironmill.net.probe import KEPT_MOST, ProbeDriver
-from ironmill.net.send_away import SendAway
 from ironmill.net.server import AttemptDriver
 from ironmill.net.shutdown import Shutdown
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
 from ironmill.protocol.discovery import Routing
 from ironmill.requests import discovery_backoff
-from ironmill.runtime.lifecycle import Event as LifecycleEvent
-from ironmill.runtime.lifecycle import State
+from ironmill.runtime.lifecycle import LifecycleEvent, ProcessState
 from tests.support.balancing import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.system.test_net import ONE, OPEN, Town, answer, pace, read_line
 
@@ -150,7 +149,7 @@
 
 
 def end_of(town: Town, monkeypatch: pytest.MonkeyPatch) -> Shutdown:
-    for name, value in {"ACCEPT_FOR": 0.02, "LONGEST": 0.05, "GRACE": 0.6}.items():
+    for name, value in {"ACCEPT_PERIOD_S": 0.02, "MAX_DEADLINE_S": 0.05, "KILL_GRACE_S": 0.6}.items():
         monkeypatch.setattr(shutdown_module, name, value)
     return Shutdown(town.scheduler, town.gateway, town.listener, town.config, town.admission)
 
@@ -163,11 +162,11 @@
         with dialled(town, b"PING\r\n") as resting, dialled(town) as silent, dialled(town) as speaking:
             town.until(lambda: len(town.admission._silent) == 3)
 
-            def told(state: State) -> None:
-                if state is State.SETTLING:
+            def told(state: ProcessState) -> None:
+                if state is ProcessState.FINALIZING:
                     speaking.sendall(OPEN)  # not read yet when the resting ones are ended
 
-            town.gateway.lifecycle.watch(told)
+            town.gateway.lifecycle.add_listener(told)
             town.scheduler.spawn(end_of(town, monkeypatch).run)
             assert read_line(Stream(town.scheduler, silent.dup())) == b"BUSY 200\r\n"
             silent.sendall(OPEN)  # too late: it has its answer
@@ -184,8 +183,12 @@
     def story(town: Town) -> None:
         client = town.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
-        for step in (LifecycleEvent.OPENED, LifecycleEvent.END, LifecycleEvent.SETTLE):
-            town.gateway.lifecycle.tell(step)
+        for step in (
+            LifecycleEvent.STARTED,
+            LifecycleEvent.SHUTDOWN_REQUESTED,
+            LifecycleEvent.GRACE_PERIOD_ENDED,
+        ):
+            town.gateway.lifecycle.handle(step)
         client.send(OPEN)
         assert read_line(client) == b"BUSY 200\r\n"
         assert client.receive(5.0) == b""
@@ -715,7 +718,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     got: list[bytes] = []
-    monkeypatch.setattr(SendAway, "run", lambda self, end: None)  # it has looked, and nothing stood
+    monkeypatch.setattr(Migration, "run", lambda self, end: None)  # it has looked, and nothing stood
 
     def story(town: Town) -> None:
         client, _ = town.pair()
--- a/tests/system/test_system_calls.py
+++ b/tests/system/test_system_calls.py
@@ -17,7 +17,7 @@
 import pytest
 
 from ironmill.administration.routes import Routes
-from ironmill.net.control import Control
+from ironmill.net.admin_server import AdminServer
 from ironmill.net.sockets import TimedOutError
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, play
@@ -152,7 +152,7 @@
         socket, "socket", faulty_socket(Faults(Plan(first={"accept": 5}, part={"accept": 0.5})))
     )
     scheduler = Scheduler()
-    control = Control(scheduler, ("127.0.0.1", 0), Routes())
+    control = AdminServer(scheduler, ("127.0.0.1", 0), Routes())
     answers: list[bytes] = []
 
     def story() -> None:
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -19,16 +19,16 @@
 from ironmill.administration import configuration_api
 from ironmill.administration.configuration_api import (
     AUTHOR_MOST,
-    HISTORY_MOST,
+    MAX_HISTORY,
     NOTE_MOST,
     REVERT,
     REVISIONS,
     STATUS,
     TICKET_MOST,
-    ConfigurationCalls,
+    ConfigurationApi,
     read_position,
 )
-from ironmill.administration.messages import Answer, Call
+from ironmill.administration.messages import ApiRequest, ApiResponse
 from ironmill.administration.routes import Routes
 from ironmill.commands import config
 from ironmill.commands.config import ConfigError
@@ -45,7 +45,7 @@
     check_changes,
 )
 from ironmill.net import revision_store
-from ironmill.net.control import Control
+from ironmill.net.admin_server import AdminServer
 from ironmill.net.revision_store import SqliteStore
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import play
@@ -118,13 +118,13 @@
 
 def routes_of(stub: Stub, writes: bool = True) -> Routes:
     routes = Routes()
-    ConfigurationCalls(stub, stub if writes else None, ["c1", "c9"], lambda: 50.0, lambda: 7.0).add_to(routes)
+    ConfigurationApi(stub, stub if writes else None, ["c1", "c9"], lambda: 50.0, lambda: 7.0).add_to(routes)
     return routes
 
 
 def ask(routes: Routes, method: str, path: str, body: object = None, query: str = "") -> tuple[int, Any]:
     data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
-    answer = routes.answer(Call(method, path, query, data))
+    answer = routes.answer(ApiRequest(method, path, query, data))
     assert answer.body.endswith(b"\n")
     return int(answer.status), json.loads(answer.body)
 
@@ -212,10 +212,10 @@
             return []
 
     routes = Routes()
-    ConfigurationCalls(Nobody(), Nobody(), []).add_to(routes)
+    ConfigurationApi(Nobody(), Nobody(), []).add_to(routes)
     for path in (REVISIONS, REVERT):
-        assert routes.answer(Call("POST", path, "", data)).status in (400, 503)
-    assert routes.answer(Call("GET", REVISIONS, data.decode("latin-1"))).status in (200, 400)
+        assert routes.answer(ApiRequest("POST", path, "", data)).status in (400, 503)
+    assert routes.answer(ApiRequest("GET", REVISIONS, data.decode("latin-1"))).status in (200, 400)
 
 
 def test_what_the_calls_let_pass_the_store_takes(stub: Stub) -> None:
@@ -266,9 +266,9 @@
     asked: list[int] = []
     monkeypatch.setattr(stub, "history", lambda most: asked.append(most) or [])
     ask(routes, "GET", REVISIONS, query="most=999999")
-    assert asked == [HISTORY_MOST]
+    assert asked == [MAX_HISTORY]
     monkeypatch.undo()
-    monkeypatch.setattr(configuration_api, "HISTORY_BYTES", 10)
+    monkeypatch.setattr(configuration_api, "MAX_HISTORY_BYTES", 10)
     told = ask(routes, "GET", REVISIONS)[1]
     assert (len(told["revisions"]), told["cut"]) == (2, True)
 
@@ -360,11 +360,11 @@
     def __init__(self, stub: Stub, writes: bool = True) -> None:
         self.scheduler = Scheduler()
         self.lose = 0  # answers that get lost
-        self.calls: list[Call] = []
+        self.calls: list[ApiRequest] = []
         routes = routes_of(stub, writes)
         answer = routes.answer
 
-        def lossy(call: Call) -> Answer:
+        def lossy(call: ApiRequest) -> ApiResponse:
             self.calls.append(call)
             told = answer(call)
             if self.lose:
@@ -373,7 +373,7 @@
             return told
 
         routes.answer = lossy  # type: ignore[method-assign]
-        self.control = Control(self.scheduler, ("127.0.0.1", 0), routes)
+        self.control = AdminServer(self.scheduler, ("127.0.0.1", 0), routes)
         self.control.start()
 
     def run(self, *words: str, meanwhile: Callable[[], object] | None = None) -> tuple[int, str, str]:
@@ -524,12 +524,12 @@
     routes.add("/other", {})
     town = Town.__new__(Town)
     town.scheduler = scheduler
-    town.control = Control(scheduler, ("127.0.0.1", 0), routes)
+    town.control = AdminServer(scheduler, ("127.0.0.1", 0), routes)
     town.control.start()
     assert "has no distribution in its settings" in town.run("status", "CONTROL")[2]
-    routes.add(STATUS, {"GET": lambda _: Answer(HTTPStatus.OK, b"<html>")})
+    routes.add(STATUS, {"GET": lambda _: ApiResponse(HTTPStatus.OK, b"<html>")})
     assert "answers something else" in town.run("status", "CONTROL")[2]
-    fails = Answer(HTTPStatus.BAD_GATEWAY, msgspec.json.encode({"reason": "x"}))
+    fails = ApiResponse(HTTPStatus.BAD_GATEWAY, msgspec.json.encode({"reason": "x"}))
     routes.add(STATUS, {"GET": lambda _: fails})
     assert "answers 502: x" in town.run("status", "CONTROL")[2]
     town.control.close()
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -18,7 +18,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from ironmill.configuration import distributed_keys
-from ironmill.configuration.distributed_keys import Configuration, InForce, check_form
+from ironmill.configuration.distributed_keys import AppliedKeys, ConfigurationConsumer, check_form
 from ironmill.configuration.settings.model import LogSettings
 from ironmill.distribution.revision import Changes, Consumer, Refusal
 from ironmill.identity import rules
@@ -106,15 +106,15 @@
 @given(st.dictionaries(st.text(max_size=30), st.none() | st.binary(max_size=80), max_size=4))
 def test_any_changes_are_checked_and_what_passes_is_applied(changes: Changes) -> None:
     for prefix in ("", "deny/subject/", "shard/", "log/level"):
-        it = Configuration(None, no_level)
+        it = ConfigurationConsumer(None, no_level)
         prefixed = {prefix + key: value for key, value in changes.items()}
         if it.check(prefixed) is None:
             it.apply(prefixed)
-            assert it.in_force.subjects == frozenset()
+            assert it.applied.subjects == frozenset()
 
 
 def test_without_identity_nobody_can_be_denied_and_all_else_holds(level: logging.Logger) -> None:
-    it = Configuration(None)
+    it = ConfigurationConsumer(None)
     for key in ("deny/subject/x", f"deny/fingerprint/{PRINT}"):
         refusal = it.check({"log/level": b"debug", key: b""})
         assert refusal == Refusal(key, "this proxy's settings hold no identity, so nobody can be denied")
@@ -125,18 +125,18 @@
 
 def test_a_check_changes_nothing(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
     callers = callers_of(keys, FakeTimers(monkeypatch))
-    it = Configuration(callers, lambda level: pytest.fail(level))
-    before, gate = it.in_force, callers.gate.identity
+    it = ConfigurationConsumer(callers, lambda level: pytest.fail(level))
+    before, gate = it.applied, callers.gate.identity
     assert it.check({"deny/subject/a": b"", "log/level": b"debug"}) is None
     assert it.check({"deny/subject/a": b"", "other": b""}) == Refusal("other", "unknown key")
-    assert it.in_force is before
+    assert it.applied is before
     assert callers.gate.identity is gate
 
 
 def test_too_many_denials_are_refused_by_name(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("SUBJECTS_MOST", "PATTERNS_MOST", "FINGERPRINTS_MOST"):
+    for name in ("MAX_SUBJECTS", "MAX_PATTERNS", "MAX_FINGERPRINTS"):
         monkeypatch.setattr(distributed_keys, name, 2)
-    it = Configuration(callers_of(keys, FakeTimers(monkeypatch)), no_level)
+    it = ConfigurationConsumer(callers_of(keys, FakeTimers(monkeypatch)), no_level)
     for what, names in (
         ("subjects", ["deny/subject/a", "deny/subject/b", "deny/subject/c"]),
         ("subjects with wildcards", ["deny/subject/*a", "deny/subject/b?", "deny/subject/*"]),
@@ -151,7 +151,7 @@
 
 def test_the_level_holds_over_a_reload_until_its_key_is_gone(level: logging.Logger) -> None:
     logs.set_up("p", LogSettings(level="warning"))
-    it = Configuration(None)
+    it = ConfigurationConsumer(None)
     it.apply({"log/level": b"debug"})
     assert level.level == logging.DEBUG
     logs.set_up("p", LogSettings(level="error"))  # as at SIGHUP
@@ -170,7 +170,7 @@
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
     callers = callers_of(keys, timers, lambda: timers.now + offset, move_within=1.0)
-    it = Configuration(callers, no_level)
+    it = ConfigurationConsumer(callers, no_level)
     drivers = [Stands() for _ in range(4)]
     for at, driver in enumerate(drivers):
         verdict = callers.present(keys.token(sub=f"farm-{at}"), "x")
@@ -211,7 +211,7 @@
     driver = Stands()
     guest = callers.guest(driver, "x")
     assert guest.show(keys.token()) is None
-    Configuration(callers, no_level).apply({"deny/subject/farm-1": b""})
+    ConfigurationConsumer(callers, no_level).apply({"deny/subject/farm-1": b""})
     assert guest.ask("read") is None  # it keeps what was in force when it began
     guest.stands()
     timers.run(2.0)
@@ -232,7 +232,7 @@
     it.open(verdict)
     it.stands(verdict, driver)
     key = f"deny/fingerprint/{fingerprint(shown)}"
-    consumer = Configuration(it, no_level)
+    consumer = ConfigurationConsumer(it, no_level)
     assert consumer.check({key: b"lost"}) is None
     consumer.apply({key: b"lost"})
     refused = it.certificate(der, "x")
@@ -258,7 +258,7 @@
         super().__init__()
         self.timers = TimerQueue(time.monotonic)
         self.callers = callers_of(self.keys, self.timers)
-        self.it = Configuration(self.callers, self.take_level)
+        self.it = ConfigurationConsumer(self.callers, self.take_level)
         self.pushed: dict[str, bytes] = {}
         self.own: tuple[str, ...] = ()
         self.level = ""
@@ -277,7 +277,7 @@
         )
     )
     def revision(self, changes: Changes) -> None:
-        before, level = self.it.in_force, self.level
+        before, level = self.it.applied, self.level
         refusal = self.it.check(changes)
         wrong = {
             key
@@ -285,7 +285,7 @@
             if value is not None and (key == "other" or (value == b"" and key in ("log/level", "shard/a")))
         }
         assert (refusal is not None) is bool(wrong)
-        assert (self.it.in_force, self.level) == (before, level)
+        assert (self.it.applied, self.level) == (before, level)
         if refusal is not None:
             assert refusal.key in wrong
             return
@@ -366,13 +366,13 @@
 
 def test_what_nothing_changes_in_is_not_copied() -> None:
     rng = random.Random(2)
-    one = InForce().with_changes({f"deny/subject/s{rng.random()}": b"" for _ in range(100)})
+    one = AppliedKeys().with_changes({f"deny/subject/s{rng.random()}": b"" for _ in range(100)})
     assert one.with_changes({"shard/a": b"r"}).subjects is one.subjects
     assert one.with_changes({"deny/subject/*": b""}).subjects is one.subjects
 
 
 def test_it_is_a_consumer_and_brings_no_identity_with_it() -> None:
-    it: Consumer = Configuration(None, no_level)  # mypy says whether it is
+    it: Consumer = ConfigurationConsumer(None, no_level)  # mypy says whether it is
     assert it.check({}) is None
     assert TokenMatch(ISSUER, AUDIENCE).subject == "*"
     code = (
--- a/tests/unit/configuration/test_distribution_settings.py
+++ b/tests/unit/configuration/test_distribution_settings.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironmill.cli import main
-from ironmill.configuration.operator_files import read_operator
+from ironmill.configuration.operator_files import read_operator_files
 from ironmill.configuration.settings.load import load_settings
 from ironmill.configuration.settings.model import ControlMachine, DistributionSettings, SettingsError
 from ironmill.configuration.units import size_rate
@@ -167,7 +167,7 @@
 def test_keys_are_read_with_the_settings(tmp_path: Path) -> None:
     path = file(tmp_path)
     (tmp_path / "k").write_text(f"{KEYS}\n{'a1' * 16}\n")
-    operator = read_operator(path, ())
+    operator = read_operator_files(path, ())
     assert operator.distribution_keys == (bytes.fromhex(KEYS), bytes.fromhex("a1" * 16))
     assert operator.member_keys == ()
 
--- a/tests/unit/configuration/test_proxy_config.py
+++ b/tests/unit/configuration/test_proxy_config.py
@@ -45,7 +45,7 @@
     config = load({"PROXY_CONFIG": written(tmp_path), "PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.5:77"})
     assert (config.name, config.listen, config.discovery) == ("n9", ("127.0.0.5", 77), ("127.0.0.1", 8500))
     assert (config.seed, config.sockets, config.known.revision) == (0x8C1F30D27A5BE964, 4096, 41)
-    assert (config.shortest_aim, config.drain_grace, config.packets_pass) == (0.1, 1.0, False)
+    assert (config.shortest_latency_objective_s, config.drain_grace, config.packets_pass) == (0.1, 1.0, False)
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -59,7 +59,7 @@
         "drain_grace": 0.25,
         "packets_pass": True,
         "wait_limits": {"read": 2.0},
-        "shortest_aim": 0.15,
+        "shortest_latency_objective_s": 0.15,
         "stated": {},
     }
     return Config(**(fields | changes))
--- a/tests/unit/runtime/test_timers.py
+++ b/tests/unit/runtime/test_timers.py
@@ -20,10 +20,10 @@
         self.expected: list[tuple[float, int]] = []
         self.timers: dict[int, Timer] = {}
         self.fired: list[int] = []
-        self.before, module.SWEEP_FROM = module.SWEEP_FROM, 4
+        self.before, module.MIN_CANCELLED_TO_SWEEP = module.MIN_CANCELLED_TO_SWEEP, 4
 
     def teardown(self) -> None:
-        module.SWEEP_FROM = self.before
+        module.MIN_CANCELLED_TO_SWEEP = self.before
 
     @rule(delay=st.sampled_from([0.0, 0.5, 1.0, 2.0, 30.0]))
     def set(self, delay: float) -> None:
@@ -70,7 +70,7 @@
 def test_long_timers_that_are_withdrawn_at_once_do_not_pile_up() -> None:
     """Guards memory: a mass reconnect sets and withdraws one deadline a request."""
     queue = TimerQueue()
-    for _ in range(10 * module.SWEEP_FROM):
+    for _ in range(10 * module.MIN_CANCELLED_TO_SWEEP):
         queue.cancel(queue.call_later(3600.0, print))
     assert len(queue) == 0
-    assert queue._entries < 2 * module.SWEEP_FROM
+    assert queue._entries < 2 * module.MIN_CANCELLED_TO_SWEEP
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -15,10 +15,10 @@
 import msgspec
 import pytest
 
-from ironmill.administration.configuration_api import ConfigurationCalls, read_position
-from ironmill.administration.http import CallSide
-from ironmill.administration.messages import Answer, Call
-from ironmill.administration.proxy_api import Staff
+from ironmill.administration.configuration_api import ConfigurationApi, read_position
+from ironmill.administration.http import HttpExchange
+from ironmill.administration.messages import ApiRequest, ApiResponse
+from ironmill.administration.proxy_api import ProxyApi
 from ironmill.administration.routes import Routes
 from ironmill.balancing.interface import Outcome, Stage
 from ironmill.configuration.proxy_config import load
@@ -35,7 +35,7 @@
 from ironmill.protocol.request import busy_line, request_fields
 from ironmill.protocol.server import ProbeSide, Refused, Relayed, ServerSide, Up
 from ironmill.requests.metrics import Figures
-from ironmill.runtime.lifecycle import Event, Lifecycle
+from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent
 from ironmill.simulator.host import main as simulate
 from tests.golden import messages
 
@@ -388,10 +388,10 @@
 
 
 def call(routes: Routes, request: bytes) -> bytes:
-    side = CallSide(routes.detailed)
+    side = HttpExchange(routes.detailed)
     call = side.receive(request)
     assert call is not None
-    return side.answer(routes.answer(call) if isinstance(call, Call) else call)
+    return side.answer(routes.answer(call) if isinstance(call, ApiRequest) else call)
 
 
 def request(method: str, path: str, body: bytes = b"") -> bytes:
@@ -400,27 +400,27 @@
 
 def test_the_calls_of_a_proxy() -> None:
     observed = Observed()
-    staff = Staff(observed)
+    staff = ProxyApi(observed)
     answers = []
     for step in (
         ("GET", "/admin/health"),
-        Event.OPENED,
+        LifecycleEvent.STARTED,
         ("GET", "/admin/health"),
         ("GET", "/admin/stats"),
         ("POST", "/admin/quiesce"),
         ("GET", "/admin/health"),
-        Event.HEARD,
+        LifecycleEvent.DRAIN_PROPAGATED,
         ("GET", "/admin/health"),
         ("POST", "/admin/resume"),
         ("GET", "/admin/resume"),
         ("GET", "/admin/nothing"),
-        Event.END,
+        LifecycleEvent.SHUTDOWN_REQUESTED,
         ("POST", "/admin/resume"),
-        Event.SETTLE,
+        LifecycleEvent.GRACE_PERIOD_ENDED,
         ("GET", "/admin/health"),
     ):
-        if isinstance(step, Event):
-            observed.lifecycle.tell(step)
+        if isinstance(step, LifecycleEvent):
+            observed.lifecycle.handle(step)
         else:
             answers.append([*step, call(staff, request(*step)).decode()])
     assert answers == recorded("admin.json")["proxy"]
@@ -429,14 +429,19 @@
 def test_the_states_of_a_process() -> None:
     found = []
     for steps in (
-        (Event.QUIESCE, Event.OPENED, Event.RESUME),
-        (Event.QUIESCE, Event.RESUME, Event.END),
-        (Event.OPENED, Event.QUIESCE, Event.HEARD, Event.END),
+        (LifecycleEvent.DRAIN_REQUESTED, LifecycleEvent.STARTED, LifecycleEvent.RESUME_REQUESTED),
+        (LifecycleEvent.DRAIN_REQUESTED, LifecycleEvent.RESUME_REQUESTED, LifecycleEvent.SHUTDOWN_REQUESTED),
+        (
+            LifecycleEvent.STARTED,
+            LifecycleEvent.DRAIN_REQUESTED,
+            LifecycleEvent.DRAIN_PROPAGATED,
+            LifecycleEvent.SHUTDOWN_REQUESTED,
+        ),
     ):
         lifecycle = Lifecycle()
         states = [lifecycle.state.value]
         for step in steps:
-            lifecycle.tell(step)
+            lifecycle.handle(step)
             states.append(lifecycle.state.value)
         found.append(states)
     assert found == recorded("admin.json")["states"]
@@ -462,8 +467,8 @@
 
     answers = []
     for calls in (
-        ConfigurationCalls(Reader(), None, ["c1", "c2"], clock=lambda: 1764700200.0, now=lambda: 1.0),
-        ConfigurationCalls(Reader(), Writer(), ["c1"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+        ConfigurationApi(Reader(), None, ["c1", "c2"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+        ConfigurationApi(Reader(), Writer(), ["c1"], clock=lambda: 1764700200.0, now=lambda: 1.0),
     ):
         routes = Routes()
         calls.add_to(routes)
@@ -475,6 +480,6 @@
 
 
 def test_a_call_that_is_too_large() -> None:
-    side = CallSide(["/x"])
+    side = HttpExchange(["/x"])
     answer = side.receive(request("POST", "/x", b"x" * 65537))
-    assert isinstance(answer, Answer) and answer.status is HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+    assert isinstance(answer, ApiResponse) and answer.status is HTTPStatus.REQUEST_ENTITY_TOO_LARGE
