--- a/ironmill/configuration/proxy_config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -81,7 +81,7 @@
     settings_tree = root.tree("settings")
     # On these sockets a standing connection brings its lines back at once however long the messages of
     # its server take, so the decisions must not count on being told of a jam.
-    settings = structs.replace(settings_from(settings_tree), tells_delay=False)
+    settings = structs.replace(settings_from(settings_tree), reports_delay=False)
     sockets = root.tree("limits", {}).number("sockets", 1024)
     if not MIN_SOCKETS <= sockets <= MAX_SOCKETS:
         raise MalformedError(f"configuration: limits.sockets is not from {MIN_SOCKETS} to {MAX_SOCKETS}")
@@ -100,7 +100,9 @@
         wait_limits={
             item.text("name"): item.number("hardLimitS", 10.0) for item in settings_tree.trees("categories")
         },
-        shortest_latency_objective_s=min((cls.message_aim for cls in settings.classes), default=0.1),
+        shortest_latency_objective_s=min(
+            (cls.message_latency_objective for cls in settings.classes), default=0.1
+        ),
         stated=flat(value),
         control=address(control, "control") if control else None,
     )
