--- a/ironmill/configuration/operator_files.py
+++ b/ironmill/configuration/operator_files.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorFiles:
     """One reading of all files, which belongs together."""
 
     settings: OperatorSettings
@@ -30,7 +30,7 @@
     distribution_keys: tuple[bytes, ...] = ()  # there if the settings hold a distribution
 
 
-def read_operator(path: str, classes: Collection[str]) -> Operator:
+def read_operator_files(path: str, classes: Collection[str]) -> OperatorFiles:
     """The settings file and what it names; MalformedError, one line, if any of it is not fit for use."""
     try:
         from ironmill.configuration.settings.load import (
@@ -50,10 +50,10 @@
     distribution = settings.distribution
     distribution_keys = () if distribution is None else read_keys(distribution.keys, "distribution's")
     if settings.tls is None and settings.upstream is None:
-        return Operator(settings, ring, member_keys=member_keys, distribution_keys=distribution_keys)
+        return OperatorFiles(settings, ring, member_keys=member_keys, distribution_keys=distribution_keys)
     from ironmill.configuration.tls_context import server_tls, upstream_tls
 
-    return Operator(
+    return OperatorFiles(
         settings,
         ring,
         None if settings.tls is None else server_tls(settings.tls),
@@ -65,9 +65,11 @@
 
 def read_keys(path: str, whose: str) -> tuple[bytes, ...]:
     """One or two keys, a line each in hexadecimal; MalformedError, one line, if they are not fit for use."""
-    from ironmill.membership.envelope import KEY_LEAST, KEY_MOST, check_keys
+    from ironmill.membership.envelope import check_keys
+    from ironmill.membership.limits import MAX_KEY_BYTES, MIN_KEY_BYTES
 
-    right = f"one or two lines of {2 * KEY_LEAST} to {2 * KEY_MOST} hexadecimal digits, the signing one first"
+    digits = f"{2 * MIN_KEY_BYTES} to {2 * MAX_KEY_BYTES}"
+    right = f"one or two lines of {digits} hexadecimal digits, the signing one first"
     try:
         return check_keys([bytes.fromhex(line) for line in Path(path).read_text("ascii").split()])
     except OSError as error:
--- a/ironmill_testbed/faults/town.py
+++ b/ironmill_testbed/faults/process_cluster.py
@@ -12,8 +12,8 @@
 from typing import Any, Self
 
 from ironmill.commands import members
-from ironmill.membership.wire import Address, spelled
-from ironmill_testbed.faults.checker import Seen, read_logs
+from ironmill.membership.identity import Address, format_address
+from ironmill_testbed.faults.checker import LoggedEvent, read_logs
 from ironmill_testbed.faults.schedule import Fault, Links
 from ironmill_testbed.faults.switch import Switch
 from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
@@ -24,7 +24,7 @@
 KEY = "0f" * 32
 
 
-class Town:
+class ProcessCluster:
     """The processes, by name. Their logs are the story."""
 
     def __init__(
@@ -69,7 +69,7 @@
     def _write_config(self, name: str, proxies: int) -> None:
         settings = platform_settings(proxies)
         value = proxy_config(name, self.clients[name], self.neighbours.discovery, 1024, settings)
-        value["control"] = spelled(self.controls[name])
+        value["control"] = format_address(self.controls[name])
         write_config(self.folder, value)
 
     def _write(self, name: str) -> None:
@@ -81,11 +81,11 @@
         lines = ['<ironmill xmlns="urn:ironmill:settings:1">', '<log form="json"/>']
         if self._membership:
             lines += [
-                f'<membership cluster="town" listen="{spelled(self._homes[name])}" keys="members.keys"'
+                f'<membership cluster="town" listen="{format_address(self._homes[name])}" keys="members.keys"'
                 f' zone="{zone}" region="r">',
-                *(f'<seed address="{spelled(seed)}"/>' for seed in seeds),
+                *(f'<seed address="{format_address(seed)}"/>' for seed in seeds),
                 *(
-                    f'<peer name="{other}" address="{spelled(self.switch.door(name, other))}"/>'
+                    f'<peer name="{other}" address="{format_address(self.switch.door(name, other))}"/>'
                     for other in self.names
                     if other != name
                 ),
@@ -169,6 +169,6 @@
             time.sleep(LOOK)
         return time.monotonic() - began
 
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[LoggedEvent]:
         """What all have logged so far."""
         return read_logs(self.folder, self.names)
