--- a/ironmill/configuration/site_settings.py
+++ b/ironmill/configuration/site_settings.py
@@ -1,4 +1,8 @@
-"""The settings object of an operator, read key by key. The simulator adapter and the proxy share it."""
+"""Reads the operators' settings of a site, a JSON object, into the settings of the decisions.
+
+The proxy and the simulator's adapter share it. The keys of the JSON object are mapped to their terms here and
+nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -16,63 +20,38 @@
 
 log = logging.getLogger("ironmill.configuration.site_settings")
 
-EFFECTS = {"pure": Idempotency.ALWAYS, "token": Idempotency.BY_KEY, "side_effect": Idempotency.NONE}
-SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
-
-
-def _effect_and_scope(item: Tree) -> tuple[Idempotency, DeduplicationScope]:
-    """How safe it is to run a request of the class again.
-
-    An effect, or a group that drops repeats, that this program does not know is taken as the worst: nothing
-    of the class is repeated. Guards a customer whose settings are newer than the program against a refusal to
-    start.
-    """
-    effect_name, scope_name = item.text("effect"), item.text("group", "all")
-    effect, scope = EFFECTS.get(effect_name), SCOPES.get(scope_name)
-    if effect is None or (effect is Idempotency.BY_KEY and scope is None):
-        log.warning(
-            "class %s: %s is not known, so nothing of it is repeated",
-            item.text("name"),
-            f"effect {effect_name!r}" if effect is None else f"group {scope_name!r}",
-        )
-        effect = Idempotency.NONE
-    return effect, scope or DeduplicationScope.ALL
+IDEMPOTENCY = {
+    "pure": Idempotency.ALWAYS,
+    "token": Idempotency.BY_KEY,
+    "side_effect": Idempotency.NONE,
+}
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
 
 
 def parse_settings(text: str) -> Settings:
-    """The settings from the start message's JSON text."""
+    """Returns the settings from JSON text. Raises MalformedError that names the key."""
     return settings_from(Tree(from_json(text, "settings:")))
 
 
 def settings_from(root: Tree) -> Settings:
-    """The settings from the parsed object."""
+    """Returns the settings from the parsed object. Raises MalformedError that names the key."""
     family = root.tree("familyInfo", {})
-    ceilings, rules, prices = root.tree("ceilings"), root.tree("rules"), root.tree("prices", {})
-    aims, quotas = family.numbers("messageAimS"), family.numbers("tenantQuotaConnections")
-    classes = []
-    for at, item in enumerate(root.trees("categories")):
-        aim = item.number("aimS")
-        effect, scope = _effect_and_scope(item)
-        classes.append(
-            RequestClass(
-                name=item.text("name"),
-                latency_objective=aim,
-                priority_weight=item.number("points", 1.0),
-                message_latency_objective=aims[at] if at < len(aims) else aim,
-                idempotency=effect,
-                deduplication_scope=scope,
-                deduplication_window=item.number("windowS", 0.0),
-            )
-        )
-    tenants = [
-        Tenant(item.text("name"), item.number("quotaRps", 0.0), quotas[at] if at < len(quotas) else 0.0)
-        for at, item in enumerate(root.trees("projects", []))
-    ]
+    ceilings = root.tree("ceilings")
+    rules = root.tree("rules")
+    costs = root.tree("prices", {})
+    message_objectives = family.numbers("messageAimS")
+    quotas = family.numbers("tenantQuotaConnections")
+    classes = _request_classes(root, message_objectives)
+    tenants = _tenants(root, quotas)
     return Settings(
         proxies=int(root.number("balancers")),
-        classes=tuple(classes),
-        tenants=tuple(tenants),
-        costs=Costs(handshake=prices.number("handshake", 0.0)),
+        classes=classes,
+        tenants=tenants,
+        costs=Costs(handshake=costs.number("handshake", 0.0)),
         subscribes_to_discovery=root.choice("discovery", {"push": False, "ask": True}),
         discovery_poll_interval=rules.number("askWithinS", 10.0),
         initial_capacity_fraction=rules.number("coldFrom"),
@@ -80,10 +59,71 @@
         slow_start_rate_multiple=rules.number("fallMultiple"),
         slow_start_window=rules.number("tipAfterS"),
         max_attempts=int(ceilings.number("sendCap")),
-        max_retry_after=ceilings.number("maxRetryAfterS", 0.0) if ceilings.flag("retryAfter", False) else 0.0,
+        max_retry_after=_max_retry_after(ceilings),
         keepalive_timeout=ceilings.number("keepaliveS", 0.0),
         min_round_interval=root.number("roundS", 0.001),
         health_checks=ceilings.flag("probes", False),
         reports_delay=family.flag("tellsDelay", True),
         live_weights=root.text("weightSource", "off") == "live",
     )
+
+
+def _request_classes(root: Tree, message_objectives: list[float]) -> tuple[RequestClass, ...]:
+    classes = []
+    for at, item in enumerate(root.trees("categories")):
+        objective = item.number("aimS")
+        idempotency, scope = _idempotency_and_scope(item)
+        classes.append(
+            RequestClass(
+                name=item.text("name"),
+                latency_objective=objective,
+                priority_weight=item.number("points", 1.0),
+                message_latency_objective=_at(message_objectives, at, objective),
+                idempotency=idempotency,
+                deduplication_scope=scope,
+                deduplication_window=item.number("windowS", 0.0),
+            )
+        )
+    return tuple(classes)
+
+
+def _idempotency_and_scope(item: Tree) -> tuple[Idempotency, DeduplicationScope]:
+    """Returns whether a request of the class may run again, and where.
+
+    A class whose values this version does not know is never repeated; the rest of the settings is used.
+    """
+    effect_name = item.text("effect")
+    scope_name = item.text("group", "all")
+    idempotency = IDEMPOTENCY.get(effect_name)
+    scope = DEDUPLICATION_SCOPES.get(scope_name)
+    unknown = None
+    if idempotency is None:
+        unknown = f"effect {effect_name!r}"
+    elif idempotency is Idempotency.BY_KEY and scope is None:
+        unknown = f"group {scope_name!r}"
+    if unknown is not None:
+        log.warning("class %s: unknown %s, so its requests are never repeated", item.text("name"), unknown)
+        idempotency = Idempotency.NONE
+    return idempotency or Idempotency.NONE, scope or DeduplicationScope.ALL
+
+
+def _tenants(root: Tree, quotas: list[float]) -> tuple[Tenant, ...]:
+    return tuple(
+        Tenant(
+            name=item.text("name"),
+            quota_rate=item.number("quotaRps", 0.0),
+            quota_connections=_at(quotas, at, 0.0),
+        )
+        for at, item in enumerate(root.trees("projects", []))
+    )
+
+
+def _max_retry_after(ceilings: Tree) -> float:
+    if not ceilings.flag("retryAfter", False):
+        return 0.0
+    return ceilings.number("maxRetryAfterS", 0.0)
+
+
+def _at(values: list[float], index: int, default: float) -> float:
+    """Returns the value at an index of a list that may be shorter."""
+    return values[index] if index < len(values) else default
--- a/ironmill/simulator/__main__.py
+++ b/ironmill/simulator/__main__.py
@@ -2,6 +2,6 @@
 
 import sys
 
-from ironmill.simulator.host import main
+from ironmill.simulator.loop import main
 
 sys.exit(main())
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -27,7 +27,8 @@
 from ironmill.protocol.server import ProbeSide, Report
 from ironmill.requests.gateway import Gateway
 from ironmill.requests.routing_table import Server
-from ironmill.simulator.host import PARSERS, format_action
+from ironmill.simulator.formatting import format_action
+from ironmill.simulator.parsing import EVENT_PARSERS
 from tests.support.balancing import SimulatedProxy, sends
 from tests.system.test_net import Town, read_line
 from tests.unit.requests.test_gateway import FakeHolder, FakeTimers, config, timers
@@ -200,7 +201,7 @@
 def test_the_simulators_wire_has_them() -> None:
     assert format_action("3", CheckHealth(5)) == "PROBE\trelay=3\tbackend=5"
     fields = {"backend": "5", "outcome": "pass", "delaySeenS": "0.01", "telemetry": "x0:0.5,queue:2"}
-    assert PARSERS["STATUS_BACK"](fields) == HealthChecked(5, Outcome.OK, (("x0", 0.5), ("queue", 2.0)))
+    assert EVENT_PARSERS["STATUS_BACK"](fields) == HealthChecked(5, Outcome.OK, (("x0", 0.5), ("queue", 2.0)))
 
 
 def test_the_gateway_carries_them(timers: FakeTimers) -> None:
--- a/tests/unit/simulator/test_simulator.py
+++ b/tests/unit/simulator/test_simulator.py
@@ -17,7 +17,7 @@
 from ironmill.balancing.interface import Idempotency
 from ironmill.configuration.site_settings import parse_settings
 from ironmill.protocol.json_object import MalformedError
-from ironmill.simulator.host import main
+from ironmill.simulator.loop import main
 
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -37,7 +37,7 @@
 from ironmill.protocol.server import ProbeSide, Refused, Relayed, ServerSide, Up
 from ironmill.requests.metrics import Figures
 from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent
-from ironmill.simulator.host import main as simulate
+from ironmill.simulator.loop import main as simulate
 from tests.golden import messages
 
 GOLDEN = Path(__file__).parents[1] / "golden"
