--- a/Makefile
+++ b/Makefile
@@ -4,13 +4,16 @@
 SETUP := .venv-dev/complete
 endif
 
+# Workers for the tests without processes; tests/system runs on one of them.
+WORKERS ?= 4
+
 .PHONY: build dev demo lint run test
 
 demo: $(SETUP)
 	$(PYTHON) -m ironmill_testbed demo $(ARGS)
 
 test: $(SETUP)
-	$(PYTHON) -m pytest
+	$(PYTHON) -m pytest -n $(WORKERS) --dist loadgroup
 
 lint: $(SETUP)
 	$(PYTHON) -m ruff check .
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,10 +2,17 @@
 
 Tests that ``KNOWN-RED.txt`` names are run and expected to fail; one that passes fails the run, and so does a
 name that no test has.
+
+With ``-n WORKERS --dist loadgroup`` (pytest-xdist) all of ``tests/system`` runs on one worker, one test after
+another, for it starts processes and uses real time.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+from pathlib import Path
+from typing import Any
+
 import pytest
 from hypothesis import settings
 
@@ -14,6 +21,7 @@
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
+SYSTEM_TESTS = Path(__file__).parent / "system"
 KNOWN_RED = pytest.StashKey[dict[str, str]]()
 
 
@@ -23,6 +31,9 @@
         config.stash[KNOWN_RED] = parse(file.read_text()) if file.exists() else {}
     except KnownRedError as error:
         raise pytest.UsageError(f"{file.name}: {error}") from None
+    config.addinivalue_line("markers", "xdist_group(name): run on the same worker of pytest-xdist")
+    if config.pluginmanager.hasplugin("xdist"):
+        config.pluginmanager.register(CollectedByWorkers())
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
@@ -31,11 +42,32 @@
         if item.nodeid in known:
             # Strict: one that passes is a failure.
             item.add_marker(pytest.mark.xfail(reason=known[item.nodeid], strict=True))
-    chosen = config.args_source is pytest.Config.ArgsSource.ARGS or config.option.keyword
-    if not chosen and (absent := missing(known, (item.nodeid for item in items))):
+        if SYSTEM_TESTS in item.path.parents:
+            item.add_marker(pytest.mark.xdist_group("system"))
+    if not hasattr(config, "workerinput"):  # else the run that started this worker checks the names
+        check_names(config, (item.nodeid for item in items))
+
+
+def check_names(config: pytest.Config, collected: Iterable[str]) -> None:
+    """Fails the run if ``KNOWN-RED.txt`` names a test that is not there, unless a part is selected."""
+    if is_selection(config):
+        return
+    if absent := missing(config.stash[KNOWN_RED], collected):
         raise pytest.UsageError(f"KNOWN-RED.txt names tests that are not there: {', '.join(absent)}")
 
 
+def is_selection(config: pytest.Config) -> bool:
+    """Tells whether the command line asks for a part of the tests."""
+    return config.args_source is pytest.Config.ArgsSource.ARGS or bool(config.option.keyword)
+
+
+class CollectedByWorkers:
+    """Checks the names of ``KNOWN-RED.txt`` against what a worker of pytest-xdist has collected."""
+
+    def pytest_xdist_node_collection_finished(self, node: Any, ids: list[str]) -> None:
+        check_names(node.config, (id_.removesuffix("@system") for id_ in ids))
+
+
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
     for name, reason in config.stash[KNOWN_RED].items():
         terminalreporter.write_line(f"known red: {name}: {reason}")
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -21,6 +21,28 @@
 GOOD = "tests/test_it.py::test_good | it passes | 2\n"
 
 
+def run(folder: Path, *options: str) -> subprocess.CompletedProcess[str]:
+    return subprocess.run(
+        [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *options],
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+
+
+def write_tests(root: Path, listed: str | None) -> None:
+    folder = root / "tests"
+    folder.mkdir()
+    (folder / "__init__.py").touch()
+    for name in ("conftest.py", "known_red.py"):
+        shutil.copy(HERE / name, folder)
+    (folder / "test_it.py").write_text(TESTS)
+    (root / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
+    if listed is not None:
+        (root / "KNOWN-RED.txt").write_text(listed)
+
+
 @pytest.mark.parametrize(
     ("listed", "status", "said"),
     [
@@ -38,21 +60,44 @@
 def test_a_run_passes_over_just_what_is_listed(
     tmp_path: Path, listed: str | None, status: int, said: str
 ) -> None:
-    folder = tmp_path / "tests"
-    folder.mkdir()
-    (folder / "__init__.py").touch()
-    for name in ("conftest.py", "known_red.py"):
-        shutil.copy(HERE / name, folder)
-    (folder / "test_it.py").write_text(TESTS)
-    (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
-    if listed is not None:
-        (tmp_path / "KNOWN-RED.txt").write_text(listed)
-    run = subprocess.run(
-        [sys.executable, "-m", "pytest", "-p", "no:cacheprovider"],
-        cwd=tmp_path,
-        capture_output=True,
-        text=True,
-        check=False,
-    )
-    assert run.returncode == status, run.stdout + run.stderr
-    assert said in run.stdout + run.stderr
+    write_tests(tmp_path, listed)
+    done = run(tmp_path)
+    assert done.returncode == status, done.stdout + done.stderr
+    assert said in done.stdout + done.stderr
+
+
+@pytest.mark.parametrize(
+    ("listed", "passes", "said"),
+    [
+        (BAD.format("the cause"), True, "known red: tests/test_it.py::test_bad: the cause (1)"),
+        (None, False, "1 failed, 1 passed"),
+        (BAD.format("the cause") + GOOD, False, "XPASS(strict)"),
+        (BAD.format("the cause") + "tests/test_it.py::test_none | gone | 3\n", False, "are not there"),
+        (BAD.format("the cause") * 2, False, "named twice"),
+    ],
+)
+def test_a_run_on_several_workers_passes_over_just_what_is_listed(
+    tmp_path: Path, listed: str | None, passes: bool, said: str
+) -> None:
+    write_tests(tmp_path, listed)
+    done = run(tmp_path, "-n", "2", "--dist", "loadgroup")
+    assert (done.returncode == 0) is passes, done.stdout + done.stderr
+    assert said in done.stdout + done.stderr
+
+
+def test_a_selection_may_leave_out_what_is_listed(tmp_path: Path) -> None:
+    write_tests(tmp_path, BAD.format("the cause"))
+    for options in ([], ["-n", "2", "--dist", "loadgroup"]):
+        done = run(tmp_path, *options, "tests/test_it.py::test_good")
+        assert done.returncode == 0, done.stdout + done.stderr
+
+
+def test_a_known_red_test_of_processes_is_passed_over_on_several_workers(tmp_path: Path) -> None:
+    write_tests(tmp_path, "tests/system/test_it.py::test_bad | the cause | 1\n")
+    (tmp_path / "tests" / "system").mkdir()
+    (tmp_path / "tests" / "system" / "__init__.py").touch()
+    (tmp_path / "tests" / "test_it.py").rename(tmp_path / "tests" / "system" / "test_it.py")
+    done = run(tmp_path, "-v", "-n", "2", "--dist", "loadgroup")
+    assert done.returncode == 0, done.stdout + done.stderr
+    assert "1 passed, 1 xfailed" in done.stdout
+    assert done.stdout.count("@system") == 2  # one group, so one worker
