--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -36,6 +36,7 @@
         config.pluginmanager.register(CollectedByWorkers())
 
 
+@pytest.hookimpl(tryfirst=True)  # before pytest-xdist looks at the groups
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     known = config.stash[KNOWN_RED]
     for item in items:
