--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 SETUP := .venv-dev/complete
 endif
 
-# Workers for the tests without processes; tests/system runs on one of them.
+# Workers for the tests without processes. Those with processes run one after another.
 WORKERS ?= 4
 
 .PHONY: build dev demo lint run test
@@ -13,7 +13,9 @@
 	$(PYTHON) -m ironmill_testbed demo $(ARGS)
 
 test: $(SETUP)
-	$(PYTHON) -m pytest -n $(WORKERS) --dist loadgroup
+	$(PYTHON) -m pytest --collect-only -qq
+	$(PYTHON) -m pytest -n $(WORKERS) --dist loadfile tests/unit
+	$(PYTHON) -m pytest tests/system
 
 lint: $(SETUP)
 	$(PYTHON) -m ruff check .
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,15 +2,11 @@
 
 Tests that ``KNOWN-RED.txt`` names are run and expected to fail; one that passes fails the run, and so does a
 name that no test has.
-
-With ``-n WORKERS --dist loadgroup`` (pytest-xdist) all of ``tests/system`` runs on one worker, one test after
-another, for it starts processes and uses real time.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from pathlib import Path
 from typing import Any
 
 import pytest
@@ -21,7 +17,6 @@
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
-SYSTEM_TESTS = Path(__file__).parent / "system"
 KNOWN_RED = pytest.StashKey[dict[str, str]]()
 
 
@@ -31,20 +26,16 @@
         config.stash[KNOWN_RED] = parse(file.read_text()) if file.exists() else {}
     except KnownRedError as error:
         raise pytest.UsageError(f"{file.name}: {error}") from None
-    config.addinivalue_line("markers", "xdist_group(name): run on the same worker of pytest-xdist")
     if config.pluginmanager.hasplugin("xdist"):
         config.pluginmanager.register(CollectedByWorkers())
 
 
-@pytest.hookimpl(tryfirst=True)  # before pytest-xdist looks at the groups
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     known = config.stash[KNOWN_RED]
     for item in items:
         if item.nodeid in known:
             # Strict: one that passes is a failure.
             item.add_marker(pytest.mark.xfail(reason=known[item.nodeid], strict=True))
-        if SYSTEM_TESTS in item.path.parents:
-            item.add_marker(pytest.mark.xdist_group("system"))
     if not hasattr(config, "workerinput"):  # else the run that started this worker checks the names
         check_names(config, (item.nodeid for item in items))
 
@@ -66,7 +57,7 @@
     """Checks the names of ``KNOWN-RED.txt`` against what a worker of pytest-xdist has collected."""
 
     def pytest_xdist_node_collection_finished(self, node: Any, ids: list[str]) -> None:
-        check_names(node.config, (id_.removesuffix("@system") for id_ in ids))
+        check_names(node.config, ids)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import re
 import shutil
 import subprocess
 import sys
@@ -81,25 +80,13 @@
     tmp_path: Path, listed: str | None, passes: bool, said: str
 ) -> None:
     write_tests(tmp_path, listed)
-    done = run(tmp_path, "-n", "2", "--dist", "loadgroup")
+    done = run(tmp_path, "-n", "2", "--dist", "loadfile")
     assert (done.returncode == 0) is passes, done.stdout + done.stderr
     assert said in done.stdout + done.stderr
 
 
 def test_a_selection_may_leave_out_what_is_listed(tmp_path: Path) -> None:
     write_tests(tmp_path, BAD.format("the cause"))
-    for options in ([], ["-n", "2", "--dist", "loadgroup"]):
+    for options in ([], ["-n", "2", "--dist", "loadfile"]):
         done = run(tmp_path, *options, "tests/test_it.py::test_good")
         assert done.returncode == 0, done.stdout + done.stderr
-
-
-def test_a_known_red_test_of_processes_is_passed_over_on_several_workers(tmp_path: Path) -> None:
-    write_tests(tmp_path, "tests/system/test_it.py::test_bad | the cause | 1\n")
-    (tmp_path / "tests" / "system").mkdir()
-    (tmp_path / "tests" / "system" / "__init__.py").touch()
-    (tmp_path / "tests" / "test_it.py").rename(tmp_path / "tests" / "system" / "test_it.py")
-    done = run(tmp_path, "-v", "-n", "2", "--dist", "loadgroup")
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "1 passed, 1 xfailed" in done.stdout
-    workers = re.findall(r"\[(gw\d)\].*test_\w+@system", done.stdout)
-    assert len(workers) == 2 and len(set(workers)) == 1
