--- a/ironmill/administration/http.py
+++ b/ironmill/administration/http.py
@@ -1,4 +1,4 @@
-"""A staff call over HTTP/1.1, as a state machine over h11: fed bytes, tells one call, takes its answer."""
+"""HTTP/1.1 of the admin API: one request and its response, as a state machine over h11. No I/O."""
 
 from __future__ import annotations
 
@@ -10,21 +10,25 @@
 from ironmill.administration.messages import ApiRequest, ApiResponse
 
 MAX_HEAD_BYTES = 8 * 1024
-MAX_BODY_BYTES = 64 * 1024  # where a call wants none it is read and thrown away
+MAX_BODY_BYTES = 64 * 1024  # also of a body that is discarded
 
 
 class HttpExchange:
-    """One connection with one call. Of calls to the ``detailed`` paths query and body are handed on."""
+    """One connection, which carries one call."""
 
     def __init__(self, detailed: Collection[str] = ()) -> None:
+        """``detailed`` are the paths whose query and body are kept."""
         self._detailed = detailed
         self._connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
-        self._size = 0
+        self._body_size = 0
         self._body: list[bytes] = []
 
     def receive(self, data: bytes) -> ApiRequest | ApiResponse | None:
-        """Bytes came, none at the end: the call once it is whole, an answer if it can be none."""
+        """Feeds received bytes, none at the end of the stream.
+
+        Returns the request once it is complete, a response if it is malformed or too large, else None.
+        """
         try:
             self._connection.receive_data(data)
             while True:
@@ -32,42 +36,49 @@
                 if isinstance(event, h11.Request):
                     self._request = event
                 elif isinstance(event, h11.Data):
-                    self._size += len(event.data)
-                    if self._size > MAX_BODY_BYTES:
+                    self._body_size += len(event.data)
+                    if self._body_size > MAX_BODY_BYTES:
                         return ApiResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-                    if self._target()[0] in self._detailed:
-                        self._body.append(bytes(event.data))
+                    self._keep(event.data)
                 elif isinstance(event, h11.EndOfMessage) and self._request is not None:
-                    (path, query), method = self._target(), self._request.method.decode("ascii")
-                    if path not in self._detailed:
-                        return ApiRequest(method, path)
-                    return ApiRequest(method, path, query, b"".join(self._body))
+                    return self._complete(self._request)
                 else:
                     return None
         except h11.RemoteProtocolError as error:
             return ApiResponse(HTTPStatus(error.error_status_hint))
 
-    def _target(self) -> tuple[str, str]:
-        """Path and query."""
-        target = b"" if self._request is None else self._request.target
-        path, _, query = target.decode("ascii", "replace").partition("?")
-        return path, query
+    def _keep(self, data: bytes | bytearray) -> None:
+        if self._request is not None and _target(self._request)[0] in self._detailed:
+            self._body.append(bytes(data))
+
+    def _complete(self, request: h11.Request) -> ApiRequest:
+        path, query = _target(request)
+        method = request.method.decode("ascii")
+        if path not in self._detailed:
+            return ApiRequest(method, path)
+        return ApiRequest(method, path, query, b"".join(self._body))
 
-    def answer(self, answer: ApiResponse) -> bytes:
-        """The bytes of the answer; empty where none can be given any more."""
+    def encode(self, response: ApiResponse) -> bytes:
+        """Returns the bytes of the response; none if the peer has closed already."""
         headers = [
             ("Content-Type", "application/json"),
-            ("Content-Length", str(len(answer.body))),
+            ("Content-Length", str(len(response.body))),
             ("Connection", "close"),
-            *answer.headers.items(),
+            *response.headers.items(),
         ]
-        response = h11.Response(
-            status_code=int(answer.status), reason=answer.status.phrase.encode(), headers=headers
+        head = h11.Response(
+            status_code=int(response.status), reason=response.status.phrase.encode(), headers=headers
         )
         try:
-            sent = [self._connection.send(response)]
+            sent = [self._connection.send(head)]
             if self._request is None or self._request.method != b"HEAD":
-                sent.append(self._connection.send(h11.Data(data=answer.body)))
-        except h11.LocalProtocolError:  # the caller is gone already
+                sent.append(self._connection.send(h11.Data(data=response.body)))
+        except h11.LocalProtocolError:  # the peer has closed
             return b""
         return b"".join(data for data in sent if data)
+
+
+def _target(request: h11.Request) -> tuple[str, str]:
+    """Path and query of the request."""
+    path, _, query = request.target.decode("ascii", "replace").partition("?")
+    return path, query
--- a/ironmill/administration/messages.py
+++ b/ironmill/administration/messages.py
@@ -1,4 +1,4 @@
-"""A staff call and its answer, whatever protocol brings them."""
+"""A call of the admin API and its response, independent of the protocol that carries them."""
 
 from __future__ import annotations
 
@@ -6,21 +6,27 @@
 from http import HTTPStatus
 from types import MappingProxyType
 
+import msgspec
 from msgspec import Struct
 
 
 class ApiRequest(Struct, frozen=True):
-    """A whole call."""
+    """A complete call. Query and body are empty unless the route asks for them."""
 
     method: str
-    path: str  # without its query
-    query: str = ""  # it and the body are those of calls that want them
+    path: str  # without the query
+    query: str = ""
     body: bytes = b""
 
 
 class ApiResponse(Struct, frozen=True):
-    """What it is answered."""
+    """The response to a call."""
 
     status: HTTPStatus
     body: bytes = b""
     headers: Mapping[str, str] = MappingProxyType({})
+
+    @classmethod
+    def from_json(cls, status: HTTPStatus, content: object) -> ApiResponse:
+        """Returns a response whose body is the content as one line of JSON."""
+        return cls(status, msgspec.json.encode(content) + b"\n")
--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -1,12 +1,12 @@
-"""What staff may ask of a proxy at its second address, as a table of calls. No I/O."""
+"""The admin API of a proxy: health, metrics, drain and resume. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from http import HTTPStatus
-from typing import Any, Protocol
+from typing import Protocol
 
-import msgspec
+from msgspec import UNSET, Struct, UnsetType
 
 from ironmill.administration.messages import ApiRequest, ApiResponse
 from ironmill.administration.routes import Routes
@@ -14,57 +14,88 @@
 from ironmill.runtime.lifecycle import TERMINAL_STATES, Lifecycle, LifecycleEvent
 
 
-class Served(Protocol):
-    """What the figures are taken from."""
+class MetricsSource(Protocol):
+    """The requests and servers that the metrics describe."""
 
     lifecycle: Lifecycle
     figures: Figures
 
     def known_servers(self) -> int:
-        """How many servers are in the list."""
+        """The number of servers in the endpoint list."""
 
     def skipped_servers(self) -> int:
-        """How many of those get nothing new now."""
+        """How many of those get no new connections at the moment."""
+
+
+class StateBody(Struct, kw_only=True):
+    """Body of the responses that tell the state. ``configuration`` is there if distribution is on."""
+
+    state: str
+    configuration: Mapping[str, object] | UnsetType = UNSET
+
+
+class StatsBody(Struct, kw_only=True):
+    """Body of ``/admin/stats``. Counters by class since the start, gauges of the moment."""
+
+    state: str
+    taken: dict[str, int]
+    passed: dict[str, int]
+    dropped: dict[str, int]
+    bad_gateway: dict[str, int]
+    abandoned: dict[str, int]
+    upstream_tries: int
+    in_progress: int
+    known_servers: int
+    skipped_servers: int
 
 
 class ProxyApi(Routes):
-    """Answers the calls that each proxy takes."""
+    """Routes that every proxy answers."""
 
-    def __init__(self, served: Served) -> None:
+    def __init__(self, source: MetricsSource) -> None:
         super().__init__()
-        self._served = served
-        self._lifecycle = served.lifecycle
-        self.more_of_health: Callable[[], dict[str, Any]] | None = None  # of what is on by setting
+        self._source = source
+        self._lifecycle = source.lifecycle
+        self.configuration_health: Callable[[], Mapping[str, object]] | None = None  # if distribution is on
         self.add("/admin/health", {"GET": self._health})
         self.add("/admin/stats", {"GET": self._stats})
-        self.add("/admin/quiesce", {"POST": self._quiesce})
+        self.add("/admin/quiesce", {"POST": self._drain})
         self.add("/admin/resume", {"POST": self._resume})
 
     def _health(self, _: ApiRequest) -> ApiResponse:
-        ready = self._lifecycle.policy.ready
-        more = {} if self.more_of_health is None else self.more_of_health()
-        return self._told(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, **more)
+        status = HTTPStatus.OK if self._lifecycle.policy.ready else HTTPStatus.SERVICE_UNAVAILABLE
+        body = self._state_body()
+        if self.configuration_health is not None:
+            body.configuration = self.configuration_health()
+        return ApiResponse.from_json(status, body)
 
     def _stats(self, _: ApiRequest) -> ApiResponse:
-        figures = self._served.figures
-        return self._told(
-            HTTPStatus.OK,
-            **figures.by_outcome(),
-            upstream_tries=figures.upstream_tries,
-            in_progress=figures.in_progress,
-            known_servers=self._served.known_servers(),
-            skipped_servers=self._served.skipped_servers(),
+        metrics = self._source.figures
+        outcomes = metrics.by_outcome()
+        body = StatsBody(
+            state=self._lifecycle.state.value,
+            taken=outcomes["taken"],
+            passed=outcomes["passed"],
+            dropped=outcomes["dropped"],
+            bad_gateway=outcomes["bad_gateway"],
+            abandoned=outcomes["abandoned"],
+            upstream_tries=metrics.upstream_tries,
+            in_progress=metrics.in_progress,
+            known_servers=self._source.known_servers(),
+            skipped_servers=self._source.skipped_servers(),
         )
+        return ApiResponse.from_json(HTTPStatus.OK, body)
 
-    def _quiesce(self, _: ApiRequest) -> ApiResponse:
+    def _drain(self, _: ApiRequest) -> ApiResponse:
         self._lifecycle.handle(LifecycleEvent.DRAIN_REQUESTED)
-        return self._told(HTTPStatus.OK)  # also where it ends: its clients are being sent away
+        # OK also during a shutdown, which migrates the clients as well.
+        return ApiResponse.from_json(HTTPStatus.OK, self._state_body())
 
     def _resume(self, _: ApiRequest) -> ApiResponse:
         self._lifecycle.handle(LifecycleEvent.RESUME_REQUESTED)
-        return self._told(HTTPStatus.CONFLICT if self._lifecycle.state in TERMINAL_STATES else HTTPStatus.OK)
+        shutting_down = self._lifecycle.state in TERMINAL_STATES
+        status = HTTPStatus.CONFLICT if shutting_down else HTTPStatus.OK
+        return ApiResponse.from_json(status, self._state_body())
 
-    def _told(self, status: HTTPStatus, **more: Any) -> ApiResponse:
-        return ApiResponse(
-            status, msgspec.json.encode({"state": self._lifecycle.state.value, **more}) + b"\n"
-        )
+    def _state_body(self) -> StateBody:
+        return StateBody(state=self._lifecycle.state.value)
--- a/ironmill/administration/routes.py
+++ b/ironmill/administration/routes.py
@@ -1,6 +1,7 @@
-"""What staff may ask of a process at its second address, as a table of calls. No I/O.
+"""The admin API as a table of routes. No I/O.
 
-A proxy's own calls are in ``ironmill.administration.proxy_api``; a control machine makes a table with others.
+The routes of a proxy are in ``ironmill.administration.proxy_api``, those of distributed configuration in
+``ironmill.administration.configuration_api``.
 """
 
 from __future__ import annotations
@@ -11,29 +12,28 @@
 
 from ironmill.administration.messages import ApiRequest, ApiResponse
 
-Action: TypeAlias = Callable[[ApiRequest], ApiResponse]
+Handler: TypeAlias = Callable[[ApiRequest], ApiResponse]
 
 
 class Routes:
-    """Answers staff's calls."""
+    """Dispatches calls to handlers by path and method."""
 
     def __init__(self) -> None:
-        # By path and method; another front for staff asks the same table.
-        self.routes: dict[str, Mapping[str, Action]] = {}
-        self.detailed: set[str] = set()  # paths whose calls bring a query or a body; others' are thrown away
+        self.handlers: dict[str, Mapping[str, Handler]] = {}
+        self.detailed: set[str] = set()  # paths whose handlers get query and body; others' are discarded
 
-    def add(self, path: str, actions: Mapping[str, Action], detailed: bool = False) -> None:
-        """Answer calls of the path, by method."""
-        self.routes[path] = actions
+    def add(self, path: str, handlers: Mapping[str, Handler], *, detailed: bool = False) -> None:
+        """Adds a path with its handlers by method. ``detailed``: they get query and body."""
+        self.handlers[path] = handlers
         if detailed:
             self.detailed.add(path)
 
-    def answer(self, call: ApiRequest) -> ApiResponse:
-        """Carry out the call. 404 for a path that is not there, 405 for another method."""
-        methods = self.routes.get(call.path)
+    def dispatch(self, request: ApiRequest) -> ApiResponse:
+        """Returns the handler's response; 404 for an unknown path, 405 for a method without a handler."""
+        methods = self.handlers.get(request.path)
         if methods is None:
             return ApiResponse(HTTPStatus.NOT_FOUND)
-        action = methods.get(call.method)
-        if action is None:
+        handler = methods.get(request.method)
+        if handler is None:
             return ApiResponse(HTTPStatus.METHOD_NOT_ALLOWED, headers={"Allow": ", ".join(methods)})
-        return action(call)
+        return handler(request)
--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -69,7 +69,7 @@
 from ironmill import __version__
 from ironmill.configuration.proxy_config import Config, load
 from ironmill.configuration.units import duration
-from ironmill.net.proxy import Proxy
+from ironmill.net.proxy import Proxy, ProxyOptions
 from ironmill.net.signals import Signals
 from ironmill.protocol.json_object import MalformedError
 from ironmill.runtime import logs
@@ -311,14 +311,10 @@
     # At SIGHUP the file's address of discovery holds: what the variable named at the start is gone.
     later = {name: value for name, value in os.environ.items() if name != "PROXY_DISCOVERY"}
     try:
-        proxy = Proxy(
-            config,
-            signals,
-            lambda: load(later, path),
-            poller,
-            operator,
-            lambda new: operator_of(new, settings),
+        options = ProxyOptions(
+            config, lambda: load(later, path), operator, lambda new: operator_of(new, settings), poller
         )
+        proxy = Proxy(options, signals)
     except OSError as error:
         print(f"ironmill: listen: {error}", file=sys.stderr)
         return 2
--- a/ironmill/net/admin_server.py
+++ b/ironmill/net/admin_server.py
@@ -1,7 +1,7 @@
-"""The second address, where staff call: one call a connection, answered beside any load.
+"""Server of the admin API: one HTTP call per connection, independent of the load of clients.
 
-Its callers are bounded in number and time, so they cost the clients nothing: a call that does not become
-whole in time is given up, and where too many are half way the oldest makes room.
+Connections are bounded in number and time, so they take nothing from clients: a call that is not complete in
+time is rejected, and at ``MAX_CONNECTIONS`` a new connection closes the oldest one.
 """
 
 from __future__ import annotations
@@ -20,69 +20,69 @@
 if TYPE_CHECKING:
     from ironmill.administration.http import HttpExchange
 
-MAX_CONNECTIONS = 12  # at once; their descriptors are among those that Admission sets aside
-REQUEST_TIMEOUT_S = 3.0  # from the accept to the call's end, seconds
-RESPONSE_TIMEOUT_S = 1.0  # for the answer to be taken
-CLOSE_TIMEOUT_S = 0.2  # for the caller to end as well
+MAX_CONNECTIONS = 12  # at once; their descriptors are among those that Admission reserves
+REQUEST_TIMEOUT_S = 3.0  # from the accept to the end of the request
+RESPONSE_TIMEOUT_S = 1.0  # for the response to be written
+CLOSE_TIMEOUT_S = 0.2  # for the peer to close as well
 
-log = logging.getLogger("ironmill.control")
+log = logging.getLogger("ironmill.admin")
 
 
 class AdminServer:
-    """Listens at the second address."""
+    """Listens at the second address and answers each call from a table of routes."""
 
-    def __init__(self, scheduler: Scheduler, address: tuple[str, int], staff: Routes) -> None:
+    def __init__(self, scheduler: Scheduler, address: tuple[str, int], routes: Routes) -> None:
+        """Binds the address. Raises ``OSError`` if it is not available."""
         self._scheduler = scheduler
-        self._staff = staff
-        self._callers: dict[Stream, Task] = {}  # the oldest first
-        self._listener = Listener(scheduler, address, self._take, at_once=False)
+        self._routes = routes
+        self._connections: dict[Stream, Task] = {}  # the oldest first
+        self._listener = Listener(scheduler, address, self._accepted, at_once=False)
         self.address = self._listener.address
 
     def start(self) -> None:
-        """ApiResponse from now on."""
+        """Starts to accept calls."""
         self._listener.start()
 
     def close(self, within: float = 0.0) -> None:
-        """Take no more calls; those under way are answered. ``within``: as of ``Listener.close``."""
+        """Stops listening; accepted calls are still answered. ``within``: as for ``Listener.close``."""
         self._listener.close(within)
 
-    def _take(self, stream: Stream) -> None:
-        while len(self._callers) >= MAX_CONNECTIONS:
-            oldest = next(iter(self._callers))
-            self._scheduler.kill(self._callers.pop(oldest))
+    def _accepted(self, stream: Stream) -> None:
+        while len(self._connections) >= MAX_CONNECTIONS:
+            oldest = next(iter(self._connections))
+            self._scheduler.kill(self._connections.pop(oldest))
             oldest.close_now()
-        self._callers[stream] = self._scheduler.spawn(self._serve, stream)
+        self._connections[stream] = self._scheduler.spawn(self._serve, stream)
 
     def _serve(self, stream: Stream) -> None:
-        from ironmill.administration.http import (
-            HttpExchange,
-        )  # at the first call: h11 is a tenth of the start
+        # Imported at the first call: h11 would add a tenth to the start time.
+        from ironmill.administration.http import HttpExchange
 
         try:
-            side = HttpExchange(self._staff.detailed)
-            answer = self._hear(stream, side)
-            if answer is not None:
-                stream.send(side.answer(answer), RESPONSE_TIMEOUT_S)
+            exchange = HttpExchange(self._routes.detailed)
+            response = self._respond(stream, exchange)
+            if response is not None:
+                stream.send(exchange.encode(response), RESPONSE_TIMEOUT_S)
                 stream.close_gently(CLOSE_TIMEOUT_S)
         except (OSError, TimedOutError):
-            pass  # the caller is gone, or does not take its answer
+            pass  # the peer is gone, or does not read its response
         finally:
-            self._callers.pop(stream, None)
+            self._connections.pop(stream, None)
             if not stream.closed:
                 stream.close_now()
 
-    def _hear(self, stream: Stream, side: HttpExchange) -> ApiResponse | None:
-        """The answer to what comes; None if the caller ends before its call is whole."""
-        until = time.monotonic() + REQUEST_TIMEOUT_S
+    def _respond(self, stream: Stream, exchange: HttpExchange) -> ApiResponse | None:
+        """Reads one request and returns its response; None if the peer closes before it is complete."""
+        deadline = time.monotonic() + REQUEST_TIMEOUT_S
         while True:
             try:
-                data = stream.receive(max(0.0, until - time.monotonic()))
+                data = stream.receive(max(0.0, deadline - time.monotonic()))
             except TimedOutError:
                 return ApiResponse(HTTPStatus.REQUEST_TIMEOUT)
-            heard = side.receive(data)
-            if isinstance(heard, ApiRequest):
-                answer = self._staff.answer(heard)
-                log.info("%s %s: %d", heard.method, heard.path, answer.status)
-                return answer
-            if heard is not None or not data:
-                return heard
+            received = exchange.receive(data)
+            if isinstance(received, ApiRequest):
+                response = self._routes.dispatch(received)
+                log.info("%s %s: %d", received.method, received.path, response.status)
+                return response
+            if received is not None or not data:
+                return received
--- a/ironmill/net/distribution.py
+++ b/ironmill/net/distribution.py
@@ -120,11 +120,11 @@
         return [place.name for place, origin in self._controls if origin]
 
     def health(self) -> dict[str, Any]:
-        """What belongs into the answer on health: what is in force, and whether it may be old."""
+        """The part of ``/admin/health`` on distribution: the applied position and whether it is stale."""
         assert self.node is not None
         told = self.node.status(time.monotonic())
         keys = ("in_force", "stale", "age_s", "refused", "catching_up")
-        return {"configuration": {key: told[key] for key in keys}}
+        return {key: told[key] for key in keys}
 
     def flush(self) -> None:
         """Send at once what a call has made to be sent."""
--- a/ironmill/net/key_ring_watcher.py
+++ b/ironmill/net/key_ring_watcher.py
@@ -1,53 +1,63 @@
-"""Watches the key ring's file, so that a rotation needs no signal."""
+"""Watches the file of the key ring, so that a rotation of keys needs no signal."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from pathlib import Path
 
+from msgspec import Struct
+
 from ironmill.configuration.operator_files import read_ring
 from ironmill.identity.keyring import KeyRing
 from ironmill.protocol.json_object import MalformedError
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Timers
 
-CHECK_INTERVAL_S = 0.25  # seconds between two looks at the file
+CHECK_INTERVAL_S = 0.25
 
 log = EventLog("ironmill.keys")
 
 
+class FileVersion(Struct, frozen=True):
+    """What tells two versions of a file apart without reading it."""
+
+    modified_ns: int
+    size: int
+    inode: int
+
+
 class KeyRingWatcher:
-    """Reads the ring anew whenever its file has changed; one that is not fit for use changes nothing."""
+    """Reads the key ring again whenever its file has changed. A ring that is not valid changes nothing."""
 
-    def __init__(self, timers: Timers, path: str, take: Callable[[KeyRing], None]) -> None:
+    def __init__(self, timers: Timers, path: str, on_change: Callable[[KeyRing], None]) -> None:
         self._timers = timers
-        self._take = take
+        self._on_change = on_change
         self.path = path
-        self._seen = self._stamp()
+        self._version = self._current_version()
 
     def start(self) -> None:
-        """Look from now on."""
-        self._timers.call_later(CHECK_INTERVAL_S, self.look)
-
-    def look(self) -> None:
-        """One look, and another later."""
-        self._timers.call_later(CHECK_INTERVAL_S, self.look)
-        stamp = self._stamp()
-        if stamp is None or stamp == self._seen:
+        """Starts to check the file every ``CHECK_INTERVAL_S``."""
+        self._timers.call_later(CHECK_INTERVAL_S, self._check)
+
+    def _check(self) -> None:
+        self._timers.call_later(CHECK_INTERVAL_S, self._check)
+        version = self._current_version()
+        if version is None or version == self._version:
             return
-        self._seen = stamp
+        self._version = version
         try:
             ring = read_ring(self.path)
         except MalformedError as error:
-            # Guards service against a file that is half written: the next look sees it whole.
-            log.error("key ring refused", reason=str(error))
+            # The file may be half written; it is read again when its writer has finished.
+            log.error("key ring rejected", reason=str(error))
             return
-        log.info("key ring taken", keys=sum(1 for _ in ring))
-        self._take(ring)
+        log.info("key ring loaded", keys=sum(1 for _ in ring))
+        self._on_change(ring)
 
-    def _stamp(self) -> tuple[int, int, int] | None:
+    def _current_version(self) -> FileVersion | None:
+        """The version of the file; None if it cannot be examined."""
         try:
-            found = Path(self.path).stat()
+            status = Path(self.path).stat()
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size, found.st_ino
+        return FileVersion(status.st_mtime_ns, status.st_size, status.st_ino)
--- a/ironmill/net/migration.py
+++ b/ironmill/net/migration.py
@@ -1,4 +1,4 @@
-"""Sends standing connections away, evenly over a time: their clients are not to come again all at once."""
+"""Migration of established connections, spread evenly over time so that clients do not reconnect at once."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 from ironmill.runtime.scheduler import Scheduler
 
 MIGRATION_INTERVAL_S = 0.02
-LAST_LINE_DELAY_S = 0.2  # for the last line under way to end
+LAST_LINE_DELAY_S = 0.2  # for the line under way on the last connection to be relayed
 
 
-def due(waiting: int, left: float) -> int:
-    """How many of those that wait are sent away at this look, so that the last one goes in time."""
-    return math.ceil(waiting * MIGRATION_INTERVAL_S / max(MIGRATION_INTERVAL_S, left - LAST_LINE_DELAY_S))
+def batch_size(waiting: int, remaining_s: float) -> int:
+    """Number of waiting connections to migrate now so that the last one is migrated in time."""
+    spread_s = max(MIGRATION_INTERVAL_S, remaining_s - LAST_LINE_DELAY_S)
+    return math.ceil(waiting * MIGRATION_INTERVAL_S / spread_s)
 
 
 class Migration:
-    """One planned departure of all that stands, and of all that comes to stand meanwhile."""
+    """Migrates every established connection once, also those established while it runs."""
 
     def __init__(self, scheduler: Scheduler, gateway: Gateway) -> None:
         self._scheduler = scheduler
         self._gateway = gateway
-        self._moved: set[str] = set()
+        self._migrated: set[str] = set()
 
-    def run(self, end: float) -> None:
-        """Until then on the monotonic clock, or until nothing stands and no answer is owed. Parks.
+    def migrate_all(self, deadline: float) -> None:
+        """Migrates until the deadline on the monotonic clock, or until no request is left. Parks.
 
-        Also where packets pass through: what stands when the process ends is set up anew there, too.
+        Connections whose packets reach other proxies are migrated as well: they end with the process too.
         """
-        while (left := end - time.monotonic()) > 0.0 and self._gateway.busy():
-            waiting = [one for one in self._gateway.standing() if one.id not in self._moved]
-            for request in waiting[: due(len(waiting), left)]:
-                self._moved.add(request.id)
+        while (remaining_s := deadline - time.monotonic()) > 0.0 and self._gateway.busy():
+            waiting = [request for request in self._gateway.standing() if request.id not in self._migrated]
+            for request in waiting[: batch_size(len(waiting), remaining_s)]:
+                self._migrated.add(request.id)
                 request.holder.move()
             self._scheduler.sleep(MIGRATION_INTERVAL_S)
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy: puts scheduler, gateway and drivers together and runs them."""
+"""One proxy: builds scheduler, gateway and drivers, and runs them until shutdown."""
 
 from __future__ import annotations
 
@@ -6,285 +6,214 @@
 import random
 import resource
 import signal
-import socket
 from collections.abc import Callable
 from functools import partial
 from typing import TYPE_CHECKING
 
+from msgspec import Struct
+
 from ironmill.configuration.proxy_config import Address, Config
 from ironmill.net.client import ClientDriver
 from ironmill.net.discovery import Discovery
 from ironmill.net.drain import Drain
 from ironmill.net.listener import Listener
 from ironmill.net.probe import ProbeDriver
-from ironmill.net.reload import Reload, no_operator
+from ironmill.net.reload import Reload, no_operator_files
 from ironmill.net.shutdown import Shutdown
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import Stream
 from ironmill.requests.admission import Admission
 from ironmill.requests.discovery_backoff import CallPace
 from ironmill.requests.gateway import Gateway
-from ironmill.runtime import logs
 from ironmill.runtime.gc_schedule import GcSchedule
 from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent
 from ironmill.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:  # what is off is not imported
     from ironmill.configuration.operator_files import OperatorFiles
-    from ironmill.configuration.settings.model import DistributionSettings
     from ironmill.identity.callers import Callers
-    from ironmill.identity.keyring import KeyRing
     from ironmill.net.admin_server import AdminServer
-    from ironmill.net.distribution import Distribution
-    from ironmill.net.membership import Membership
+    from ironmill.net.operator_features import OperatorFeatures
 
-# Clients wait so long at the most for the first answer of discovery, seconds. Guards the rule on draining
-# servers: what the agent holds counts as told from the process's start, 0.25 s before. Of 132 proxies
-# that started together four sent by the list they were started with. A silent agent has nothing to tell.
+# Clients are accepted after discovery's first answer, or after this time: the known list may be out of date,
+# and a server that drains must get nothing new.
 FIRST_POLL_TIMEOUT_S = 0.5
-# The same where another process serves at the address meanwhile: it has 6 s, and what discovery told counts
-# as told 2 s after it has said yes.
-SUCCESSOR_FIRST_POLL_TIMEOUT_S = 3.0
+SUCCESSOR_FIRST_POLL_TIMEOUT_S = 3.0  # the same in an upgrade, where the old process serves meanwhile
 
-# The new process has 6 s to say yes; then the old one is told to end, and gets nothing new (DAYS). What the
-# two read of the clock may differ by a little.
+# In an upgrade the new process has 6 s to become ready, and then the old one is shut down. The rest is for
+# differences between the readings of two clocks.
 MAX_SUCCESSION_S = 6.5
 
 log = logging.getLogger("ironmill")
 
 
+class ProxyOptions(Struct, frozen=True):
+    """What a proxy is built from. The two readers are called again at SIGHUP."""
+
+    config: Config
+    read_config: Callable[[], Config]
+    files: OperatorFiles | None = None  # None where no settings are named
+    read_files: Callable[[Config], OperatorFiles | None] = no_operator_files
+    poller: str = "epoll"
+
+
 class Proxy:
-    """Listens once it is made; serves until it is told to end."""
-
-    def __init__(
-        self,
-        config: Config,
-        signals: Signals,
-        read_again: Callable[[], Config],
-        poller: str = "epoll",
-        operator: OperatorFiles | None = None,
-        read_operator_files: Callable[[Config], OperatorFiles | None] = no_operator,
-    ) -> None:
+    """Binds its addresses when it is built, and serves until shutdown."""
+
+    def __init__(self, options: ProxyOptions, signals: Signals) -> None:
+        """Raises ``OSError`` if an address is not available."""
+        config = options.config
         self._config = config
         self._signals = signals
-        soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        if soft < config.sockets:
-            most = config.sockets if hard == resource.RLIM_INFINITY else min(config.sockets, hard)
-            resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-        self.scheduler = Scheduler(poller)
+        raise_descriptor_limit(config.sockets)
+        self.scheduler = Scheduler(options.poller)
         self.lifecycle = Lifecycle()
-        self.gateway = Gateway(config, self.scheduler, self.lifecycle)
-        self.gateway.prober = ProbeDriver(
-            self.scheduler, config.connect_timeout, self.gateway.probed, self._dial
-        )
-        self.listener = Listener(self.scheduler, config.listen, self._take, at_once=False, shared=True)
+        self.gateway = self._build_gateway()
+        self.listener = Listener(self.scheduler, config.listen, self._accepted, at_once=False, shared=True)
         if self.listener.succeeds:
             self.gateway.succeed(MAX_SUCCESSION_S)
-        pace = partial(
+        self.discovery = self._build_discovery()
+        self.admission = Admission(config.sockets)
+        self._features = self._build_features(options)
+        self._callers: Callers | None = None if self._features is None else self._features.callers
+        self.reload = self._build_reload(options)
+        self.admin_server = self._build_admin_server()
+        if self._features is not None:
+            self._features.listen_for_tls(self._accepted)
+        self._listeners = self._build_listeners()
+
+    # Builders, by concern
+
+    def _build_gateway(self) -> Gateway:
+        gateway = Gateway(self._config, self.scheduler, self.lifecycle)
+        gateway.prober = ProbeDriver(
+            self.scheduler, self._config.connect_timeout, gateway.probed, self._connect
+        )
+        return gateway
+
+    def _build_discovery(self) -> Discovery:
+        config = self._config
+        backoff = partial(
             CallPace,
             config.settings.relays,
             random.Random(config.seed),
             config.settings.ask_discovery,
             first_at_once=self.listener.succeeds,
         )
-        known = config.known.revision if config.known.listed else None
-        self.discovery = Discovery(
+        return Discovery(
             self.scheduler,
             config.discovery,
             self.gateway.routing,
-            pace,
-            known,
-            self._open,
+            backoff,
+            config.known.revision if config.known.listed else None,
+            self._start_accepting,
             self.gateway.known_servers,
         )
-        self.admission = Admission(config.sockets)
-        self.callers: Callers | None = None
-        self._operator = operator
-        if operator is not None and operator.settings.identity is not None and operator.ring is not None:
-            from ironmill.identity.callers import Callers
-            from ironmill.net.key_ring_watcher import KeyRingWatcher
-
-            self.callers = Callers(operator.settings.identity, operator.ring, self.scheduler)
-            self._watch = KeyRingWatcher(self.scheduler, operator.settings.identity.keys, self._take_ring)
-            self._watch.start()
-        self.reload = Reload(
-            config,
-            read_again,
-            self.discovery.watch_at,
-            read_operator_files,
-            self._take_operator,
-            self.scheduler.sleep,
+
+    def _build_features(self, options: ProxyOptions) -> OperatorFeatures | None:
+        if options.files is None:
+            return None
+        from ironmill.net.operator_features import OperatorFeatures
+
+        return OperatorFeatures(self.scheduler, self._config.name, options.files)
+
+    def _build_reload(self, options: ProxyOptions) -> Reload:
+        reload = Reload(
+            self._config, options.read_config, self.discovery.watch_at, sleep=self.scheduler.sleep
         )
-        self.membership: Membership | None = None
-        if operator is not None and operator.settings.membership is not None:
-            from ironmill.net.membership import Membership
-
-            self.membership = Membership(
-                self.scheduler, config.name, operator.settings.membership, operator.member_keys
-            )
-        self.distribution: Distribution | None = None
-        if operator is not None and operator.settings.distribution is not None:
-            self._take_part(operator, operator.settings.distribution)
-        self.control: AdminServer | None = None
-        if config.control is not None:
-            from ironmill.administration.proxy_api import ProxyApi
-            from ironmill.net.admin_server import AdminServer
-
-            staff = ProxyApi(self.gateway)
-            if self.membership is not None:
-                staff.add("/admin/members", {"GET": self.membership.shown})
-            if self.distribution is not None:
-                from ironmill.administration.configuration_api import ConfigurationApi
-
-                assert self.distribution.node is not None
-                ConfigurationApi(self.distribution.node, None, self.distribution.origins).add_to(staff)
-                staff.more_of_health = self.distribution.health
-            self.control = AdminServer(self.scheduler, config.control, staff)
-        self.tls_listener: Listener | None = None
-        if operator is not None and operator.settings.tls is not None and operator.tls is not None:
-            from ironmill.net.tls import TlsStream
-
-            def make(scheduler: Scheduler, sock: socket.socket) -> Stream:
-                # The context of now: a certificate that was replaced is shown from the next connection on.
-                assert self._operator is not None
-                assert self._operator.tls is not None
-                return TlsStream(scheduler, sock, self._operator.tls.context)
-
-            self.tls_listener = Listener(
-                self.scheduler,
-                operator.settings.tls.listen,
-                self._take,
-                make,
-                at_once=False,
-                shared=True,
-            )
+        if self._features is not None:
+            reload.read_files = options.read_files
+            reload.apply_files = self._features.apply
+        return reload
+
+    def _build_admin_server(self) -> AdminServer | None:
+        if self._config.control is None:
+            return None
+        from ironmill.administration.proxy_api import ProxyApi
+        from ironmill.net.admin_server import AdminServer
+
+        api = ProxyApi(self.gateway)
+        if self._features is not None:
+            self._features.add_routes(api)
+        return AdminServer(self.scheduler, self._config.control, api)
+
+    def _build_listeners(self) -> list[Listener]:
+        tls_listener = None if self._features is None else self._features.tls_listener
+        return [self.listener] if tls_listener is None else [self.listener, tls_listener]
+
+    # Running
 
     def serve(self) -> None:
-        """Run until SIGTERM or SIGINT has been dealt with."""
-        Drain(self.scheduler, self.gateway, keeps=self._config.packets_pass)
-        if self.control is not None:
-            self.control.start()
-            log.info("staff call at %s:%d", *self.control.address)
-        if self.membership is not None:
-            self.membership.start()
-        if self.distribution is not None:
-            self.distribution.start()
+        """Runs until SIGTERM or SIGINT has been handled."""
+        Drain(self.scheduler, self.gateway, keeps_established=self._config.packets_pass)
+        if self.admin_server is not None:
+            self.admin_server.start()
+            log.info("admin API at %s:%d", *self.admin_server.address)
+        if self._features is not None:
+            self._features.start()
         self.discovery.start()
-        self.scheduler.call_later(self._first_answer_wait(), self._open)
-        shutdown = Shutdown(self.scheduler, self.gateway, self, self._config, self.admission, self.control)
+        self.scheduler.call_later(self._first_poll_timeout_s(), self._start_accepting)
+        self._handle_signals()
+        GcSchedule(self.scheduler, self.gateway.held).start()
+        self._log_start()
+        self.scheduler.run()
+
+    def _handle_signals(self) -> None:
+        shutdown = Shutdown(
+            self.scheduler, self.gateway, self, self._config, self.admission, self.admin_server
+        )
         self._signals.on(signal.SIGHUP, self.reload.run)
         self._signals.on(signal.SIGTERM, shutdown.run)
         self._signals.on(signal.SIGINT, shutdown.run)
         self._signals.start(self.scheduler)
-        GcSchedule(self.scheduler, self.gateway.held).start()
+
+    def _log_start(self) -> None:
         log.info("listening on %s:%d", *self.listener.address)
         if self.listener.succeeds:
-            log.info("another process listens there: clients come here too once discovery has answered")
-        if self.tls_listener is not None:
-            log.info("listening for TLS on %s:%d", *self.tls_listener.address)
+            log.info("another process listens there: clients are accepted once discovery has answered")
+        for listener in self._listeners[1:]:
+            log.info("listening for TLS on %s:%d", *listener.address)
         log.info("of %d descriptors %d are for clients", self._config.sockets, self.admission.most)
-        self.scheduler.run()
 
-    def _first_answer_wait(self) -> float:
+    def _first_poll_timeout_s(self) -> float:
         if self.listener.succeeds:
             return SUCCESSOR_FIRST_POLL_TIMEOUT_S
-        # Where discovery must be asked nothing counts as told before it was written, and the first call of a
-        # crowd is spread over seconds. Guards clients of proxies that were killed together: ten of fourteen
-        # listened 0.5 s before they took anybody, and in the meantime nobody else did.
+        # Where discovery is polled a change counts as notified only when it was answered. The first polls of
+        # a large fleet are spread over seconds, and restarted proxies must serve in the meantime.
         return 0.0 if self._config.settings.ask_discovery else FIRST_POLL_TIMEOUT_S
 
-    def _open(self) -> None:
-        """Discovery has answered once, or does not: take what clients come."""
-        self.listener.start()
-        if self.tls_listener is not None:
-            self.tls_listener.start()
+    def _start_accepting(self) -> None:
+        """Accepts clients, now that discovery has answered once or has not in time."""
+        for listener in self._listeners:
+            listener.start()
         self.lifecycle.handle(LifecycleEvent.STARTED)
 
     def give_way(self) -> None:
-        """Leave new connections to a process that was started after this one, if there is one."""
-        self.listener.give_way()
-        if self.tls_listener is not None:
-            self.tls_listener.give_way()
+        """Leaves new connections to a process that was started after this one, if there is one."""
+        for listener in self._listeners:
+            listener.give_way()
 
     def close(self, within: float = 0.0) -> None:
-        """Take no more connections, and be no member any more. ``within``: as of ``Listener.close``."""
-        if self.membership is not None:
-            self.membership.leave()
-        if self.distribution is not None:
-            self.distribution.leave()
-        self.listener.close(within)
-        if self.tls_listener is not None:
-            self.tls_listener.close(within)
-
-    def _take(self, stream: Stream) -> None:
+        """Leaves the cluster and stops accepting. ``within``: as for ``Listener.close``."""
+        if self._features is not None:
+            self._features.leave()
+        for listener in self._listeners:
+            listener.close(within)
+
+    def _accepted(self, stream: Stream) -> None:
         ClientDriver(
-            self.scheduler, self.gateway, self._config, self.admission, stream, self.callers, self._dial
+            self.scheduler, self.gateway, self._config, self.admission, stream, self._callers, self._connect
         ).start()
 
-    def _dial(self, address: Address, timeout: float) -> Stream:
-        """A connection to a server, with TLS on it where the settings of now ask for that."""
+    def _connect(self, address: Address, timeout: float) -> Stream:
+        """Connects to a server, over TLS where the current settings ask for it."""
         stream = Stream.connect(self.scheduler, address, timeout)
-        operator = self._operator
-        if operator is None or operator.upstream is None or operator.settings.upstream is None:
-            return stream
-        from ironmill.net.tls import TlsStream
+        return stream if self._features is None else self._features.secure(stream, address)
 
-        name = operator.settings.upstream.name or address[0]
-        return TlsStream.over(self.scheduler, stream, operator.upstream, name)
 
-    def _take_ring(self, ring: KeyRing) -> None:
-        if self.callers is not None:
-            self.callers.replace(self.callers.gate.identity, ring)
-
-    def _take_part(self, operator: OperatorFiles, settings: DistributionSettings) -> None:
-        """Take configuration from the control machines from now on."""
-        from ironmill.configuration.distributed_keys import ConfigurationConsumer
-        from ironmill.net.distribution import Distribution
-
-        self.distribution = Distribution(
-            self.scheduler, self._config.name, settings, operator.distribution_keys
-        )
-        self.configuration = ConfigurationConsumer(self.callers)
-        self.distribution.leaf(self.configuration)
-
-    def _take_distribution(self, operator: OperatorFiles) -> None:
-        """Keys are replaced at once; where configuration comes from takes a restart."""
-        settings, mine = operator.settings.distribution, self.distribution
-        if (settings is None) is not (mine is None) or (mine is not None and settings != mine.settings):
-            log.warning("reload: takes a restart: distribution")
-        if mine is not None and operator.distribution_keys:
-            mine.codec.keys = operator.distribution_keys
-
-    def _take_membership(self, operator: OperatorFiles) -> None:
-        """Keys are replaced at once; where and with whom this proxy is a member takes a restart."""
-        settings, mine = operator.settings.membership, self.membership
-        if (settings is None) is not (mine is None) or (mine is not None and settings != mine.settings):
-            log.warning("reload: takes a restart: membership")
-        if mine is not None and operator.member_keys:
-            mine.codec.keys = operator.member_keys
-
-    def _take_operator(self, operator: OperatorFiles) -> None:
-        """Other settings: what they say of callers holds from now on, for whoever shows a credential next."""
-        old = self._operator
-        if old is None:
-            return
-        from dataclasses import replace  # here, for the start is short without it
-
-        old_listen = None if old.settings.tls is None else old.settings.tls.listen
-        new_listen = None if operator.settings.tls is None else operator.settings.tls.listen
-        if old_listen != new_listen:
-            log.warning("reload: takes a restart: tls listen")
-            operator = replace(operator, tls=old.tls)
-        elif old.tls is not None and operator.tls is not None and old.tls.digest == operator.tls.digest:
-            operator = replace(operator, tls=old.tls)  # the same files: sessions go on being resumed
-        self._operator = operator
-        self._take_membership(operator)
-        self._take_distribution(operator)
-        if old.settings.log != operator.settings.log:
-            logs.set_up(self._config.name, operator.settings.log)
-        identity = operator.settings.identity
-        if (identity is None) is not (self.callers is None):
-            log.warning("reload: takes a restart: identity was not there before, or is there no more")
-        elif identity is not None and operator.ring is not None and self.callers is not None:
-            self._watch.path = identity.keys
-            self.callers.replace(identity, operator.ring)
+def raise_descriptor_limit(descriptors: int) -> None:
+    """Raises the soft limit of open descriptors to the number, or to the hard limit if that is lower."""
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft < descriptors:
+        limit = descriptors if hard == resource.RLIM_INFINITY else min(descriptors, hard)
+        resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
--- a/ironmill/net/reload.py
+++ b/ironmill/net/reload.py
@@ -1,10 +1,10 @@
-"""SIGHUP: the configuration file is read again, and what can be taken from it is taken."""
+"""Reload at SIGHUP: the configuration file and the operators' files are read again and applied."""
 
 from __future__ import annotations
 
 import logging
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
 from ironmill.configuration.proxy_config import Address, Config, UnreadableNowError
@@ -13,76 +13,78 @@
 if TYPE_CHECKING:
     from ironmill.configuration.operator_files import OperatorFiles
 
-# Nothing to log: each start has its own, and the list that was known then is old news.
-_PER_START = ("seed", "known", "discovery")
-# A file that cannot be read for a moment is tried again so long. What the discovery that it names has counts
-# as told 4 s after the signal (STANDING), and asking there takes a second.
-READ_PATIENCE = 2.0
-READ_PAUSE = 0.02
-_NAMED = 8  # changed keys in one line; guards the log against a file that has nothing in common
+# Keys whose changes are not logged: each start has its own seed and list, and discovery's address is applied.
+_UNLOGGED_KEYS = ("seed", "known", "discovery")
+# How long a file is tried again that cannot be read for a transient reason. Changes count as notified 4 s
+# after the signal, and the first poll of another discovery takes a second of that.
+READ_RETRY_TIMEOUT_S = 2.0
+READ_RETRY_INTERVAL_S = 0.02
+MAX_LOGGED_KEYS = 8  # bounds the line if the files have nothing in common
 
 log = logging.getLogger("ironmill.reload")
 
 
-def no_operator(_: Config) -> OperatorFiles | None:
-    """No settings were named at the start."""
+def no_operator_files(_: Config) -> OperatorFiles | None:
+    """Reads nothing: no settings were named at the start."""
     return None
 
 
 def _ignore(_: OperatorFiles) -> None:
-    """Nobody takes settings."""
+    """Applies nothing."""
 
 
 class Reload:
-    """Takes in a new configuration file; what was told with the old one goes on otherwise."""
+    """Applies a new configuration file; what cannot be applied while the process runs is logged."""
 
     def __init__(
         self,
         config: Config,
-        read: Callable[[], Config],
+        read_config: Callable[[], Config],
         watch_at: Callable[[Address], object],
-        read_operator_files: Callable[[Config], OperatorFiles | None] = no_operator,
-        take: Callable[[OperatorFiles], None] = _ignore,
         sleep: Callable[[float], object] = time.sleep,
     ) -> None:
+        """``watch_at`` moves the watch of the endpoint list to an address of discovery."""
         self._config = config
-        self._read = read
+        self._read_config = read_config
         self._watch_at = watch_at
-        self._read_operator = read_operator_files
-        self._take = take
         self._sleep = sleep
+        self.read_files: Callable[[Config], OperatorFiles | None] = no_operator_files
+        self.apply_files: Callable[[OperatorFiles], None] = _ignore
 
     def run(self) -> None:
-        """Read the files once more: all of them are taken, or none."""
+        """Reads all files again and applies them; if one of them is not valid, none is applied. Parks."""
         try:
-            new = self._read_in_time()
-            operator = self._read_operator(new)
+            new = self._read_with_retries()
+            files = self.read_files(new)
         except MalformedError as error:
-            # Guards service against a bad file: the old configuration is still fit for use.
-            log.error("reload: %s; the old configuration goes on", error)
+            log.error("reload: %s; the old configuration stays in use", error)
             return
-        old = self._config.stated
+        self._log_ignored(self._config.stated, new.stated)
+        log.info("reload: discovery is at %s:%d", *new.discovery)
+        self._watch_at(new.discovery)
+        if files is not None:
+            log.info("reload: settings applied from %s", files.settings.path)
+            self.apply_files(files)
+
+    @staticmethod
+    def _log_ignored(old: Mapping[str, object], new: Mapping[str, object]) -> None:
         changed = [
             key
-            for key in sorted(old.keys() | new.stated.keys())
-            if old.get(key) != new.stated.get(key) and key.partition(".")[0] not in _PER_START
+            for key in sorted(old.keys() | new.keys())
+            if old.get(key) != new.get(key) and key.partition(".")[0] not in _UNLOGGED_KEYS
         ]
-        if changed:
-            more = f" and {len(changed) - _NAMED} more" if len(changed) > _NAMED else ""
-            log.warning("reload: takes a restart: %s%s", ", ".join(changed[:_NAMED]), more)
-        log.info("reload: discovery is at %s:%d", *new.discovery)
-        self._watch_at(new.discovery)
-        if operator is not None:
-            log.info("reload: settings taken from %s", operator.settings.path)
-            self._take(operator)
+        if not changed:
+            return
+        more = f" and {len(changed) - MAX_LOGGED_KEYS} more" if len(changed) > MAX_LOGGED_KEYS else ""
+        log.warning("reload: requires a restart: %s%s", ", ".join(changed[:MAX_LOGGED_KEYS]), more)
 
-    def _read_in_time(self) -> Config:
-        """The configuration, read again while that fails for a moment. Parks."""
-        until = time.monotonic() + READ_PATIENCE
+    def _read_with_retries(self) -> Config:
+        """Reads the configuration, again while that fails for a transient reason. Parks."""
+        deadline = time.monotonic() + READ_RETRY_TIMEOUT_S
         while True:
             try:
-                return self._read()
+                return self._read_config()
             except UnreadableNowError:
-                if time.monotonic() >= until:
+                if time.monotonic() >= deadline:
                     raise
-            self._sleep(READ_PAUSE)
+            self._sleep(READ_RETRY_INTERVAL_S)
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -1,4 +1,4 @@
-"""A planned end: the proxy answers what it owes before it goes."""
+"""Graceful shutdown: every pending request gets its final answer before the process exits."""
 
 from __future__ import annotations
 
@@ -19,107 +19,106 @@
 if TYPE_CHECKING:  # what is off is not imported
     from ironmill.net.admin_server import AdminServer
 
+# Spans from the signal.
 ACCEPT_PERIOD_S = 0.5  # new connections go on coming for up to 0.4 s
-# What stands is sent away from then on. Restarts follow each other, so the proxy before is gone when this one
-# is told to end: it is started again after its 3.7 s, and the front takes it in half a second after that. Of
-# 76 clients sent away from 1.5 s on, by one of two proxies restarted 3 s apart, 40 met nobody for 0.5 s.
+# Proxies are restarted one after another: the one before this one is back by then and takes the clients.
 MIGRATION_DELAY_S = 2.0
-# The end by force comes no sooner than the longest deadline (counted as 3 s at the most) and 0.7 s more.
+# SIGKILL comes no sooner than the longest deadline, counted as at most this, and the grace.
 MAX_DEADLINE_S = 3.0
 KILL_GRACE_S = 0.7
-EXIT_MARGIN_S = 0.25  # the process has ended by itself so much sooner
-# Before its end: for the last answers to go out, and for whom they go to to end as well. Guards those answers
-# against the exit, which resets whatever still has unread bytes.
+EXIT_MARGIN_S = 0.25  # from the exit to the earliest SIGKILL
+# Before the exit: final answers are written and peers close, since the exit resets what has unread bytes.
 FINAL_FLUSH_S = REFUSED_WAIT + 0.05
-MAX_ACCEPT_RETRY_S = (
-    1.0  # for accepts that fail while the listener is emptied; what stands is sent away after it
-)
-MIN_LAST_PLACEMENT_S = 0.05  # where all deadlines are short: for the last client to be placed
-MIN_MIGRATION_S = 0.25  # the same: for what stands to be sent away
+MAX_ACCEPT_RETRY_S = 1.0  # for accepts that fail while the queue of the listener is emptied
+# Minima where all deadlines are short:
+MIN_LAST_PLACEMENT_S = 0.05  # for the client accepted last to be placed
+MIN_MIGRATION_S = 0.25
 
 log = logging.getLogger("ironmill.shutdown")
 
 
-class Plan(Struct, frozen=True):
-    """When what happens, in seconds from the signal."""
+class ShutdownSchedule(Struct, frozen=True):
+    """Moments of the shutdown, in seconds from the signal."""
 
-    close_at: float  # nothing new from then on
-    move_at: float  # what stands is sent away from then on
-    end_at: float  # all of it is over
+    close_at: float  # the listener is closed
+    migrate_at: float  # established connections are migrated from then on
+    end_at: float  # the process exits
 
-
-def plan(longest_wait: float) -> Plan:
-    """The plan, by the longest wait that the settings allow a client."""
-    end_at = min(MAX_DEADLINE_S, longest_wait) + KILL_GRACE_S - EXIT_MARGIN_S
-    settle_at = end_at - FINAL_FLUSH_S
-    # Guards clients that still come, and what stands, where all deadlines are short: the end comes before
-    # MIGRATION_DELAY_S there, and half of the time until then is less than they go on coming.
-    close_at = min(ACCEPT_PERIOD_S, settle_at - MIN_LAST_PLACEMENT_S)
-    move_at = min(MIGRATION_DELAY_S, (close_at + end_at) / 2.0)
-    latest_move = max((close_at + settle_at) / 2.0, settle_at - MIN_MIGRATION_S)
-    return Plan(close_at, min(move_at, latest_move), end_at)
+    @classmethod
+    def for_deadline(cls, longest_deadline_s: float) -> ShutdownSchedule:
+        """Returns the schedule for the longest deadline that the settings allow a client."""
+        end_at = min(MAX_DEADLINE_S, longest_deadline_s) + KILL_GRACE_S - EXIT_MARGIN_S
+        flush_at = end_at - FINAL_FLUSH_S
+        # With short deadlines the end comes before MIGRATION_DELAY_S, and half of the time until then would
+        # be less than new connections go on coming.
+        close_at = min(ACCEPT_PERIOD_S, flush_at - MIN_LAST_PLACEMENT_S)
+        migrate_at = min(MIGRATION_DELAY_S, (close_at + end_at) / 2.0)
+        latest_migrate_at = max((close_at + flush_at) / 2.0, flush_at - MIN_MIGRATION_S)
+        return cls(close_at, min(migrate_at, latest_migrate_at), end_at)
 
 
 class ConnectionAcceptor(Protocol):
-    """Whatever takes new connections."""
+    """Accepts new connections of clients."""
 
     def give_way(self) -> None:
-        """Leave what is new to a successor, if there is one."""
+        """Leaves new connections to a successor, if there is one."""
 
     def close(self, within: float) -> None:
-        """Take no more; who waits is taken, trying for so many seconds. Parks."""
+        """Stops accepting. Queued connections are accepted first, retried for ``within`` seconds. Parks."""
 
 
 class Shutdown:
-    """Ends the scheduler's run when a signal asks for it."""
+    """Ends the run of the scheduler gracefully when a signal asks for it."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         gateway: Gateway,
-        listener: ConnectionAcceptor,
+        acceptor: ConnectionAcceptor,
         config: Config,
         admission: Admission,
-        control: AdminServer | None = None,
+        admin_server: AdminServer | None = None,
     ) -> None:
         self._scheduler = scheduler
         self._gateway = gateway
-        self._listener = listener
+        self._acceptor = acceptor
         self._config = config
         self._admission = admission
-        self._control = control
+        self._admin_server = admin_server
 
     def run(self) -> None:
-        """End in an orderly way. A second signal changes nothing."""
+        """Shuts down and stops the scheduler. A second signal changes nothing. Parks."""
         if self._gateway.lifecycle.state in TERMINAL_STATES:
             return
         self._gateway.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
-        self._drain()
+        pending, established = self._gateway.pending(), len(self._gateway.standing())
+        log.info("shutting down: %d pending, %d established", pending, established)
+        longest_deadline_s = max(self._config.wait_limits.values(), default=MAX_DEADLINE_S)
+        self._empty_gracefully(ShutdownSchedule.for_deadline(longest_deadline_s))
+        self._finalize()
+        metrics, counts = self._gateway.figures, self._gateway.counts
+        log.info("shut down: %s, %d attempts, %s", metrics.by_outcome(), metrics.upstream_tries, counts)
         self._scheduler.stop()
 
-    def _drain(self) -> None:
-        owed, standing = self._gateway.pending(), len(self._gateway.standing())
-        log.info("ending: %d owed an answer, %d stand", owed, standing)
-        times = plan(max(self._config.wait_limits.values(), default=MAX_DEADLINE_S))
-        began = time.monotonic()
-        end = began + times.end_at
-        self._listener.give_way()
-        self._scheduler.sleep(times.close_at)
-        self._listener.give_way()  # once more: a successor may have begun to listen only now
-        self._listener.close(max(0.0, min(MAX_ACCEPT_RETRY_S, end - FINAL_FLUSH_S - time.monotonic())))
-        self._scheduler.sleep(max(0.0, began + times.move_at - time.monotonic()))
-        Migration(self._scheduler, self._gateway).run(end - FINAL_FLUSH_S)
-        # Nothing begins from here on: its answer would not get through. What is owed is answered as what it
-        # is, and who has said nothing is told so before the exit closes its connection.
-        settled_at = time.monotonic()
+    def _empty_gracefully(self, schedule: ShutdownSchedule) -> None:
+        """Stops accepting, serves what is left, and migrates established connections."""
+        started_at = time.monotonic()
+        flush_at = started_at + schedule.end_at - FINAL_FLUSH_S
+        self._acceptor.give_way()
+        self._scheduler.sleep(schedule.close_at)
+        self._acceptor.give_way()  # again: a successor may have begun to listen only now
+        self._acceptor.close(max(0.0, min(MAX_ACCEPT_RETRY_S, flush_at - time.monotonic())))
+        self._scheduler.sleep(max(0.0, started_at + schedule.migrate_at - time.monotonic()))
+        Migration(self._scheduler, self._gateway).migrate_all(flush_at)
+
+    def _finalize(self) -> None:
+        """Answers everything that is still open, and lets the answers leave. Nothing begins any more."""
+        finalized_at = time.monotonic()
         self._gateway.lifecycle.handle(LifecycleEvent.GRACE_PERIOD_ENDED)
         self._gateway.settle_all()
         for request in self._gateway.standing():
-            request.holder.move()  # what came to stand since the last look, too
+            request.holder.move()  # also those established since the migration
         self._admission.end_silent()
-        # What lies in the queue of the address of staff would be reset by the exit.
-        if self._control is not None:
-            self._control.close(FINAL_FLUSH_S / 2.0)
-        self._scheduler.sleep(max(0.0, settled_at + FINAL_FLUSH_S - time.monotonic()))
-        figures, counts = self._gateway.figures, self._gateway.counts
-        log.info("ended: %s, %d attempts, %s", figures.by_outcome(), figures.upstream_tries, counts)
+        if self._admin_server is not None:  # the exit would reset the calls in its queue
+            self._admin_server.close(FINAL_FLUSH_S / 2.0)
+        self._scheduler.sleep(max(0.0, finalized_at + FINAL_FLUSH_S - time.monotonic()))
--- a/ironmill/net/signals.py
+++ b/ironmill/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals as tasks: a handler only rings a bell, and what the signal asks for runs in the scheduler."""
+"""Signals as tasks: the handler only writes a byte, and the action of the signal runs in the scheduler."""
 
 from __future__ import annotations
 
@@ -13,51 +13,52 @@
 
 log = logging.getLogger("ironmill.signals")
 
-TAKEN = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+MAX_READ_BYTES = 4096  # one byte per signal that has arrived
 
 
 class Signals:
-    """Takes the signals from its making on; what came before ``start`` is then dealt with."""
+    """Handles SIGHUP, SIGTERM and SIGINT. Signals that arrive before ``start`` are dispatched by it."""
 
     def __init__(self) -> None:
-        # A signal's handler cannot end the poll by itself: Python takes the poll up again after it.
-        self._wake, self._bell = retry_at_start(socket.socketpair)
-        self._wake.setblocking(False)
-        self._bell.setblocking(False)
+        # A handler alone cannot interrupt the poll: Python resumes it afterwards.
+        self._receiver, self._sender = retry_at_start(socket.socketpair)
+        self._receiver.setblocking(False)
+        self._sender.setblocking(False)
         self._actions: dict[int, Callable[[], object]] = {}
-        signal.set_wakeup_fd(self._bell.fileno(), warn_on_full_buffer=False)
-        self._before = {number: signal.signal(number, self._ring) for number in TAKEN}
+        signal.set_wakeup_fd(self._sender.fileno(), warn_on_full_buffer=False)
+        self._previous_handlers = {number: signal.signal(number, self._ignore) for number in HANDLED_SIGNALS}
 
     @staticmethod
-    def _ring(number: int, frame: types.FrameType | None) -> None:
-        """The byte on the socket pair does the work."""
+    def _ignore(number: int, frame: types.FrameType | None) -> None:
+        """Does nothing: the byte that Python writes to the socket pair wakes the scheduler."""
 
     def on(self, number: int, action: Callable[[], object]) -> None:
-        """Run the action in a task of its own whenever the signal comes."""
+        """Registers the action, which is run in its own task at each signal of that number."""
         self._actions[number] = action
 
     def start(self, scheduler: Scheduler) -> None:
-        """Deal with signals from now on."""
+        """Starts to dispatch signals to their actions."""
         scheduler.spawn(self._run, scheduler)
 
     def close(self) -> None:
-        """Give the signals back."""
+        """Restores the previous handlers."""
         signal.set_wakeup_fd(-1)
-        for number, handler in self._before.items():
+        for number, handler in self._previous_handlers.items():
             signal.signal(number, handler)
-        self._wake.close()
-        self._bell.close()
+        self._receiver.close()
+        self._sender.close()
 
     def _run(self, scheduler: Scheduler) -> None:
         while True:
-            scheduler.wait(self._wake.fileno(), READ)
-            # Several of one kind that came together ask for the same thing once.
+            scheduler.wait(self._receiver.fileno(), READ)
             try:
-                rung = self._wake.recv(4096)
-            except OSError as error:  # guards the signals, without which nothing ends this process in order
+                received = self._receiver.recv(MAX_READ_BYTES)
+            except OSError as error:  # without this task no signal would end the process gracefully
                 log.warning("signals: %s", error)
                 scheduler.sleep(RETRY_INTERVAL_S)
                 continue
-            for number in dict.fromkeys(rung):
+            # Signals of one number that arrived together run the action once.
+            for number in dict.fromkeys(received):
                 if number in self._actions:
                     scheduler.spawn(self._actions[number])
--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -64,7 +64,7 @@
     heard = side.receive(data) if data else side.receive(b"")
     if isinstance(heard, ApiResponse):
         assert heard.status >= 400
-        assert side.answer(heard).startswith(b"HTTP/1.1 %d " % heard.status)
+        assert side.encode(heard).startswith(b"HTTP/1.1 %d " % heard.status)
 
 
 @pytest.mark.parametrize(
@@ -87,10 +87,10 @@
 
 def test_the_table_of_calls() -> None:
     served = Served()
-    staff = ProxyApi(served)
+    api = ProxyApi(served)
 
     def ask(method: str, path: str) -> tuple[int, Any]:
-        answer = staff.answer(ApiRequest(method, path))
+        answer = api.dispatch(ApiRequest(method, path))
         return int(answer.status), orjson.loads(answer.body) if answer.body else dict(answer.headers)
 
     assert ask("GET", "/admin/health") == (200, {"state": "serving"})
@@ -151,7 +151,7 @@
         self.town = Town()
         self.control = AdminServer(self.town.scheduler, ("127.0.0.1", 0), ProxyApi(self.town.gateway))
         self.control.start()
-        Drain(self.town.scheduler, self.town.gateway, keeps)
+        Drain(self.town.scheduler, self.town.gateway, keeps_established=keeps)
 
     def connect(self, data: bytes) -> Stream:
         stream = Stream.connect(self.town.scheduler, self.control.address, 1.0)
@@ -310,10 +310,10 @@
 
     def story() -> None:
         half = [it.connect(GET[:7]) for _ in range(MAX_CONNECTIONS)]
-        it.town.until(lambda: len(it.control._callers) == MAX_CONNECTIONS)
+        it.town.until(lambda: len(it.control._connections) == MAX_CONNECTIONS)
         half[0].send_now(GET[7:20])  # not read yet when the next one comes
         ours, theirs = socket.socketpair()
-        it.control._take(Stream(it.town.scheduler, ours))
+        it.control._accepted(Stream(it.town.scheduler, ours))
         theirs.close()
         assert half[0].receive(5.0) == b""
 
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -243,7 +243,7 @@
     keys.path.unlink()
     timers.run(1.0)
     assert taken == []
-    assert {record.getMessage() for record in caplog.records} == {"key ring refused"}
+    assert {record.getMessage() for record in caplog.records} == {"key ring rejected"}
     keys.path.write_bytes(data)
     timers.run(1.0)
     assert [key.kid for key in taken[0]] == ["a", "b"]
@@ -412,7 +412,7 @@
             assert it.proxy.end() == 0
         log = it.proxy.log.read_text()
     assert {word for kind, word in it.answers if kind == "load"} == {"UP"}
-    assert log.count("the old configuration goes on") == 1
+    assert log.count("the old configuration stays in use") == 1
 
 
 def test_an_operators_commands_from_a_key_to_a_caller(
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -21,7 +21,7 @@
 from ironmill.net.discovery import Discovery
 from ironmill.net.listener import Listener
 from ironmill.net.server import Dial
-from ironmill.net.shutdown import Shutdown, plan
+from ironmill.net.shutdown import Shutdown, ShutdownSchedule
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
 from ironmill.protocol.discovery import Listed, Routing
@@ -814,17 +814,17 @@
 @pytest.mark.parametrize("longest", [0.05, 0.3, 0.6, 1.0, 2.0, 3.2, 60.0])
 def test_a_planned_end_has_time_to_send_away_what_stands(longest: float) -> None:
     """Guards against moves that never come, and moves before the proxy restarted before this one is back."""
-    times = plan(longest)
-    assert times.close_at < times.move_at < times.end_at <= min(longest, 3.0) + 0.7
-    assert times.end_at - times.move_at >= (times.end_at - times.close_at) / 2.0 - 1e-9
+    times = ShutdownSchedule.for_deadline(longest)
+    assert times.close_at < times.migrate_at < times.end_at <= min(longest, 3.0) + 0.7
+    assert times.end_at - times.migrate_at >= (times.end_at - times.close_at) / 2.0 - 1e-9
     if longest >= 3.0:
-        assert 1.95 <= times.move_at <= 2.5
+        assert 1.95 <= times.migrate_at <= 2.5
 
 
 @pytest.mark.parametrize("longest", [0.3, 0.6, 2.0, 3.2])
 def test_a_planned_end_takes_clients_as_long_as_they_come(longest: float) -> None:
     """PROTOCOL: after SIGTERM new connections go on coming for 0.2 to 0.4 s, whatever the deadlines are."""
-    times = plan(longest)
+    times = ShutdownSchedule.for_deadline(longest)
     assert times.close_at >= 0.4 + 0.04
     assert times.close_at < times.end_at - shutdown_module.FINAL_FLUSH_S  # what came last is decided on
 
--- a/tests/system/test_operation.py
+++ b/tests/system/test_operation.py
@@ -226,7 +226,7 @@
 
         def story(fleet: Fleet) -> None:
             one.ask("POST", "quiesce")
-            it.until(lambda: "drained: 30 stand" in one.process.log.read_text())
+            it.until(lambda: "drained: 30 established" in one.process.log.read_text())
             assert (len(fleet.standing), fleet.counts.moved) == (30, 0)
             two = it.start()
             it.until(two.serves)
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -12,7 +12,7 @@
 from ironmill.balancing.interface import Stage
 from ironmill.configuration.proxy_config import Config
 from ironmill.net import proxy as proxy_module
-from ironmill.net.proxy import Proxy
+from ironmill.net.proxy import Proxy, ProxyOptions
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.discovery import Listed, Routing
 from ironmill.runtime.scheduler import READ
@@ -34,7 +34,7 @@
 
 def play(told: Config, story: Callable[[Proxy], None]) -> None:
     """Serve until the story, a task of the proxy's scheduler, is over."""
-    proxy = Proxy(told, Quiet(), lambda: told)  # type: ignore[arg-type]
+    proxy = Proxy(ProxyOptions(told, lambda: told), Quiet())  # type: ignore[arg-type]
 
     def told_story() -> None:
         try:
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -718,7 +718,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     got: list[bytes] = []
-    monkeypatch.setattr(Migration, "run", lambda self, end: None)  # it has looked, and nothing stood
+    monkeypatch.setattr(
+        Migration, "migrate_all", lambda self, deadline: None
+    )  # it has looked, and nothing stood
 
     def story(town: Town) -> None:
         client, _ = town.pair()
--- a/tests/system/test_reload.py
+++ b/tests/system/test_reload.py
@@ -23,7 +23,7 @@
     reload.run()
     assert seen == [("127.0.0.9", 85)]
     assert [record.getMessage() for record in caplog.records] == [
-        "reload: takes a restart: limits.sockets",
+        "reload: requires a restart: limits.sockets",
         "reload: discovery is at 127.0.0.9:85",
     ]
 
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -124,7 +124,7 @@
 
 def ask(routes: Routes, method: str, path: str, body: object = None, query: str = "") -> tuple[int, Any]:
     data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
-    answer = routes.answer(ApiRequest(method, path, query, data))
+    answer = routes.dispatch(ApiRequest(method, path, query, data))
     assert answer.body.endswith(b"\n")
     return int(answer.status), json.loads(answer.body)
 
@@ -214,8 +214,8 @@
     routes = Routes()
     ConfigurationApi(Nobody(), Nobody(), []).add_to(routes)
     for path in (REVISIONS, REVERT):
-        assert routes.answer(ApiRequest("POST", path, "", data)).status in (400, 503)
-    assert routes.answer(ApiRequest("GET", REVISIONS, data.decode("latin-1"))).status in (200, 400)
+        assert routes.dispatch(ApiRequest("POST", path, "", data)).status in (400, 503)
+    assert routes.dispatch(ApiRequest("GET", REVISIONS, data.decode("latin-1"))).status in (200, 400)
 
 
 def test_what_the_calls_let_pass_the_store_takes(stub: Stub) -> None:
@@ -362,7 +362,7 @@
         self.lose = 0  # answers that get lost
         self.calls: list[ApiRequest] = []
         routes = routes_of(stub, writes)
-        answer = routes.answer
+        answer = routes.dispatch
 
         def lossy(call: ApiRequest) -> ApiResponse:
             self.calls.append(call)
@@ -372,7 +372,7 @@
                 raise ConnectionResetError
             return told
 
-        routes.answer = lossy  # type: ignore[method-assign]
+        routes.dispatch = lossy  # type: ignore[method-assign]
         self.control = AdminServer(self.scheduler, ("127.0.0.1", 0), routes)
         self.control.start()
 
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -391,7 +391,7 @@
     side = HttpExchange(routes.detailed)
     call = side.receive(request)
     assert call is not None
-    return side.answer(routes.answer(call) if isinstance(call, ApiRequest) else call)
+    return side.encode(routes.dispatch(call) if isinstance(call, ApiRequest) else call)
 
 
 def request(method: str, path: str, body: bytes = b"") -> bytes:
