--- a/ironmill/configuration/settings/load.py
+++ b/ironmill/configuration/settings/load.py
@@ -16,7 +16,6 @@
 from ironmill.configuration.settings.model import (
     ControlMachine,
     DistributionSettings,
-    LogSettings,
     MembershipSettings,
     OperatorSettings,
     SettingsError,
@@ -25,6 +24,7 @@
 )
 from ironmill.configuration.units import duration, rate, size_rate
 from ironmill.identity.rules import Caller, CallerRule, Identity, Rights, TokenMatch
+from ironmill.runtime.logs import LogSettings
 
 SIZE_MOST = 1 << 20
 TEXT_MOST = 64  # of a name, a zone, a region or a cluster, as datagrams carry them
--- a/ironmill/configuration/settings/model.py
+++ b/ironmill/configuration/settings/model.py
@@ -6,19 +6,12 @@
 from typing import TYPE_CHECKING
 
 from ironmill.identity.rules import Identity
+from ironmill.runtime.logs import LogSettings
 
 if TYPE_CHECKING:  # what is off is not imported
     from ironmill.membership.timing import Timing
 
 
-@dataclass(frozen=True, slots=True)
-class LogSettings:
-    """How the log is written."""
-
-    form: str = "text"  # or json
-    level: str = "info"
-
-
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
     """A listener for clients that speak TLS. Paths are whole."""
--- a/ironmill/runtime/gc_schedule.py
+++ b/ironmill/runtime/gc_schedule.py
@@ -1,9 +1,8 @@
-"""When the garbage collector may look through everything.
+"""Schedule of the garbage collector.
 
-A full collection visits every object there is, so its pause grows with the connections that stand: 86 ms were
-seen at 5,000, and the rule on drains leaves 250. What a connection leaves behind is freed by its reference
-counts alone (``tests/system/test_garbage_collection.py`` holds that), so full collections are left to times
-when few stand.
+A full collection visits every object, so its pause grows with the number of connections. The
+objects of a connection are freed by reference counting alone (``tests/system/test_garbage_collection.py``
+checks it), so full collections wait until few connections are open.
 """
 
 from __future__ import annotations
@@ -13,28 +12,28 @@
 
 from ironmill.runtime.scheduler import Timers
 
-YOUNG_THRESHOLD = 2000  # objects made beyond those freed, between two collections of the youngest
-MIDDLE_THRESHOLD = 10  # of those, between two of the middle generation
+YOUNG_THRESHOLD = 2000  # net new objects between two collections of the youngest generation
+MIDDLE_THRESHOLD = 10  # of those collections between two of the middle generation
 DISABLED_THRESHOLD = 1 << 30
-CHECK_INTERVAL_S = 30.0  # seconds between two looks
-MAX_CONNECTIONS_FOR_FULL_COLLECTION = 500  # connections: a full collection then takes some 10 ms
+CHECK_INTERVAL_S = 30.0
+MAX_CONNECTIONS_FOR_FULL_COLLECTION = 500  # keeps the pause at some 10 ms
 
 
 class GcSchedule:
-    """Keeps full collections to quiet times."""
+    """Runs full collections only while few connections are open."""
 
-    def __init__(self, timers: Timers, held: Callable[[], int]) -> None:
+    def __init__(self, timers: Timers, count_connections: Callable[[], int]) -> None:
         self._timers = timers
-        self._held = held
+        self._count_connections = count_connections
 
     def start(self) -> None:
-        """What is there now stays for good and is never looked through."""
+        """Exempts all present objects from collection, and starts the schedule."""
         gc.freeze()
-        gc.enable()  # ``__main__`` has turned it off
+        gc.enable()  # ``__main__`` has disabled it
         gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, DISABLED_THRESHOLD)
-        self._timers.call_later(CHECK_INTERVAL_S, self._look)
+        self._timers.call_later(CHECK_INTERVAL_S, self._check)
 
-    def _look(self) -> None:
-        if self._held() <= MAX_CONNECTIONS_FOR_FULL_COLLECTION:
+    def _check(self) -> None:
+        if self._count_connections() <= MAX_CONNECTIONS_FOR_FULL_COLLECTION:
             gc.collect()
-        self._timers.call_later(CHECK_INTERVAL_S, self._look)
+        self._timers.call_later(CHECK_INTERVAL_S, self._check)
--- a/ironmill/runtime/logs.py
+++ b/ironmill/runtime/logs.py
@@ -1,8 +1,8 @@
-"""The log: events with fields.
+"""Logging of events with fields.
 
-An event is a short name; what belongs to it goes in fields. Without settings the log is written as it always
-was, the fields behind the event as ``name=value``. With settings structlog writes it, as text or JSON lines.
-What carries a secret (a token, a key, a certificate) is no field: names and kinds alone are handed in.
+An event is a short name, and its data go in fields. Without settings a line is plain text with the fields as
+``name=value``; with settings structlog writes it, as text or JSON lines. Secrets (tokens, keys, certificates)
+must not be fields: log their names and kinds only.
 """
 
 from __future__ import annotations
@@ -10,95 +10,100 @@
 import logging
 import sys
 from collections.abc import MutableMapping
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
-if TYPE_CHECKING:
-    from ironmill.configuration.settings.model import LogSettings
+from msgspec import Struct
 
-_FIELDS = "ironmill_fields"
+_FIELDS_ATTRIBUTE = "ironmill_fields"  # of a log record
+DEFAULT_LEVEL = "INFO"
 
 
-class _Level:
-    """What is logged at all: as the settings say, unless distributed configuration says otherwise."""
+class LogSettings(Struct, frozen=True):
+    """The operators' settings of the log."""
 
-    own = "INFO"
-    distributed = ""
+    form: str = "text"  # or json
+    level: str = "info"
 
-    def set(self) -> None:
-        logging.getLogger().setLevel((self.distributed or self.own).upper())
 
+class _RootLevel:
+    """Level of the root logger: the settings' one, unless distributed configuration overrides it."""
 
-_level = _Level()
+    configured = DEFAULT_LEVEL
+    override = ""  # empty: none
+
+    def apply(self) -> None:
+        logging.getLogger().setLevel((self.override or self.configured).upper())
+
+
+_root_level = _RootLevel()
 
 
 class EventLog:
-    """A logger of the standard library that takes fields."""
+    """A logger of the standard library whose events take fields."""
 
     def __init__(self, name: str) -> None:
         self._log = logging.getLogger(name)
 
     def info(self, event: str, **fields: object) -> None:
-        """Something that happens in the course of things."""
-        self._log.info(event, extra={_FIELDS: fields})
+        """Logs an event of normal operation."""
+        self._log.info(event, extra={_FIELDS_ATTRIBUTE: fields})
 
     def warning(self, event: str, **fields: object) -> None:
-        """Something that an operator may want to look at."""
-        self._log.warning(event, extra={_FIELDS: fields})
+        """Logs an event that an operator may want to look into."""
+        self._log.warning(event, extra={_FIELDS_ATTRIBUTE: fields})
 
     def error(self, event: str, **fields: object) -> None:
-        """Something that did not work."""
-        self._log.error(event, extra={_FIELDS: fields})
+        """Logs a failure."""
+        self._log.error(event, extra={_FIELDS_ATTRIBUTE: fields})
 
 
-class _Plain(logging.Formatter):
-    """One line: time, name of the proxy, event, fields."""
+class _PlainFormatter(logging.Formatter):
+    """Formats a record as one line: time, name of the proxy, event, fields."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"%(asctime)s.%(msecs)03d {name} %(message)s", "%H:%M:%S")
 
     def formatMessage(self, record: logging.LogRecord) -> str:  # noqa: N802  (the library's name)
-        fields: dict[str, object] = getattr(record, _FIELDS, {})
+        fields: dict[str, object] = getattr(record, _FIELDS_ATTRIBUTE, {})
         text = super().formatMessage(record)
         return " ".join([text, *(f"{name}={value}" for name, value in fields.items())])
 
 
 def set_up(name: str, settings: LogSettings | None) -> None:
-    """Log to standard error from now on, as the settings say. May be called again with others."""
+    """Logs to standard error from now on, under the name of the process. May be called again."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(_Plain(name) if settings is None else _structured(name, settings))
+    handler.setFormatter(_PlainFormatter(name) if settings is None else _structured_formatter(name, settings))
     root = logging.getLogger()
     for old in root.handlers[:]:
         root.removeHandler(old)
     root.addHandler(handler)
-    _level.own = "INFO" if settings is None else settings.level
-    _level.set()
+    _root_level.configured = DEFAULT_LEVEL if settings is None else settings.level
+    _root_level.apply()
 
 
 def override_level(level: str) -> None:
-    """The level from now on, whatever the settings say, also later; empty: theirs holds again."""
-    _level.distributed = level
-    _level.set()
+    """Overrides the level of the settings, also of later ones; an empty level ends the override."""
+    _root_level.override = level
+    _root_level.apply()
 
 
-def _structured(name: str, settings: LogSettings) -> logging.Formatter:
-    import structlog  # here, for what is off is not imported
+def _structured_formatter(name: str, settings: LogSettings) -> logging.Formatter:
+    import structlog  # what is off is not imported
 
-    def lift(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        event.update(getattr(event["_record"], _FIELDS, {}))
+    def add_fields(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+        event.update(getattr(event["_record"], _FIELDS_ATTRIBUTE, {}))
         event["proxy"] = name
         return event
 
-    renderer: Any = (
-        structlog.processors.JSONRenderer()
-        if settings.form == "json"
-        else (structlog.processors.KeyValueRenderer(key_order=["timestamp", "level", "event"]))
-    )
+    renderer: Any = structlog.processors.KeyValueRenderer(key_order=["timestamp", "level", "event"])
+    if settings.form == "json":
+        renderer = structlog.processors.JSONRenderer()
     formatter: logging.Formatter = structlog.stdlib.ProcessorFormatter(
         foreign_pre_chain=[
             structlog.stdlib.add_log_level,
             structlog.stdlib.add_logger_name,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            lift,
+            add_fields,
         ],
         processors=[
             structlog.processors.format_exc_info,
--- a/ironmill/runtime/rate_limited_log.py
+++ b/ironmill/runtime/rate_limited_log.py
@@ -1,25 +1,26 @@
-"""At most one line a second in the log about something that may happen all the time."""
+"""Rate limit for log lines about events that peers can cause as often as they like."""
 
 from __future__ import annotations
 
 import time
 
-PAUSE = 1.0  # seconds between two lines
+LINE_INTERVAL_S = 1.0
 
 
 class LogRateLimiter:
-    """Guards processor and log against what others can make happen as often as they like."""
+    """Allows one line per ``LINE_INTERVAL_S``, which bounds the processor time and the size of the log."""
 
     def __init__(self) -> None:
-        self._logged_at = -PAUSE
-        self._left_out = 0
+        self._logged_at = -LINE_INTERVAL_S
+        self._suppressed = 0
 
     def allow(self) -> int | None:
-        """How many lines were left out since the last one; None if this one is to be left out, too."""
+        """Returns the number of lines suppressed since the last one; None if this one is suppressed too."""
         now = time.monotonic()
-        if now - self._logged_at < PAUSE:
-            self._left_out += 1
+        if now - self._logged_at < LINE_INTERVAL_S:
+            self._suppressed += 1
             return None
-        left_out, self._left_out = self._left_out, 0
+        suppressed = self._suppressed
+        self._suppressed = 0
         self._logged_at = now
-        return left_out
+        return suppressed
--- a/ironmill/runtime/scheduler.py
+++ b/ironmill/runtime/scheduler.py
@@ -1,11 +1,14 @@
-"""Greenlets over ``select.epoll`` or ``select.poll``, with a timer of its own for each wait.
+"""Scheduler of greenlets over ``select.epoll`` or ``select.poll``.
 
-Nothing of the protocol. The hub is the greenlet that called ``run``. Tasks park in ``wait`` or ``sleep``
-and the hub resumes them; timer actions run in the hub itself and must not park.
+The hub is the greenlet that called ``run``. Tasks park in ``wait`` or ``sleep``, and the hub resumes them.
+Timer actions run in the hub and must not park.
 
-A descriptor is registered at its first wait and stays registered until ``forget``: what merely stands costs
-nothing. The events are level-triggered. One that nobody waits for is taken off when it is first seen, so a
-wait may come late but never misses what was there before it.
+A descriptor is registered at its first wait and stays registered until ``forget``, so an idle connection
+costs no system calls. Events are level-triggered. An event without a waiting task is unregistered when it
+first occurs; a later wait registers it again and still finds it.
+
+A task is killed by raising ``GreenletExit`` at its wait. It releases what it holds in ``finally`` blocks and
+context managers, and must not park in them.
 """
 
 from __future__ import annotations
@@ -26,39 +29,39 @@
 _BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
 _READABLE, _WRITABLE = READ | _BROKEN, WRITE | _BROKEN
 
-MAX_IDLE_GREENLETS = 64  # greenlets without a task that are kept
+MAX_IDLE_GREENLETS = 64  # finished greenlets that are kept for further tasks
 
 log = logging.getLogger("ironmill.runtime.scheduler")
 
 
 class Timers(Protocol):
-    """The part of the scheduler that those need who never park."""
+    """The timers of the scheduler, for code that never parks."""
 
     def call_later(self, delay: float, action: Callable[..., object], *args: Any) -> Timer:
-        """Call the action after the delay, in seconds."""
+        """Schedules the action after the delay, in seconds."""
 
     def cancel(self, timer: Timer | None) -> None:
-        """Withdraw a timer; nothing happens if it has fired."""
+        """Cancels a timer; one that was run already is ignored."""
 
 
 class Poller(Protocol):
-    """What ``select.epoll`` and ``select.poll`` have in common, the time-out in milliseconds."""
+    """The common interface of ``select.epoll`` and ``select.poll``; the timeout is in milliseconds."""
 
     def register(self, fd: int, mask: int) -> None:
-        """Watch a new descriptor."""
+        """Registers a new descriptor for the events."""
 
     def modify(self, fd: int, mask: int) -> None:
-        """Watch for other events."""
+        """Replaces the events of a registered descriptor."""
 
     def unregister(self, fd: int) -> None:
-        """Watch it no more."""
+        """Removes a descriptor."""
 
     def poll(self, timeout: float | None) -> list[tuple[int, int]]:
-        """The descriptors on which something happened, and what."""
+        """Returns the descriptors that are ready, with their events."""
 
 
 class _Epoll:
-    """``select.epoll``, which counts its time-out in seconds."""
+    """``select.epoll``, whose timeout is in seconds."""
 
     def __init__(self) -> None:
         self._epoll = retry_at_start(select.epoll)
@@ -69,7 +72,7 @@
         )
 
     def poll(self, timeout: float | None) -> list[tuple[int, int]]:
-        # Half a millisecond less, or what is lost in the division is rounded up to one more.
+        # Half a millisecond less, since the error of the division could be rounded up to another one.
         return self._epoll.poll(timeout if not timeout else (timeout - 0.5) / 1000.0)
 
 
@@ -77,27 +80,27 @@
 
 
 class Task:
-    """A function that runs in a greenlet, and what it waits for."""
+    """A function that runs in a greenlet, and the event that it waits for."""
 
     __slots__ = ("_args", "_function", "greenlet", "killed", "parked", "watch")
 
     def __init__(self, function: Callable[..., object], args: tuple[Any, ...]) -> None:
         self._function: Callable[..., object] | None = function
         self._args = args
-        self.greenlet: greenlet | None = None  # while it runs or is parked in its midst
-        self.parked = True  # not begun: the first turn begins it
+        self.greenlet: greenlet | None = None  # from its start to its end
+        self.parked = True  # also before its start, which is its first turn
         self.killed = False
         self.watch: tuple[int, int] | None = None
 
     @property
-    def begun(self) -> bool:
-        """True if it has begun, or never will."""
+    def started(self) -> bool:
+        """True if it has started, or never will."""
         return self._function is None
 
     def run(self) -> None:
-        """The function from its begin to its end, in the greenlet that is running."""
+        """Runs the function in the current greenlet."""
         function, args = self._function, self._args
-        # Whoever still knows the task must not keep alive what it knew: it would be a cycle.
+        # References to the task must not keep its arguments alive: they may refer to the task.
         self._function, self._args = None, ()
         assert function is not None
         try:
@@ -105,24 +108,24 @@
                 function(*args)
         except GreenletExit:
             pass
-        except Exception:  # guards the process: a task's failure ends that task alone
+        except Exception:  # boundary of the task: its failure must not end the process
             log.exception("a task failed")
 
     def is_current(self) -> bool:
-        """True if this is the running task."""
+        """Returns True if the caller runs in this task."""
         return self.greenlet is not None and self.greenlet is getcurrent()
 
 
 class Scheduler:
-    """Runs tasks and timers until stopped."""
+    """Runs tasks and timers in one thread, until stopped."""
 
     def __init__(self, poller: str = "epoll") -> None:
         self._hub = getcurrent()
         self._poll = POLLERS[poller]()
         self._timers = TimerQueue()
-        self._idle: list[greenlet] = []  # that have run their tasks and wait for others
+        self._idle: list[greenlet] = []  # finished, kept for further tasks
         self._ready: deque[tuple[Task, object]] = deque()
-        self._masks: dict[int, int] = {}  # what each descriptor is registered for
+        self._masks: dict[int, int] = {}  # registered events by descriptor
         self._readers: dict[int, Task] = {}
         self._writers: dict[int, Task] = {}
         self._current: Task | None = None
@@ -133,22 +136,22 @@
     # Tasks
 
     def spawn(self, function: Callable[..., object], *args: Any) -> Task:
-        """Run the function in a greenlet of its own, from the next turn on."""
+        """Starts a task that runs the function, in the next round of the hub."""
         task = Task(function, args)
         self._wake(task, None)
         return task
 
     def spawn_when(self, fd: int, event: int, function: Callable[..., object], *args: Any) -> Task:
-        """Run the function in a greenlet of its own once the descriptor is ready or broken.
+        """Starts a task that runs the function once the descriptor is ready or broken.
 
-        What merely stands holds no stack meanwhile, which is most of what a parked task weighs.
+        Until then the task has no stack, which is most of the memory of a parked task.
         """
         task = Task(function, args)
         self._watch(task, fd, event)
         return task
 
     def kill(self, task: Task | None) -> None:
-        """End the task at its wait. Its watch ends now, so that its socket may be closed at once."""
+        """Ends the task at its wait. Its descriptor may be closed as soon as this returns."""
         if task is None or task.killed:
             return
         task.killed = True
@@ -158,13 +161,14 @@
         self._wake(task, None)
 
     def sleep(self, delay: float) -> None:
-        """Let the others run for so long, in seconds."""
+        """Parks the task for the delay, in seconds."""
         self._park(delay)
 
     def wait(self, fd: int, event: int, timeout: float | None = None) -> bool:
-        """Wait until the descriptor is ready for READ or WRITE, or broken; False if time ran out.
+        """Parks until the descriptor is ready for READ or WRITE, or broken; False at the timeout, in seconds.
 
-        Whoever has waited on a descriptor calls ``forget`` before it is closed.
+        The caller must call ``forget`` before it closes the descriptor. Raises ``RuntimeError`` if another
+        task waits for the same event.
         """
         task = self._running()
         self._watch(task, fd, event)
@@ -174,14 +178,14 @@
             self._unwatch(task)
 
     def forget(self, fd: int) -> None:
-        """The descriptor is about to be closed, and its number may mean another one soon."""
+        """Unregisters the descriptor. Must be called before it is closed, since its number is reused."""
         if self._masks.pop(fd, None) is not None:
             self._poll.unregister(fd)
 
     # The hub
 
     def run(self) -> None:
-        """Run until ``stop``. May be called again after that, with what then still waits."""
+        """Runs tasks and timers until ``stop``. May be called again, and then continues."""
         self._stopped = False
         ready, readers, writers = self._ready, self._readers, self._writers
         while not self._stopped:
@@ -195,14 +199,14 @@
                 reader = readers.get(fd) if events & _READABLE else None
                 writer = writers.get(fd) if events & _WRITABLE else None
                 if writer is None and (reader is None or events & WRITE):
-                    self._unwanted(fd)
+                    self._drop_unwaited(fd)
                 for task in (reader, writer):
                     if task is not None:
                         self._unwatch(task)
                         self._wake(task, True)
 
     def stop(self) -> None:
-        """End ``run`` after the present turn."""
+        """Ends ``run`` after the current turn."""
         self._stopped = True
 
     def _turn(self, task: Task, value: object) -> None:
@@ -213,26 +217,26 @@
                     task.greenlet.throw(GreenletExit)
                 else:
                     task.greenlet.switch(value)
-            elif not task.begun:
+            elif not task.started:
                 task.greenlet = self._idle.pop() if self._idle else greenlet(self._work, self._hub)
                 task.greenlet.switch(task)
         finally:
             self._current = None
 
     def _work(self, task: Task | None) -> None:
-        """One task after another: to make a greenlet and its stack costs more than a short task."""
+        """Runs one task after another, since creating a greenlet costs more than a short task."""
         while task is not None:
             task.run()
             task.greenlet = None
             if len(self._idle) >= MAX_IDLE_GREENLETS:
                 return
             self._idle.append(getcurrent())
-            task = None  # not kept alive by the wait for the next
+            task = None  # drops the reference while the greenlet is idle
             task = self._hub.switch()
 
     def _running(self) -> Task:
         if self._current is None:
-            raise RuntimeError("only a task can wait")
+            raise RuntimeError("wait and sleep must be called from a task")
         return self._current
 
     def _park(self, timeout: float | None) -> object:
@@ -245,7 +249,7 @@
             self.cancel(timer)
 
     def _wake(self, task: Task, value: object) -> None:
-        if task.parked:  # guards against two wakes, by readiness and by time, in one round
+        if task.parked:  # readiness and timeout may occur in one round
             task.parked = False
             self._ready.append((task, value))
 
@@ -257,23 +261,23 @@
         task.watch = (fd, event)
         mask = self._masks.get(fd)
         if mask is None or not mask & event:
-            # The other event goes on being watched only if somebody waits for it.
+            # The other event stays registered only if a task waits for it.
             self._register(fd, event | (READ + WRITE - event if fd in others else 0))
 
     def _unwatch(self, task: Task) -> None:
-        """The task waits no more. What it waited for stays registered: mostly it is waited for again."""
+        """Ends the wait. The event stays registered, since it is usually waited for again."""
         if task.watch is not None:
             fd, event = task.watch
             task.watch = None
             del (self._readers if event == READ else self._writers)[fd]
 
-    def _unwanted(self, fd: int) -> None:
-        """Something happened that nobody waits for. Guards against a hub that is woken by it for ever."""
+    def _drop_unwaited(self, fd: int) -> None:
+        """Unregisters events without a waiting task, which would wake the hub again and again."""
         mask = (READ if fd in self._readers else 0) | (WRITE if fd in self._writers else 0)
         if mask:
             self._register(fd, mask)
         else:
-            self.forget(fd)  # an end or an error is told whatever the mask
+            self.forget(fd)  # errors and hang-ups are reported whatever the mask
 
     def _register(self, fd: int, mask: int) -> None:
         known = self._masks.get(fd)
--- a/ironmill/runtime/system_calls.py
+++ b/ironmill/runtime/system_calls.py
@@ -1,7 +1,7 @@
-"""Which errors of system calls pass by themselves, and trying such calls again at the start.
+"""Classification of system call errors that are transient, and retries of such calls at the start.
 
-Errors as in accept(2), connect(2), socket(2), send(2) and recv(2) of Linux. Whatever is here has nothing to
-do with the other side of a connection.
+The errors are those of accept(2), connect(2), socket(2), send(2) and recv(2) of Linux that have their cause
+on this machine, not at the peer.
 """
 
 from __future__ import annotations
@@ -12,43 +12,46 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-# This process or this machine has run out of something that others give back.
+from ironmill.errors import IronmillError
+
+# The process or the machine has run out of something that is released again.
 RESOURCE_EXHAUSTED_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-# connect(2) failed here, at once and before anything was sent.
+# connect(2) failed locally, before anything was sent.
 NOT_SENT_ERRNOS = RESOURCE_EXHAUSTED_ERRNOS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN}
 TRANSIENT_START_ERRNOS = NOT_SENT_ERRNOS | {errno.EIO}
 
-RETRY_INTERVAL_S = 0.001  # seconds between two tries while the process serves; costs a few percent of a core
+RETRY_INTERVAL_S = 0.001  # between two tries while the process serves; costs a few percent of a core
 START_RETRY_INTERVAL_S = 0.02
-# A start may take 30 s, and nine in ten are to be ready within 10 s (STANDING).
-START_RETRY_TIMEOUT_S = 5.0
+START_RETRY_TIMEOUT_S = 5.0  # leaves a restarted process half of the 10 s in which it is to be ready
 
 Result = TypeVar("Result")
 
 log = logging.getLogger("ironmill.runtime.system_calls")
 
 
-class TransientError(Exception):
-    """Something could not be done for a reason that passes by itself."""
+class TransientError(IronmillError):
+    """An operation failed for a reason that passes by itself."""
 
 
 class UnsentError(OSError):
-    """A connection could not be begun for a reason of this machine: nothing was sent, the server is not to
-    blame."""
+    """A connect failed for a reason of this machine: nothing was sent, and the server is not at fault."""
 
 
 def retry_at_start(function: Callable[..., Result], *args: Any) -> Result:
-    """Call the function, again while it fails for a moment. Blocks: not for a process that serves."""
-    until = time.monotonic() + START_RETRY_TIMEOUT_S
+    """Calls the function, again for up to ``START_RETRY_TIMEOUT_S`` while it fails for a transient reason.
+
+    Raises its last error. Blocks the process: must not be called while it serves.
+    """
+    deadline = time.monotonic() + START_RETRY_TIMEOUT_S
     while True:
         try:
             return function(*args)
         except TransientError as error:
-            if time.monotonic() >= until:
+            if time.monotonic() >= deadline:
                 raise
-            log.info("the start waits: %s", error)
+            log.info("start delayed: %s", error)
         except OSError as error:
-            if error.errno not in TRANSIENT_START_ERRNOS or time.monotonic() >= until:
+            if error.errno not in TRANSIENT_START_ERRNOS or time.monotonic() >= deadline:
                 raise
-            log.info("the start waits: %s", error)
+            log.info("start delayed: %s", error)
         time.sleep(START_RETRY_INTERVAL_S)
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -19,7 +19,6 @@
 
 from ironmill.configuration import distributed_keys
 from ironmill.configuration.distributed_keys import AppliedKeys, ConfigurationConsumer, check_form
-from ironmill.configuration.settings.model import LogSettings
 from ironmill.distribution.revision import Changes, Consumer, Refusal
 from ironmill.identity import rules
 from ironmill.identity.callers import Callers
@@ -27,6 +26,7 @@
 from ironmill.identity.rules import CallerRule, Denials, TokenMatch, fits
 from ironmill.identity.tokens import Refusal as Why
 from ironmill.runtime import logs
+from ironmill.runtime.logs import LogSettings
 from ironmill.runtime.timers import TimerQueue
 from ironmill_testbed.certificates import Authority, fingerprint
 from tests.support.identity import AUDIENCE, ISSUER, Keys, identity
--- a/tests/unit/configuration/test_settings.py
+++ b/tests/unit/configuration/test_settings.py
@@ -9,7 +9,8 @@
 
 from ironmill.cli import main
 from ironmill.configuration.settings.load import SIZE_MOST, load_settings
-from ironmill.configuration.settings.model import LogSettings, SettingsError, UpstreamTls
+from ironmill.configuration.settings.model import SettingsError, UpstreamTls
+from ironmill.runtime.logs import LogSettings
 from tests.unit.configuration.test_proxy_config import written
 
 EXAMPLE = Path(__file__).parents[3] / "deploy" / "settings.example.xml"
