--- a/ironmill/net/distribution.py
+++ b/ironmill/net/distribution.py
@@ -11,14 +11,13 @@
 from ironmill.distribution.node import Leaf, Node, Origin, Relay
 from ironmill.distribution.timing import TICK, Timing
 from ironmill.distribution.wire import Codec, Place
-from ironmill.membership.envelope import Address, Card, spelled
+from ironmill.membership.identity import Address, MemberIdentity, format_address
 from ironmill.net.datagrams import Datagrams
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:  # what a role has no use for is not imported
-    from ironmill.distribution.node import Check
-    from ironmill.distribution.revision import Consumer, RevisionStore
+    from ironmill.distribution.interfaces import ChangeCheck, Consumer, RevisionStore
 
 # What an operator may want to look at, the rest is the course of things.
 _LOUD = {"stale", "refused", "superseded", "fleet-ahead", "child-unreachable", "parent-lost"}
@@ -41,7 +40,7 @@
         self.codec = Codec(settings.cluster, keys)
         self.node: Node | None = None
         self._datagrams = Datagrams(scheduler, settings.listen)
-        self._card = Card(
+        self._card = MemberIdentity(
             name, *settings.listen, settings.zone, settings.region, max(1, int(time.time() * 1000.0))
         )
         self._timing = Timing(settings.stale_after, settings.forget_after, settings.catch_up_rate)
@@ -89,7 +88,7 @@
         self.node = node
         return node
 
-    def origin(self, store: RevisionStore, check: Check) -> Origin:
+    def origin(self, store: RevisionStore, check: ChangeCheck) -> Origin:
         """Be the origin: the order of changes is the store's. StoreError where it cannot be read."""
         relays = [place for place, origin in self._controls if not origin and place.name != self._card.name]
         node = Origin(
@@ -110,7 +109,10 @@
         """Take part from now on."""
         assert self.node is not None
         log.info(
-            "distribution", address=spelled(self.address), cluster=self.settings.cluster, role=self.node.role
+            "distribution",
+            address=format_address(self.address),
+            cluster=self.settings.cluster,
+            role=self.node.role,
         )
         self._datagrams.start(self.node, TICK)
 
--- a/ironmill_testbed/capacity/sweep_membership.py
+++ b/ironmill_testbed/capacity/sweep_membership.py
@@ -16,13 +16,14 @@
 
 from msgspec import Raw
 
+from ironmill.membership.identity import MemberIdentity
 from ironmill.membership.member import Member
 from ironmill.membership.timing import TICK, Timing
-from ironmill.membership.wire import Card, Codec, Fact, Rumour, pack, unpack
+from ironmill.membership.wire import Codec, Fact, Rumour, pack, unpack
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
 from ironmill_testbed.faults.shared import Shared
-from ironmill_testbed.faults.world import KEY, World
+from ironmill_testbed.faults.simulated_cluster import KEY, SimulatedCluster
 
 ZONES = 11
 SETTLED = 5.0  # seconds before anything is measured
@@ -37,8 +38,8 @@
 VIEWS = (30, 100, 300, 1000, 3000)
 
 
-def _world(size: int, seed: int) -> World:
-    world = World(size, [], seed, zones=ZONES, make=Shared())
+def _world(size: int, seed: int) -> SimulatedCluster:
+    world = SimulatedCluster(size, [], seed, zones=ZONES, make=Shared())
     world.settle()
     world.run(SETTLED)
     return world
@@ -96,7 +97,11 @@
     """Bytes of one member whose view has so many, each fact as it comes off the wire."""
     del quick
     data = [
-        pack(Fact(Card(f"p{at:05d}", f"10.0.{at >> 8}.{at & 255}", 7000, f"z{at % ZONES}", "r1", 1), 2))
+        pack(
+            Fact(
+                MemberIdentity(f"p{at:05d}", f"10.0.{at >> 8}.{at & 255}", 7000, f"z{at % ZONES}", "r1", 1), 2
+            )
+        )
         for at in range(size)
     ]
     gc.collect()
--- a/tests/unit/membership/test_membership.py
+++ b/tests/unit/membership/test_membership.py
@@ -10,35 +10,38 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from ironmill.membership.identity import MemberIdentity
 from ironmill.membership.member import Member
 from ironmill.membership.rings import RINGS, Rings
 from ironmill.membership.timing import Timing
 from ironmill.membership.view import View
-from ironmill.membership.wire import ACCUSES, VOUCHES, Card, Codec, Fact, Opinion, Ping
+from ironmill.membership.wire import ACCUSES, VOUCHES, Codec, Fact, Opinion, Ping
 from ironmill_testbed.faults.schedule import Fault, both_ways
-from ironmill_testbed.faults.world import KEY, World
+from ironmill_testbed.faults.simulated_cluster import KEY, SimulatedCluster
 
 COUNT = 14
 NAMES = tuple(f"p{at:05d}" for at in range(COUNT))
 SEEDS = (1, 2, 3)
 
 
-def world(*faults: Fault, seed: int = 1, count: int = COUNT) -> World:
+def world(*faults: Fault, seed: int = 1, count: int = COUNT) -> SimulatedCluster:
     """Members that have known each other for long; faults begin at 5 s."""
-    it = World(count, faults, seed)
+    it = SimulatedCluster(count, faults, seed)
     it.settle()
     it.run(5.0)
     assert it.agree()
     return it
 
 
-def within(it: World, seconds: float, names: tuple[str, ...], on: tuple[str, ...] | None = None) -> None:
+def within(
+    it: SimulatedCluster, seconds: float, names: tuple[str, ...], on: tuple[str, ...] | None = None
+) -> None:
     took = it.run_until(lambda: it.agree(names, on), seconds + 1.0)
     assert took is not None, it.views(names)
     assert took <= seconds + 0.05
 
 
-def member(it: World, name: str) -> Member:
+def member(it: SimulatedCluster, name: str) -> Member:
     found = it.nodes[name].member
     assert isinstance(found, Member)
     return found
@@ -157,7 +160,7 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 40])
 def test_a_fleet_that_starts_at_once_finds_itself(count: int) -> None:
-    it = World(count, seed=4)
+    it = SimulatedCluster(count, seed=4)
     it.start_all(0.2)
     assert it.run_until(it.agree, 10.0) is not None, it.views()
     assert not [event for event in it.removals() if event.fields["why"] == "decided"]
@@ -177,7 +180,7 @@
 
 
 def test_one_that_is_out_for_long_is_forgotten_and_may_come_again() -> None:
-    it = World(COUNT, seed=2, timing=Timing(forget_after=50.0))
+    it = SimulatedCluster(COUNT, seed=2, timing=Timing(forget_after=50.0))
     it.settle()
     it.run(5.0)
     it.kill(NAMES[6])
@@ -195,8 +198,8 @@
     it.kill(NAMES[5])
     it.run(8.0)
     assert one._spread  # there is news
-    stranger = Card("stranger", "10.9.9.9", 1, "z", "r", 5)
-    ping = codec.write(stranger, "", 1, Ping(1, 0, 0, []))
+    stranger = MemberIdentity("stranger", "10.9.9.9", 1, "z", "r", 5)
+    ping = codec.encode(stranger, "", 1, Ping(1, 0, 0, []))
     for _ in range(3):
         ((address, data),) = one.receive(ping, ("10.9.9.9", 1), it.now)
         assert address == ("10.9.9.9", 1)
@@ -205,7 +208,7 @@
     # Who asks by chance has no token yet, and the news must reach it all the same where it is known to be.
     known = it.nodes[NAMES[7]]
     old = member(it, NAMES[7])
-    ping = codec.write(old.card, "", 10_000, Ping(1, 0, 0, []))
+    ping = codec.encode(old.card, "", 10_000, Ping(1, 0, 0, []))
     ((_, data),) = one.receive(ping, known.address, it.now)
     assert len(data) > 2 * len(ping)
 
@@ -312,7 +315,7 @@
 
 
 def _fact(name: str, flips: int, incarnation: int = 5, left: bool = False) -> Fact:
-    return Fact(Card(name, "127.0.0.1", 7000, "a", "r", incarnation), flips, left)
+    return Fact(MemberIdentity(name, "127.0.0.1", 7000, "a", "r", incarnation), flips, left)
 
 
 FACTS = st.builds(_fact, st.sampled_from("abcd"), st.integers(0, 5), st.integers(1, 3), st.booleans())
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -23,8 +23,9 @@
 from ironmill.balancing.interface import Outcome, Stage
 from ironmill.configuration.proxy_config import load
 from ironmill.distribution import wire as distribution
+from ironmill.distribution.changes import pack_entry, unpack_entries
 from ironmill.distribution.keyspace import Keyspace
-from ironmill.distribution.revision import pack_entry, unpack_entries
+from ironmill.distribution.revision import RevisionMetadata
 from ironmill.identity.keyring import KeyState, parse_ring
 from ironmill.membership import wire as membership
 from ironmill.net.revision_store import SqliteStore
@@ -59,8 +60,8 @@
     kind, message = list(messages.MEMBERSHIP.items())[at]
     data = bytes.fromhex(recorded("datagrams.json")["membership"][kind])
     codec, _ = codecs()
-    assert codec.write(messages.SENDER, "n2", 1000 + at, message) == data
-    assert codec.read(data) == messages.envelope(message, "n2", 1000 + at)
+    assert codec.encode(messages.SENDER, "n2", 1000 + at, message) == data
+    assert codec.decode(data) == messages.envelope(message, "n2", 1000 + at)
 
 
 @pytest.mark.parametrize("at", range(len(messages.DISTRIBUTION)))
@@ -68,8 +69,8 @@
     kind, message = list(messages.DISTRIBUTION.items())[at]
     data = bytes.fromhex(recorded("datagrams.json")["distribution"][kind])
     _, codec = codecs()
-    assert codec.write(messages.SENDER, "c1", 2000 + at, message) == data
-    assert codec.read(data) == messages.envelope(message, "c1", 2000 + at)
+    assert codec.encode(messages.SENDER, "c1", 2000 + at, message) == data
+    assert codec.decode(data) == messages.envelope(message, "c1", 2000 + at)
 
 
 def test_every_recorded_datagram_is_of_a_known_kind() -> None:
@@ -92,9 +93,9 @@
     data = bytes.fromhex(recorded("datagrams.json")["older key"])
     codec, _ = codecs()
     ping = messages.MEMBERSHIP["ping"]
-    assert codec.read(data) == messages.envelope(ping, "n2", 3000)
+    assert codec.decode(data) == messages.envelope(ping, "n2", 3000)
     older = membership.Codec(messages.CLUSTER, [messages.OLDER_KEY])
-    assert older.write(messages.SENDER, "n2", 3000, ping) == data
+    assert older.encode(messages.SENDER, "n2", 3000, ping) == data
 
 
 def test_words_that_travel_are_as_recorded() -> None:
@@ -164,7 +165,7 @@
 def test_the_recorded_store_takes_the_next_revision(store_path: str) -> None:
     found = recorded("revisions.json")
     store = SqliteStore(store_path)
-    position = store.commit({"log.level": b"info"}, 1764700100.0, "ann", "", "t9")
+    position = store.commit({"log.level": b"info"}, RevisionMetadata(1764700100.0, "ann", "", "t9"))
     assert position == (found["epoch"] + 1, read_position(found["position"]).number + 1)
     assert dict(store.entries())["log.level"] == b"info"
     store.close()
@@ -460,8 +461,8 @@
     class Writer:
         """An origin that keeps what it is given and asks no consumer."""
 
-        def push(self, changes, at, author, note, ticket, now, expect=None):  # type: ignore[no-untyped-def]
-            return store.commit(changes, at, author, note, ticket)
+        def push(self, changes, metadata, now, expect=None):  # type: ignore[no-untyped-def]
+            return store.commit(changes, metadata)
 
         undo, history = store.undo, store.history
 
