--- a/ironmill/administration/configuration_api.py
+++ b/ironmill/administration/configuration_api.py
@@ -1,6 +1,6 @@
-"""Staff's calls on distributed configuration: push, revert, status and history. No I/O.
+"""The admin API of distributed configuration: status, history, push and revert. No I/O.
 
-A call that pushes brings a ticket, so that who lost the answer asks again and nothing is done twice.
+Push and revert carry a ticket as idempotency key, so a client that lost the response may repeat the call.
 """
 
 from __future__ import annotations
@@ -35,60 +35,64 @@
     RevisionMetadata,
     StoredRevision,
 )
+from ironmill.errors import IronmillError
 
-STATUS = "/admin/configuration"
-REVISIONS = "/admin/configuration/revisions"
-REVERT = "/admin/configuration/revert"
+STATUS_PATH = "/admin/configuration"
+REVISIONS_PATH = "/admin/configuration/revisions"
+REVERT_PATH = "/admin/configuration/revert"
 
-MAX_HISTORY = 1000  # revisions in one answer
+MAX_HISTORY = 1000  # revisions in one response
 DEFAULT_HISTORY = 20
-MAX_HISTORY_BYTES = 1 << 20  # of their keys and values in one answer; the newest is there however large it is
+# Bound on the keys and values in one response; the newest revision is included however large it is.
+MAX_HISTORY_BYTES = 1 << 20
+MAX_POSITION_LENGTH = 40
 
 
-class Reader(Protocol):
-    """Whoever takes part in distribution."""
+class StatusSource(Protocol):
+    """A node of distribution."""
 
     def status(self, now: float) -> dict[str, Any]:
-        """What it holds and what is in force; where it is a parent, below it as well."""
+        """Returns the node's own status; of a parent, also that of the nodes below it."""
 
 
-class Writer(Protocol):
-    """The origin, as calls see it; whoever is behind it also sends what there is to be sent."""
+class RevisionWriter(Protocol):
+    """The origin. An implementation also sends the datagrams that a push causes."""
 
     def push(
         self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
-        """Keep the changes as the next revision; its position, or the one that the ticket got before.
+        """Stores the changes as the next revision and returns its position.
 
-        RevisionError, RevisionRejectedError, PositionConflictError, NotOriginError, StoreError: then nothing
-        was kept.
+        With a ticket that was used before it returns the position of that revision. Raises
+        ``RevisionError``, ``RevisionRejectedError``, ``PositionConflictError``, ``NotOriginError`` and
+        ``StoreError``; nothing was stored then.
         """
 
     def undo(self, number: int) -> Changes:
-        """What brings every key back to its value as of that revision. StoreError."""
+        """Returns the changes that restore all values as of a revision. Raises ``StoreError``."""
 
     def history(self, max_count: int) -> list[StoredRevision]:
-        """The last revisions, the newest first. StoreError."""
+        """Returns the last revisions, the newest first. Raises ``StoreError``."""
 
 
 _Author = Annotated[str, Meta(min_length=1, max_length=MAX_AUTHOR_LENGTH)]
 _Note = Annotated[str, Meta(max_length=MAX_NOTE_LENGTH)]
 _Ticket = Annotated[str, Meta(min_length=1, max_length=MAX_TICKET_LENGTH)]
-_Expect = Annotated[str, Meta(max_length=40)]
+_Expect = Annotated[str, Meta(max_length=MAX_POSITION_LENGTH)]
 
 
-class Push(Struct, forbid_unknown_fields=True, kw_only=True):
-    """The body of a call that pushes. A key without a value is deleted."""
+class PushBody(Struct, forbid_unknown_fields=True, kw_only=True):
+    """Body of a push. A key whose value is null is deleted."""
 
     changes: dict[str, str | None]
     author: _Author
     note: _Note = ""
     ticket: _Ticket
-    expect: _Expect = ""  # what the newest revision has to be; empty: whatever it is
+    expect: _Expect = ""  # the required latest position; empty: any
 
 
-class Revert(Struct, forbid_unknown_fields=True, kw_only=True):
-    """The body of a call that goes back to what was in force as of a revision, by a new one."""
+class RevertBody(Struct, forbid_unknown_fields=True, kw_only=True):
+    """Body of a revert, which restores the values as of a revision by a new one."""
 
     number: Annotated[int, Meta(ge=0, lt=NUMBER_LIMIT)]
     author: _Author
@@ -97,15 +101,67 @@
     expect: _Expect = ""
 
 
-_Body = TypeVar("_Body", Push, Revert)
+class PositionBody(Struct):
+    """Response to a push or revert that was stored."""
 
+    position: str
 
-class _CallError(Exception):
-    """A call that is not in form; one line."""
+
+class RejectionBody(Struct):
+    """Response to a push that no proxy could apply."""
+
+    key: str
+    reason: str
+
+
+class ReasonBody(Struct):
+    """Response to a call that failed."""
+
+    reason: str
+
+
+class NotOriginBody(Struct):
+    """Response of a process that is not the origin."""
+
+    reason: str
+    origins: list[str]
+
+
+class RevisionBody(Struct):
+    """One revision of a history."""
+
+    position: str
+    at: float  # Unix time, seconds
+    author: str
+    note: str
+    changes: dict[str, str | None]
+
+    @classmethod
+    def from_revision(cls, revision: StoredRevision) -> RevisionBody:
+        """Returns the revision with its values as text; bytes that are not UTF-8 are escaped."""
+        changes = {
+            key: None if value is None else value.decode(errors="backslashreplace")
+            for key, value in revision.changes.items()
+        }
+        return cls(str(revision.position), revision.at, revision.author, revision.note, changes)
+
+
+class HistoryBody(Struct):
+    """Response to a request of the history. ``cut``: older revisions did not fit."""
+
+    revisions: list[RevisionBody]
+    cut: bool
+
+
+_Body = TypeVar("_Body", PushBody, RevertBody)
+
+
+class InvalidCallError(IronmillError):
+    """A call whose query or body is not valid. The message has one line."""
 
 
 def read_position(text: str) -> Position:
-    """EPOCH.NUMBER; ValueError if it is none."""
+    """Parses EPOCH.NUMBER. Raises ``ValueError``."""
     if re.fullmatch(r"[0-9]{1,19}\.[0-9]{1,19}", text, re.ASCII) is None:
         raise ValueError(f"{text!r} is no position; it is EPOCH.NUMBER, as in 3.17")
     epoch, _, number = text.partition(".")
@@ -113,137 +169,135 @@
 
 
 class ConfigurationApi:
-    """Answers them; without a writer those that write are told who could."""
+    """Handlers of the routes. Without a writer the writing calls are answered with the names of origins."""
 
     def __init__(
         self,
-        reader: Reader,
-        writer: Writer | None,
+        source: StatusSource,
+        writer: RevisionWriter | None,
         origins: Sequence[str],
         clock: Callable[[], float] = time.time,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """``origins`` are the control machines that may hold the order of changes, by name."""
-        self._reader = reader
+        """``origins`` are the names of the control machines that may be the origin."""
+        self._source = source
         self._writer = writer
         self._origins = origins
         self._clock = clock
         self._now = now
 
     def add_to(self, routes: Routes) -> None:
-        """Take the calls from now on."""
-        routes.add(STATUS, {"GET": self._status})
-        routes.add(REVISIONS, {"GET": self._history, "POST": self._push}, detailed=True)
-        routes.add(REVERT, {"POST": self._revert}, detailed=True)
+        """Adds the routes."""
+        routes.add(STATUS_PATH, {"GET": self._status})
+        routes.add(REVISIONS_PATH, {"GET": self._history, "POST": self._push}, detailed=True)
+        routes.add(REVERT_PATH, {"POST": self._revert}, detailed=True)
 
     def _status(self, _: ApiRequest) -> ApiResponse:
-        return _answer(HTTPStatus.OK, self._reader.status(self._now()))
+        return ApiResponse.from_json(HTTPStatus.OK, self._source.status(self._now()))
 
-    def _push(self, call: ApiRequest) -> ApiResponse:
-        def push(writer: Writer) -> Position:
-            told = _body(call, Push)
+    # Writing calls
+
+    def _push(self, request: ApiRequest) -> ApiResponse:
+        def push(writer: RevisionWriter) -> Position:
+            body = _decode(request, PushBody)
             try:
-                changes = {key: None if text is None else text.encode() for key, text in told.changes.items()}
+                changes = {key: None if text is None else text.encode() for key, text in body.changes.items()}
             except UnicodeEncodeError:
-                raise _CallError("the body has a value that is not UTF-8") from None
-            return self._keep(writer, changes, told)
+                raise InvalidCallError("the body has a value that is not UTF-8") from None
+            return self._store(writer, changes, body)
 
-        return self._written(push)
+        return self._write(push)
 
-    def _revert(self, call: ApiRequest) -> ApiResponse:
-        def revert(writer: Writer) -> Position:
-            told = _body(call, Revert)
-            changes = writer.undo(told.number)
+    def _revert(self, request: ApiRequest) -> ApiResponse:
+        def revert(writer: RevisionWriter) -> Position:
+            body = _decode(request, RevertBody)
+            changes = writer.undo(body.number)
             try:
-                return self._keep(writer, changes, told)
+                return self._store(writer, changes, body)
             except RevisionError:
                 if changes:
                     raise
-                # A ticket that has reverted before gets its position again, and does not come here.
-                raise _CallError(f"there is nothing to revert: all is as it was at {told.number}") from None
+                # A repeated ticket does not get here: its position was returned.
+                raise InvalidCallError(
+                    f"there is nothing to revert: all is as it was at {body.number}"
+                ) from None
 
-        return self._written(revert)
+        return self._write(revert)
 
-    def _keep(self, writer: Writer, changes: Changes, told: Push | Revert) -> Position:
-        for name, text in (("author", told.author), ("note", told.note), ("ticket", told.ticket)):
-            # Guards the terminals of those who look at the history.
+    def _store(self, writer: RevisionWriter, changes: Changes, body: PushBody | RevertBody) -> Position:
+        for name, text in (("author", body.author), ("note", body.note), ("ticket", body.ticket)):
+            # Control characters could change the terminal that shows the history.
             if not text.isprintable():
-                raise _CallError(f"{name} has printable characters only")
+                raise InvalidCallError(f"{name} has printable characters only")
         try:
-            expect = read_position(told.expect) if told.expect else None
+            expect = read_position(body.expect) if body.expect else None
         except ValueError as error:
-            raise _CallError(f"expect: {error}") from None
-        metadata = RevisionMetadata(self._clock(), told.author, told.note, told.ticket)
+            raise InvalidCallError(f"expect: {error}") from None
+        metadata = RevisionMetadata(self._clock(), body.author, body.note, body.ticket)
         return writer.push(changes, metadata, self._now(), expect)
 
-    def _history(self, call: ApiRequest) -> ApiResponse:
-        if self._writer is None:
-            return self._no_origin()
-        words = parse_qs(call.query, max_num_fields=8).get("most", [str(DEFAULT_HISTORY)])[-1]
-        if re.fullmatch(r"[0-9]{1,6}", words, re.ASCII) is None:
-            return _reason(HTTPStatus.BAD_REQUEST, f"most is no number: {words[:20]!r}")
-        most = min(int(words), MAX_HISTORY)
-        try:
-            entries = self._writer.history(most)
-        except StoreError as error:
-            return _reason(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
-        shown: list[dict[str, Any]] = []
-        size = 0
-        for entry in entries:
-            size += sum(len(key) + len(value or b"") for key, value in entry.changes.items())
-            if shown and size > MAX_HISTORY_BYTES:
-                break
-            shown.append(_entry(entry))
-        return _answer(HTTPStatus.OK, {"revisions": shown, "cut": len(shown) < len(entries)})
-
-    def _written(self, write: Callable[[Writer], Position]) -> ApiResponse:
+    def _write(self, operation: Callable[[RevisionWriter], Position]) -> ApiResponse:
+        """Runs a writing operation, and maps its errors to responses."""
         if self._writer is None:
-            return self._no_origin()
+            return self._not_origin()
         try:
-            position = write(self._writer)
-        except (_CallError, RevisionError) as error:
-            return _reason(HTTPStatus.BAD_REQUEST, str(error))
+            position = operation(self._writer)
         except RevisionRejectedError as error:
-            rejection = error.rejection
-            return _answer(HTTPStatus.CONFLICT, {"key": rejection.key, "reason": rejection.reason})
-        except PositionConflictError as error:
-            return _reason(HTTPStatus.PRECONDITION_FAILED, str(error))
+            rejection = RejectionBody(error.rejection.key, error.rejection.reason)
+            return ApiResponse.from_json(HTTPStatus.CONFLICT, rejection)
         except (NotOriginError, FencedError) as error:
-            return self._no_origin(str(error))
-        except StoreError as error:
-            return _reason(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
-        return _answer(HTTPStatus.CREATED, {"position": str(position)})
+            return self._not_origin(str(error))
+        except (InvalidCallError, RevisionError, PositionConflictError, StoreError) as error:
+            return ApiResponse.from_json(_status_of(error), ReasonBody(str(error)))
+        return ApiResponse.from_json(HTTPStatus.CREATED, PositionBody(str(position)))
 
-    def _no_origin(self, why: str = "this process is no origin") -> ApiResponse:
-        who = " or ".join(self._origins) or "not known here"
-        told = {"reason": f"{why}; the origin is {who}", "origins": list(self._origins)}
-        return _answer(HTTPStatus.SERVICE_UNAVAILABLE, told)
+    def _not_origin(self, why: str = "this process is no origin") -> ApiResponse:
+        origins = " or ".join(self._origins) or "not known here"
+        body = NotOriginBody(f"{why}; the origin is {origins}", list(self._origins))
+        return ApiResponse.from_json(HTTPStatus.SERVICE_UNAVAILABLE, body)
 
+    # History
+
+    def _history(self, request: ApiRequest) -> ApiResponse:
+        if self._writer is None:
+            return self._not_origin()
+        try:
+            revisions = self._writer.history(_max_count(request))
+        except (InvalidCallError, StoreError) as error:
+            return ApiResponse.from_json(_status_of(error), ReasonBody(str(error)))
+        return ApiResponse.from_json(HTTPStatus.OK, _history_body(revisions))
 
-def _body(call: ApiRequest, kind: type[_Body]) -> _Body:
-    try:
-        return msgspec.json.decode(call.body, type=kind)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise _CallError(f"the body is not right: {str(error).splitlines()[0]}") from None
 
+def _status_of(error: IronmillError) -> HTTPStatus:
+    if isinstance(error, StoreError):
+        return HTTPStatus.SERVICE_UNAVAILABLE
+    if isinstance(error, PositionConflictError):
+        return HTTPStatus.PRECONDITION_FAILED
+    return HTTPStatus.BAD_REQUEST
 
-def _entry(entry: StoredRevision) -> dict[str, Any]:
-    changes = {
-        key: None if value is None else value.decode(errors="backslashreplace")
-        for key, value in entry.changes.items()
-    }
-    return {
-        "position": str(entry.position),
-        "at": entry.at,
-        "author": entry.author,
-        "note": entry.note,
-        "changes": changes,
-    }
 
+def _max_count(request: ApiRequest) -> int:
+    """The number of revisions that the query asks for. Raises ``InvalidCallError``."""
+    text = parse_qs(request.query, max_num_fields=8).get("most", [str(DEFAULT_HISTORY)])[-1]
+    if re.fullmatch(r"[0-9]{1,6}", text, re.ASCII) is None:
+        raise InvalidCallError(f"most is no number: {text[:20]!r}")
+    return min(int(text), MAX_HISTORY)
 
-def _reason(status: HTTPStatus, why: str) -> ApiResponse:
-    return _answer(status, {"reason": why})
 
+def _history_body(revisions: Sequence[StoredRevision]) -> HistoryBody:
+    bodies: list[RevisionBody] = []
+    size = 0
+    for revision in revisions:
+        size += sum(len(key) + len(value or b"") for key, value in revision.changes.items())
+        if bodies and size > MAX_HISTORY_BYTES:
+            break
+        bodies.append(RevisionBody.from_revision(revision))
+    return HistoryBody(bodies, len(bodies) < len(revisions))
 
-def _answer(status: HTTPStatus, told: dict[str, Any]) -> ApiResponse:
-    return ApiResponse(status, msgspec.json.encode(told) + b"\n")
+
+def _decode(request: ApiRequest, kind: type[_Body]) -> _Body:
+    """Decodes the body of a call. Raises ``InvalidCallError``."""
+    try:
+        return msgspec.json.decode(request.body, type=kind)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise InvalidCallError(f"the body is not right: {str(error).splitlines()[0]}") from None
--- a/ironmill/commands/config.py
+++ b/ironmill/commands/config.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ironmill.administration.configuration_api import REVERT, REVISIONS, STATUS, read_position
+from ironmill.administration.configuration_api import REVERT_PATH, REVISIONS_PATH, STATUS_PATH, read_position
 from ironmill.distribution.revision import Position
 
 CALL_WAIT = 2.0  # seconds; the process answers within one
@@ -104,7 +104,7 @@
     if expect:
         to_position(expect)
     body: dict[str, object] = {"changes": changes, "author": author, "note": note, "expect": expect}
-    return _written(address, REVISIONS, body, later)
+    return _written(address, REVISIONS_PATH, body, later)
 
 
 def revert(
@@ -117,7 +117,7 @@
     if not (text.isascii() and text.isdigit() and len(text) <= 19):
         raise ConfigError(f"{number!r} is no revision; it is its number, as in 17 or 3.17")
     body: dict[str, object] = {"number": int(text), "author": author, "note": note, "expect": expect}
-    return _written(address, REVERT, body, later)
+    return _written(address, REVERT_PATH, body, later)
 
 
 def _written(address: Address, path: str, body: dict[str, object], later: Later) -> Position:
@@ -146,7 +146,7 @@
 
 def status(address: Address) -> dict[str, Any]:
     """What the process tells of itself and of those below it."""
-    code, told = call(address, "GET", STATUS)
+    code, told = call(address, "GET", STATUS_PATH)
     if code != 200:
         raise ConfigError(f"{address[0]}:{address[1]} answers {code}: {told.get('reason', '')}")
     return told
@@ -156,7 +156,7 @@
     """The last revisions as lines of text, the newest first."""
     if not (most.isascii() and most.isdigit() and len(most) <= 6):
         raise ConfigError(f"{most!r} is no number of revisions")
-    code, told = call(address, "GET", f"{REVISIONS}?most={int(most)}")
+    code, told = call(address, "GET", f"{REVISIONS_PATH}?most={int(most)}")
     if code != 200:
         raise ConfigError(str(told.get("reason", f"the answer is {code}")))
     for one in told["revisions"]:
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -19,9 +19,9 @@
 from ironmill.administration import configuration_api
 from ironmill.administration.configuration_api import (
     MAX_HISTORY,
-    REVERT,
-    REVISIONS,
-    STATUS,
+    REVERT_PATH,
+    REVISIONS_PATH,
+    STATUS_PATH,
     ConfigurationApi,
     read_position,
 )
@@ -130,20 +130,20 @@
 
 def test_a_push_its_ticket_and_what_was_expected(stub: Stub) -> None:
     routes = routes_of(stub)
-    assert ask(routes, "POST", REVISIONS, body()) == (201, {"position": "1.1"})
-    assert ask(routes, "POST", REVISIONS, body()) == (201, {"position": "1.1"})  # kept once
+    assert ask(routes, "POST", REVISIONS_PATH, body()) == (201, {"position": "1.1"})
+    assert ask(routes, "POST", REVISIONS_PATH, body()) == (201, {"position": "1.1"})  # kept once
     assert stub.pushed == [(50.0, 7.0)] * 2
-    status, told = ask(routes, "POST", REVISIONS, body({"b": "2"}, ticket="t2", expect="1.0"))
+    status, told = ask(routes, "POST", REVISIONS_PATH, body({"b": "2"}, ticket="t2", expect="1.0"))
     assert (status, told) == (412, {"reason": "the newest revision is 1.1, not 1.0"})
     later = body({"ß": "straße", "a": None}, ticket="t2", expect="1.1")
-    assert ask(routes, "POST", REVISIONS, later)[0] == 201
+    assert ask(routes, "POST", REVISIONS_PATH, later)[0] == 201
     assert dict(stub.store.entries()) == {"ß": "straße".encode()}
-    assert ask(routes, "GET", STATUS)[1]["held"] == "1.2"
+    assert ask(routes, "GET", STATUS_PATH)[1]["held"] == "1.2"
 
 
 def test_what_is_refused_names_key_and_reason_and_keeps_nothing(stub: Stub) -> None:
     routes = routes_of(stub)
-    told = ask(routes, "POST", REVISIONS, body({"a": "1", "bad/x": "1"}))
+    told = ask(routes, "POST", REVISIONS_PATH, body({"a": "1", "bad/x": "1"}))
     assert told == (409, {"key": "bad/x", "reason": "unknown key"})
     for one, wrong in (
         (body({}), "a revision has one change at least"),
@@ -151,7 +151,7 @@
         (body({"a": "x" * 641}), "a: a value has 640 bytes at most"),
         (body({"a\n": "x"}), "a key has printable characters only"),
     ):
-        status, answer = ask(routes, "POST", REVISIONS, one)
+        status, answer = ask(routes, "POST", REVISIONS_PATH, one)
         assert status == 400
         assert wrong in answer["reason"]
     assert stub.store.position == (0, 0)
@@ -160,27 +160,27 @@
 @pytest.mark.parametrize(
     ("path", "sent", "wrong"),
     [
-        (REVISIONS, b"", "the body is not right"),
-        (REVISIONS, b"[]", "the body is not right"),
-        (REVISIONS, b"\xff", "the body is not right"),
-        (REVISIONS, b"[" * 60_000, "the body is not right"),
-        (REVISIONS, {"changes": {"a": "1"}, "author": "ann"}, "ticket"),
-        (REVISIONS, body({"a": 1}), "changes"),
-        (REVISIONS, body(more=1), "more"),  # type: ignore[dict-item]
-        (REVISIONS, body(author=""), "author"),
-        (REVISIONS, body(author="x" * (MAX_AUTHOR_LENGTH + 1)), "author"),
-        (REVISIONS, body(author="a\x1b[2J"), "author has printable characters only"),
-        (REVISIONS, body(note="x" * (MAX_NOTE_LENGTH + 1)), "note"),
-        (REVISIONS, body(note="a\nb"), "note has printable characters only"),
-        (REVISIONS, body(ticket=""), "ticket"),
-        (REVISIONS, body(ticket="x" * (MAX_TICKET_LENGTH + 1)), "ticket"),
-        (REVISIONS, body(expect="1" * 41), "expect"),
-        (REVISIONS, body(expect="now"), "'now' is no position"),
-        (REVISIONS, body(expect="1.\u0664"), "is no position"),
-        (REVERT, body(), "changes"),
-        (REVERT, {"number": -1, "author": "a", "ticket": "t"}, "number"),
-        (REVERT, {"number": 1 << 62, "author": "a", "ticket": "t"}, "number"),
-        (REVERT, {"number": "1", "author": "a", "ticket": "t"}, "number"),
+        (REVISIONS_PATH, b"", "the body is not right"),
+        (REVISIONS_PATH, b"[]", "the body is not right"),
+        (REVISIONS_PATH, b"\xff", "the body is not right"),
+        (REVISIONS_PATH, b"[" * 60_000, "the body is not right"),
+        (REVISIONS_PATH, {"changes": {"a": "1"}, "author": "ann"}, "ticket"),
+        (REVISIONS_PATH, body({"a": 1}), "changes"),
+        (REVISIONS_PATH, body(more=1), "more"),  # type: ignore[dict-item]
+        (REVISIONS_PATH, body(author=""), "author"),
+        (REVISIONS_PATH, body(author="x" * (MAX_AUTHOR_LENGTH + 1)), "author"),
+        (REVISIONS_PATH, body(author="a\x1b[2J"), "author has printable characters only"),
+        (REVISIONS_PATH, body(note="x" * (MAX_NOTE_LENGTH + 1)), "note"),
+        (REVISIONS_PATH, body(note="a\nb"), "note has printable characters only"),
+        (REVISIONS_PATH, body(ticket=""), "ticket"),
+        (REVISIONS_PATH, body(ticket="x" * (MAX_TICKET_LENGTH + 1)), "ticket"),
+        (REVISIONS_PATH, body(expect="1" * 41), "expect"),
+        (REVISIONS_PATH, body(expect="now"), "'now' is no position"),
+        (REVISIONS_PATH, body(expect="1.\u0664"), "is no position"),
+        (REVERT_PATH, body(), "changes"),
+        (REVERT_PATH, {"number": -1, "author": "a", "ticket": "t"}, "number"),
+        (REVERT_PATH, {"number": 1 << 62, "author": "a", "ticket": "t"}, "number"),
+        (REVERT_PATH, {"number": "1", "author": "a", "ticket": "t"}, "number"),
     ],
 )
 def test_a_body_that_is_not_right_says_so(path: str, sent: object, wrong: str, stub: Stub) -> None:
@@ -208,9 +208,9 @@
 
     routes = Routes()
     ConfigurationApi(Nobody(), Nobody(), []).add_to(routes)
-    for path in (REVISIONS, REVERT):
+    for path in (REVISIONS_PATH, REVERT_PATH):
         assert routes.dispatch(ApiRequest("POST", path, "", data)).status in (400, 503)
-    assert routes.dispatch(ApiRequest("GET", REVISIONS, data.decode("latin-1"))).status in (200, 400)
+    assert routes.dispatch(ApiRequest("GET", REVISIONS_PATH, data.decode("latin-1"))).status in (200, 400)
 
 
 def test_what_the_calls_let_pass_the_store_takes(stub: Stub) -> None:
@@ -220,27 +220,27 @@
         revision_store.MAX_TICKET_LENGTH,
     )
     longest = body(author="ß" * MAX_AUTHOR_LENGTH, note="ß" * MAX_NOTE_LENGTH, ticket="ß" * MAX_TICKET_LENGTH)
-    assert ask(routes_of(stub), "POST", REVISIONS, longest)[0] == 201
+    assert ask(routes_of(stub), "POST", REVISIONS_PATH, longest)[0] == 201
 
 
 def test_who_is_no_origin_names_it(stub: Stub) -> None:
     relay = routes_of(stub, writes=False)
     reason = "this process is no origin; the origin is c1 or c9"
     told = (503, {"reason": reason, "origins": ["c1", "c9"]})
-    assert ask(relay, "POST", REVISIONS, body()) == told
-    assert ask(relay, "POST", REVERT, {}) == told
-    assert ask(relay, "GET", REVISIONS) == told
-    assert ask(relay, "GET", STATUS)[0] == 200
+    assert ask(relay, "POST", REVISIONS_PATH, body()) == told
+    assert ask(relay, "POST", REVERT_PATH, {}) == told
+    assert ask(relay, "GET", REVISIONS_PATH) == told
+    assert ask(relay, "GET", STATUS_PATH)[0] == 200
     routes = routes_of(stub)
     for error in (NotOriginError("c1 is no origin any more"), FencedError("another process has opened")):
         stub.fails = error
-        status, answer = ask(routes, "POST", REVISIONS, body())
+        status, answer = ask(routes, "POST", REVISIONS_PATH, body())
         assert (status, answer["reason"]) == (503, f"{error}; the origin is c1 or c9")
     stub.fails = StoreError("no room")
-    assert ask(routes, "POST", REVISIONS, body()) == (503, {"reason": "no room"})
+    assert ask(routes, "POST", REVISIONS_PATH, body()) == (503, {"reason": "no room"})
     stub.store.close()
-    assert ask(routes, "GET", REVISIONS)[0] == 503
-    assert ask(routes, "POST", REVERT, {"number": 0, "author": "a", "ticket": "t"})[0] == 503
+    assert ask(routes, "GET", REVISIONS_PATH)[0] == 503
+    assert ask(routes, "POST", REVERT_PATH, {"number": 0, "author": "a", "ticket": "t"})[0] == 503
 
 
 def test_history_and_its_bounds(stub: Stub, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -248,23 +248,23 @@
     for at in range(30):
         stub.store.commit({"a": b"%d" % at, "b": None}, RevisionMetadata(float(at), "ann", "why", f"t{at}"))
     stub.store.commit({"raw": b"\xff\x00"}, RevisionMetadata(99.5, "bob", "", "raw"))
-    status, told = ask(routes, "GET", REVISIONS)
+    status, told = ask(routes, "GET", REVISIONS_PATH)
     assert (status, len(told["revisions"]), told["cut"]) == (200, 20, False)
     assert told["revisions"][:2] == [
         {"position": "1.31", "at": 99.5, "author": "bob", "note": "", "changes": {"raw": "\\xff\x00"}},
         {"position": "1.30", "at": 29.0, "author": "ann", "note": "why", "changes": {"a": "29", "b": None}},
     ]
-    assert len(ask(routes, "GET", REVISIONS, query="most=3&x=y")[1]["revisions"]) == 3
-    assert ask(routes, "GET", REVISIONS, query="most=0")[1]["revisions"] == []
+    assert len(ask(routes, "GET", REVISIONS_PATH, query="most=3&x=y")[1]["revisions"]) == 3
+    assert ask(routes, "GET", REVISIONS_PATH, query="most=0")[1]["revisions"] == []
     for words in ("most=all", "most=-1", "most=1e3", "most=9999999", "most=\u0663"):
-        assert ask(routes, "GET", REVISIONS, query=words)[0] == 400
+        assert ask(routes, "GET", REVISIONS_PATH, query=words)[0] == 400
     asked: list[int] = []
     monkeypatch.setattr(stub, "history", lambda most: asked.append(most) or [])
-    ask(routes, "GET", REVISIONS, query="most=999999")
+    ask(routes, "GET", REVISIONS_PATH, query="most=999999")
     assert asked == [MAX_HISTORY]
     monkeypatch.undo()
     monkeypatch.setattr(configuration_api, "MAX_HISTORY_BYTES", 10)
-    told = ask(routes, "GET", REVISIONS)[1]
+    told = ask(routes, "GET", REVISIONS_PATH)[1]
     assert (len(told["revisions"]), told["cut"]) == (2, True)
 
 
@@ -273,13 +273,13 @@
     for at in range(4):
         stub.store.commit({"a": b"%d" % at, f"k{at}": b""}, RevisionMetadata(1.0, "ann", "", f"t{at}"))
     revert = {"number": 2, "author": "bob", "note": "wrong", "ticket": "r"}
-    assert ask(routes, "POST", REVERT, revert) == (201, {"position": "1.5"})
-    assert ask(routes, "POST", REVERT, revert) == (201, {"position": "1.5"})
+    assert ask(routes, "POST", REVERT_PATH, revert) == (201, {"position": "1.5"})
+    assert ask(routes, "POST", REVERT_PATH, revert) == (201, {"position": "1.5"})
     assert dict(stub.store.entries()) == {"a": b"1", "k0": b"", "k1": b""}
-    told = ask(routes, "POST", REVERT, revert | {"ticket": "other"})
+    told = ask(routes, "POST", REVERT_PATH, revert | {"ticket": "other"})
     assert told == (400, {"reason": "there is nothing to revert: all is as it was at 2"})
-    assert ask(routes, "POST", REVERT, revert | {"ticket": "x", "number": 1, "expect": "1.4"})[0] == 412
-    status, answer = ask(routes, "POST", REVERT, revert | {"ticket": "x", "number": 9})
+    assert ask(routes, "POST", REVERT_PATH, revert | {"ticket": "x", "number": 1, "expect": "1.4"})[0] == 412
+    status, answer = ask(routes, "POST", REVERT_PATH, revert | {"ticket": "x", "number": 9})
     assert (status, "there is no revision 9" in answer["reason"]) == (503, True)
     entry = stub.store.history(1)[0]
     assert (entry.author, entry.note, entry.position) == ("bob", "wrong", (1, 5))
@@ -522,9 +522,9 @@
     town.control = AdminServer(scheduler, ("127.0.0.1", 0), routes)
     town.control.start()
     assert "has no distribution in its settings" in town.run("status", "CONTROL")[2]
-    routes.add(STATUS, {"GET": lambda _: ApiResponse(HTTPStatus.OK, b"<html>")})
+    routes.add(STATUS_PATH, {"GET": lambda _: ApiResponse(HTTPStatus.OK, b"<html>")})
     assert "answers something else" in town.run("status", "CONTROL")[2]
     fails = ApiResponse(HTTPStatus.BAD_GATEWAY, msgspec.json.encode({"reason": "x"}))
-    routes.add(STATUS, {"GET": lambda _: fails})
+    routes.add(STATUS_PATH, {"GET": lambda _: fails})
     assert "answers 502: x" in town.run("status", "CONTROL")[2]
     town.control.close()
