--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -63,7 +63,7 @@
 import re
 import sys
 import time
-from collections.abc import Mapping, Sequence
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
 from ironmill import __version__
@@ -77,190 +77,304 @@
 from ironmill.runtime.system_calls import retry_at_start
 
 if TYPE_CHECKING:
+    from ironmill.commands.keys import KeyStore
     from ironmill.configuration.operator_files import OperatorFiles
+    from ironmill.distribution.revision import Position
 
+# Modules that only some commands need are imported by these: a proxy starts without them.
 
 DEFAULT_POLLER = "epoll"
+EXIT_OK, EXIT_INVALID = 0, 2
+
+Arguments = Mapping[str, Any]
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the sub-command; the exit status."""
+    """Runs the sub-command and returns the exit status."""
     argv = list(sys.argv[1:] if argv is None else argv)
-    if argv == ["serve"]:  # as the platform starts it; to read the usage for that takes a tenth of the start
+    if argv == ["serve"]:  # as the platform starts it; parsing the usage would take a tenth of the start
         return _serve(None, None, DEFAULT_POLLER)
     from docopt import docopt
 
-    words = docopt(__doc__, argv=argv)
-    if words["version"]:
-        print(f"ironmill {__version__}")
-        return 0
-    if words["serve"]:
-        return _serve(words["--config"], words["--settings"], words["--poller"])
-    if words["keys"] or words["token"]:
-        return _keys_or_token(words)
-    if words["members"]:
-        return _members(words)
-    if words["control"]:
-        return _control(words["NAME"], words["--settings"], words["--staff"])
-    if words["config"]:
-        return _config(words)
-    no_proxy = not words["--config"] and not os.environ.get("PROXY_CONFIG")
-    if words["check-config"] and words["--settings"] and no_proxy:
-        return _check_control(words["--settings"])
-    read_all = read(os.environ, words["--config"], words["--settings"])
+    arguments = docopt(__doc__, argv=argv)
+    for name, command in _COMMANDS.items():
+        if arguments[name]:
+            return command(arguments)
+    raise AssertionError("docopt has accepted an unknown command")
+
+
+def _fail(error: object) -> int:
+    print(f"ironmill: {error}", file=sys.stderr)
+    return EXIT_INVALID
+
+
+def _version(_: Arguments) -> int:
+    print(f"ironmill {__version__}")
+    return EXIT_OK
+
+
+# Proxies and control machines
+
+
+def _serve_command(arguments: Arguments) -> int:
+    return _serve(arguments["--config"], arguments["--settings"], arguments["--poller"])
+
+
+def _serve(path: str | None, settings: str | None, poller: str) -> int:
+    signals = Signals()  # before the file is read: by default SIGHUP would end the process
+    try:
+        return serve(path, settings, signals, poller)
+    finally:
+        signals.close()
+
+
+def serve(path: str | None, settings: str | None, signals: Signals, poller: str) -> int:
+    """Runs one proxy until shutdown and returns the exit status."""
+    if poller not in POLLERS:
+        return _fail(f"--poller is one of {', '.join(POLLERS)}, not {poller!r}")
+    read_all = read(os.environ, path, settings)
     if read_all is None:
-        return 2
-    config, operator = read_all
-    if words["caller"]:
-        from ironmill.commands.caller import explain
-
-        assert operator is not None  # the usage asks for settings
-        for line in explain(operator, _token(words), time.time()):
-            print(line)
-        return 0
+        return EXIT_INVALID
+    config, files = read_all
+    logs.set_up(config.name, None if files is None else files.settings.log)
+    # A reload takes discovery's address from the file: the variable is of the start.
+    reload_environment = {name: value for name, value in os.environ.items() if name != "PROXY_DISCOVERY"}
+    options = ProxyOptions(
+        config,
+        lambda: load(reload_environment, path),
+        files,
+        lambda new: read_proxy_files(new, settings),
+        poller,
+    )
+    try:
+        proxy = Proxy(options, signals)
+    except OSError as error:
+        return _fail(f"listen: {error}")
+    proxy.serve()
+    return EXIT_OK
+
+
+def read(
+    environment: Mapping[str, str], path: str | None, settings: str | None
+) -> tuple[Config, OperatorFiles | None] | None:
+    """Reads the configuration and the settings; prints one line and returns None if one is not valid."""
+    try:
+        config = retry_at_start(load, environment, path)
+        return config, read_proxy_files(config, settings)
+    except MalformedError as error:
+        _fail(error)
+        return None
+
+
+def read_proxy_files(config: Config, settings: str | None) -> OperatorFiles | None:
+    """Reads a proxy's settings and what they name; None if none are named. Raises ``MalformedError``."""
+    if settings is None:
+        return None
+    from ironmill.configuration.operator_files import read_operator_files
+
+    files = read_operator_files(settings, config.wait_limits)
+    distribution = files.settings.distribution
+    if distribution is not None and distribution.role != "subscriber":
+        raise MalformedError(
+            f"{settings}: distribution's role is {distribution.role!r}, which is a control machine's; "
+            "a proxy is a subscriber"
+        )
+    return files
+
+
+def _control(arguments: Arguments) -> int:
+    from ironmill.configuration.operator_files import read_operator_files
+    from ironmill.configuration.proxy_config import address
+
+    try:
+        files = read_operator_files(arguments["--settings"], ())
+        admin_address = address(arguments["--staff"], "--staff")
+    except MalformedError as error:
+        return _fail(error)
+    from ironmill.net import control_machine
+
+    return control_machine.serve(arguments["NAME"], files, admin_address)
+
+
+def _check_config(arguments: Arguments) -> int:
+    settings = arguments["--settings"]
+    if settings and not arguments["--config"] and not os.environ.get("PROXY_CONFIG"):
+        return _check_settings_alone(settings)
+    read_all = read(os.environ, arguments["--config"], settings)
+    if read_all is None:
+        return EXIT_INVALID
+    config, files = read_all
     print(f"ironmill: the configuration of {config.name} is fit for use")
-    if operator is not None:
-        print(f"ironmill: the settings in {operator.settings.path} are fit for use")
-    return 0
+    if files is not None:
+        print(f"ironmill: the settings in {files.settings.path} are fit for use")
+    return EXIT_OK
 
 
-def _check_control(settings: str) -> int:
-    """A control machine has settings and no configuration."""
+def _check_settings_alone(settings: str) -> int:
+    """Checks the settings of a control machine, which has no configuration."""
     from ironmill.configuration.operator_files import read_operator_files
 
     try:
         distribution = read_operator_files(settings, ()).settings.distribution
         if distribution is None or distribution.role == "subscriber":
-            load(os.environ)  # a proxy's, which are nothing without its configuration
+            load(os.environ)  # raises: a proxy's settings are of no use without its configuration
     except MalformedError as error:
-        print(f"ironmill: {error}", file=sys.stderr)
-        return 2
+        return _fail(error)
     print(f"ironmill: the settings in {settings} are fit for use")
-    return 0
-
+    return EXIT_OK
 
-def _serve(path: str | None, settings: str | None, poller: str) -> int:
-    signals = Signals()  # before the file is read: by default SIGHUP would end the process
-    try:
-        return serve(path, settings, signals, poller)
-    finally:
-        signals.close()
 
+# Keys, tokens and callers
 
-def _keys_or_token(words: Mapping[str, Any]) -> int:
-    from pathlib import Path  # here, for a proxy needs none of it
 
-    import orjson
+def _keys_or_token(arguments: Arguments) -> int:
+    from pathlib import Path
 
     from ironmill.commands import keys
 
     try:
-        store = keys.KeyStore(Path(words["--store"] or "."))
-        if words["new"]:
-            key = store.new(words["KID"], words["--algorithm"])
-            print(f"{key.kid}: coming; private part in {store.private_path(key.kid)}")
-        elif words["list"]:
-            for key in store.ring():
-                print(keys.describe(key, time.time()))
-        elif words["promote"]:
-            keys.promote(store, words["KID"], _span(words["--overlap"]))
-        elif words["retire"]:
-            keys.retire(store, words["KID"], _span(words["--after"]))
-        elif words["issue"]:
-            lifetime = _span(words["--lifetime"])
-            token = keys.issue(
-                store, words["SUBJECT"], words["--audience"], words["--issuer"], lifetime, words["--kid"]
-            )
-            print(token.decode())
+        store = keys.KeyStore(Path(arguments["--store"] or "."))
+        if arguments["token"]:
+            _token_command(store, arguments)
         else:
-            print(orjson.dumps(keys.inspect(_token(words)), option=orjson.OPT_INDENT_2).decode())
+            _keys_command(store, arguments)
     except keys.CommandError as error:
-        print(f"ironmill: {error}", file=sys.stderr)
-        return 2
-    return 0
+        return _fail(error)
+    return EXIT_OK
+
+
+def _keys_command(store: KeyStore, arguments: Arguments) -> None:
+    from ironmill.commands import keys
+
+    if arguments["new"]:
+        key = store.new(arguments["KID"], arguments["--algorithm"])
+        print(f"{key.kid}: coming; private part in {store.private_path(key.kid)}")
+    elif arguments["list"]:
+        for key in store.ring():
+            print(keys.describe(key, time.time()))
+    elif arguments["promote"]:
+        keys.promote(store, arguments["KID"], _span(arguments["--overlap"]))
+    else:
+        keys.retire(store, arguments["KID"], _span(arguments["--after"]))
+
+
+def _token_command(store: KeyStore, arguments: Arguments) -> None:
+    import orjson
+
+    from ironmill.commands import keys
+
+    if arguments["issue"]:
+        token = keys.issue(
+            store,
+            arguments["SUBJECT"],
+            arguments["--audience"],
+            arguments["--issuer"],
+            _span(arguments["--lifetime"]),
+            arguments["--kid"],
+        )
+        print(token.decode())
+    else:
+        print(orjson.dumps(keys.inspect(_token(arguments)), option=orjson.OPT_INDENT_2).decode())
+
+
+def _caller(arguments: Arguments) -> int:
+    read_all = read(os.environ, arguments["--config"], arguments["--settings"])
+    if read_all is None:
+        return EXIT_INVALID
+    from ironmill.commands.caller import explain
 
+    _, files = read_all
+    assert files is not None  # the usage requires settings
+    for line in explain(files, _token(arguments), time.time()):
+        print(line)
+    return EXIT_OK
 
-def _members(words: Mapping[str, Any]) -> int:
-    from ironmill.commands import members  # here, for a proxy needs none of it
+
+def _token(arguments: Arguments) -> bytes:
+    text: str = arguments["TOKEN"]
+    return (sys.stdin.readline() if text == "-" else text).strip().encode()
+
+
+# Clients of the admin API
+
+
+def _members(arguments: Arguments) -> int:
+    from ironmill.commands import members
     from ironmill.configuration.proxy_config import address
 
     try:
-        host, port = address(words["CONTROL"], "CONTROL")
-        lines = members.watch(host, port) if words["--watch"] else members.table(members.ask(host, port))
+        host, port = address(arguments["CONTROL"], "CONTROL")
+        lines = members.watch(host, port) if arguments["--watch"] else members.table(members.ask(host, port))
         for line in lines:
             print(line, flush=True)
     except (members.MembersError, MalformedError) as error:
-        print(f"ironmill: {error}", file=sys.stderr)
-        return 2
+        return _fail(error)
     except KeyboardInterrupt:
-        return 0
-    return 0
+        return EXIT_OK
+    return EXIT_OK
 
 
-def _control(name: str, settings: str, staff: str) -> int:
-    from ironmill.configuration.operator_files import read_operator_files
-    from ironmill.configuration.proxy_config import address
-
-    try:
-        operator, at = read_operator_files(settings, ()), address(staff, "--staff")
-    except MalformedError as error:
-        print(f"ironmill: {error}", file=sys.stderr)
-        return 2
-    from ironmill.net.control_machine import serve as serve_control
-
-    return serve_control(name, operator, at)
-
-
-def _config(words: Mapping[str, Any]) -> int:
-    from ironmill.commands import config  # here, for a proxy needs none of it
+def _config(arguments: Arguments) -> int:
+    from ironmill.commands.config import ConfigError
     from ironmill.commands.keys import CommandError
-    from ironmill.configuration.proxy_config import address
 
     try:
-        control = address(words["CONTROL"], "CONTROL")
-        within = _span(words["--within"])
-        if words["status"] or words["history"]:
-            shown = (
-                config.table(config.status(control))
-                if words["status"]
-                else (config.history(control, words["--most"]))
-            )
-            for line in shown:
-                print(line)
-            return 0
-        if words["push"] or words["revert"]:
-            author = config.author() if words["--author"] is None else words["--author"]
-            about = author, words["--note"] or "", words["--expect"] or ""
-            if words["push"]:
-                changes = config.read_changes(words["CHANGE"], words["--file"])
-                position = config.push(control, changes, *about)
-            else:
-                position = config.revert(control, words["REVISION"], *about)
-            print(f"{position} is kept", flush=True)
-            if not words["--wait"]:
-                return 0
-        else:
-            position = config.to_position(words["POSITION"])
-        lines = config.wait(control, position, within)
-        while True:
-            try:
-                print(next(lines), flush=True)
-            except StopIteration as end:
-                status: int = end.value
-                return status
-    except (config.ConfigError, CommandError, MalformedError) as error:
-        print(f"ironmill: {error}", file=sys.stderr)
-        return 2
+        return _config_command(arguments)
+    except (ConfigError, CommandError, MalformedError) as error:
+        return _fail(error)
     except KeyboardInterrupt:
-        return 2
+        return EXIT_INVALID
 
 
-def _token(words: Mapping[str, Any]) -> bytes:
-    text: str = words["TOKEN"]
-    return (sys.stdin.readline() if text == "-" else text).strip().encode()
+def _config_command(arguments: Arguments) -> int:
+    from ironmill.commands import config
+    from ironmill.commands.config_status import status_table
+    from ironmill.configuration.proxy_config import address
+
+    control = address(arguments["CONTROL"], "CONTROL")
+    within_s = _span(arguments["--within"])
+    if arguments["status"]:
+        return _print_all(status_table(config.status(control)))
+    if arguments["history"]:
+        return _print_all(config.history(control, arguments["--most"]))
+    if arguments["wait"]:
+        position = config.to_position(arguments["POSITION"])
+    else:
+        position = _write_config(control, arguments)
+        print(f"{position} is kept", flush=True)
+        if not arguments["--wait"]:
+            return EXIT_OK
+    lines = config.wait(control, position, within_s)
+    while True:
+        try:
+            print(next(lines), flush=True)
+        except StopIteration as end:
+            status: int = end.value
+            return status
+
+
+def _write_config(control: tuple[str, int], arguments: Arguments) -> Position:
+    from ironmill.commands import config
+
+    authorship = config.Authorship(
+        config.current_user() if arguments["--author"] is None else arguments["--author"],
+        arguments["--note"] or "",
+        arguments["--expect"] or "",
+    )
+    if arguments["push"]:
+        changes = config.read_changes(arguments["CHANGE"], arguments["--file"])
+        return config.push(control, changes, authorship)
+    return config.revert(control, arguments["REVISION"], authorship)
+
+
+def _print_all(lines: Iterable[str]) -> int:
+    for line in lines:
+        print(line)
+    return EXIT_OK
 
 
 def _span(text: str) -> float:
+    """Parses a span of the command line into seconds. Raises ``CommandError``."""
     from ironmill.commands.keys import CommandError
 
     if re.fullmatch(r"[0-9]{1,9}(\.[0-9]{1,6})?(ms|s|m|h|d)", text) is None:
@@ -268,55 +382,14 @@
     return duration(text)
 
 
-def read(
-    env: Mapping[str, str], path: str | None, settings: str | None
-) -> tuple[Config, OperatorFiles | None] | None:
-    """The configuration and the settings, or one line on what is wrong with them."""
-    try:
-        config = retry_at_start(load, env, path)
-        return config, operator_of(config, settings)
-    except MalformedError as error:
-        print(f"ironmill: {error}", file=sys.stderr)
-        return None
-
-
-def operator_of(config: Config, settings: str | None) -> OperatorFiles | None:
-    """What the settings file says, None where none is named; MalformedError if it is not fit for use."""
-    if settings is None:
-        return None
-    from ironmill.configuration.operator_files import (
-        read_operator_files,
-    )  # here, for what is off is not imported
-
-    operator = read_operator_files(settings, config.wait_limits)
-    distribution = operator.settings.distribution
-    if distribution is not None and distribution.role != "subscriber":
-        raise MalformedError(
-            f"{settings}: distribution's role is {distribution.role!r}, which is a control machine's; "
-            "a proxy is a subscriber"
-        )
-    return operator
-
-
-def serve(path: str | None, settings: str | None, signals: Signals, poller: str) -> int:
-    """Run one proxy until it is told to end."""
-    if poller not in POLLERS:
-        print(f"ironmill: --poller is one of {', '.join(POLLERS)}, not {poller!r}", file=sys.stderr)
-        return 2
-    read_all = read(os.environ, path, settings)
-    if read_all is None:
-        return 2
-    config, operator = read_all
-    logs.set_up(config.name, None if operator is None else operator.settings.log)
-    # At SIGHUP the file's address of discovery holds: what the variable named at the start is gone.
-    later = {name: value for name, value in os.environ.items() if name != "PROXY_DISCOVERY"}
-    try:
-        options = ProxyOptions(
-            config, lambda: load(later, path), operator, lambda new: operator_of(new, settings), poller
-        )
-        proxy = Proxy(options, signals)
-    except OSError as error:
-        print(f"ironmill: listen: {error}", file=sys.stderr)
-        return 2
-    proxy.serve()
-    return 0
+_COMMANDS: dict[str, Callable[[Arguments], int]] = {
+    "version": _version,
+    "serve": _serve_command,
+    "keys": _keys_or_token,
+    "token": _keys_or_token,
+    "members": _members,
+    "control": _control,
+    "config": _config,
+    "check-config": _check_config,
+    "caller": _caller,
+}
--- a/ironmill/commands/config.py
+++ b/ironmill/commands/config.py
@@ -1,7 +1,7 @@
-"""``ironmill config``: push changes, wait until they are in force everywhere, look at status and history.
+"""``ironmill config``: pushes changes, waits until they are applied everywhere, shows status and history.
 
-A control machine is asked at its staff's address. A push whose answer is lost is sent again with its ticket,
-which the origin keeps once however often it comes.
+A control machine is called at the address of its admin API. A push whose response is lost is repeated with
+its ticket, which the origin stores once.
 """
 
 from __future__ import annotations
@@ -15,69 +15,92 @@
 from typing import Any
 
 import msgspec
-
-from ironmill.administration.configuration_api import REVERT_PATH, REVISIONS_PATH, STATUS_PATH, read_position
+from msgspec import Struct
+
+from ironmill.administration.configuration_api import (
+    REVERT_PATH,
+    REVISIONS_PATH,
+    STATUS_PATH,
+    HistoryBody,
+    read_position,
+)
+from ironmill.commands.config_status import NodeStatus, lagging_lines, printable
 from ironmill.distribution.revision import Position
+from ironmill.errors import IronmillError
 
-CALL_WAIT = 2.0  # seconds; the process answers within one
-TRIES = 5  # of a push whose answer is lost
-PAUSE = 0.3  # seconds between two of them
-LOOK = 0.2  # between two looks whether a revision is in force everywhere
-ANSWER_MOST = 16 << 20  # bytes; guards memory against an answer that is something else
-NAMED = 50  # proxies, where not all are in force
+CALL_TIMEOUT_S = 2.0  # the process answers within one second
+MAX_ATTEMPTS = 5  # of a push whose response is lost
+RETRY_INTERVAL_S = 0.3
+POLL_INTERVAL_S = 0.2  # of the status, while waiting
+MAX_RESPONSE_BYTES = 16 << 20
 
 Address = tuple[str, int]
-Later = Callable[[float], object]
+Sleep = Callable[[float], object]
 
 
-class ConfigError(Exception):
-    """What was asked for is not to be had, or was not taken; one line."""
+class ConfigError(IronmillError):
+    """A command that cannot be carried out, or was rejected. The message has one line."""
 
 
-class LostError(ConfigError):
-    """There was no answer, and if it was ``asked`` it may have done what it was to do."""
+class LostResponseError(ConfigError):
+    """A call without a response. If it was ``sent`` it may have had its effect."""
 
-    def __init__(self, text: str, asked: bool) -> None:
+    def __init__(self, text: str, *, sent: bool) -> None:
         super().__init__(text)
-        self.asked = asked
+        self.sent = sent
+
+
+class ApiResult(Struct, frozen=True):
+    """Status and JSON of one response."""
+
+    status: int
+    content: dict[str, Any]
+
+    def reason(self, default: str) -> str:
+        """Returns the reason that the response gives."""
+        return str(self.content.get("reason", default))
+
+
+class Authorship(Struct, frozen=True):
+    """Who changes the configuration, and why. ``expect``: the required latest position; empty: any."""
+
+    author: str
+    note: str = ""
+    expect: str = ""
+
+    def check(self) -> None:
+        """Raises ``ConfigError`` if the expected position is malformed."""
+        if self.expect:
+            to_position(self.expect)
 
 
-def call(
-    address: Address, method: str, path: str, body: Mapping[str, object] | None = None
-) -> tuple[int, dict[str, Any]]:
-    """One call: the status, and what the answer holds. LostError where none comes."""
+def call(address: Address, method: str, path: str, body: Mapping[str, object] | None = None) -> ApiResult:
+    """Calls the admin API. Raises ``LostResponseError`` without a response, ``ConfigError`` if it is none."""
     host, port = address
-    connection = http.client.HTTPConnection(host, port, timeout=CALL_WAIT)
-    asked = False
+    connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_S)
+    sent = False
     try:
         connection.connect()
-        asked = True
+        sent = True
         connection.request(method, path, None if body is None else msgspec.json.encode(body))
-        answer = connection.getresponse()
-        data = answer.read(ANSWER_MOST)
+        response = connection.getresponse()
+        data = response.read(MAX_RESPONSE_BYTES)
     except (OSError, http.client.HTTPException) as error:
-        raise LostError(f"{host}:{port} does not answer: {error}", asked) from None
+        raise LostResponseError(f"{host}:{port} does not answer: {error}", sent=sent) from None
     finally:
         connection.close()
-    if answer.status == 404:
+    if response.status == 404:
         raise ConfigError(f"the process at {host}:{port} has no distribution in its settings")
     try:
-        told = msgspec.json.decode(data, type=dict[str, Any]) if data else {}
+        content = msgspec.json.decode(data, type=dict[str, Any]) if data else {}
     except msgspec.DecodeError as error:
         raise ConfigError(f"{host}:{port} answers something else: {error}") from None
-    return answer.status, told
+    return ApiResult(response.status, content)
 
 
 def read_changes(words: Sequence[str], file: str | None) -> dict[str, str | None]:
-    """KEY=VALUE and KEY- of the command line, and a file's object of keys and texts or null."""
-    changes: dict[str, str | None] = {}
-    if file is not None:
-        try:
-            changes |= msgspec.json.decode(Path(file).read_bytes(), type=dict[str, str | None])
-        except OSError as error:
-            raise ConfigError(f"{file}: {error.strerror}") from None
-        except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise ConfigError(f"{file}: is no JSON object of keys and texts, or null: {error}") from None
+    """Reads KEY=VALUE and KEY- of the command line, and a file's JSON object. Raises ``ConfigError``."""
+    changes = {} if file is None else _read_changes_file(file)
     for word in words:
         key, equals, value = word.partition("=")
         if not equals and key.endswith("-"):
@@ -92,174 +115,162 @@
     return changes
 
 
+def _read_changes_file(file: str) -> dict[str, str | None]:
+    try:
+        return msgspec.json.decode(Path(file).read_bytes(), type=dict[str, str | None])
+    except OSError as error:
+        raise ConfigError(f"{file}: {error.strerror}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ConfigError(f"{file}: is no JSON object of keys and texts, or null: {error}") from None
+
+
 def push(
-    address: Address,
-    changes: Mapping[str, str | None],
-    author: str,
-    note: str,
-    expect: str,
-    later: Later = time.sleep,
+    address: Address, changes: Mapping[str, str | None], authorship: Authorship, sleep: Sleep = time.sleep
 ) -> Position:
-    """Have the changes kept; their position. ConfigError says why not, or that it is not known."""
-    if expect:
-        to_position(expect)
-    body: dict[str, object] = {"changes": changes, "author": author, "note": note, "expect": expect}
-    return _written(address, REVISIONS_PATH, body, later)
+    """Pushes the changes and returns their position.
+
+    Raises ``ConfigError``, whose message says if it is unknown whether the revision was stored.
+    """
+    authorship.check()
+    return _write(address, REVISIONS_PATH, {"changes": changes}, authorship, sleep)
+
+
+def revert(address: Address, revision: str, authorship: Authorship, sleep: Sleep = time.sleep) -> Position:
+    """Restores the values as of a revision, given as number or position. Raises as ``push`` does."""
+    authorship.check()
+    number = revision.rpartition(".")[2]
+    if not (number.isascii() and number.isdigit() and len(number) <= 19):
+        raise ConfigError(f"{revision!r} is no revision; it is its number, as in 17 or 3.17")
+    return _write(address, REVERT_PATH, {"number": int(number)}, authorship, sleep)
 
 
-def revert(
-    address: Address, number: str, author: str, note: str, expect: str, later: Later = time.sleep
+def _write(
+    address: Address, path: str, content: Mapping[str, object], authorship: Authorship, sleep: Sleep
 ) -> Position:
-    """Go back to what was in force as of a revision, named by its number or its whole position."""
-    if expect:
-        to_position(expect)
-    text = number.rpartition(".")[2]
-    if not (text.isascii() and text.isdigit() and len(text) <= 19):
-        raise ConfigError(f"{number!r} is no revision; it is its number, as in 17 or 3.17")
-    body: dict[str, object] = {"number": int(text), "author": author, "note": note, "expect": expect}
-    return _written(address, REVERT_PATH, body, later)
-
-
-def _written(address: Address, path: str, body: dict[str, object], later: Later) -> Position:
-    """Ask with one ticket until there is an answer, so many times at the most."""
-    body["ticket"] = secrets.token_hex(16)
-    lost: LostError | None = None
-    asked = False
-    for _ in range(TRIES):
+    """Calls with one ticket until there is a response, at most ``MAX_ATTEMPTS`` times."""
+    body = {
+        **content,
+        "author": authorship.author,
+        "note": authorship.note,
+        "expect": authorship.expect,
+        "ticket": secrets.token_hex(16),
+    }
+    lost: LostResponseError | None = None
+    sent = False
+    for _ in range(MAX_ATTEMPTS):
         if lost is not None:
-            later(PAUSE)
+            sleep(RETRY_INTERVAL_S)
         try:
-            status, told = call(address, "POST", path, body)
-        except LostError as error:
+            return _position_of(call(address, "POST", path, body))
+        except LostResponseError as error:
             lost = error
-            asked = asked or error.asked
-            continue
-        if status == 201:
-            return to_position(told.get("position"))
-        reason = told.get("reason", f"the answer is {status}")
-        if status == 409:
-            raise ConfigError(f"refused: {told.get('key', '')}: {reason}")
-        raise ConfigError(f"not taken: {reason}")
-    outcome = "it is not known whether it was kept" if asked else "nothing was kept"
-    raise ConfigError(f"{lost}; tried {TRIES} times, and {outcome}")
-
-
-def status(address: Address) -> dict[str, Any]:
-    """What the process tells of itself and of those below it."""
-    code, told = call(address, "GET", STATUS_PATH)
-    if code != 200:
-        raise ConfigError(f"{address[0]}:{address[1]} answers {code}: {told.get('reason', '')}")
-    return told
-
-
-def history(address: Address, most: str) -> Iterator[str]:
-    """The last revisions as lines of text, the newest first."""
-    if not (most.isascii() and most.isdigit() and len(most) <= 6):
-        raise ConfigError(f"{most!r} is no number of revisions")
-    code, told = call(address, "GET", f"{REVISIONS_PATH}?most={int(most)}")
-    if code != 200:
-        raise ConfigError(str(told.get("reason", f"the answer is {code}")))
-    for one in told["revisions"]:
-        when = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(one["at"]))
-        yield f"{one['position']}  {when}  {_safe(one['author'])}  {_safe(one['note'])}".rstrip()
-        for key, value in one["changes"].items():
-            yield f"  {_safe(key)}-" if value is None else f"  {_safe(key)}={_safe(value)}"
-    if told["cut"]:
-        yield "and older ones, which are too large for one answer"
+            sent = sent or error.sent
+    outcome = "it is not known whether it was kept" if sent else "nothing was kept"
+    raise ConfigError(f"{lost}; tried {MAX_ATTEMPTS} times, and {outcome}")
+
+
+def _position_of(result: ApiResult) -> Position:
+    """The position of a revision that was stored. Raises ``ConfigError`` if it was not."""
+    if result.status == 201:
+        return to_position(result.content.get("position"))
+    reason = result.reason(f"the answer is {result.status}")
+    if result.status == 409:
+        raise ConfigError(f"refused: {result.content.get('key', '')}: {reason}")
+    raise ConfigError(f"not taken: {reason}")
 
 
-def table(told: Mapping[str, Any]) -> Iterator[str]:
-    """The status as lines of text."""
-    age = told.get("age_s")
-    heard = "" if age is None else f", heard of the origin {age:.1f}s ago"
-    yield (
-        f"{told['name']} is {told['role']}, holds {told['held']}, in force {told['in_force']}"
-        f"{', STALE' if told['stale'] else ''}{heard}, {told['entries']} keys"
-    )
-    if told.get("parent"):
-        yield f"parent: {told['parent']}"
-    if zones := told.get("zones"):
-        everywhere = "everywhere" if told["everywhere"] else "not everywhere"
-        yield f"{told['held']} is {everywhere} in force; the lowest is {told['lowest']}"
-        columns = ("zone", "proxies", "lowest", "refused", "unreachable")
-        rows = [[name.upper() for name in columns]]
-        rows += [[str(one[name]) for name in columns] for one in zones]
-        widths = [max(len(row[at]) for row in rows) for at in range(len(columns))]
-        for row in rows:
-            yield "  ".join(text.ljust(width) for text, width in zip(row, widths, strict=True)).rstrip()
-    yield from laggards(told)
-    if told.get("dropped"):
-        yield "dropped: " + ", ".join(f"{count} {why}" for why, count in sorted(told["dropped"].items()))
-
-
-def laggards(told: Mapping[str, Any]) -> Iterator[str]:
-    """Who refuses, is behind or is unreachable, by name."""
-    named = told.get("laggards") or []
-    for one in named[:NAMED]:
-        reason = ": ".join(_safe(one[name]) for name in ("key", "reason") if one[name])
-        yield (
-            f"{one['name']} in zone {one['zone']}: {one['why']}, in force {one['in_force']}"
-            f"{f': {reason}' if reason else ''}"
-        )
-    if more := told.get("more_laggards", 0) + max(0, len(named) - NAMED):
-        yield f"and {more} more"
-
-
-def in_force_everywhere(told: Mapping[str, Any], position: Position) -> bool:
-    """True if the status says that no proxy there is has less than the position in force."""
-    if told["everywhere"] and to_position(told["held"]) >= position:
-        return True
-    zones = told.get("zones") or []
-    if not zones or not told.get("settled", True):
-        return False
-    if any(one["refused"] or one["unreachable"] for one in zones):
-        return False
-    # A relay that is away is in no zone's count, and nobody knows what the proxies behind it have.
-    if any(one["why"] != "behind" for one in told.get("laggards") or []):
-        return False
-    return all(to_position(one["lowest"]) >= position for one in zones)
+def fetch_status(address: Address) -> dict[str, Any]:
+    """Returns the status of a process as the JSON of its admin API. Raises ``ConfigError``."""
+    result = call(address, "GET", STATUS_PATH)
+    if result.status != 200:
+        raise ConfigError(f"{address[0]}:{address[1]} answers {result.status}: {result.reason('')}")
+    return result.content
+
+
+def status(address: Address) -> NodeStatus:
+    """Returns the status of a process and of the nodes below it. Raises ``ConfigError``."""
+    try:
+        return NodeStatus.from_json(fetch_status(address))
+    except msgspec.ValidationError as error:
+        raise ConfigError(f"{address[0]}:{address[1]} answers something else: {error}") from None
+
+
+def history(address: Address, max_count: str) -> Iterator[str]:
+    """Yields the last revisions as lines of text, the newest first. Raises ``ConfigError``."""
+    if not (max_count.isascii() and max_count.isdigit() and len(max_count) <= 6):
+        raise ConfigError(f"{max_count!r} is no number of revisions")
+    result = call(address, "GET", f"{REVISIONS_PATH}?most={int(max_count)}")
+    if result.status != 200:
+        raise ConfigError(result.reason(f"the answer is {result.status}"))
+    page = msgspec.convert(result.content, HistoryBody)
+    for revision in page.revisions:
+        when = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(revision.at))
+        author, note = printable(revision.author), printable(revision.note)
+        yield f"{revision.position}  {when}  {author}  {note}".rstrip()
+        for key, value in revision.changes.items():
+            yield f"  {printable(key)}-" if value is None else f"  {printable(key)}={printable(value)}"
+    if page.cut:
+        yield "and older ones, which are too large for one answer"
 
 
 def wait(
     address: Address,
     position: Position,
-    within: float,
-    later: Later = time.sleep,
+    within_s: float,
+    sleep: Sleep = time.sleep,
     clock: Callable[[], float] = time.monotonic,
 ) -> Generator[str, None, int]:
-    """Look until the position is in force everywhere. Lines of text, and at the end the exit status.
+    """Polls until the position is applied everywhere. Yields lines of text and returns the exit status.
 
-    0: it is everywhere. 1: not in time, and the lines say where not. ConfigError: nobody could be asked.
+    0: it is applied everywhere. 1: not in time, and the lines name the lagging nodes. Raises ``ConfigError``
+    if no process answered.
     """
-    until = clock() + within
-    told: Mapping[str, Any] | None = None
+    deadline = clock() + within_s
+    last: NodeStatus | None = None
     while True:
         try:
-            told = status(address)
-        except LostError:
-            if told is None and clock() >= until:
+            last = status(address)
+        except LostResponseError:
+            if last is None and clock() >= deadline:
                 raise
         else:
-            if told["role"] != "origin":
-                raise ConfigError(f"{told['name']} is a {told['role']}; only the origin knows of all proxies")
-            held = to_position(told["held"])
-            if held > position and held.number < position.number:
-                yield f"{position} is not in the history of {told['name']}, which is at {held}"
-                return 1
-            if in_force_everywhere(told, position):
-                yield f"{position} is in force everywhere"
-                return 0
-        if clock() >= until:
+            verdict = _verdict(last, position)
+            if verdict is not None:
+                yield verdict.line
+                return verdict.exit_status
+        if clock() >= deadline:
             break
-        later(LOOK)
-    assert told is not None
-    yield f"{position} is not in force everywhere after {within:g}s; the lowest is {told['lowest']}"
-    yield from laggards(told)
+        sleep(POLL_INTERVAL_S)
+    assert last is not None
+    yield f"{position} is not in force everywhere after {within_s:g}s; the lowest is {last.lowest}"
+    yield from lagging_lines(last)
     return 1
 
 
-def author() -> str:
-    """Who runs the command."""
+class Verdict(Struct, frozen=True):
+    """The end of a wait."""
+
+    exit_status: int
+    line: str
+
+
+def _verdict(current: NodeStatus, position: Position) -> Verdict | None:
+    """The end of a wait for the position, None if it goes on. Raises ``ConfigError``."""
+    if current.role != "origin":
+        raise ConfigError(f"{current.name} is a {current.role}; only the origin knows of all proxies")
+    received = to_position(current.received_position)
+    if received > position and received.number < position.number:
+        line = f"{position} is not in the history of {current.name}, which is at {received}"
+        return Verdict(1, line)
+    try:
+        applied = current.is_applied_everywhere(position)
+    except ValueError as error:
+        raise ConfigError(str(error)) from None
+    return Verdict(0, f"{position} is in force everywhere") if applied else None
+
+
+def current_user() -> str:
+    """Returns the name of the user who runs the command."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):  # a user without a name
@@ -267,13 +278,8 @@
 
 
 def to_position(text: object) -> Position:
-    """EPOCH.NUMBER, as staff write it; ConfigError if it is none."""
+    """Parses EPOCH.NUMBER. Raises ``ConfigError``."""
     try:
         return read_position(str(text))
     except ValueError as error:
         raise ConfigError(str(error)) from None
-
-
-def _safe(text: str) -> str:
-    """Guards the terminal against what others have written."""
-    return text if text.isprintable() else ascii(text)[1:-1]
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -1,11 +1,12 @@
-"""A control machine's process: the origin or a relay of distribution, and staff's calls to it."""
+"""Process of a control machine: the origin or a relay of distribution, with its admin API."""
 
 from __future__ import annotations
 
+import contextlib
 import logging
 import signal
+import sys
 import time
-from typing import Any
 
 from ironmill.administration.configuration_api import ConfigurationApi
 from ironmill.administration.routes import Routes
@@ -23,13 +24,13 @@
 from ironmill.runtime import logs
 from ironmill.runtime.scheduler import Scheduler
 
-LAST_WORDS = 0.1  # seconds for the last datagrams and answers to go
+FINAL_FLUSH_S = 0.1  # lets queued datagrams and responses leave before the process exits
 
 log = logging.getLogger("ironmill")
 
 
-class Writer:
-    """The origin, as staff's calls see it: what a push makes to be sent is sent at once."""
+class FlushingOrigin:
+    """The origin as the admin API uses it: the datagrams that a push causes are sent at once."""
 
     def __init__(self, origin: Origin, distribution: Distribution) -> None:
         self._origin = origin
@@ -54,75 +55,67 @@
 
 
 class ControlMachine:
-    """Takes part once it is made and run, until it is told to end."""
+    """Binds its addresses when it is built, and serves until SIGTERM or SIGINT."""
 
-    def __init__(
-        self, name: str, operator: OperatorFiles, staff: Address, signals: Signals, poller: str = "epoll"
-    ) -> None:
-        """OSError where an address is not to be had, StoreError where the store is not fit for use."""
-        settings = operator.settings.distribution
+    def __init__(self, name: str, files: OperatorFiles, admin_address: Address, signals: Signals) -> None:
+        """Raises ``OSError`` if an address is not available, ``StoreError`` if the store is not usable."""
+        settings = files.settings.distribution
         assert settings is not None
-        self.scheduler = Scheduler(poller)
+        self.scheduler = Scheduler()
         self._signals = signals
         self._store = SqliteStore(settings.store) if settings.role == "origin" else None
-        self.distribution = Distribution(self.scheduler, name, settings, operator.distribution_keys)
-        writer = None
-        if self._store is not None:
-            origin = self.distribution.origin(self._store, check_form)
-            writer = Writer(origin, self.distribution)
-            reader: Any = origin
-        else:
-            reader = self.distribution.relay()
+        self.distribution = Distribution(self.scheduler, name, settings, files.distribution_keys)
+        origins = [control.name for control in settings.controls if control.origin]
         routes = Routes()
-        origins = [one.name for one in settings.controls if one.origin]
-        ConfigurationApi(reader, writer, origins).add_to(routes)
-        self.control = AdminServer(self.scheduler, staff, routes)
+        self._build_api(origins).add_to(routes)
+        self.admin_server = AdminServer(self.scheduler, admin_address, routes)
+
+    def _build_api(self, origins: list[str]) -> ConfigurationApi:
+        if self._store is None:
+            return ConfigurationApi(self.distribution.relay(), None, origins)
+        origin = self.distribution.origin(self._store, check_form)
+        return ConfigurationApi(origin, FlushingOrigin(origin, self.distribution), origins)
 
     def serve(self) -> None:
-        """Run until SIGTERM or SIGINT."""
-        self._signals.on(signal.SIGTERM, self._end)
-        self._signals.on(signal.SIGINT, self._end)
-        self._signals.on(signal.SIGHUP, lambda: log.warning("reload: a control machine takes a restart"))
+        """Runs until SIGTERM or SIGINT."""
+        self._signals.on(signal.SIGTERM, self._shut_down)
+        self._signals.on(signal.SIGINT, self._shut_down)
+        self._signals.on(signal.SIGHUP, lambda: log.warning("reload: a control machine requires a restart"))
         self._signals.start(self.scheduler)
         self.distribution.start()
-        self.control.start()
-        log.info("staff call at %s:%d", *self.control.address)
+        self.admin_server.start()
+        log.info("admin API at %s:%d", *self.admin_server.address)
         self.scheduler.run()
 
-    def _end(self) -> None:
+    def _shut_down(self) -> None:
         self.distribution.leave()
-        self.control.close(LAST_WORDS)
+        self.admin_server.close(FINAL_FLUSH_S)
         if self._store is not None:
             self._store.close()
-        self.scheduler.call_later(LAST_WORDS, self.scheduler.stop)
-
+        self.scheduler.call_later(FINAL_FLUSH_S, self.scheduler.stop)
 
-def serve(name: str, operator: OperatorFiles, staff: Address) -> int:
-    """Run one control machine; the exit status. One line on standard error where it cannot begin."""
-    import sys
 
-    settings = operator.settings.distribution
+def serve(name: str, files: OperatorFiles, admin_address: Address) -> int:
+    """Runs one control machine and returns the exit status: 2, with one line, if it cannot start."""
+    settings = files.settings.distribution
     if settings is None or settings.role == "subscriber":
         print(
-            f"ironmill: {operator.settings.path}: no settings of a control machine; "
+            f"ironmill: {files.settings.path}: no settings of a control machine; "
             "distribution's role is relay or origin there",
             file=sys.stderr,
         )
         return 2
-    signals = Signals()
-    try:
-        logs.set_up(name, operator.settings.log)
-        began = time.monotonic()
+    with contextlib.closing(Signals()) as signals:
+        logs.set_up(name, files.settings.log)
+        started_at = time.monotonic()
         try:
-            machine = ControlMachine(name, operator, staff, signals)
+            machine = ControlMachine(name, files, admin_address, signals)
         except StoreError as error:
             print(f"ironmill: {error}", file=sys.stderr)
             return 2
         except OSError as error:
             print(f"ironmill: listen: {error}", file=sys.stderr)
             return 2
-        log.info("begins after %.3f s", time.monotonic() - began)
+        log.info("started after %.3f s", time.monotonic() - started_at)
         machine.serve()
-    finally:
-        signals.close()
     return 0
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -182,13 +182,13 @@
     def status(self, name: str) -> dict[str, Any]:
         """What it tells of distribution; empty where it does not answer."""
         try:
-            return config.status(self.staff[name])
+            return config.fetch_status(self.staff[name])
         except config.ConfigError:
             return {}
 
     def push(self, changes: dict[str, str | None]) -> Position:
         """One more revision by the origin's staff call; its position. ConfigError where it is not taken."""
-        return config.push(self.staff[ORIGIN], changes, "fleet", "", "")
+        return config.push(self.staff[ORIGIN], changes, config.Authorship("fleet"))
 
     def counted(self) -> int:
         """The proxies that the origin knows of, 0 while it does not know all of its relays."""
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -29,6 +29,7 @@
 from ironmill.administration.routes import Routes
 from ironmill.commands import config
 from ironmill.commands.config import ConfigError
+from ironmill.commands.config_status import NodeStatus
 from ironmill.distribution.changes import Changes, check_changes
 from ironmill.distribution.errors import (
     FencedError,
@@ -315,6 +316,7 @@
 
 
 ZONE = {"zone": "z", "proxies": 3, "lowest": "2.9", "refused": 0, "unreachable": 0}
+LAGGING_NODE = {"name": "n", "zone": "z", "in_force": "2.8", "why": "", "key": "", "reason": ""}
 
 
 @pytest.mark.parametrize(
@@ -330,13 +332,17 @@
         ({"zones": [ZONE | {"lowest": "3.9"}]}, True),
         ({"zones": [ZONE | {"refused": 1}]}, False),
         ({"zones": [ZONE | {"unreachable": 1}]}, False),
-        ({"zones": [ZONE], "laggards": [{"why": "behind"}]}, True),  # behind the head, not behind this one
-        ({"zones": [ZONE], "laggards": [{"why": "unreachable"}]}, False),  # a relay
+        (
+            {"zones": [ZONE], "laggards": [LAGGING_NODE | {"why": "behind"}]},
+            True,
+        ),  # behind the head, not behind this one
+        ({"zones": [ZONE], "laggards": [LAGGING_NODE | {"why": "unreachable"}]}, False),  # a relay
     ],
 )
 def test_when_a_position_is_everywhere(told: dict[str, Any], there: bool) -> None:
-    usual = {"everywhere": False, "held": "2.12", "laggards": []}
-    assert config.in_force_everywhere(usual | told, Position(2, 9)) is there
+    usual = {"name": "c1", "role": "origin", "in_force": "2.12", "stale": False, "entries": 1}
+    usual |= {"everywhere": False, "held": "2.12", "laggards": []}
+    assert NodeStatus.from_json(usual | told).is_applied_everywhere(Position(2, 9)) is there
 
 
 @given(st.text(alphabet="0123456789.-+ x\u0663", max_size=45))
