--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -95,9 +95,9 @@
         config = self._config
         backoff = partial(
             CallPace,
-            config.settings.relays,
+            config.settings.proxies,
             random.Random(config.seed),
-            config.settings.ask_discovery,
+            config.settings.subscribes_to_discovery,
             first_at_once=self.listener.succeeds,
         )
         return Discovery(
@@ -180,7 +180,7 @@
             return SUCCESSOR_FIRST_POLL_TIMEOUT_S
         # Where discovery is polled a change counts as notified only when it was answered. The first polls of
         # a large fleet are spread over seconds, and restarted proxies must serve in the meantime.
-        return 0.0 if self._config.settings.ask_discovery else FIRST_POLL_TIMEOUT_S
+        return 0.0 if self._config.settings.subscribes_to_discovery else FIRST_POLL_TIMEOUT_S
 
     def _start_accepting(self) -> None:
         """Accepts clients, now that discovery has answered once or has not in time."""
