--- a/tests/unit/balancing/test_request_lifetime.py
+++ b/tests/unit/balancing/test_request_lifetime.py
@@ -17,7 +17,6 @@
     SampleKind,
     Stage,
     TimerFired,
-    WatchEvent,
     WatchEventKind,
 )
 from tests.support.balancing import NOT_IDEMPOTENT, WITH_KEY, SimulatedProxy, entries, sends
--- a/tests/unit/balancing/test_subscription.py
+++ b/tests/unit/balancing/test_subscription.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ironmill.balancing.interface import SetTimer, Subscribe, WatchEvent, WatchEventKind
+from ironmill.balancing.interface import SetTimer, Subscribe, WatchEventKind
 from tests.support.balancing import SimulatedProxy, entries
 
 
