--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -172,7 +172,7 @@
         return None
     from ironmill.configuration.operator_files import read_operator_files
 
-    files = read_operator_files(settings, config.wait_limits)
+    files = read_operator_files(settings, config.default_deadlines_s)
     distribution = files.settings.distribution
     if distribution is not None and distribution.role != "subscriber":
         raise MalformedError(
@@ -184,11 +184,11 @@
 
 def _control(arguments: Arguments) -> int:
     from ironmill.configuration.operator_files import read_operator_files
-    from ironmill.configuration.proxy_config import address
+    from ironmill.configuration.proxy_config import parse_address
 
     try:
         files = read_operator_files(arguments["--settings"], ())
-        admin_address = address(arguments["--staff"], "--staff")
+        admin_address = parse_address(arguments["--staff"], "--staff")
     except MalformedError as error:
         return _fail(error)
     from ironmill.net import control_machine
@@ -300,10 +300,10 @@
 
 def _members(arguments: Arguments) -> int:
     from ironmill.commands import members
-    from ironmill.configuration.proxy_config import address
+    from ironmill.configuration.proxy_config import parse_address
 
     try:
-        host, port = address(arguments["CONTROL"], "CONTROL")
+        host, port = parse_address(arguments["CONTROL"], "CONTROL")
         lines = members.watch(host, port) if arguments["--watch"] else members.table(members.ask(host, port))
         for line in lines:
             print(line, flush=True)
@@ -329,9 +329,9 @@
 def _config_command(arguments: Arguments) -> int:
     from ironmill.commands import config
     from ironmill.commands.config_status import status_table
-    from ironmill.configuration.proxy_config import address
+    from ironmill.configuration.proxy_config import parse_address
 
-    control = address(arguments["CONTROL"], "CONTROL")
+    control = parse_address(arguments["CONTROL"], "CONTROL")
     within_s = _span(arguments["--within"])
     if arguments["status"]:
         return _print_all(status_table(config.status(control)))
--- a/ironmill/configuration/distributed_keys.py
+++ b/ironmill/configuration/distributed_keys.py
@@ -1,19 +1,19 @@
-"""What the keys of distributed configuration mean.
+"""Meaning of the keys of distributed configuration.
 
-| key                    | value                         | meaning                                    |
-| ---------------------- | ----------------------------- | ------------------------------------------ |
-| deny/subject/PATTERN   | a note                        | whose token's subject fits is denied       |
-| deny/fingerprint/HEX64 | a note                        | the certificate is denied                  |
-| log/level              | debug, info, warning or error | in place of the settings' level            |
-| shard/NAME             | a server's uid                | looked up where it is wanted, never copied |
+| key                    | value                         | meaning                                           |
+| ---------------------- | ----------------------------- | ------------------------------------------------- |
+| deny/subject/PATTERN   | a note                        | tokens whose subject matches are denied           |
+| deny/fingerprint/HEX64 | a note                        | the certificate is denied                         |
+| log/level              | debug, info, warning or error | overrides the level of the settings               |
+| shard/NAME             | a server's uid                | read on demand from the keyspace, never copied    |
 
-A key may always be deleted, also one that nobody knows: that mends a revision which was refused.
+Any key may be deleted, also an unknown one, since a revision that was rejected is repaired by a deletion.
 """
 
 from __future__ import annotations
 
 import re
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterator, Mapping
 from typing import TYPE_CHECKING
 
 from msgspec import Struct
@@ -21,130 +21,184 @@
 from ironmill.distribution.revision import Rejection
 from ironmill.runtime import logs
 
-if TYPE_CHECKING:  # a proxy without identity, and a control machine, need none of it
+if TYPE_CHECKING:  # not imported in a control machine, or in a proxy without identity
     from ironmill.identity.callers import Callers
 
-SUBJECT, FINGERPRINT, LEVEL, SHARD = "deny/subject/", "deny/fingerprint/", "log/level", "shard/"
+SUBJECT_PREFIX = "deny/subject/"
+FINGERPRINT_PREFIX = "deny/fingerprint/"
+LEVEL_KEY = "log/level"
+SHARD_PREFIX = "shard/"
+
 LEVELS = ("debug", "info", "warning", "error")
-MAX_UID_CHARACTERS = 64  # characters
-MAX_SUBJECTS = 20_000  # whole ones; guards memory, and the time in which one more is taken in
-MAX_PATTERNS = 256  # with wildcards; guards the time that each credential takes
+MAX_UID_CHARACTERS = 64
+MAX_SUBJECTS = 20_000  # without wildcards; bounds memory and the time to apply one more
+MAX_PATTERNS = 256  # with wildcards; each is matched with each credential
 MAX_FINGERPRINTS = 20_000
 
 
 def check_form(changes: Mapping[str, bytes | None]) -> Rejection | None:
-    """Why these can be no configuration of any proxy; None if they can."""
+    """Returns why no proxy could apply the changes; None if their keys and values are well-formed."""
     for key, value in changes.items():
-        if value is not None and (reason := _wrong(key, value)):
-            return Rejection(key, reason)
+        if value is not None and (fault := _fault(key, value)):
+            return Rejection(key, fault)
     return None
 
 
-def _wrong(key: str, value: bytes) -> str:
-    """What is wrong with a key that is set; empty if nothing is."""
-    if key.startswith(SUBJECT):
-        if re.fullmatch(r"[!-~]{1,255}", key.removeprefix(SUBJECT)) is None:
-            return "a pattern is 1 to 255 printable characters without blanks"
-    elif key.startswith(FINGERPRINT):
-        if re.fullmatch(r"[0-9a-f]{64}", key.removeprefix(FINGERPRINT)) is None:
-            return "a fingerprint is the SHA-256 of a certificate's DER form, 64 digits of 0 to 9 and a to f"
-    elif key == LEVEL:
-        if value not in [level.encode() for level in LEVELS]:
-            return f"a level is one of {', '.join(LEVELS)}"
-    elif key.startswith(SHARD):
-        if key == SHARD:
-            return "a shard has a name"
-        try:
-            uid = value.decode()
-        except UnicodeDecodeError:
-            return "a server's uid is UTF-8"
-        if not 1 <= len(uid) <= MAX_UID_CHARACTERS or not uid.isprintable():
-            return f"a server's uid is 1 to {MAX_UID_CHARACTERS} printable characters"
-    else:
-        return "unknown key"
-    return ""
+def _fault(key: str, value: bytes) -> str:
+    """Returns what is wrong with a key and its value; empty if they are well-formed."""
+    if key == LEVEL_KEY:
+        return _level_fault(value)
+    for prefix, fault_of in _FAULTS_BY_PREFIX.items():
+        if key.startswith(prefix):
+            return fault_of(key.removeprefix(prefix), value)
+    return "unknown key"
+
+
+def _level_fault(value: bytes) -> str:
+    if value in [level.encode() for level in LEVELS]:
+        return ""
+    return f"a level is one of {', '.join(LEVELS)}"
+
+
+def _subject_fault(pattern: str, _: bytes) -> str:
+    if re.fullmatch(r"[!-~]{1,255}", pattern):
+        return ""
+    return "a pattern is 1 to 255 printable characters without blanks"
+
+
+def _fingerprint_fault(fingerprint: str, _: bytes) -> str:
+    if re.fullmatch(r"[0-9a-f]{64}", fingerprint):
+        return ""
+    return "a fingerprint is the SHA-256 of a certificate's DER form, 64 digits of 0 to 9 and a to f"
+
+
+def _shard_fault(name: str, value: bytes) -> str:
+    if not name:
+        return "a shard has a name"
+    try:
+        uid = value.decode()
+    except UnicodeDecodeError:
+        return "a server's uid is UTF-8"
+    if 1 <= len(uid) <= MAX_UID_CHARACTERS and uid.isprintable():
+        return ""
+    return f"a server's uid is 1 to {MAX_UID_CHARACTERS} printable characters"
+
+
+_FAULTS_BY_PREFIX: dict[str, Callable[[str, bytes], str]] = {
+    SUBJECT_PREFIX: _subject_fault,
+    FINGERPRINT_PREFIX: _fingerprint_fault,
+    SHARD_PREFIX: _shard_fault,
+}
+
+
+class _SetChange:
+    """Names to add to a set and to remove from it."""
+
+    __slots__ = ("added", "removed")
+
+    def __init__(self) -> None:
+        self.added: set[str] = set()
+        self.removed: set[str] = set()
+
+    def record(self, name: str, value: bytes | None) -> None:
+        """Records that the key with the name was set, or deleted if the value is None."""
+        (self.removed if value is None else self.added).add(name)
+
+    def apply(self, names: frozenset[str]) -> frozenset[str]:
+        """Returns the changed set; the same object if nothing changes in it."""
+        if not self.added and not self.removed:
+            return names
+        return names - self.removed | self.added
 
 
 class AppliedKeys(Struct, frozen=True):
-    """What the keys say that are not looked up one at a time."""
+    """The applied keys, except those that are read on demand."""
 
     subjects: frozenset[str] = frozenset()
     patterns: frozenset[str] = frozenset()
     fingerprints: frozenset[str] = frozenset()
-    level: str = ""  # empty: as the settings say
+    level: str = ""  # empty: that of the settings
 
     def with_changes(self, changes: Mapping[str, bytes | None]) -> AppliedKeys:
-        """The same with these changes, which are in form."""
-        kinds = {"subjects": self.subjects, "patterns": self.patterns, "fingerprints": self.fingerprints}
-        more: dict[str, set[str]] = {kind: set() for kind in kinds}
-        less: dict[str, set[str]] = {kind: set() for kind in kinds}
+        """Returns the keys after the changes, which must be well-formed."""
+        subjects, patterns, fingerprints = _SetChange(), _SetChange(), _SetChange()
         level = self.level
         for key, value in changes.items():
-            if key == LEVEL:
+            if key == LEVEL_KEY:
                 level = "" if value is None else value.decode()
-            elif key.startswith(SUBJECT):
-                name = key.removeprefix(SUBJECT)
-                kind = "patterns" if "*" in name or "?" in name else "subjects"
-                (less if value is None else more)[kind].add(name)
-            elif key.startswith(FINGERPRINT):
-                (less if value is None else more)["fingerprints"].add(key.removeprefix(FINGERPRINT))
-        # What nothing changes in is not copied.
-        subjects, patterns, fingerprints = (
-            names - less[kind] | more[kind] if less[kind] or more[kind] else names
-            for kind, names in kinds.items()
+            elif key.startswith(SUBJECT_PREFIX):
+                name = key.removeprefix(SUBJECT_PREFIX)
+                has_wildcard = "*" in name or "?" in name
+                (patterns if has_wildcard else subjects).record(name, value)
+            elif key.startswith(FINGERPRINT_PREFIX):
+                fingerprints.record(key.removeprefix(FINGERPRINT_PREFIX), value)
+        return AppliedKeys(
+            subjects.apply(self.subjects),
+            patterns.apply(self.patterns),
+            fingerprints.apply(self.fingerprints),
+            level,
         )
-        return AppliedKeys(subjects, patterns, fingerprints, level)
 
-    def too_many(self) -> str:
-        """What there is too much of; empty if nothing is."""
-        for what, found, most in (
+    def denies_same_as(self, other: AppliedKeys) -> bool:
+        """Returns True if both deny the same subjects and certificates."""
+        return (self.subjects, self.patterns, self.fingerprints) == (
+            other.subjects,
+            other.patterns,
+            other.fingerprints,
+        )
+
+    def exceeded_limit(self) -> str:
+        """Returns which limit is exceeded, in one line; empty if none is."""
+        for what, names, limit in (
             ("subjects", self.subjects, MAX_SUBJECTS),
             ("subjects with wildcards", self.patterns, MAX_PATTERNS),
             ("fingerprints", self.fingerprints, MAX_FINGERPRINTS),
         ):
-            if len(found) > most:
-                return f"{len(found)} {what} would be denied; a proxy takes {most} at most"
+            if len(names) > limit:
+                return f"{len(names)} {what} would be denied; a proxy takes {limit} at most"
         return ""
 
 
 class ConfigurationConsumer:
-    """A proxy's ``Consumer``: it puts what the keys say into force."""
+    """Applies distributed configuration to a proxy; its ``Consumer``."""
 
-    looked_up: tuple[str, ...] = (SHARD,)
+    looked_up: tuple[str, ...] = (SHARD_PREFIX,)
 
     def __init__(
         self, callers: Callers | None, set_level: Callable[[str], object] = logs.override_level
     ) -> None:
-        """``callers`` are there where the settings hold an identity."""
+        """``callers`` is None where the settings name no identity."""
         self._callers = callers
         self._set_level = set_level
         self.applied = AppliedKeys()
 
     def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
-        """Why these cannot come into force here; None if they can. Nothing changes by it."""
-        refusal = check_form(changes)
-        if refusal is not None:
-            return refusal
-        if self._callers is None:
-            for key, value in changes.items():
-                if value is not None and key.startswith((SUBJECT, FINGERPRINT)):
-                    return Rejection(key, "this proxy's settings hold no identity, so nobody can be denied")
-        if wrong := self.applied.with_changes(changes).too_many():
-            more = (key for key, value in changes.items() if value is not None and key.startswith("deny/"))
-            return Rejection(next(more, ""), wrong)
+        """Returns why the changes cannot be applied here; None if they can. Changes nothing."""
+        rejection = check_form(changes)
+        if rejection is not None:
+            return rejection
+        denials = list(_set_denials(changes))
+        if self._callers is None and denials:
+            reason = "this proxy's settings hold no identity, so nobody can be denied"
+            return Rejection(denials[0], reason)
+        if exceeded := self.applied.with_changes(changes).exceeded_limit():
+            return Rejection(denials[0] if denials else "", exceeded)
         return None
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
-        """All of them are in force from now on, at once. They have passed ``check``."""
+        """Applies all of the changes at once. They must have passed ``check``."""
         old, new = self.applied, self.applied.with_changes(changes)
         self.applied = new
-        if self._callers is not None and (new.subjects, new.patterns, new.fingerprints) != (
-            old.subjects,
-            old.patterns,
-            old.fingerprints,
-        ):
-            from ironmill.identity.rules import Denials  # here, for without identity there is no need of it
+        if self._callers is not None and not new.denies_same_as(old):
+            from ironmill.identity.rules import Denials  # not needed without identity
 
             self._callers.deny(Denials(new.subjects, tuple(sorted(new.patterns)), new.fingerprints))
         if new.level != old.level:
             self._set_level(new.level)
+
+
+def _set_denials(changes: Mapping[str, bytes | None]) -> Iterator[str]:
+    """Yields the keys that deny somebody and are set, not deleted."""
+    for key, value in changes.items():
+        if value is not None and key.startswith((SUBJECT_PREFIX, FINGERPRINT_PREFIX)):
+            yield key
--- a/ironmill/configuration/operator_files.py
+++ b/ironmill/configuration/operator_files.py
@@ -1,4 +1,4 @@
-"""What the operators' files say, read together: the settings and the key ring that they name."""
+"""Reads the operators' files together: the settings, and the key files that they name."""
 
 from __future__ import annotations
 
@@ -9,7 +9,6 @@
 
 from ironmill.configuration.settings.model import OperatorSettings, SettingsError
 from ironmill.identity.keyring import KeyRing, RingError, parse_ring
-from ironmill.identity.rules import Identity
 from ironmill.protocol.json_object import MalformedError
 
 if TYPE_CHECKING:
@@ -20,66 +19,71 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFiles:
-    """One reading of all files, which belongs together."""
+    """One reading of all files, which belong together. A field is set if the settings ask for it."""
 
     settings: OperatorSettings
-    ring: KeyRing | None = None  # there if the settings hold an identity
-    tls: ServerTls | None = None  # there if the settings hold a listener for TLS
-    upstream: ssl.SSLContext | None = None  # there if the settings ask for TLS to servers
-    member_keys: tuple[bytes, ...] = ()  # there if the settings hold a membership
-    distribution_keys: tuple[bytes, ...] = ()  # there if the settings hold a distribution
+    ring: KeyRing | None = None  # with an identity
+    tls: ServerTls | None = None  # with a listener for TLS
+    upstream: ssl.SSLContext | None = None  # with TLS to servers
+    member_keys: tuple[bytes, ...] = ()  # with membership
+    distribution_keys: tuple[bytes, ...] = ()  # with distribution
 
 
 def read_operator_files(path: str, classes: Collection[str]) -> OperatorFiles:
-    """The settings file and what it names; MalformedError, one line, if any of it is not fit for use."""
+    """Reads the settings and all files that they name. ``classes`` are those that callers may be limited to.
+
+    Raises ``MalformedError``, with one line, if one of them is not valid.
+    """
+    settings = _read_settings(path, classes)
+    identity, membership, distribution = settings.identity, settings.membership, settings.distribution
+    ring = None if identity is None else read_ring(identity.keys)
+    member_keys = () if membership is None else read_keys(membership.keys, "members'")
+    distribution_keys = () if distribution is None else read_keys(distribution.keys, "distribution's")
+    tls, upstream = _read_tls(settings)
+    return OperatorFiles(settings, ring, tls, upstream, member_keys, distribution_keys)
+
+
+def _read_settings(path: str, classes: Collection[str]) -> OperatorSettings:
     try:
-        from ironmill.configuration.settings.load import (
-            load_settings,  # here, for what is off is not imported
-        )
+        from ironmill.configuration.settings.load import load_settings  # what is off is not imported
     except ImportError as error:
         raise MalformedError(
             f"settings: {error.name} is not installed; the package group 'hosted' brings it"
         ) from None
     try:
-        settings = load_settings(path, classes)
+        return load_settings(path, classes)
     except SettingsError as error:
         raise MalformedError(str(error)) from None
-    identity: Identity | None = settings.identity
-    ring = None if identity is None else read_ring(identity.keys)
-    member_keys = () if settings.membership is None else read_keys(settings.membership.keys, "members'")
-    distribution = settings.distribution
-    distribution_keys = () if distribution is None else read_keys(distribution.keys, "distribution's")
+
+
+def _read_tls(settings: OperatorSettings) -> tuple[ServerTls | None, ssl.SSLContext | None]:
+    """The contexts for clients and for servers."""
     if settings.tls is None and settings.upstream is None:
-        return OperatorFiles(settings, ring, member_keys=member_keys, distribution_keys=distribution_keys)
-    from ironmill.configuration.tls_context import server_tls, upstream_tls
+        return None, None
+    from ironmill.configuration.tls_context import server_tls, upstream_tls  # what is off is not imported
 
-    return OperatorFiles(
-        settings,
-        ring,
-        None if settings.tls is None else server_tls(settings.tls),
-        None if settings.upstream is None else upstream_tls(settings.upstream),
-        member_keys,
-        distribution_keys,
-    )
+    tls = None if settings.tls is None else server_tls(settings.tls)
+    upstream = None if settings.upstream is None else upstream_tls(settings.upstream)
+    return tls, upstream
 
 
 def read_keys(path: str, whose: str) -> tuple[bytes, ...]:
-    """One or two keys, a line each in hexadecimal; MalformedError, one line, if they are not fit for use."""
+    """Reads one or two keys, one per line in hexadecimal. Raises ``MalformedError``, with one line."""
     from ironmill.membership.envelope import check_keys
     from ironmill.membership.limits import MAX_KEY_BYTES, MIN_KEY_BYTES
 
     digits = f"{2 * MIN_KEY_BYTES} to {2 * MAX_KEY_BYTES}"
-    right = f"one or two lines of {digits} hexadecimal digits, the signing one first"
+    expected = f"one or two lines of {digits} hexadecimal digits, the signing one first"
     try:
         return check_keys([bytes.fromhex(line) for line in Path(path).read_text("ascii").split()])
     except OSError as error:
         raise MalformedError(f"{path}: the {whose} keys cannot be read: {error.strerror}") from None
     except ValueError:
-        raise MalformedError(f"{path}: the {whose} keys are not {right}") from None
+        raise MalformedError(f"{path}: the {whose} keys are not {expected}") from None
 
 
 def read_ring(path: str) -> KeyRing:
-    """The key ring in the file; MalformedError, one line, if it is not fit for use."""
+    """Reads a key ring. Raises ``MalformedError``, with one line."""
     try:
         return parse_ring(Path(path).read_bytes())
     except OSError as error:
--- a/ironmill/configuration/proxy_config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -1,4 +1,4 @@
-"""What the proxy is told at its start: the environment and the configuration file, as typed values."""
+"""Configuration of a proxy: the JSON file and the environment, as typed values."""
 
 from __future__ import annotations
 
@@ -14,95 +14,110 @@
 
 Address = tuple[str, int]
 
-MIN_SOCKETS, MAX_SOCKETS = 64, 1 << 20
+MIN_SOCKETS, MAX_SOCKETS = 64, 1 << 20  # descriptors
+MAX_PORT = 65535
 
 
 class UnreadableNowError(MalformedError, TransientError):
-    """The file could not be read for a reason that passes by itself."""
+    """The file cannot be read for a transient reason."""
 
 
 class Config(Struct, frozen=True):
-    """One proxy's configuration. Times are in seconds."""
+    """Configuration of one proxy."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
-    known: Routing
+    sockets: int  # descriptors that the process may open
+    known: Routing  # the endpoint list as of the start
     settings: Settings
-    connect_timeout: float
-    drain_grace: float
-    packets_pass: bool  # connections go on through another proxy when this one ends
-    wait_limits: Mapping[str, float]  # by class: how long a client waits that does not say so
-    shortest_latency_objective_s: float  # of the aims for a message on an open connection
-    stated: Mapping[str, object]  # the file as it is, by key in full
-    control: Address | None = None  # where staff call; nothing listens without it
+    connect_timeout_s: float
+    drain_grace_s: float
+    packets_pass_through: bool  # established connections go on through another proxy after the exit
+    default_deadlines_s: Mapping[str, float]  # by class, for requests that state none
+    shortest_latency_objective_s: float  # of messages on established connections
+    raw_values: Mapping[str, object]  # of the file, by full key
+    admin_address: Address | None = None  # None: there is no admin API
 
 
-def address(text: str, key: str) -> Address:
-    """HOST:PORT as a pair."""
+def parse_address(text: str, key: str) -> Address:
+    """Parses HOST:PORT. Raises ``MalformedError``, which names the key."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= 65535:
+    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise MalformedError(f"configuration: {key} is not HOST:PORT: {text!r}")
     return host, int(port)
 
 
-def flat(value: object, path: str = "") -> dict[str, object]:
-    """The values of nested objects by their keys in full."""
+def flatten(value: object, path: str = "") -> dict[str, object]:
+    """Returns the values of nested objects by their full keys, joined with dots."""
     if not isinstance(value, dict):
         return {path: value}
-    found: dict[str, object] = {}
+    flat: dict[str, object] = {}
     for key, item in value.items():
-        found |= flat(item, f"{path}.{key}" if path else key)
-    return found
+        flat |= flatten(item, f"{path}.{key}" if path else key)
+    return flat
 
 
-def load(env: Mapping[str, str], path: str | None = None) -> Config:
-    """The configuration from the file and the environment; the variables win over the file.
+def load(environment: Mapping[str, str], path: str | None = None) -> Config:
+    """Loads the configuration from the file and the environment, whose variables take precedence.
 
-    MalformedError if it is not fit for use, UnreadableNowError if it cannot be read just now.
+    ``path`` takes precedence over ``PROXY_CONFIG``. Raises ``MalformedError`` if the configuration is not
+    valid, ``UnreadableNowError`` if the file cannot be read for a transient reason.
     """
-    path = path or env.get("PROXY_CONFIG")
+    path = path or environment.get("PROXY_CONFIG")
     if not path:
         raise MalformedError("configuration: PROXY_CONFIG is not set, and no --config is given")
-    try:
-        with open(path, "rb") as file:
-            value = from_json(file.read(), f"configuration: PROXY_CONFIG: {path} is")
-    except OSError as error:
-        kind = UnreadableNowError if error.errno in TRANSIENT_START_ERRNOS else MalformedError
-        raise kind(f"configuration: PROXY_CONFIG: {path}: {error.strerror}") from None
+    value = _read_json(path)
     root = Tree(value, "", "configuration")
-    seed_text = root.text("seed", "0")
-    try:
-        seed = int(seed_text, 16)
-    except ValueError:
-        raise MalformedError(f"configuration: seed is not a hexadecimal number: {seed_text!r}") from None
+    seed = _parse_seed(root.text("seed", "0"))
     settings_tree = root.tree("settings")
-    # On these sockets a standing connection brings its lines back at once however long the messages of
-    # its server take, so the decisions must not count on being told of a jam.
+    # Lines on established connections return at once whatever the latency of their server's messages, so the
+    # balancer must not rely on them as reports of overload.
     settings = structs.replace(settings_from(settings_tree), reports_delay=False)
-    sockets = root.tree("limits", {}).number("sockets", 1024)
-    if not MIN_SOCKETS <= sockets <= MAX_SOCKETS:
-        raise MalformedError(f"configuration: limits.sockets is not from {MIN_SOCKETS} to {MAX_SOCKETS}")
-    control = env.get("PROXY_CONTROL") or root.text("control", "")
+    objectives = (category.message_latency_objective for category in settings.classes)
+    sockets = _parse_sockets(root)
+    admin_address = environment.get("PROXY_CONTROL") or root.text("control", "")
     return Config(
-        name=env.get("PROXY_NAME") or root.text("name"),
-        listen=address(env.get("PROXY_LISTEN") or root.text("listen"), "listen"),
-        discovery=address(env.get("PROXY_DISCOVERY") or root.text("discovery"), "discovery"),
+        name=environment.get("PROXY_NAME") or root.text("name"),
+        listen=parse_address(environment.get("PROXY_LISTEN") or root.text("listen"), "listen"),
+        discovery=parse_address(environment.get("PROXY_DISCOVERY") or root.text("discovery"), "discovery"),
         seed=seed,
-        sockets=int(sockets),
+        sockets=sockets,
         known=parse_routing(root.tree("known", {"rev": 0, "all": True, "targets": []})),
         settings=settings,
-        connect_timeout=settings_tree.tree("ceilings").number("connectTimeoutS", 1.0),
-        drain_grace=settings_tree.tree("rules").number("drainGraceS", 0.25),
-        packets_pass=settings_tree.tree("familyInfo", {}).text("mode", "proxy") == "pass",
-        wait_limits={
-            item.text("name"): item.number("hardLimitS", 10.0) for item in settings_tree.trees("categories")
+        connect_timeout_s=settings_tree.tree("ceilings").number("connectTimeoutS", 1.0),
+        drain_grace_s=settings_tree.tree("rules").number("drainGraceS", 0.25),
+        packets_pass_through=settings_tree.tree("familyInfo", {}).text("mode", "proxy") == "pass",
+        default_deadlines_s={
+            category.text("name"): category.number("hardLimitS", 10.0)
+            for category in settings_tree.trees("categories")
         },
-        shortest_latency_objective_s=min(
-            (cls.message_latency_objective for cls in settings.classes), default=0.1
-        ),
-        stated=flat(value),
-        control=address(control, "control") if control else None,
+        shortest_latency_objective_s=min(objectives, default=0.1),
+        raw_values=flatten(value),
+        admin_address=parse_address(admin_address, "control") if admin_address else None,
     )
+
+
+def _read_json(path: str) -> object:
+    try:
+        with open(path, "rb") as file:
+            return from_json(file.read(), f"configuration: PROXY_CONFIG: {path} is")
+    except OSError as error:
+        is_transient = error.errno in TRANSIENT_START_ERRNOS
+        kind = UnreadableNowError if is_transient else MalformedError
+        raise kind(f"configuration: PROXY_CONFIG: {path}: {error.strerror}") from None
+
+
+def _parse_seed(text: str) -> int:
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise MalformedError(f"configuration: seed is not a hexadecimal number: {text!r}") from None
+
+
+def _parse_sockets(root: Tree) -> int:
+    sockets = root.tree("limits", {}).number("sockets", 1024)
+    if not MIN_SOCKETS <= sockets <= MAX_SOCKETS:
+        raise MalformedError(f"configuration: limits.sockets is not from {MIN_SOCKETS} to {MAX_SOCKETS}")
+    return int(sockets)
--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -428,7 +428,7 @@
         driver.run(
             self,
             attempt.server.address,
-            self._config.connect_timeout,
+            self._config.connect_timeout_s,
             attempt.timeout,
             lambda: self._gateway.may_start(attempt) and self._still_there(),
         )
@@ -463,7 +463,9 @@
             if server is not None:
                 self._driver = AttemptDriver(self._dial, first.raw)
                 left = deadline - time.monotonic()
-                self._driver.run(self, server.address, self._config.connect_timeout, left, self._still_there)
+                self._driver.run(
+                    self, server.address, self._config.connect_timeout_s, left, self._still_there
+                )
                 if self._driver.side.stood:
                     return True
             self._scheduler.sleep(CARRY_PAUSE)
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -87,7 +87,7 @@
     def _build_gateway(self) -> Gateway:
         gateway = Gateway(self._config, self.scheduler, self.lifecycle)
         gateway.prober = ProbeDriver(
-            self.scheduler, self._config.connect_timeout, gateway.probed, self._connect
+            self.scheduler, self._config.connect_timeout_s, gateway.probed, self._connect
         )
         return gateway
 
@@ -127,7 +127,7 @@
         return reload
 
     def _build_admin_server(self) -> AdminServer | None:
-        if self._config.control is None:
+        if self._config.admin_address is None:
             return None
         from ironmill.administration.proxy_api import ProxyApi
         from ironmill.net.admin_server import AdminServer
@@ -135,7 +135,7 @@
         api = ProxyApi(self.gateway)
         if self._features is not None:
             self._features.add_routes(api)
-        return AdminServer(self.scheduler, self._config.control, api)
+        return AdminServer(self.scheduler, self._config.admin_address, api)
 
     def _build_listeners(self) -> list[Listener]:
         tls_listener = None if self._features is None else self._features.tls_listener
@@ -145,7 +145,7 @@
 
     def serve(self) -> None:
         """Runs until SIGTERM or SIGINT has been handled."""
-        Drain(self.scheduler, self.gateway, keeps_established=self._config.packets_pass)
+        Drain(self.scheduler, self.gateway, keeps_established=self._config.packets_pass_through)
         if self.admin_server is not None:
             self.admin_server.start()
             log.info("admin API at %s:%d", *self.admin_server.address)
--- a/ironmill/net/reload.py
+++ b/ironmill/net/reload.py
@@ -59,7 +59,7 @@
         except MalformedError as error:
             log.error("reload: %s; the old configuration stays in use", error)
             return
-        self._log_ignored(self._config.stated, new.stated)
+        self._log_ignored(self._config.raw_values, new.raw_values)
         log.info("reload: discovery is at %s:%d", *new.discovery)
         self._watch_at(new.discovery)
         if files is not None:
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -93,7 +93,7 @@
         self._gateway.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
         pending, established = self._gateway.pending(), len(self._gateway.standing())
         log.info("shutting down: %d pending, %d established", pending, established)
-        longest_deadline_s = max(self._config.wait_limits.values(), default=MAX_DEADLINE_S)
+        longest_deadline_s = max(self._config.default_deadlines_s.values(), default=MAX_DEADLINE_S)
         self._empty_gracefully(ShutdownSchedule.for_deadline(longest_deadline_s))
         self._finalize()
         metrics, counts = self._gateway.figures, self._gateway.counts
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -143,7 +143,7 @@
     def __init__(self, config: Config, timers: Timers, lifecycle: Lifecycle | None = None) -> None:
         self._config = config
         self.lifecycle = lifecycle or Lifecycle(ProcessState.SERVING)
-        self.figures = Figures(config.wait_limits)
+        self.figures = Figures(config.default_deadlines_s)
         self._timers = timers
         # One clock for all: Unix time as it was at the start, from then on as steady as the monotonic.
         self._offset = time.time() - time.monotonic()
@@ -213,7 +213,7 @@
 
     def knows(self, class_name: str) -> bool:
         """True if the settings name the class."""
-        return class_name in self._config.wait_limits
+        return class_name in self._config.default_deadlines_s
 
     def take_request(
         self,
@@ -229,7 +229,7 @@
         ``count`` is where it is counted, if its driver has counted it already.
         """
         if wait is None:
-            wait = self._config.wait_limits.get(class_name, 10.0)
+            wait = self._config.default_deadlines_s.get(class_name, 10.0)
         count = count or self.figures.take(class_name)
         request = self._admit(holder, came_at + wait - ANSWER_LEAD, count)
         request.deadline = self._timers.call_later(
@@ -259,7 +259,7 @@
         if self.now() >= attempt.start_by:
             return False
         since = attempt.server.leaving_since
-        return since is None or self.now() - since < self._config.drain_grace - DRAIN_LEAD
+        return since is None or self.now() - since < self._config.drain_grace_s - DRAIN_LEAD
 
     def up(self, attempt: Attempt) -> bool:
         """The server took the connection; False if nobody waits for it any more."""
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -671,8 +671,10 @@
     Town(3).run(story)
 
 
-@pytest.mark.parametrize("packets_pass", [True, False])
-def test_a_planned_end_answers_what_is_owed(monkeypatch: pytest.MonkeyPatch, packets_pass: bool) -> None:
+@pytest.mark.parametrize("packets_pass_through", [True, False])
+def test_a_planned_end_answers_what_is_owed(
+    monkeypatch: pytest.MonkeyPatch, packets_pass_through: bool
+) -> None:
     monkeypatch.setattr(shutdown_module, "ACCEPT_PERIOD_S", 0.05)
     monkeypatch.setattr(shutdown_module, "MAX_DEADLINE_S", 0.9)
     monkeypatch.setattr(shutdown_module, "MIGRATION_DELAY_S", 0.6)
@@ -704,7 +706,7 @@
         out["standing"] = standing.receive(5.0)
 
     try:
-        town = Town(packets_pass=packets_pass)
+        town = Town(packets_pass_through=packets_pass_through)
         town.run(story)
     finally:
         signals.close()
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -144,7 +144,7 @@
         assert town.gateway.counts["attempts"] == 1
         assert "overdue" not in town.gateway.counts
 
-    Town(wait_limits=LIMITS).run(story)
+    Town(default_deadlines_s=LIMITS).run(story)
 
 
 def test_a_waiting_request_is_answered_at_the_end() -> None:
@@ -154,7 +154,7 @@
         town.gateway.settle_all()
         assert read_line(client).startswith(b"BUSY ")
 
-    Town(0, wait_limits=LIMITS).run(story)
+    Town(0, default_deadlines_s=LIMITS).run(story)
 
 
 def end_of(town: Town, monkeypatch: pytest.MonkeyPatch) -> Shutdown:
@@ -297,7 +297,7 @@
         assert read_line(client).split()[0] == answer
         assert town.gateway.counts == {"attempts": 2, "attempt RESET": 1, "attempt NOT_SENT": 1}
 
-    Town(2, settings=settings, wait_limits=LIMITS).run(story)
+    Town(2, settings=settings, default_deadlines_s=LIMITS).run(story)
 
 
 def test_without_leave_to_name_a_time_a_refusal_names_none() -> None:
--- a/tests/unit/configuration/test_proxy_config.py
+++ b/tests/unit/configuration/test_proxy_config.py
@@ -45,7 +45,11 @@
     config = load({"PROXY_CONFIG": written(tmp_path), "PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.5:77"})
     assert (config.name, config.listen, config.discovery) == ("n9", ("127.0.0.5", 77), ("127.0.0.1", 8500))
     assert (config.seed, config.sockets, config.known.revision) == (0x8C1F30D27A5BE964, 4096, 41)
-    assert (config.shortest_latency_objective_s, config.drain_grace, config.packets_pass) == (0.1, 1.0, False)
+    assert (config.shortest_latency_objective_s, config.drain_grace_s, config.packets_pass_through) == (
+        0.1,
+        1.0,
+        False,
+    )
 
 
 @pytest.mark.parametrize(
@@ -90,10 +94,10 @@
 
 
 def test_the_second_address_is_told_by_file_or_variable(tmp_path: Path) -> None:
-    assert load({"PROXY_CONFIG": written(tmp_path)}).control is None
+    assert load({"PROXY_CONFIG": written(tmp_path)}).admin_address is None
     told = written(tmp_path, ("control", "127.0.0.1:9000"))
-    assert load({"PROXY_CONFIG": told}).control == ("127.0.0.1", 9000)
-    assert load({"PROXY_CONFIG": told, "PROXY_CONTROL": "127.0.0.2:1"}).control == ("127.0.0.2", 1)
+    assert load({"PROXY_CONFIG": told}).admin_address == ("127.0.0.1", 9000)
+    assert load({"PROXY_CONFIG": told, "PROXY_CONTROL": "127.0.0.2:1"}).admin_address == ("127.0.0.2", 1)
 
 
 @pytest.mark.parametrize("text", ["[" * 100_000, '{"name": 1e999}', '{"name": "\\ud800"}', "{", ""])
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -55,12 +55,12 @@
         "sockets": 1024,
         "known": known,
         "settings": SETTINGS,
-        "connect_timeout": 0.2,
-        "drain_grace": 0.25,
-        "packets_pass": True,
-        "wait_limits": {"read": 2.0},
+        "connect_timeout_s": 0.2,
+        "drain_grace_s": 0.25,
+        "packets_pass_through": True,
+        "default_deadlines_s": {"read": 2.0},
         "shortest_latency_objective_s": 0.15,
-        "stated": {},
+        "raw_values": {},
     }
     return Config(**(fields | changes))
 
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -361,10 +361,14 @@
         ("127.0.0.4", 3000),
         ("127.0.1.1", 8500),
     )
-    assert (config.seed, config.sockets, config.control) == (0x8C1F30D27A5BE964, 4096, ("127.0.0.4", 3100))
+    assert (config.seed, config.sockets, config.admin_address) == (
+        0x8C1F30D27A5BE964,
+        4096,
+        ("127.0.0.4", 3100),
+    )
     assert config.known.listed[0].uid == "s-5be2a07c"
-    assert config.wait_limits == {"chat": 4.0, "sync": 10.0}
-    assert (config.connect_timeout, config.drain_grace, config.packets_pass) == (0.75, 0.25, True)
+    assert config.default_deadlines_s == {"chat": 4.0, "sync": 10.0}
+    assert (config.connect_timeout_s, config.drain_grace_s, config.packets_pass_through) == (0.75, 0.25, True)
 
 
 # The admin API
