--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -53,6 +53,7 @@
     """Routes that every proxy answers."""
 
     def __init__(self, source: MetricsSource) -> None:
+        """Adds the routes; ``source`` must outlive them."""
         super().__init__()
         self._source = source
         self._lifecycle = source.lifecycle
--- a/ironmill/administration/routes.py
+++ b/ironmill/administration/routes.py
@@ -19,6 +19,7 @@
     """Dispatches calls to handlers by path and method."""
 
     def __init__(self) -> None:
+        """Creates an empty table."""
         self.handlers: dict[str, Mapping[str, Handler]] = {}
         self.detailed: set[str] = set()  # paths whose handlers get query and body; others' are discarded
 
--- a/ironmill/commands/config.py
+++ b/ironmill/commands/config.py
@@ -46,6 +46,7 @@
     """A call without a response. If it was ``sent`` it may have had its effect."""
 
     def __init__(self, text: str, *, sent: bool) -> None:
+        """``sent``: the connection was established, so the call may have been received."""
         super().__init__(text)
         self.sent = sent
 
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -33,6 +33,7 @@
     """The origin as the admin API uses it: the datagrams that a push causes are sent at once."""
 
     def __init__(self, origin: Origin, distribution: Distribution) -> None:
+        """``distribution`` is the driver of the origin."""
         self._origin = origin
         self._distribution = distribution
 
--- a/ironmill/net/key_ring_watcher.py
+++ b/ironmill/net/key_ring_watcher.py
@@ -30,6 +30,7 @@
     """Reads the key ring again whenever its file has changed. A ring that is not valid changes nothing."""
 
     def __init__(self, timers: Timers, path: str, on_change: Callable[[KeyRing], None]) -> None:
+        """Records the present version of the file, which is taken as read."""
         self._timers = timers
         self._on_change = on_change
         self.path = path
--- a/ironmill/net/migration.py
+++ b/ironmill/net/migration.py
@@ -22,6 +22,7 @@
     """Migrates every established connection once, also those established while it runs."""
 
     def __init__(self, scheduler: Scheduler, gateway: Gateway) -> None:
+        """Migrates nothing yet."""
         self._scheduler = scheduler
         self._gateway = gateway
         self._migrated: set[str] = set()
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -19,7 +19,7 @@
 from ironmill.net.listener import Listener
 from ironmill.net.probe import ProbeDriver
 from ironmill.net.reload import Reload, no_operator_files
-from ironmill.net.shutdown import Shutdown
+from ironmill.net.shutdown import Shutdown, ShutdownContext
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import Stream
 from ironmill.requests.admission import Admission
@@ -159,9 +159,10 @@
         self.scheduler.run()
 
     def _handle_signals(self) -> None:
-        shutdown = Shutdown(
+        context = ShutdownContext(
             self.scheduler, self.gateway, self, self._config, self.admission, self.admin_server
         )
+        shutdown = Shutdown(context)
         self._signals.on(signal.SIGHUP, self.reload.run)
         self._signals.on(signal.SIGTERM, shutdown.run)
         self._signals.on(signal.SIGINT, shutdown.run)
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -67,24 +67,28 @@
         """Stops accepting. Queued connections are accepted first, retried for ``within`` seconds. Parks."""
 
 
+class ShutdownContext(Struct, frozen=True):
+    """The parts of a proxy that take part in its shutdown."""
+
+    scheduler: Scheduler
+    gateway: Gateway
+    acceptor: ConnectionAcceptor
+    config: Config
+    admission: Admission
+    admin_server: AdminServer | None = None
+
+
 class Shutdown:
     """Ends the run of the scheduler gracefully when a signal asks for it."""
 
-    def __init__(
-        self,
-        scheduler: Scheduler,
-        gateway: Gateway,
-        acceptor: ConnectionAcceptor,
-        config: Config,
-        admission: Admission,
-        admin_server: AdminServer | None = None,
-    ) -> None:
-        self._scheduler = scheduler
-        self._gateway = gateway
-        self._acceptor = acceptor
-        self._config = config
-        self._admission = admission
-        self._admin_server = admin_server
+    def __init__(self, context: ShutdownContext) -> None:
+        """Does nothing until ``run``."""
+        self._scheduler = context.scheduler
+        self._gateway = context.gateway
+        self._acceptor = context.acceptor
+        self._config = context.config
+        self._admission = context.admission
+        self._admin_server = context.admin_server
 
     def run(self) -> None:
         """Shuts down and stops the scheduler. A second signal changes nothing. Parks."""
--- a/ironmill/net/signals.py
+++ b/ironmill/net/signals.py
@@ -21,6 +21,7 @@
     """Handles SIGHUP, SIGTERM and SIGINT. Signals that arrive before ``start`` are dispatched by it."""
 
     def __init__(self) -> None:
+        """Installs the handlers."""
         # A handler alone cannot interrupt the poll: Python resumes it afterwards.
         self._receiver, self._sender = retry_at_start(socket.socketpair)
         self._receiver.setblocking(False)
--- a/ironmill/runtime/lifecycle.py
+++ b/ironmill/runtime/lifecycle.py
@@ -102,6 +102,7 @@
     """Holds the state of one process and notifies listeners of its changes."""
 
     def __init__(self, state: ProcessState = ProcessState.STARTING) -> None:
+        """Begins in the given state."""
         self.state = state
         self._listeners: list[Listener] = []
 
--- a/ironmill/runtime/logs.py
+++ b/ironmill/runtime/logs.py
@@ -42,6 +42,7 @@
     """A logger of the standard library whose events take fields."""
 
     def __init__(self, name: str) -> None:
+        """``name`` is the logger's, with dots."""
         self._log = logging.getLogger(name)
 
     def info(self, event: str, **fields: object) -> None:
@@ -90,7 +91,7 @@
 def _structured_formatter(name: str, settings: LogSettings) -> logging.Formatter:
     import structlog  # what is off is not imported
 
-    def add_fields(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    def add_fields(_: object, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         event.update(getattr(event["_record"], _FIELDS_ATTRIBUTE, {}))
         event["proxy"] = name
         return event
--- a/ironmill/runtime/rate_limited_log.py
+++ b/ironmill/runtime/rate_limited_log.py
@@ -11,6 +11,7 @@
     """Allows one line per ``LINE_INTERVAL_S``, which bounds the processor time and the size of the log."""
 
     def __init__(self) -> None:
+        """Allows the first line at once."""
         self._logged_at = -LINE_INTERVAL_S
         self._suppressed = 0
 
--- a/ironmill/runtime/scheduler.py
+++ b/ironmill/runtime/scheduler.py
@@ -37,7 +37,7 @@
 class Timers(Protocol):
     """The timers of the scheduler, for code that never parks."""
 
-    def call_later(self, delay: float, action: Callable[..., object], *args: Any) -> Timer:
+    def call_later(self, delay: float, action: Callable[..., object], *args: object) -> Timer:
         """Schedules the action after the delay, in seconds."""
 
     def cancel(self, timer: Timer | None) -> None:
@@ -85,6 +85,7 @@
     __slots__ = ("_args", "_function", "greenlet", "killed", "parked", "watch")
 
     def __init__(self, function: Callable[..., object], args: tuple[Any, ...]) -> None:
+        """Is not scheduled yet."""
         self._function: Callable[..., object] | None = function
         self._args = args
         self.greenlet: greenlet | None = None  # from its start to its end
@@ -120,6 +121,7 @@
     """Runs tasks and timers in one thread, until stopped."""
 
     def __init__(self, poller: str = "epoll") -> None:
+        """``poller`` is a key of ``POLLERS``. The calling greenlet becomes the hub."""
         self._hub = getcurrent()
         self._poll = POLLERS[poller]()
         self._timers = TimerQueue()
@@ -135,13 +137,13 @@
 
     # Tasks
 
-    def spawn(self, function: Callable[..., object], *args: Any) -> Task:
+    def spawn(self, function: Callable[..., object], *args: object) -> Task:
         """Starts a task that runs the function, in the next round of the hub."""
         task = Task(function, args)
         self._wake(task, None)
         return task
 
-    def spawn_when(self, fd: int, event: int, function: Callable[..., object], *args: Any) -> Task:
+    def spawn_when(self, fd: int, event: int, function: Callable[..., object], *args: object) -> Task:
         """Starts a task that runs the function once the descriptor is ready or broken.
 
         Until then the task has no stack, which is most of the memory of a parked task.
--- a/ironmill/runtime/system_calls.py
+++ b/ironmill/runtime/system_calls.py
@@ -10,7 +10,7 @@
 import logging
 import time
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from ironmill.errors import IronmillError
 
@@ -37,7 +37,7 @@
     """A connect failed for a reason of this machine: nothing was sent, and the server is not at fault."""
 
 
-def retry_at_start(function: Callable[..., Result], *args: Any) -> Result:
+def retry_at_start(function: Callable[..., Result], *args: object) -> Result:
     """Calls the function, again for up to ``START_RETRY_TIMEOUT_S`` while it fails for a transient reason.
 
     Raises its last error. Blocks the process: must not be called while it serves.
--- a/ironmill/runtime/timers.py
+++ b/ironmill/runtime/timers.py
@@ -29,6 +29,7 @@
     __slots__ = ("action", "args")
 
     def __init__(self, action: Callable[..., object] | None, args: tuple[Any, ...]) -> None:
+        """Holds an action and its arguments."""
         self.action = action  # None once it was run or cancelled
         self.args = args
 
@@ -37,6 +38,7 @@
     """Timers on one clock, in seconds, run by the caller. An exception of an action is logged."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
+        """Creates an empty queue on the clock."""
         self._clock = clock
         self._queue = sched.scheduler(clock, _no_delay)
         self._entries = 0
@@ -46,7 +48,7 @@
         """The number of pending timers."""
         return self._entries - self._cancelled
 
-    def call_later(self, delay: float, action: Callable[..., object], *args: Any) -> Timer:
+    def call_later(self, delay: float, action: Callable[..., object], *args: object) -> Timer:
         """Schedules the action after the delay, in seconds."""
         timer = Timer(action, args)
         self._queue.enterabs(self._clock() + delay, 0, self._fire, (timer,))
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -21,7 +21,7 @@
 from ironmill.net.discovery import Discovery
 from ironmill.net.listener import Listener
 from ironmill.net.server import Dial
-from ironmill.net.shutdown import Shutdown, ShutdownSchedule
+from ironmill.net.shutdown import Shutdown, ShutdownContext, ShutdownSchedule
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
 from ironmill.protocol.discovery import Listed, Routing
@@ -686,7 +686,9 @@
         standing, held_by = town.pair()
         signals.on(
             signal.SIGTERM,
-            Shutdown(town.scheduler, town.gateway, town.listener, town.config, town.admission).run,
+            Shutdown(
+                ShutdownContext(town.scheduler, town.gateway, town.listener, town.config, town.admission)
+            ).run,
         )
         signals.on(signal.SIGHUP, lambda: hung_up.append(True))
         signals.start(town.scheduler)
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -36,7 +36,7 @@
 from ironmill.net.migration import Migration
 from ironmill.net.probe import KEPT_MOST, ProbeDriver
 from ironmill.net.server import AttemptDriver
-from ironmill.net.shutdown import Shutdown
+from ironmill.net.shutdown import Shutdown, ShutdownContext
 from ironmill.net.sockets import CHUNK, Stream, TimedOutError
 from ironmill.protocol.discovery import Routing
 from ironmill.requests import discovery_backoff
@@ -160,7 +160,7 @@
 def end_of(town: Town, monkeypatch: pytest.MonkeyPatch) -> Shutdown:
     for name, value in {"ACCEPT_PERIOD_S": 0.02, "MAX_DEADLINE_S": 0.05, "KILL_GRACE_S": 0.6}.items():
         monkeypatch.setattr(shutdown_module, name, value)
-    return Shutdown(town.scheduler, town.gateway, town.listener, town.config, town.admission)
+    return Shutdown(ShutdownContext(town.scheduler, town.gateway, town.listener, town.config, town.admission))
 
 
 def test_resting_connections_are_told_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
