--- a/ironmill/balancing/balancer.py
+++ b/ironmill/balancing/balancer.py
@@ -46,6 +46,7 @@
     """The decisions of one proxy. Equal settings, seed and events give equal actions."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
+        """Creates the decisions of a proxy that starts at ``now``."""
         state = self._state = BalancerState(settings, seed, now)
         self._slow_start = SlowStartBudget(settings, state.rng, now)
         self._breaker = CircuitBreaker(state)
--- a/ironmill/balancing/circuit_breaker.py
+++ b/ironmill/balancing/circuit_breaker.py
@@ -22,6 +22,7 @@
     """
 
     def __init__(self, state: BalancerState) -> None:
+        """Uses the time, the servers and the random generator of the state."""
         self._state = state
 
     def record_failure(self, server: ServerState) -> None:
--- a/ironmill/balancing/connection_groups.py
+++ b/ironmill/balancing/connection_groups.py
@@ -20,6 +20,7 @@
     """Counts the own established connections of each group, by server."""
 
     def __init__(self) -> None:
+        """Creates an empty count."""
         self.by_group: dict[int, dict[int, int]] = {}
 
     def counts(self, group: int) -> dict[int, int]:
--- a/ironmill/balancing/draining.py
+++ b/ironmill/balancing/draining.py
@@ -24,6 +24,7 @@
         shedder: LoadShedder,
         migration: Migration,
     ) -> None:
+        """Takes the modules that a drain depends on."""
         self._state = state
         self._slow_start = slow_start
         self._shedder = shedder
--- a/ironmill/balancing/endpoint_list.py
+++ b/ironmill/balancing/endpoint_list.py
@@ -25,6 +25,7 @@
         placement: Placement,
         draining: Draining,
     ) -> None:
+        """Takes the modules that depend on the list."""
         self._state = state
         self._counts = counts
         self._placement = placement
--- a/ironmill/balancing/health_checks.py
+++ b/ironmill/balancing/health_checks.py
@@ -32,6 +32,7 @@
         overload: OverloadTracker,
         migration: Migration,
     ) -> None:
+        """Takes the modules that use a server's report."""
         self._state = state
         self._counts = counts
         self._breaker = breaker
--- a/ironmill/balancing/load_shedding.py
+++ b/ironmill/balancing/load_shedding.py
@@ -44,6 +44,7 @@
     """
 
     def __init__(self, rng: random.Random, now: float) -> None:
+        """Admits all requests until the first update."""
         self._rng = rng
         self._admitted_fraction = 1.0
         self._stepped_at = now
@@ -79,6 +80,7 @@
     def __init__(
         self, state: BalancerState, shedder: LoadShedder, overload: OverloadTracker, quotas: TenantQuotas
     ) -> None:
+        """Takes the modules that an admission depends on."""
         self._state = state
         self._shedder = shedder
         self._overload = overload
--- a/ironmill/balancing/migration.py
+++ b/ironmill/balancing/migration.py
@@ -24,6 +24,7 @@
     """
 
     def __init__(self, state: BalancerState, shedder: LoadShedder, overload: OverloadTracker) -> None:
+        """Takes the modules that a migration depends on."""
         self._state = state
         self._shedder = shedder
         self._overload = overload
--- a/ironmill/balancing/overload.py
+++ b/ironmill/balancing/overload.py
@@ -17,6 +17,7 @@
     """Remembers for a short time which servers were too slow."""
 
     def __init__(self, state: BalancerState, counts: ServerCounts) -> None:
+        """Creates a tracker that knows of no overload."""
         self.server_ids: dict[int, None] = {}
         self._state = state
         self._counts = counts
--- a/ironmill/balancing/own_connections.py
+++ b/ironmill/balancing/own_connections.py
@@ -28,6 +28,7 @@
         breaker: CircuitBreaker,
         quotas: TenantQuotas,
     ) -> None:
+        """Takes the modules that a connection changes."""
         self.groups = GroupConnections()
         self._state = state
         self._counts = counts
--- a/ironmill/balancing/placement.py
+++ b/ironmill/balancing/placement.py
@@ -50,6 +50,7 @@
         slow_start: SlowStartBudget,
         groups: GroupConnections,
     ) -> None:
+        """Takes the modules that a placement depends on."""
         self.threshold: int | None = None  # set at the first placement
         self._state = state
         self._counts = counts
--- a/ironmill/balancing/request_lifetime.py
+++ b/ironmill/balancing/request_lifetime.py
@@ -46,6 +46,7 @@
         connections: OwnConnections,
         overload: OverloadTracker,
     ) -> None:
+        """Takes the modules that a request passes."""
         self._state = state
         self._admission = admission
         self._placement = placement
--- a/ironmill/balancing/server_counts.py
+++ b/ironmill/balancing/server_counts.py
@@ -29,6 +29,7 @@
     """
 
     def __init__(self, state: BalancerState, slow_start: SlowStartBudget, breaker: CircuitBreaker) -> None:
+        """Creates an empty token table."""
         self.table = TokenTable()
         self.max_weight = 1.0  # of the listed servers
         self.time_dependent: dict[int, None] = {}  # servers whose count changes with time
--- a/ironmill/balancing/server_state.py
+++ b/ironmill/balancing/server_state.py
@@ -38,6 +38,7 @@
     )
 
     def __init__(self, server_id: int) -> None:
+        """Creates a server that is not ready."""
         self.server_id = server_id
         self.zone = ""
         self.cell = 0
--- a/ironmill/balancing/slow_start.py
+++ b/ironmill/balancing/slow_start.py
@@ -36,6 +36,7 @@
     """
 
     def __init__(self, settings: Settings, rng: random.Random, now: float) -> None:
+        """Creates the budget of a proxy that starts at ``now``."""
         self._settings = settings
         self._rng = rng
         self._grants_from = now
--- a/ironmill/balancing/state.py
+++ b/ironmill/balancing/state.py
@@ -19,6 +19,7 @@
     __slots__ = ("actions", "fleet_scale", "now", "requests", "rng", "servers", "settings")
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
+        """Creates the state of a proxy that starts at ``now``."""
         self.settings = settings
         self.rng = random.Random(seed)
         self.now = now
--- a/ironmill/balancing/subscription.py
+++ b/ironmill/balancing/subscription.py
@@ -19,6 +19,7 @@
     """
 
     def __init__(self, state: BalancerState) -> None:
+        """Sets no timer; see ``start``."""
         self._state = state
         self._enabled = state.settings.subscribes_to_discovery
         self._failures = 0
--- a/ironmill/balancing/tenant_quotas.py
+++ b/ironmill/balancing/tenant_quotas.py
@@ -11,6 +11,7 @@
     """Counts connections and attempts in flight by tenant."""
 
     def __init__(self, settings: Settings) -> None:
+        """Computes this proxy's part of each quota."""
         self._quotas = {
             tenant.name: tenant.quota_connections / max(1, settings.proxies)
             for tenant in settings.tenants
--- a/ironmill/balancing/token_table.py
+++ b/ironmill/balancing/token_table.py
@@ -17,15 +17,18 @@
     """
 
     def __init__(self) -> None:
+        """Creates an empty table."""
         self._order: list[int] = []
         self._index: dict[int, int] = {}
         self._count: dict[int, int] = {}
         self._below: list[int] = [0, 0]  # _below[c]: number of servers with a count under c
 
     def __len__(self) -> int:
+        """Returns the number of servers in the table."""
         return len(self._order)
 
     def __contains__(self, server_id: int) -> bool:
+        """Returns True if the server is in the table."""
         return server_id in self._count
 
     def count(self, server_id: int) -> int:
--- a/ironmill/balancing/tracked_request.py
+++ b/ironmill/balancing/tracked_request.py
@@ -36,6 +36,7 @@
     )
 
     def __init__(self, request: Request, request_class: RequestClass) -> None:
+        """Tracks a request that was not sent yet."""
         self.request = request
         self.request_class = request_class
         self.attempts = 0
--- a/ironmill/simulator/loop.py
+++ b/ironmill/simulator/loop.py
@@ -32,6 +32,7 @@
     """Runs the balancers of all proxies of the simulator."""
 
     def __init__(self) -> None:
+        """Creates a handler without proxies."""
         self._balancers: dict[str, Balancer] = {}
         self._lists: dict[str, tuple[EndpointEntry, ...]] = {}
         self._now = 0.0  # of the current batch
