--- a/ironmill/configuration/proxy_config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -8,8 +8,8 @@
 
 from ironmill.balancing.interface import Settings
 from ironmill.configuration.site_settings import settings_from
-from ironmill.protocol.discovery import Routing, parse_routing
-from ironmill.protocol.json_object import MalformedError, Tree, from_json
+from ironmill.protocol.discovery import EndpointUpdate, parse_endpoint_update
+from ironmill.protocol.json_object import JsonObject, MalformedError, parse_json
 from ironmill.runtime.system_calls import TRANSIENT_AT_START, TransientError
 
 Address = tuple[str, int]
@@ -29,7 +29,7 @@
     discovery: Address
     seed: int
     sockets: int
-    known: Routing
+    known: EndpointUpdate
     settings: Settings
     connect_timeout: float
     drain_grace: float
@@ -68,21 +68,21 @@
         raise MalformedError("configuration: PROXY_CONFIG is not set, and no --config is given")
     try:
         with open(path, "rb") as file:
-            value = from_json(file.read(), f"configuration: PROXY_CONFIG: {path} is")
+            value = parse_json(file.read(), f"configuration: PROXY_CONFIG: {path} is")
     except OSError as error:
         kind = UnreadableNowError if error.errno in TRANSIENT_AT_START else MalformedError
         raise kind(f"configuration: PROXY_CONFIG: {path}: {error.strerror}") from None
-    root = Tree(value, "", "configuration")
+    root = JsonObject(value, "", "configuration")
     seed_text = root.text("seed", "0")
     try:
         seed = int(seed_text, 16)
     except ValueError:
         raise MalformedError(f"configuration: seed is not a hexadecimal number: {seed_text!r}") from None
-    settings_tree = root.tree("settings")
+    settings_tree = root.nested("settings")
     # On these sockets a standing connection brings its lines back at once however long the messages of
     # its server take, so the decisions must not count on being told of a jam.
     settings = structs.replace(settings_from(settings_tree), tells_delay=False)
-    sockets = root.tree("limits", {}).number("sockets", 1024)
+    sockets = root.nested("limits", {}).number("sockets", 1024)
     if not SOCKETS_LEAST <= sockets <= SOCKETS_MOST:
         raise MalformedError(f"configuration: limits.sockets is not from {SOCKETS_LEAST} to {SOCKETS_MOST}")
     control = env.get("PROXY_CONTROL") or root.text("control", "")
@@ -92,13 +92,14 @@
         discovery=address(env.get("PROXY_DISCOVERY") or root.text("discovery"), "discovery"),
         seed=seed,
         sockets=int(sockets),
-        known=parse_routing(root.tree("known", {"rev": 0, "all": True, "targets": []})),
+        known=parse_endpoint_update(root.nested("known", {"rev": 0, "all": True, "targets": []})),
         settings=settings,
-        connect_timeout=settings_tree.tree("ceilings").number("connectTimeoutS", 1.0),
-        drain_grace=settings_tree.tree("rules").number("drainGraceS", 0.25),
-        packets_pass=settings_tree.tree("familyInfo", {}).text("mode", "proxy") == "pass",
+        connect_timeout=settings_tree.nested("ceilings").number("connectTimeoutS", 1.0),
+        drain_grace=settings_tree.nested("rules").number("drainGraceS", 0.25),
+        packets_pass=settings_tree.nested("familyInfo", {}).text("mode", "proxy") == "pass",
         wait_limits={
-            item.text("name"): item.number("hardLimitS", 10.0) for item in settings_tree.trees("categories")
+            item.text("name"): item.number("hardLimitS", 10.0)
+            for item in settings_tree.nested_list("categories")
         },
         shortest_aim=min((cls.message_aim for cls in settings.classes), default=0.1),
         stated=flat(value),
--- a/ironmill/configuration/site_settings.py
+++ b/ironmill/configuration/site_settings.py
@@ -5,7 +5,7 @@
 import logging
 
 from ironmill.balancing.interface import Effect, Prices, RequestClass, Scope, Settings, Tenant
-from ironmill.protocol.json_object import Tree, from_json
+from ironmill.protocol.json_object import JsonObject, parse_json
 
 log = logging.getLogger("ironmill.configuration.site_settings")
 
@@ -13,7 +13,7 @@
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
-def _effect_and_scope(item: Tree) -> tuple[Effect, Scope]:
+def _effect_and_scope(item: JsonObject) -> tuple[Effect, Scope]:
     """How safe it is to run a request of the class again.
 
     An effect, or a group that drops repeats, that this program does not know is taken as the worst: nothing
@@ -34,16 +34,16 @@
 
 def parse_settings(text: str) -> Settings:
     """The settings from the start message's JSON text."""
-    return settings_from(Tree(from_json(text, "settings:")))
+    return settings_from(JsonObject(parse_json(text, "settings:")))
 
 
-def settings_from(root: Tree) -> Settings:
+def settings_from(root: JsonObject) -> Settings:
     """The settings from the parsed object."""
-    family = root.tree("familyInfo", {})
-    ceilings, rules, prices = root.tree("ceilings"), root.tree("rules"), root.tree("prices", {})
+    family = root.nested("familyInfo", {})
+    ceilings, rules, prices = root.nested("ceilings"), root.nested("rules"), root.nested("prices", {})
     aims, quotas = family.numbers("messageAimS"), family.numbers("tenantQuotaConnections")
     classes = []
-    for at, item in enumerate(root.trees("categories")):
+    for at, item in enumerate(root.nested_list("categories")):
         aim = item.number("aimS")
         effect, scope = _effect_and_scope(item)
         classes.append(
@@ -59,7 +59,7 @@
         )
     tenants = [
         Tenant(item.text("name"), item.number("quotaRps", 0.0), quotas[at] if at < len(quotas) else 0.0)
-        for at, item in enumerate(root.trees("projects", []))
+        for at, item in enumerate(root.nested_list("projects", []))
     ]
     return Settings(
         relays=int(root.number("balancers")),
@@ -73,10 +73,12 @@
         fall_multiple=rules.number("fallMultiple"),
         tip_after=rules.number("tipAfterS"),
         max_attempts=int(ceilings.number("sendCap")),
-        retry_after_max=ceilings.number("maxRetryAfterS", 0.0) if ceilings.flag("retryAfter", False) else 0.0,
+        retry_after_max=ceilings.number("maxRetryAfterS", 0.0)
+        if ceilings.flag("retryAfter", default=False)
+        else 0.0,
         keepalive=ceilings.number("keepaliveS", 0.0),
         round_gap=root.number("roundS", 0.001),
-        probes=ceilings.flag("probes", False),
-        tells_delay=family.flag("tellsDelay", True),
+        probes=ceilings.flag("probes", default=False),
+        tells_delay=family.flag("tellsDelay", default=True),
         live_weights=root.text("weightSource", "off") == "live",
     )
--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -14,28 +14,33 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
+import msgspec
+
 from ironmill.balancing.interface import Outcome
 from ironmill.configuration.proxy_config import Config
 from ironmill.net.server import AttemptDriver, AttemptEnd, Dial
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.client import (
-    Asked,
+    ClientClosed,
     ClientEvent,
-    ClientSide,
+    ClientHalfClosed,
+    ClientProtocol,
     ClientState,
-    FirstLine,
-    Left,
-    Malformed,
+    CredentialPresented,
+    DataReceived,
+    PingReceived,
+    ProtocolViolated,
+    RequestReceived,
+)
+from ironmill.protocol.lines import LINE_END
+from ironmill.protocol.request import (
     MalformedLineError,
-    Onward,
-    Opened,
-    SendingEnded,
-    Shown,
-    parse_first_line,
+    RequestLine,
+    busy_line,
+    parse_request_line,
+    request_attributes,
 )
-from ironmill.protocol.lines import END
-from ironmill.protocol.request import busy_line, request_fields
-from ironmill.protocol.server import Relayed
+from ironmill.protocol.server import ServerDataReceived
 from ironmill.requests.admission import Admission, Ticket
 from ironmill.requests.gateway import Attempt, ClientRequest, Gateway
 from ironmill.requests.metrics import Count
@@ -102,10 +107,10 @@
         self._dial = dial or partial(Stream.connect, scheduler)
         self._ticket: Ticket | None = None
         self._stream = stream
-        self._side = ClientSide(may_show=callers is not None)
+        self._side = ClientProtocol(accepts_credential=callers is not None)
         # None where it does not matter who calls.
-        self._guest = None if callers is None else callers.guest(self, stream.peer())
-        self._first: FirstLine | None = None
+        self._guest = None if callers is None else callers.guest(self, stream.peer_address())
+        self._first: RequestLine | None = None
         self._count: Count | None = None  # from its request on
         self._request: ClientRequest | None = None
         self._reader: Task | None = None
@@ -129,9 +134,9 @@
 
     def _count_unheard(self) -> None:
         """There is no room to wait for its first line; what has come of it by now says what was refused."""
-        line, end, _ = self._stream.receive_now().partition(END)
+        line, end, _ = self._stream.receive_nowait().partition(LINE_END)
         with contextlib.suppress(MalformedLineError):
-            class_name = parse_first_line(line).fields["c"] if end else ""
+            class_name = parse_request_line(line).class_name if end else ""
             if self._gateway.knows(class_name):
                 self._gateway.figures.take(class_name).dropped()
 
@@ -141,7 +146,7 @@
             function(*args)
         except Exception:
             log.exception("a connection failed")
-            standing = self._side.state is ClientState.STANDING
+            standing = self._side.state is ClientState.ESTABLISHED
             self._side.close()
             if self._count is not None:
                 self._count.failed()
@@ -185,45 +190,47 @@
     def _send_off(self, retry_after: float) -> None:
         """The last answer and the close, without a wait: its descriptor is needed."""
         with contextlib.suppress(OSError):
-            self._stream.send_now(self._busy(retry_after))
-        self._stream.close_now()
+            self._stream.send_nowait(self._busy(retry_after))
+        self._stream.close_immediately()
 
     def _read(self) -> None:
         """Read until the end, or until a standing connection has nothing more to say for now."""
-        if self._side.state is ClientState.FIRST:
+        if self._side.state is ClientState.AWAITING_REQUEST:
             self._first_by = time.monotonic() + FIRST_LINE_WAIT
         try:
-            if self._side.state is ClientState.FIRST:
+            if self._side.state is ClientState.AWAITING_REQUEST:
                 self._greet()
-            while self._side.state is not ClientState.OVER:
-                if self._side.state is ClientState.STANDING and self._stream.drained:
-                    self._reader = self._stream.when_readable(self.guarded, self._read)
+            while self._side.state is not ClientState.CLOSED:
+                if self._side.state is ClientState.ESTABLISHED and self._stream.drained:
+                    self._reader = self._stream.spawn_when_readable(self.guarded, self._read)
                     return
                 wait = None
-                if self._side.state is ClientState.FIRST:
+                if self._side.state is ClientState.AWAITING_REQUEST:
                     wait = max(0.0, self._first_by - time.monotonic())
                 data = self._stream.receive(wait)  # also where it is too late: what has come by now counts
-                for event in self._side.receive(data) if data else self._side.end():
+                for event in self._side.receive(data) if data else self._side.end_of_stream():
                     self._take(event)
-                self._stream.waits_since = None
+                self._stream.queued_since = None
                 if not data:
                     break
-                if self._side.state is ClientState.FIRST and time.monotonic() >= self._first_by:
+                if self._side.state is ClientState.AWAITING_REQUEST and time.monotonic() >= self._first_by:
                     raise TimedOutError  # guards against bytes that drip, each of them in time
         except TimedOutError:
             self._too_late()
         except OSError as error:
-            if self._side.state is ClientState.FIRST and not isinstance(error, ConnectionResetError):
+            if self._side.state is ClientState.AWAITING_REQUEST and not isinstance(
+                error, ConnectionResetError
+            ):
                 self._admission.complain(str(error))
             self._client_gone(reset=True)
         else:
-            if self._side.state is ClientState.OVER and self._request is None and self._first is None:
+            if self._side.state is ClientState.CLOSED and self._request is None and self._first is None:
                 self._finish(b"")  # it left without a word
 
     def _too_late(self) -> None:
         """No first line in time: malformed if it was begun. Who has said nothing may be about to, and nothing
         of that will have run."""
-        if self._side.begun:
+        if self._side.has_partial_line:
             self._turn_away("no whole first line in time")
         else:
             self._admission.complain("no first line in time")
@@ -231,8 +238,8 @@
 
     def _greet(self) -> None:
         """The handshake, where there is one; it counts into the time for the first line."""
-        self._stream.shake(self._first_by)
-        shown = None if self._guest is None else self._stream.certificate()
+        self._stream.handshake(self._first_by)
+        shown = None if self._guest is None else self._stream.peer_certificate()
         if self._guest is not None and shown is not None:
             self._go_on(self._guest.show_certificate(shown))
 
@@ -249,29 +256,29 @@
 
     def _take(self, event: ClientEvent) -> None:
         match event:
-            case Asked():
+            case PingReceived():
                 self._first_by = time.monotonic() + FIRST_LINE_WAIT
                 pong = self._gateway.lifecycle.policy.pong
                 self._stream.send(b"PONG\r\n" if pong else b"DRAINING\r\n", GENTLE)
-            case Shown():
+            case CredentialPresented():
                 self._show(event.token)
-            case Opened():
-                self._open(event.first)
-            case Malformed():
+            case RequestReceived():
+                self._open(event.line)
+            case ProtocolViolated():
                 self._turn_away(event.reason)
-            case Onward():
+            case DataReceived():
                 self._onward(event)
-            case SendingEnded():
+            case ClientHalfClosed():
                 self._client_ended = True
                 if self._driver is not None and self._driver.stream is not None:
-                    self._driver.stream.finish()
+                    self._driver.stream.shutdown_write()
                 self._scheduler.sleep(HALF_CLOSED_WAIT)  # the attempt's end ends this task
                 self._client_gone(reset=False)
-            case Left():
+            case ClientClosed():
                 self._client_gone(reset=False)
 
     def _show(self, token: bytes) -> None:
-        if self._guest is not None and self._side.state is not ClientState.OVER:
+        if self._guest is not None and self._side.state is not ClientState.CLOSED:
             self._go_on(self._guest.show(token))
 
     def _go_on(self, refused: float | None) -> bool:
@@ -290,22 +297,22 @@
             self._count.dropped()
         self._finish(self._busy(retry_after))
 
-    def _open(self, first: FirstLine) -> None:
-        if self._side.state is ClientState.OVER:
+    def _open(self, first: RequestLine) -> None:
+        if self._side.state is ClientState.CLOSED:
             return  # its credential was refused, and its first line came in the same bytes
         came_at = self._gateway.now()
-        if self._stream.waits_since is not None:  # its time counts from when it was sent
-            came_at -= time.monotonic() - self._stream.waits_since
+        if self._stream.queued_since is not None:  # its time counts from when it was sent
+            came_at -= time.monotonic() - self._stream.queued_since
         ticket = self._ticket
         assert ticket is not None
-        if not self._gateway.knows(first.fields["c"]):
+        if not self._gateway.knows(first.class_name):
             self._turn_away("a class that does not exist")
             return
-        self._count = self._gateway.figures.take(first.fields["c"])
+        self._count = self._gateway.figures.take(first.class_name)
         if not self._gateway.lifecycle.policy.opens:
             self._refuse(RETRY_DRAINED)
             return
-        if self._guest is not None and not self._go_on(self._guest.ask(first.fields["c"])):
+        if self._guest is not None and not self._go_on(self._guest.ask(first.class_name)):
             return
         if not self._admission.claim(ticket, first.id):
             self._turn_away("the id of an open connection")
@@ -314,26 +321,26 @@
             self._refuse(RETRY_FULL)
             return
         self._first = first
-        if "at" in first.fields:
+        if first.resumes_at is not None:
             self._attempt_task = self._scheduler.spawn(self.guarded, self._carry, first)
             return
-        wait = int(first.fields["d"]) / 1000.0 if "d" in first.fields else None
+        wait = first.deadline_s
         self._request = self._gateway.take_request(
-            self, first.fields["c"], wait, came_at, self._count, **self._request_fields(first)
+            self, first.class_name, wait, came_at, self._count, **self._request_fields(first)
         )
 
-    def _request_fields(self, first: FirstLine) -> dict[str, Any]:
+    def _request_fields(self, first: RequestLine) -> dict[str, Any]:
         """What the line says; where it matters who calls, the tenant is the credential's and no other."""
-        fields = request_fields(first)
+        fields = msgspec.structs.asdict(request_attributes(first))
         return fields if self._guest is None else fields | {"tenant": self._guest.tenant}
 
-    def _onward(self, onward: Onward) -> None:
+    def _onward(self, onward: DataReceived) -> None:
         """Bytes to the server. Reading waits meanwhile, so no more than a chunk is ever held."""
         driver, attempt = self._driver, self._attempt
         if not onward.data or driver is None or driver.stream is None or attempt is None:
             return
         try:
-            driver.stream.send_beside(onward.data, self._stream)
+            driver.stream.send_from(onward.data, self._stream)
         except TimedOutError:
             self._client_gone(reset=True)  # not all that it sent has got through
             return
@@ -401,16 +408,16 @@
             self._stream.abort()
             return
         if lingers:
-            self._stream.close_gently(wait)
+            self._stream.close_gracefully(wait)
         else:
-            self._stream.close_now()
+            self._stream.close_immediately()
 
     def _move(self, at_last: bool) -> None:
         """End a standing connection, between two lines unless the one under way does not end."""
         driver = self._driver
-        if driver is None or self._attempt is None or self._side.state is not ClientState.STANDING:
+        if driver is None or self._attempt is None or self._side.state is not ClientState.ESTABLISHED:
             return
-        between = not self._writing and driver.side.between_lines
+        between = not self._writing and driver.side.at_line_boundary
         if between or at_last:
             self._side.close()
             self._finish(b"MOVE\r\n" if between else b"", GENTLE)
@@ -422,7 +429,7 @@
         assert first is not None
         if not self._still_there():
             return
-        line = first.with_wait(max(1, int(attempt.timeout * 1000.0)))
+        line = first.with_deadline(max(1, int(attempt.timeout * 1000.0)))
         driver = AttemptDriver(self._dial, line)
         self._driver = driver
         driver.run(
@@ -439,12 +446,12 @@
         Guards servers against work for nobody: who left while its connection waited to be accepted has
         sent its end behind its first line, and the attempt would be written before that end is read.
         """
-        if self._stream.ended():
+        if self._stream.is_closed_by_peer():
             self._client_gone(reset=False)
             return False
         return True
 
-    def _carry(self, first: FirstLine) -> None:
+    def _carry(self, first: RequestLine) -> None:
         """A connection that was open before the run goes back to the server that holds it."""
         self._gateway.carrying.add(self)
         try:
@@ -454,17 +461,17 @@
         if not stood and not self._stream.closed:
             self.fail()
 
-    def _carry_until(self, first: FirstLine, deadline: float) -> bool:
+    def _carry_until(self, first: RequestLine, deadline: float) -> bool:
         """Try until it stands; False if it does not in time, or its client has gone."""
         while time.monotonic() < deadline:
             if not self._still_there():
                 return False
-            server = self._gateway.server(first.fields["at"])
+            server = self._gateway.server(first.resumes_at or "")
             if server is not None:
                 self._driver = AttemptDriver(self._dial, first.raw)
                 left = deadline - time.monotonic()
                 self._driver.run(self, server.address, self._config.connect_timeout, left, self._still_there)
-                if self._driver.side.stood:
+                if self._driver.side.established:
                     return True
             self._scheduler.sleep(CARRY_PAUSE)
         return False
@@ -477,14 +484,14 @@
     def attempt_up(self, driver: AttemptDriver, data: bytes) -> bool:
         """Pass UP back; from now on all bytes go on unchanged."""
         first = self._first
-        if self._side.state is not ClientState.WAITING or first is None:
+        if self._side.state is not ClientState.AWAITING_ANSWER or first is None:
             driver.close()
             return False
         if self._attempt is None:
-            server = self._gateway.server(first.fields["at"])
+            server = self._gateway.server(first.resumes_at or "")
             assert server is not None
             self._attempt = self._gateway.carry(
-                self, server, first.fields["c"], self._count, **self._request_fields(first)
+                self, server, first.class_name, self._count, **self._request_fields(first)
             )
             self._request = self._attempt.request
         elif not self._gateway.up(self._attempt):
@@ -493,13 +500,13 @@
         self._first = None
         if self._guest is not None:
             self._guest.stands()
-        early = self._side.stand()
+        early = self._side.establish()
         if not self._write(data):
             return False
         self._onward(early)
         return not self._stream.closed
 
-    def attempt_data(self, relayed: Relayed) -> bool:
+    def attempt_data(self, relayed: ServerDataReceived) -> bool:
         """Bytes to the client. Reading from the server waits meanwhile."""
         if self._attempt is not None:
             self._gateway.lines_back(self._attempt, relayed.answers)
@@ -532,18 +539,18 @@
         if end.broke:
             self._stream.abort()
         else:
-            self._stream.close_gently(GENTLE)
+            self._stream.close_gracefully(GENTLE)
 
     def _write(self, data: bytes) -> bool:
         self._writing = True
         try:
-            rest = data[self._stream.send_now(data) :]
-            if rest or self._stream.behind:
+            rest = data[self._stream.send_nowait(data) :]
+            if rest or self._stream.has_backpressure:
                 if self._attempt is not None:
                     self._gateway.client_slow(self._attempt)
                 source = None if self._driver is None else self._driver.stream
                 assert source is not None  # what is written comes from there
-                self._stream.send_beside(rest, source)
+                self._stream.send_from(rest, source)
                 if self._attempt is not None:
                     self._gateway.client_reads(self._attempt)
         except (OSError, TimedOutError):
--- a/ironmill/net/control.py
+++ b/ironmill/net/control.py
@@ -50,7 +50,7 @@
         while len(self._callers) >= CALLERS_MOST:
             oldest = next(iter(self._callers))
             self._scheduler.kill(self._callers.pop(oldest))
-            oldest.close_now()
+            oldest.close_immediately()
         self._callers[stream] = self._scheduler.spawn(self._serve, stream)
 
     def _serve(self, stream: Stream) -> None:
@@ -61,13 +61,13 @@
             answer = self._hear(stream, side)
             if answer is not None:
                 stream.send(side.answer(answer), ANSWER_WAIT)
-                stream.close_gently(END_WAIT)
+                stream.close_gracefully(END_WAIT)
         except (OSError, TimedOutError):
             pass  # the caller is gone, or does not take its answer
         finally:
             self._callers.pop(stream, None)
             if not stream.closed:
-                stream.close_now()
+                stream.close_immediately()
 
     def _hear(self, stream: Stream, side: CallSide) -> Answer | None:
         """The answer to what comes; None if the caller ends before its call is whole."""
--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -10,9 +10,9 @@
 
 from ironmill.configuration.proxy_config import Address
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.protocol.discovery import Routing, parse_routing
+from ironmill.protocol.discovery import EndpointUpdate, parse_endpoint_update
 from ironmill.protocol.http import HttpError, Response, ResponseParser
-from ironmill.protocol.json_object import MalformedError, Tree, from_json
+from ironmill.protocol.json_object import JsonObject, MalformedError, parse_json
 from ironmill.requests.discovery_backoff import CALL_MOST, CallPace
 from ironmill.runtime.scheduler import Scheduler, Task
 
@@ -50,7 +50,7 @@
         self,
         scheduler: Scheduler,
         address: Address,
-        take: Callable[[Routing], None],
+        take: Callable[[EndpointUpdate], None],
         pace: Callable[[], CallPace],
         known: int | None = None,
         called: Callable[[], object] = _nothing,
@@ -81,7 +81,7 @@
             self._next = Watch(self._scheduler, address, self._told, self._pace(), held=self._held)
             self._next.start()
 
-    def _told(self, watch: Watch, routing: Routing) -> None:
+    def _told(self, watch: Watch, routing: EndpointUpdate) -> None:
         if watch is self._next:
             self._current.stop()
             self._current, self._next = watch, None
@@ -95,7 +95,7 @@
         self,
         scheduler: Scheduler,
         address: Address,
-        take: Callable[[Watch, Routing], None],
+        take: Callable[[Watch, EndpointUpdate], None],
         pace: CallPace,
         known: int | None = None,
         called: Callable[[], object] = _nothing,
@@ -154,13 +154,13 @@
             wait = 0 if self._failing or (self._pace.at_once and not self._answered) else WAIT_MS
             path = f"/api/targets?after={self._revision}&wait_ms={wait}"
             routing = self._ask(path, wait / 1000.0 + ANSWER_WAIT)
-        if routing.full and not routing.listed and self._held():
+        if routing.full and not routing.servers and self._held():
             routing = self._once_more(routing)
         if routing.full or self._revision is not None:
             self._take(self, routing)
             self._revision = routing.revision  # not before: what was not taken is asked for again
 
-    def _once_more(self, empty: Routing) -> Routing:
+    def _once_more(self, empty: EndpointUpdate) -> EndpointUpdate:
         """The whole list as it is told now, if it names anybody; else the one that named nobody."""
         told_at = time.monotonic()
         log.warning("discovery: an empty list; asking once more")
@@ -169,19 +169,19 @@
         except FAULTS:
             self._hang_up()
         else:
-            if routing.full and routing.listed:
+            if routing.full and routing.servers:
                 return routing
         return structs.replace(empty, age=time.monotonic() - told_at)
 
-    def _ask(self, path: str, within: float) -> Routing:
+    def _ask(self, path: str, within: float) -> EndpointUpdate:
         """The answer of 200, from the connect to its last byte within so many seconds."""
         kept = self._stream is not None
         response = self._response(path, time.monotonic() + within)
         self._answered = True
         if response.status != 200:
             raise HttpError(f"status {response.status}")
-        value = from_json(response.body, "routing table:")
-        routing = parse_routing(Tree(value, "", "routing table"))
+        value = parse_json(response.body, "routing table:")
+        routing = parse_endpoint_update(JsonObject(value, "", "routing table"))
         if kept and self._revision is not None and routing.revision < self._revision:
             # Guards the table against a second answer to an earlier call: it would bring back what has left.
             # A discovery that begins anew is believed on a new connection.
@@ -189,7 +189,7 @@
         return routing
 
     def _response(self, path: str, end: float) -> Response:
-        if self._stream is not None and self._stream.stale():
+        if self._stream is not None and self._stream.is_stale():
             self._hang_up()
         if self._stream is None:
             self._stream = Stream.connect(self._scheduler, self.address, self._left(end))
@@ -198,11 +198,11 @@
         self._stream.send(f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode(), self._left(end))
         while True:
             data = self._stream.receive(self._left(end))
-            responses = self._parser.feed(data) if data else [self._parser.end()]
+            responses = self._parser.feed(data) if data else [self._parser.end_of_stream()]
             for response in responses:
                 if response is None:
                     raise HttpError("the connection ended before the answer")
-                if not response.keep_alive or len(responses) > 1 or not self._parser.between:
+                if not response.keep_alive or len(responses) > 1 or not self._parser.at_message_boundary:
                     self._hang_up()  # what comes behind the answer must not pass for the next one
                 return response
             if time.monotonic() >= end:  # guards against an answer that drips, each piece of it in time
--- a/ironmill/net/listener.py
+++ b/ironmill/net/listener.py
@@ -61,7 +61,7 @@
         self._shared = shared
         self.succeeds = shared and _taken(address)  # another process listens there
         self._failures = LogThrottle()
-        self._waits_since: float | None = None  # how long whoever is accepted next may have waited
+        self._queued_since: float | None = None  # how long whoever is accepted next may have waited
         self._sock = retry_at_start(socket.socket, socket.AF_INET, socket.SOCK_STREAM)
         try:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -91,7 +91,7 @@
 
     def _listen(self) -> None:
         retry_at_start(self._sock.listen, BACKLOG)
-        self._waits_since = time.monotonic()
+        self._queued_since = time.monotonic()
 
     def give_way(self) -> None:
         """From now on all new connections go to the process that was started after this one, if there is one.
@@ -150,7 +150,7 @@
         try:
             sock, _ = self._sock.accept()
         except BlockingIOError:
-            self._waits_since = None
+            self._queued_since = None
             return Accepted.NOTHING
         except OSError as error:
             # Descriptors or memory have run out, or that one connection broke before it was accepted. Neither
@@ -158,13 +158,13 @@
             left_out = self._failures.allow()
             if left_out is not None:
                 log.warning("cannot accept: %s (%d more since the last such line)", error.strerror, left_out)
-            if self._waits_since is None:
-                self._waits_since = time.monotonic()
+            if self._queued_since is None:
+                self._queued_since = time.monotonic()
             return Accepted.FAILED
         try:
             stream = self._make(self._scheduler, sock)
-            if self._waits_since is not None and stream.has_unread():
-                stream.waits_since = self._waits_since
+            if self._queued_since is not None and stream.has_unread():
+                stream.queued_since = self._queued_since
             self._take(stream)
         except OSError as error:  # guards the accepting task: the connection broke at once
             log.info("a connection broke when it was accepted: %s", error)
--- a/ironmill/net/probe.py
+++ b/ironmill/net/probe.py
@@ -9,7 +9,7 @@
 from ironmill.balancing.interface import Outcome
 from ironmill.net.server import Dial
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.protocol.server import ProbeSide, Report
+from ironmill.protocol.server import HealthCheckProtocol, LoadReport
 from ironmill.requests.routing_table import Server
 from ironmill.runtime.scheduler import Scheduler
 from ironmill.runtime.system_calls import EXHAUSTED
@@ -27,7 +27,7 @@
         self,
         scheduler: Scheduler,
         connect_timeout: float,
-        tell: Callable[[Server, Outcome, Report], None],
+        tell: Callable[[Server, Outcome, LoadReport], None],
         dial: Dial | None = None,
     ) -> None:
         self._scheduler = scheduler
@@ -44,7 +44,7 @@
             self._scheduler.spawn(self._run, server)
 
     def _run(self, server: Server) -> None:
-        report: Report = ()
+        report: LoadReport = ()
         try:
             outcome, report = self._ask(server)
         except TimedOutError:
@@ -57,9 +57,9 @@
             self._hang_up(server)
         self._tell(server, outcome, report)
 
-    def _ask(self, server: Server) -> tuple[Outcome, Report]:
+    def _ask(self, server: Server) -> tuple[Outcome, LoadReport]:
         stream = self._streams.pop(server.number, None)
-        if stream is not None and stream.stale():
+        if stream is not None and stream.is_stale():
             # Guards a sound server against blame for a connection that it closed as idle, and the report
             # against a second answer to an earlier question.
             stream.close()
@@ -71,7 +71,7 @@
             if len(self._streams.keys() | self._asking) > KEPT_MOST and not self._make_room():
                 return Outcome.MOOT, ()
             stream = self._streams[server.number] = self._dial(server.address, self._connect_timeout)
-            stream.shake(time.monotonic() + self._connect_timeout)
+            stream.handshake(time.monotonic() + self._connect_timeout)
         return self._put(stream)
 
     def _make_room(self) -> bool:
@@ -83,9 +83,9 @@
         return True
 
     @staticmethod
-    def _put(stream: Stream) -> tuple[Outcome, Report]:
-        side, deadline = ProbeSide(), time.monotonic() + ANSWER_WAIT
-        stream.send(side.QUESTION, ANSWER_WAIT)
+    def _put(stream: Stream) -> tuple[Outcome, LoadReport]:
+        side, deadline = HealthCheckProtocol(), time.monotonic() + ANSWER_WAIT
+        stream.send(side.REQUEST, ANSWER_WAIT)
         while data := stream.receive(deadline - time.monotonic()):
             answer = side.receive(data)
             if answer is not None:
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -87,7 +87,7 @@
             config.settings.ask_discovery,
             first_at_once=self.listener.succeeds,
         )
-        known = config.known.revision if config.known.listed else None
+        known = config.known.revision if config.known.servers else None
         self.discovery = Discovery(
             self.scheduler,
             config.discovery,
@@ -230,7 +230,7 @@
         from ironmill.net.tls import TlsStream
 
         name = operator.settings.upstream.name or address[0]
-        return TlsStream.over(self.scheduler, stream, operator.upstream, name)
+        return TlsStream.wrap(self.scheduler, stream, operator.upstream, name)
 
     def _take_ring(self, ring: KeyRing) -> None:
         if self.callers is not None:
--- a/ironmill/net/server.py
+++ b/ironmill/net/server.py
@@ -10,7 +10,14 @@
 
 from ironmill.balancing.interface import Outcome
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.protocol.server import AttemptEvent, Refused, Relayed, Report, ServerSide, Up
+from ironmill.protocol.server import (
+    AttemptEstablished,
+    AttemptEvent,
+    AttemptProtocol,
+    AttemptRejected,
+    LoadReport,
+    ServerDataReceived,
+)
 from ironmill.runtime.scheduler import Task
 from ironmill.runtime.system_calls import EXHAUSTED, UnsentError
 
@@ -19,7 +26,7 @@
     """How an attempt ended."""
 
     outcome: Outcome
-    report: Report
+    report: LoadReport
     line: bytes  # the answer other than UP, if there was one
     stood: bool
     broke: bool  # by a reset
@@ -37,7 +44,7 @@
     def attempt_up(self, driver: AttemptDriver, data: bytes) -> bool:
         """UP came; False if nobody waits for the connection any more."""
 
-    def attempt_data(self, relayed: Relayed) -> bool:
+    def attempt_data(self, relayed: ServerDataReceived) -> bool:
         """Bytes for the client. Parks until they are written; False if the client is gone."""
 
     def attempt_over(self, driver: AttemptDriver, end: AttemptEnd) -> None:
@@ -58,7 +65,7 @@
 
     def __init__(self, dial: Dial, first_line: bytes) -> None:
         self._dial = dial
-        self.side = ServerSide(first_line)
+        self.side = AttemptProtocol(first_line)
         self.stream: Stream | None = None
         self.task: Task | None = None  # relays, or waits for what there is to relay
 
@@ -82,24 +89,24 @@
             # TLS a handshake comes first, and is asked for as well.
             answer = None
             if may_start():
-                self.stream.shake(min(deadline, time.monotonic() + connect_timeout))
+                self.stream.handshake(min(deadline, time.monotonic() + connect_timeout))
                 answer = self._ask(owner, self.stream, deadline) if may_start() else None
-            if isinstance(answer, Up):
-                if owner.attempt_up(self, answer.data):  # else the owner has ended it all
-                    self._relay(owner, self.stream, answer.later)
+            if isinstance(answer, AttemptEstablished):
+                if owner.attempt_up(self, answer.line):  # else the owner has ended it all
+                    self._relay(owner, self.stream, answer.following)
                 return
-            if isinstance(answer, Refused):
+            if isinstance(answer, AttemptRejected):
                 outcome, line = answer.outcome, answer.line
             else:
-                outcome = self.side.end()
+                outcome = self.side.end_of_stream()
         except TimedOutError:
             outcome = self.side.time_out()
         except UnsentError as error:
-            outcome = self.side.end()
+            outcome = self.side.end_of_stream()
             if error.errno in EXHAUSTED:  # else it is this address that cannot be had
                 outcome = Outcome.MOOT  # the server was not asked, and is not to blame
         except OSError:
-            outcome, broke = self.side.end(), True
+            outcome, broke = self.side.end_of_stream(), True
         self.close()
         owner.attempt_over(self, AttemptEnd(outcome, self.side.report, line, False, broke))
 
@@ -125,7 +132,7 @@
         if reset:
             self.stream.abort()
         else:
-            self.stream.finish()
+            self.stream.shutdown_write()
             self.stream.close()
 
     def _ask(self, owner: AttemptOwner, stream: Stream, deadline: float) -> AttemptEvent | None:
@@ -145,15 +152,15 @@
         try:
             while True:
                 for event in self.side.receive(data) if data else ():
-                    if isinstance(event, Relayed) and not owner.attempt_data(event):
+                    if isinstance(event, ServerDataReceived) and not owner.attempt_data(event):
                         return  # the owner has ended it all
                 if stream.drained:
-                    self.task = stream.when_readable(owner.guarded, self._relay, owner, stream)
+                    self.task = stream.spawn_when_readable(owner.guarded, self._relay, owner, stream)
                     return
                 data = stream.receive()
                 if not data:
                     break
         except OSError:
             broke = True
-        outcome = self.side.end()
+        outcome = self.side.end_of_stream()
         owner.attempt_over(self, AttemptEnd(outcome, self.side.report, b"", True, broke))
--- a/ironmill/net/sockets.py
+++ b/ironmill/net/sockets.py
@@ -1,4 +1,4 @@
-"""A stream socket whose waits park the task instead of the process."""
+"""A non-blocking stream socket whose waits park the calling task instead of the process."""
 
 from __future__ import annotations
 
@@ -11,52 +11,53 @@
 import struct
 import time
 from collections.abc import Callable
-from typing import Any
 
+from ironmill.errors import IronmillError
 from ironmill.runtime.scheduler import READ, WRITE, Scheduler, Task
 from ironmill.runtime.system_calls import EXHAUSTED, RETRY_PAUSE, UNSENT, UnsentError
 
-CHUNK = 16 * 1024  # the most that is read at once, and so the most that is held for the other side
-DISCARD = 64 * 1024  # the most that is read and thrown away of what a client sends after its last answer
-TRIES_IN_A_ROW = 16  # of a call that fails for want of memory, where nobody may wait
-READS_IN_A_ROW = 4  # of one connection; then the others have a turn
-# While a write waits for its reader: between two looks whether who sent the bytes has ended, and from then on
-# until it is given up. An end has to reach the other side within 1 s.
-BLOCKED_LOOK = 0.25
-BLOCKED_WAIT = 0.4
-_LINGER_NONE = struct.pack("ii", 1, 0)
+READ_BYTES = 16 * 1024  # of one read, and so the bound of what is buffered for the other side
+MAX_DISCARDED_BYTES = 64 * 1024  # read and dropped after the last answer
+MAX_IMMEDIATE_RETRIES = 16  # of a call that fails for lack of memory, where the task may not park
+MAX_READS_WITHOUT_YIELD = 4  # of one connection
+# A write that waits for its reader checks at this interval whether the source has closed, and gives up this
+# long after that: the close has to reach the other side within 1 s.
+BLOCKED_WRITE_CHECK_INTERVAL_S = 0.25
+BLOCKED_WRITE_TIMEOUT_S = 0.4
+_LINGER_OFF = struct.pack("ii", 1, 0)
 
 
-def _nothing() -> None:
-    """Nobody waits for the close."""
+def _ignore_close() -> None:
+    """The default of ``Stream.on_close``."""
 
 
-class TimedOutError(Exception):
-    """A wait on a socket took too long."""
+class TimedOutError(IronmillError):
+    """A wait on a socket exceeded its timeout."""
 
 
 class Stream:
     """A connected, non-blocking socket."""
 
-    __slots__ = ("_scheduler", "_sock", "_unparked", "closed", "drained", "on_close", "waits_since")
+    __slots__ = ("_immediate_reads", "_scheduler", "_sock", "closed", "drained", "on_close", "queued_since")
 
     def __init__(self, scheduler: Scheduler, sock: socket.socket) -> None:
+        """Takes ownership of a connected socket."""
         self._scheduler = scheduler
         self._sock = sock
         self.closed = False
-        self.on_close: Callable[[], object] = _nothing
-        self._unparked = 0  # reads in a row that did not wait
-        self.drained = False  # the last read took all that had come
-        # Since when, on the monotonic clock, what is read first may have waited to be accepted, if it has.
-        self.waits_since: float | None = None
+        self.on_close: Callable[[], object] = _ignore_close
+        self._immediate_reads = 0  # consecutive reads that did not park
+        self.drained = False  # the last read emptied the socket's buffer
+        # The monotonic time from which the first bytes may have waited in the accept queue.
+        self.queued_since: float | None = None
         sock.setblocking(False)
         if sock.family in (socket.AF_INET, socket.AF_INET6):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def __del__(self) -> None:
-        """Guards other connections against a stream that nobody closed.
+        """Closes a stream that its owner dropped without closing it.
 
-        Its descriptor's number comes again, and the scheduler would take that one for registered already.
+        The kernel reuses the descriptor, and the scheduler would consider the new one registered already.
         """
         if not getattr(self, "closed", True):
             self.closed = True
@@ -64,25 +65,25 @@
             self._sock.close()
 
     @property
-    def behind(self) -> bool:
-        """True while something is held that the socket has not taken; a plain stream holds nothing."""
+    def has_backpressure(self) -> bool:
+        """True while written data waits in a buffer for the socket; a plain stream has no buffer."""
         return False
 
-    def shake(self, deadline: float) -> None:
-        """What comes before the first byte; nothing here."""
+    def handshake(self, deadline: float) -> None:
+        """Does what precedes the first byte; nothing on a plain stream."""
 
-    def certificate(self) -> bytes | None:
-        """The other side's certificate in DER, None if it showed none."""
+    def peer_certificate(self) -> bytes | None:
+        """Returns the peer's certificate in DER; None if it presented none."""
         return None
 
     @classmethod
     def connect(
         cls, scheduler: Scheduler, address: tuple[str, int], timeout: float, source: str = ""
     ) -> Stream:
-        """A new connection, from the address ``source`` if one is named.
+        """Opens a connection, from the local address ``source`` if it is not empty.
 
-        OSError if it is refused, TimedOutError if it does not come up in time, in seconds. UnsentError if it
-        could not be begun on this side, and as many seconds did not change that.
+        Raises ``OSError`` if it is refused, ``TimedOutError`` after ``timeout`` seconds, and ``UnsentError``
+        if this machine could not begin it for as long.
         """
         give_up_at = time.monotonic() + timeout
         while True:
@@ -114,13 +115,13 @@
                 code = stream._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 raise OSError(code, os.strerror(code))
-        except BaseException:  # also GreenletExit: the descriptor must not outlive a killed task
+        except BaseException:  # GreenletExit as well: a killed task must not leak the descriptor
             stream.close()
             raise
         return stream
 
-    def peer(self) -> str:
-        """The address of the other side; empty where it is gone or has none."""
+    def peer_address(self) -> str:
+        """Returns the peer's host address; empty if it is gone or has none."""
         try:
             name = self._sock.getpeername()
         except OSError:
@@ -128,79 +129,79 @@
         return str(name[0]) if isinstance(name, tuple) else ""
 
     def receive(self, timeout: float | None = None) -> bytes:
-        """Some bytes, none at the end; TimedOutError after the time-out, in seconds.
+        """Returns some bytes, none at the end. Raises ``TimedOutError`` after ``timeout`` seconds.
 
-        Tries first, but for where the last read has just taken all there was.
+        Reads without parking first, unless the last read emptied the socket's buffer.
         """
-        if self._unparked >= READS_IN_A_ROW:
-            # Guards the other tasks against a sender at full speed, whose reader would never wait.
-            self._unparked = 0
+        if self._immediate_reads >= MAX_READS_WITHOUT_YIELD:
+            # The reader of a sender at full speed would never park, and no other task would run.
+            self._immediate_reads = 0
             self._scheduler.sleep(0.0)
         in_time = True
         until = math.inf if timeout is None else time.monotonic() + timeout
         while True:
             if not self.drained or not in_time:
                 try:
-                    data = self._sock.recv(CHUNK)
+                    data = self._sock.recv(READ_BYTES)
                 except BlockingIOError:
-                    self._unparked = 0
+                    self._immediate_reads = 0
                 except OSError as error:
                     if error.errno not in EXHAUSTED:
                         raise
-                    self._wait_out(until)
+                    self._pause_retry(until)
                     continue
                 else:
-                    self._unparked += 1
-                    self.drained = 0 < len(data) < CHUNK
+                    self._immediate_reads += 1
+                    self.drained = 0 < len(data) < READ_BYTES
                     return data
                 if not in_time:
                     raise TimedOutError
             in_time = self._scheduler.wait(self._sock.fileno(), READ, timeout)
             self.drained = False
 
-    def _wait_out(self, until: float) -> None:
-        """Park, for a call has failed for want of memory and the connection is sound. TimedOutError."""
+    def _pause_retry(self, until: float) -> None:
+        """Parks after a call failed for lack of memory. Raises ``TimedOutError`` from ``until`` on."""
         if time.monotonic() >= until:
             raise TimedOutError
         self._scheduler.sleep(RETRY_PAUSE)
 
-    def receive_now(self) -> bytes:
-        """What has come by now, perhaps nothing."""
-        for _ in range(TRIES_IN_A_ROW):
+    def receive_nowait(self) -> bytes:
+        """Returns the bytes received so far without parking, perhaps none."""
+        for _ in range(MAX_IMMEDIATE_RETRIES):
             try:
-                return self._sock.recv(CHUNK)
+                return self._sock.recv(READ_BYTES)
             except OSError as error:
                 if error.errno not in EXHAUSTED:
                     break
         return b""
 
-    def ended(self) -> bool:
-        """True if the other side has ended or reset the connection, also behind bytes not read yet."""
+    def is_closed_by_peer(self) -> bool:
+        """Returns True if the peer has closed or reset the connection, even behind unread bytes."""
         poll = select.poll()
         try:
             poll.register(self._sock.fileno(), select.POLLRDHUP)
-        except ValueError:  # closed on this side
+        except ValueError:  # closed locally
             return True
         return bool(poll.poll(0))
 
     def has_unread(self) -> bool:
-        """True if bytes have come that were not read yet, or if that cannot be told just now."""
+        """Returns True if unread bytes have been received, or if lack of memory prevents the check."""
         try:
             return bool(self._sock.recv(1, socket.MSG_PEEK))
-        except OSError as error:  # else nothing, or no connection any more
+        except OSError as error:  # otherwise: no bytes, or no connection
             return error.errno in EXHAUSTED
 
-    def stale(self) -> bool:
-        """True if a kept connection is not to be asked on again: it ended, or holds what nobody asked for."""
-        return self.ended() or self.has_unread()
+    def is_stale(self) -> bool:
+        """Returns True if a cached connection must not be reused: it ended, or holds unrequested bytes."""
+        return self.is_closed_by_peer() or self.has_unread()
 
-    def when_readable(self, function: Callable[..., object], *args: Any) -> Task:
-        """A task that begins once there is something to read, an end or an error among it."""
+    def spawn_when_readable(self, function: Callable[..., object], *args: object) -> Task:
+        """Starts a task once the socket is readable, ended or broken."""
         self.drained = False
         return self._scheduler.spawn_when(self._sock.fileno(), READ, function, *args)
 
     def send_some(self, data: bytes | memoryview, timeout: float | None = None) -> int:
-        """Write what the socket takes, waiting until it takes something."""
+        """Writes what the socket takes, parking until it takes at least one byte; returns the count."""
         until = math.inf if timeout is None else time.monotonic() + timeout
         while True:
             try:
@@ -210,23 +211,23 @@
             except OSError as error:
                 if error.errno not in EXHAUSTED:
                     raise
-                self._wait_out(until)
+                self._pause_retry(until)
                 continue
             if not self._scheduler.wait(self._sock.fileno(), WRITE, timeout):
                 raise TimedOutError
 
-    def send_now(self, data: bytes) -> int:
-        """Write what the socket takes at once, perhaps nothing. Who closes next relies on all it can take."""
+    def send_nowait(self, data: bytes) -> int:
+        """Writes as much as the socket takes without parking; returns the count, perhaps 0."""
         sent = 0
         while sent < len(data):
-            taken = self._push_now(data[sent:])
+            taken = self._push_nowait(data[sent:])
             if not taken:
                 break
             sent += taken
         return sent
 
-    def _push_now(self, data: bytes | bytearray) -> int:
-        for _ in range(TRIES_IN_A_ROW):
+    def _push_nowait(self, data: bytes | bytearray) -> int:
+        for _ in range(MAX_IMMEDIATE_RETRIES):
             try:
                 return self._sock.send(data)
             except BlockingIOError:
@@ -237,76 +238,79 @@
         return 0
 
     def send(self, data: bytes, timeout: float | None = None) -> None:
-        """Write all of it."""
+        """Writes all of it. Raises ``TimedOutError`` if the socket takes nothing for ``timeout`` seconds."""
         rest = memoryview(data)
         while rest:
             rest = rest[self.send_some(rest, timeout) :]
 
     def flush(self, timeout: float | None = None) -> None:
-        """Wait until the socket has taken what is held; a plain stream holds nothing."""
+        """Waits until the socket has taken the buffered data; a plain stream buffers nothing."""
 
-    def send_beside(self, data: bytes, source: Stream) -> None:
-        """Write all of what came from the source, however slowly it is taken while the source stands.
+    def send_from(self, data: bytes, source: Stream) -> None:
+        """Writes all of what the source sent, however slowly the peer reads, while the source is open.
 
-        TimedOutError once the source has ended and for BLOCKED_WAIT nothing more was taken. Guards the end of
-        the source, which nobody reads meanwhile: it lies behind bytes that wait for this write.
+        Raises ``TimedOutError`` once the source has closed and the peer has read nothing for
+        ``BLOCKED_WRITE_TIMEOUT_S``. The source is not read meanwhile, so its close would go unnoticed
+        otherwise.
         """
-        rest, give_up_at = memoryview(data), math.inf
-        while rest or self.behind:
+        rest = memoryview(data)
+        give_up_at = math.inf
+        while rest or self.has_backpressure:
             try:
                 if rest:
-                    rest = rest[self.send_some(rest, BLOCKED_LOOK) :]
+                    rest = rest[self.send_some(rest, BLOCKED_WRITE_CHECK_INTERVAL_S) :]
                 else:
-                    self.flush(BLOCKED_LOOK)
+                    self.flush(BLOCKED_WRITE_CHECK_INTERVAL_S)
                 give_up_at = math.inf
             except TimedOutError:
-                if source.ended():
-                    give_up_at = min(give_up_at, time.monotonic() + BLOCKED_WAIT)
+                if source.is_closed_by_peer():
+                    give_up_at = min(give_up_at, time.monotonic() + BLOCKED_WRITE_TIMEOUT_S)
                 if time.monotonic() >= give_up_at:
                     raise
 
-    def finish(self) -> None:
-        """End the sending; the other direction stays."""
-        with contextlib.suppress(OSError):  # the other side may be faster
+    def shutdown_write(self) -> None:
+        """Ends the sending direction; the receiving direction stays open."""
+        with contextlib.suppress(OSError):  # the peer may have closed already
             self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Close it. No task may be waiting on it."""
+        """Closes the socket and calls ``on_close``. No task may be waiting on it."""
         if not self.closed:
             self._scheduler.forget(self._sock.fileno())
         self.closed = True
-        with contextlib.suppress(OSError):  # close(2): the descriptor is gone all the same
+        with contextlib.suppress(OSError):  # close(2): the descriptor is released in any case
             self._sock.close()
-        told, self.on_close = self.on_close, _nothing
-        told()
+        on_close = self.on_close
+        self.on_close = _ignore_close
+        on_close()
 
-    def close_now(self) -> None:
-        """End the sending and close it without a wait. What has come is read first.
+    def close_immediately(self) -> None:
+        """Ends the sending direction and closes without parking, after reading what was received.
 
-        Guards the last answer: a close over unread bytes resets the connection, and the reset overtakes it.
+        A close over unread bytes would reset the connection, and the reset would overtake the last answer.
         """
-        self.finish()
-        left = DISCARD
-        while left > 0 and (data := self.receive_now()):
+        self.shutdown_write()
+        left = MAX_DISCARDED_BYTES
+        while left > 0 and (data := self.receive_nowait()):
             left -= len(data)
         self.close()
 
     def abort(self) -> None:
-        """Close it with a reset, as a broken connection ends."""
+        """Closes with a reset."""
         if not self.closed:
-            with contextlib.suppress(OSError):  # it is broken already
-                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NONE)
+            with contextlib.suppress(OSError):  # the connection is broken already
+                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_OFF)
             self.close()
 
-    def close_gently(self, timeout: float) -> None:
-        """End the sending and read to the other side's end, so that no reset overtakes the last bytes.
+    def close_gracefully(self, timeout: float) -> None:
+        """Ends the sending direction and reads to the peer's end, so that no reset overtakes the last bytes.
 
-        Guards the processor: of a sender at full speed only so much is read and thrown away, and what
-        it sends beyond that waits in the kernel until the close.
+        Parks for at most ``timeout`` seconds. Drops at most ``MAX_DISCARDED_BYTES``; what a peer sends beyond
+        that stays in the kernel until the close, so that it costs no processor time.
         """
-        self.finish()
+        self.shutdown_write()
         deadline = time.monotonic() + timeout
-        left = DISCARD
+        left = MAX_DISCARDED_BYTES
         try:
             while left > 0 and (data := self.receive(max(0.0, deadline - time.monotonic()))):
                 left -= len(data)
@@ -315,4 +319,4 @@
         except (OSError, TimedOutError):
             pass
         finally:
-            self.close_now()
+            self.close_immediately()
--- a/ironmill/net/tls.py
+++ b/ironmill/net/tls.py
@@ -1,7 +1,7 @@
-"""A stream that speaks TLS: the same to whoever reads and writes it as a plain one.
+"""A stream that speaks TLS, with the interface of a plain ``Stream``.
 
-What is written but not yet taken by the socket is held as records, one at the most beyond what the caller has
-been told is sent; ``behind`` tells of it, and ``send`` waits for it.
+Encrypted records that the socket has not taken yet are buffered: at most one record more than the caller has
+been told is sent. ``has_backpressure`` reports such a buffer, and ``send`` waits until it is empty.
 """
 
 from __future__ import annotations
@@ -13,166 +13,170 @@
 import ssl
 import time
 
-from ironmill.net.sockets import CHUNK, Stream, TimedOutError
-from ironmill.protocol.tls import RECORD, TlsError, TlsSide, TlsState
+from ironmill.errors import IronmillError
+from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
+from ironmill.protocol.tls import MAX_RECORD_BYTES, TlsError, TlsProtocol, TlsState
 from ironmill.runtime.scheduler import WRITE, Scheduler
 
 
-class TlsFailedError(ConnectionError):
-    """The other side does not keep to TLS; it has been sent the alert that says so."""
+class TlsFailedError(IronmillError, ConnectionError):
+    """The peer broke TLS; it has been sent the alert if the socket took it at once."""
 
 
 class TlsStream(Stream):
-    """A connected socket with TLS on it. ``shake`` comes first."""
+    """A connected socket with TLS on it. ``handshake`` must be called before any data is read or written."""
 
-    __slots__ = ("_held", "_side")
+    __slots__ = ("_buffer", "_tls")
 
     def __init__(
         self,
         scheduler: Scheduler,
         sock: socket.socket,
         context: ssl.SSLContext,
-        server: bool = True,
-        name: str | None = None,
+        *,
+        is_server: bool = True,
+        server_name: str | None = None,
         session: ssl.SSLSession | None = None,
     ) -> None:
+        """A client verifies that the certificate is for ``server_name``, and may resume ``session``."""
         super().__init__(scheduler, sock)
-        self._side = TlsSide(context, server, name, session)
-        self._held = bytearray(self._side.outgoing())
+        self._tls = TlsProtocol(context, is_server=is_server, server_name=server_name, session=session)
+        self._buffer = bytearray(self._tls.outgoing())
 
     @classmethod
-    def over(cls, scheduler: Scheduler, stream: Stream, context: ssl.SSLContext, name: str) -> TlsStream:
-        """TLS on a stream that is connected, as its client; the plain one is not to be used any more."""
-        stream.closed = True  # its socket goes on in the other
-        return cls(scheduler, stream._sock, context, False, name)
+    def wrap(cls, scheduler: Scheduler, stream: Stream, context: ssl.SSLContext, name: str) -> TlsStream:
+        """Returns a TLS client on a connected stream, which must not be used any more."""
+        stream.closed = True  # its socket belongs to the new stream
+        return cls(scheduler, stream._sock, context, is_server=False, server_name=name)
 
-    def shake(self, deadline: float) -> None:
-        """The handshake, until the deadline on the monotonic clock.
+    def handshake(self, deadline: float) -> None:
+        """Completes the handshake before the deadline on the monotonic clock.
 
-        TimedOutError past it, TlsFailedError for bytes or a certificate not taken, OSError at an end.
+        Raises ``TimedOutError``, ``TlsFailedError`` for invalid records or certificates, or ``OSError`` if
+        the connection ends.
         """
-        while self._side.state is TlsState.HANDSHAKE:
+        while self._tls.state is TlsState.HANDSHAKE:
             self._flush(max(0.0, deadline - time.monotonic()))
             left = deadline - time.monotonic()
-            if left <= 0.0:  # guards against records that drip, each of them in time
+            if left <= 0.0:  # the wait below does not bound records that arrive one byte at a time
                 raise TimedOutError
-            self._take(super().receive(left))
-        if self._side.state is TlsState.CUT:
+            self._take_records(super().receive(left))
+        if self._tls.state is TlsState.TRUNCATED:
             raise ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
         self._flush(max(0.0, deadline - time.monotonic()))
 
-    def certificate(self) -> bytes | None:
-        """The other side's certificate in DER, None if it showed none."""
-        return self._side.peer_certificate()
+    def peer_certificate(self) -> bytes | None:
+        """Returns the peer's certificate in DER; None if it presented none."""
+        return self._tls.peer_certificate()
 
     @property
-    def side(self) -> TlsSide:
-        """The state of its TLS."""
-        return self._side
+    def tls(self) -> TlsProtocol:
+        """The state of TLS on this stream."""
+        return self._tls
 
     @property
-    def behind(self) -> bool:
+    def has_backpressure(self) -> bool:
         """True while records wait for the socket."""
-        return bool(self._held)
+        return bool(self._buffer)
 
     def receive(self, timeout: float | None = None) -> bytes:
-        """Some bytes, none once the other side has said that it sends no more.
+        """Returns some bytes, none once the peer has sent close_notify.
 
-        An end that it did not say is a reset: what came may not be all that was sent.
+        Raises ``ConnectionResetError`` if the bytes end without close_notify, because data may be missing.
         """
         while True:
             try:
-                data = self._side.read(CHUNK)
+                data = self._tls.read(READ_BYTES)
             except TlsError as error:
-                raise self._failed(error) from None
-            self._push()  # a read may have something to say: a key that changes, an end
+                raise self._failure(error) from None
+            self._push()  # a read may produce records: a key update, an alert
             if data is not None:
-                if not data and self._side.state is TlsState.CUT:
+                if not data and self._tls.state is TlsState.TRUNCATED:
                     raise ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
-                self.drained = bool(data) and self.drained and not self._side.pending
+                self.drained = bool(data) and self.drained and not self._tls.pending
                 return data
-            self._take(super().receive(timeout))
+            self._take_records(super().receive(timeout))
 
     def send_some(self, data: bytes | memoryview, timeout: float | None = None) -> int:
-        """Write a record's worth, waiting until the socket has all of it."""
+        """Writes at most one record and waits until the socket has all of it."""
         self._flush(timeout)
-        piece = bytes(data[:RECORD])
-        self._seal(piece)
+        piece = bytes(data[:MAX_RECORD_BYTES])
+        self._encrypt(piece)
         self._flush(timeout)
         return len(piece)
 
-    def send_now(self, data: bytes) -> int:
-        """Write what the socket takes at once; of the last record a part may be held."""
+    def send_nowait(self, data: bytes) -> int:
+        """Writes what the socket takes at once; a part of the last record may stay in the buffer."""
         sent = 0
         self._push()
-        while sent < len(data) and not self._held and self._side.state is not TlsState.HANDSHAKE:
-            piece = data[sent : sent + RECORD]
-            self._seal(piece)
+        while sent < len(data) and not self._buffer and self._tls.state is not TlsState.HANDSHAKE:
+            piece = data[sent : sent + MAX_RECORD_BYTES]
+            self._encrypt(piece)
             self._push()
             sent += len(piece)
         return sent
 
     def send(self, data: bytes, timeout: float | None = None) -> None:
-        """Write all of it, and what was held."""
+        """Writes all of it, and the buffered records."""
         super().send(data, timeout)
         self._flush(timeout)
 
     def flush(self, timeout: float | None = None) -> None:
-        """Wait until the socket has taken the records that are held."""
+        """Waits until the socket has taken the buffered records."""
         self._flush(timeout)
 
-    def finish(self) -> None:
-        """Say that no more is sent; the other direction stays."""
-        self._say_end()
-        super().finish()
+    def shutdown_write(self) -> None:
+        """Sends close_notify and ends the sending direction; the receiving direction stays open."""
+        self._send_close_notify()
+        super().shutdown_write()
 
     def close(self) -> None:
-        """Close it, and say so if there is still something to say it on."""
+        """Closes the socket, after close_notify where it can still be sent."""
         if not self.closed:
-            self._say_end()
+            self._send_close_notify()
         super().close()
 
     def abort(self) -> None:
-        """Close it with a reset, and without a word that could pass for an orderly end."""
-        self._side.abandon()
+        """Closes with a reset and without close_notify, so that it cannot pass for an orderly end."""
+        self._tls.abandon()
         super().abort()
 
-    def _say_end(self) -> None:
-        if self._side.state is TlsState.HANDSHAKE:
-            # Guards the rule on drains: a handshake that was not begun must not begin with the close.
-            self._held.clear()
+    def _send_close_notify(self) -> None:
+        if self._tls.state is TlsState.HANDSHAKE:
+            # The first byte of an attempt would reach a server that the drain deadline may already protect.
+            self._buffer.clear()
             return
-        with contextlib.suppress(OSError, TlsError):  # the other side is gone, or does not keep to TLS
-            self._side.finish()
+        with contextlib.suppress(OSError, TlsError):  # the peer is gone, or broke TLS
+            self._tls.shutdown_write()
             self._push()
 
-    def _seal(self, data: bytes) -> None:
+    def _encrypt(self, data: bytes) -> None:
         try:
-            self._side.write(data)
+            self._tls.write(data)
         except TlsError as error:
-            raise self._failed(error) from None
+            raise self._failure(error) from None
 
-    def _take(self, data: bytes) -> None:
+    def _take_records(self, data: bytes) -> None:
         try:
-            self._side.receive(data)
+            self._tls.receive(data)
         except TlsError as error:
-            raise self._failed(error) from None
+            raise self._failure(error) from None
 
-    def _failed(self, error: TlsError) -> TlsFailedError:
-        """The alert goes out if the socket takes it at once."""
+    def _failure(self, error: TlsError) -> TlsFailedError:
+        """Sends the alert if the socket takes it at once; returns the error to raise."""
         with contextlib.suppress(OSError):
             self._push()
         return TlsFailedError(str(error))
 
     def _push(self) -> None:
-        """Take what TLS has to say, and write what the socket takes at once."""
-        self._held += self._side.outgoing()
-        if self._held:
-            del self._held[: self._push_now(self._held)]
+        """Moves new records to the buffer and writes what the socket takes at once."""
+        self._buffer += self._tls.outgoing()
+        if self._buffer:
+            del self._buffer[: self._push_nowait(self._buffer)]
 
     def _flush(self, timeout: float | None) -> None:
         self._push()
-        while self._held:
+        while self._buffer:
             if not self._scheduler.wait(self._sock.fileno(), WRITE, timeout):
                 raise TimedOutError
             self._push()
--- a/ironmill/protocol/client.py
+++ b/ironmill/protocol/client.py
@@ -1,200 +1,185 @@
-"""The client's side of a connection as a state machine: bytes in, what they mean out."""
+"""The client's side of a connection as a state machine: bytes in, typed events out.
+
+The order of states is ``AWAITING_REQUEST``, ``AWAITING_ANSWER``, ``ESTABLISHED``, ``CLOSED``; any state may
+go to ``CLOSED``.
+"""
 
 from __future__ import annotations
 
-import re
 from enum import Enum, auto
 from typing import TypeAlias
 
 from msgspec import Struct
 
-from ironmill.protocol.lines import END, LIMIT, Lines, LineTooLongError
-
-HELD_LIMIT = LIMIT  # of what a connection that was open elsewhere sends before it is up again here
-PINGS_MOST = 64  # questions of the front on one connection
-PINGS_AT_ONCE = 4  # in what is read at once: the front waits for each answer
-# Milliseconds: a longer wait than a day is not meant. Connections that were open before the run say
-# 4,294,967, the most that 32 bits of microseconds hold.
-WAIT_MOST = 86_400_000
-
-
-class MalformedLineError(Exception):
-    """A first line that is not in the protocol's form."""
-
-
-class FirstLine(Struct, frozen=True):
-    """The line that opens a connection: the bytes that came, and the fields taken out of them."""
-
-    raw: bytes  # with its end
-    id: str
-    key: str
-    fields: dict[str, str]
+from ironmill.protocol.lines import LINE_END, MAX_LINE_BYTES, LineReader, LineTooLongError
+from ironmill.protocol.request import MalformedLineError, RequestLine, parse_request_line
 
-    def with_wait(self, milliseconds: int) -> bytes:
-        """The same bytes but for ``d``, which tells how long the proxy will wait."""
-        head, space, listed = self.raw.rpartition(b" ")
-        return head + space + re.sub(rb"(^|,)d=[0-9]+", rb"\g<1>d=%d" % milliseconds, listed, count=1)
+PONG_LINE = b"PONG\r\n"
+DRAINING_LINE = b"DRAINING\r\n"  # the reply to PING of a proxy that leaves the front's rotation
+ERROR_LINE = b"ERR\r\n"
+MIGRATE_LINE = b"MOVE\r\n"
 
+MAX_EARLY_BYTES = MAX_LINE_BYTES  # buffered for a resumed connection until it is established again
+MAX_PINGS = 64  # on one connection
+MAX_PINGS_PER_READ = 4  # the front waits for each reply, so more of them in one read are an error
 
-def parse_first_line(line: bytes) -> FirstLine:
-    """``OPEN ID KEY name=value,...``"""
-    try:
-        words = line.decode("ascii").split(" ")
-    except UnicodeDecodeError:
-        raise MalformedLineError("not ASCII") from None
-    if len(words) != 4 or words[0] != "OPEN" or not all(words):
-        raise MalformedLineError("not OPEN ID KEY LIST")
-    fields = {}
-    for part in words[3].split(","):
-        name, equals, value = part.partition("=")
-        if not equals or not name:
-            raise MalformedLineError("the list holds something that is not name=value")
-        if name in fields:
-            # Guards the one meaning of a line: the last would be read here, and the first elsewhere.
-            raise MalformedLineError("a name comes twice in the list")
-        fields[name] = value
-    if "c" not in fields:
-        raise MalformedLineError("the class is missing")
-    if "d" in fields and not (re.fullmatch(r"[0-9]{1,9}", fields["d"]) and int(fields["d"]) <= WAIT_MOST):
-        raise MalformedLineError("d is not a number of milliseconds")
-    return FirstLine(line + END, words[1], words[2], fields)
 
+class PingReceived(Struct, frozen=True):
+    """The front checks whether the proxy is up."""
 
-class Asked(Struct, frozen=True):
-    """The front asks whether the proxy is there."""
 
-
-class Shown(Struct, frozen=True):
-    """The client shows a credential, which goes no further."""
+class CredentialPresented(Struct, frozen=True):
+    """The client presented a token, which is not forwarded."""
 
     token: bytes
 
 
-class Opened(Struct, frozen=True):
-    """The client asks for a connection."""
+class RequestReceived(Struct, frozen=True):
+    """The client requested a connection."""
 
-    first: FirstLine
+    line: RequestLine
 
 
-class Malformed(Struct, frozen=True):
-    """The client does not speak the protocol: one plain answer and a close. Its attempt, if any, ends."""
+class ProtocolViolated(Struct, frozen=True):
+    """The client broke the protocol; it gets ``ERR`` and its attempt, if any, ends."""
 
     reason: str
 
 
-class Onward(Struct, frozen=True):
-    """Bytes for the server, and how many lines they complete."""
+class DataReceived(Struct, frozen=True):
+    """Bytes to forward to the server, and the number of lines that they complete."""
 
     data: bytes
     lines: int
 
 
-class Left(Struct, frozen=True):
-    """The client went before it had its answer."""
+class ClientClosed(Struct, frozen=True):
+    """The client closed its connection before the final answer."""
 
 
-class SendingEnded(Struct, frozen=True):
-    """The client will send no more on its standing connection."""
+class ClientHalfClosed(Struct, frozen=True):
+    """The client ended the sending direction of its established connection."""
 
 
-ClientEvent: TypeAlias = Asked | Shown | Opened | Malformed | Onward | Left | SendingEnded
+ClientEvent: TypeAlias = (
+    PingReceived
+    | CredentialPresented
+    | RequestReceived
+    | ProtocolViolated
+    | DataReceived
+    | ClientClosed
+    | ClientHalfClosed
+)
 
 
 class ClientState(Enum):
-    """Where a client's connection is."""
-
-    FIRST = auto()  # its first line has not come
-    WAITING = auto()  # its request is being decided
-    STANDING = auto()  # its bytes go on unchanged
-    OVER = auto()
+    """The state of a client's connection."""
+
+    AWAITING_REQUEST = auto()
+    AWAITING_ANSWER = auto()
+    ESTABLISHED = auto()  # bytes are forwarded unchanged
+    CLOSED = auto()
+
+
+class ClientProtocol:
+    """Parses what a client sends."""
+
+    __slots__ = (
+        "_accepts_credential",
+        "_early_data",
+        "_early_data_allowed",
+        "_lines",
+        "_ping_count",
+        "state",
+    )
+
+    def __init__(self, *, accepts_credential: bool = False) -> None:
+        """``accepts_credential``: one line ``AUTH TOKEN`` may precede the request line."""
+        self.state = ClientState.AWAITING_REQUEST
+        self._accepts_credential = accepts_credential
+        self._lines = LineReader()
+        self._early_data = b""
+        self._early_data_allowed = False
+        self._ping_count = 0
 
+    def receive(self, data: bytes) -> list[ClientEvent]:
+        """Returns the events that bytes from the client cause; none once the connection is closed."""
+        if self.state is ClientState.ESTABLISHED:
+            return [DataReceived(data, len(self._lines.feed(data)))]
+        if self.state is ClientState.AWAITING_REQUEST:
+            return self._receive_request(data)
+        if self.state is ClientState.AWAITING_ANSWER:
+            self._early_data += data
+            return self._check_early_data()
+        return []
 
-class ClientSide:
-    """What a client has sent and is owed."""
+    def establish(self) -> DataReceived:
+        """Records that the server accepted the connection; returns the early data to forward first."""
+        self.state = ClientState.ESTABLISHED
+        self._lines = LineReader(strict=False)
+        early = self._early_data
+        self._early_data = b""
+        return DataReceived(early, len(self._lines.feed(early)))
 
-    __slots__ = ("_early", "_lines", "_may_be_early", "_may_show", "_pings", "state")
+    def end_of_stream(self) -> list[ClientEvent]:
+        """Returns the events that the end of the client's bytes causes."""
+        before = self.state
+        if before is ClientState.ESTABLISHED:
+            return [ClientHalfClosed()]
+        self.state = ClientState.CLOSED
+        return [ClientClosed()] if before is ClientState.AWAITING_ANSWER else []
 
-    def __init__(self, may_show: bool = False) -> None:
-        """``may_show``: one line ``AUTH TOKEN`` may come before the first line."""
-        self.state = ClientState.FIRST
-        self._may_show = may_show
-        self._lines = Lines()
-        self._early = b""
-        self._may_be_early = False
-        self._pings = 0
+    def close(self) -> None:
+        """Records that the client has its final answer, or none is possible."""
+        self.state = ClientState.CLOSED
 
-    def receive(self, data: bytes) -> list[ClientEvent]:
-        """The client sent these bytes."""
-        if self.state is ClientState.FIRST:
-            return self._first(data)
-        if self.state is ClientState.WAITING:
-            self._early += data
-            return self._early_bytes()
-        if self.state is ClientState.STANDING:
-            return [Onward(data, len(self._lines.feed(data)))]
-        return []
+    @property
+    def has_partial_line(self) -> bool:
+        """True if an incomplete line has been received."""
+        return not self._lines.at_line_boundary
 
-    def _first(self, data: bytes) -> list[ClientEvent]:
-        events: list[ClientEvent] = []
+    def _receive_request(self, data: bytes) -> list[ClientEvent]:
         try:
             lines = self._lines.feed(data)
-        except LineTooLongError:
-            return [self._malformed(f"a line holds more than {LIMIT} bytes")]
-        pings = 0
-        while lines:
-            line = lines.pop(0)
+        except LineTooLongError as error:
+            return [self._violation(str(error))]
+        events: list[ClientEvent] = []
+        ping_count = 0
+        for at, line in enumerate(lines):
             if line == b"PING":
-                pings, self._pings = pings + 1, self._pings + 1
-                if pings > PINGS_AT_ONCE or self._pings > PINGS_MOST:  # guards the processor
-                    return [self._malformed("one PING after another")]
-                events.append(Asked())
-                continue
-            if self._may_show and line.startswith(b"AUTH "):
-                self._may_show = False  # a second one is malformed
-                events.append(Shown(line[5:]))
-                continue
-            try:
-                first = parse_first_line(line)
-            except MalformedLineError as error:
-                return [*events, self._malformed(str(error))]
-            # Packets of a connection that is open at a server already may be on their way.
-            self._may_be_early = first.fields.get("mid") == "1" or "at" in first.fields
-            self._early = b"".join(early + END for early in lines) + self._lines.take_rest()
-            self.state = ClientState.WAITING
-            refused = self._early_bytes()
-            return [*events, *(refused or [Opened(first)])]
+                ping_count += 1
+                self._ping_count += 1
+                if ping_count > MAX_PINGS_PER_READ or self._ping_count > MAX_PINGS:
+                    return [
+                        self._violation(f"more than {MAX_PINGS_PER_READ} PING at once or {MAX_PINGS} in all")
+                    ]
+                events.append(PingReceived())
+            elif self._accepts_credential and line.startswith(b"AUTH "):
+                self._accepts_credential = False  # a second credential is an error
+                events.append(CredentialPresented(line[5:]))
+            else:
+                return [*events, *self._open(line, lines[at + 1 :])]
         return events
 
-    def _early_bytes(self) -> list[ClientEvent]:
-        """A client waits for its answer. Guards the servers and memory against one that does not."""
-        if not self._early or (self._may_be_early and len(self._early) <= HELD_LIMIT):
+    def _open(self, line: bytes, following: list[bytes]) -> list[ClientEvent]:
+        """Parses the request line; the lines that follow it in the same read are early data."""
+        try:
+            request_line = parse_request_line(line)
+        except MalformedLineError as error:
+            return [self._violation(str(error))]
+        self._early_data_allowed = request_line.may_have_early_data
+        self._early_data = b"".join(early + LINE_END for early in following) + self._lines.take_partial()
+        self.state = ClientState.AWAITING_ANSWER
+        return self._check_early_data() or [RequestReceived(request_line)]
+
+    def _check_early_data(self) -> list[ClientEvent]:
+        """Bounds what is buffered until the answer; most requests may not send anything before it."""
+        if not self._early_data:
             return []
-        return [self._malformed("more came before the answer to the first line")]
-
-    def _malformed(self, reason: str) -> Malformed:
-        self.state = ClientState.OVER
-        return Malformed(reason)
-
-    def stand(self) -> Onward:
-        """The server took the connection. What the client sent early goes on first."""
-        self.state = ClientState.STANDING
-        self._lines = Lines(strict=False)
-        early, self._early = self._early, b""
-        return Onward(early, len(self._lines.feed(early)))
-
-    def end(self) -> list[ClientEvent]:
-        """The client ended its sending."""
-        before = self.state
-        if before is ClientState.STANDING:
-            return [SendingEnded()]
-        self.state = ClientState.OVER
-        return [Left()] if before is ClientState.WAITING else []
-
-    @property
-    def begun(self) -> bool:
-        """True if a part of a line has come."""
-        return not self._lines.between
+        if self._early_data_allowed and len(self._early_data) <= MAX_EARLY_BYTES:
+            return []
+        return [self._violation("data before the answer to the request line")]
 
-    def close(self) -> None:
-        """The client has its last answer."""
-        self.state = ClientState.OVER
+    def _violation(self, reason: str) -> ProtocolViolated:
+        self.state = ClientState.CLOSED
+        return ProtocolViolated(reason)
--- a/ironmill/protocol/discovery.py
+++ b/ironmill/protocol/discovery.py
@@ -1,16 +1,16 @@
-"""Discovery's messages: the list of servers and its changes, read from JSON."""
+"""Messages of discovery: the endpoint list and its changes, parsed from JSON."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
 from ironmill.balancing.interface import Stage
-from ironmill.protocol.json_object import MalformedError, Tree
+from ironmill.protocol.json_object import JsonObject, MalformedError
 
 STAGES = {"up": Stage.READY, "draining": Stage.DRAINING, "removed": Stage.GONE}
 
 
-class Listed(Struct, frozen=True):
+class ListedServer(Struct, frozen=True):
     """One server as discovery lists it."""
 
     uid: str
@@ -20,37 +20,42 @@
     zone: str
     cell: int
     weight: float
-    boot: float  # Unix time in seconds, by another machine's clock; 0: long ago
+    started_at: float  # Unix time in seconds by another machine's clock; 0: long ago
 
 
-class Routing(Struct, frozen=True):
-    """One answer of discovery."""
+class EndpointUpdate(Struct, frozen=True):
+    """One response of discovery: the complete endpoint list, or the changes since a revision."""
 
     revision: int
     full: bool
-    listed: tuple[Listed, ...]
-    age: float = 0.0  # seconds since it was told
+    servers: tuple[ListedServer, ...]
+    age: float = 0.0  # seconds since discovery sent it
 
 
-def parse_routing(tree: Tree) -> Routing:
-    """The answer from its JSON object. A state that is not known is passed over."""
-    listed = []
-    for item in tree.trees("targets"):
+def parse_endpoint_update(message: JsonObject) -> EndpointUpdate:
+    """Parses a response. Skips servers in an unknown state; raises ``MalformedError``."""
+    servers = []
+    for item in message.nested_list("targets"):
         stage = STAGES.get(item.text("state"))
-        host, _, port = item.text("endpoint").rpartition(":")
-        if not host or not (port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536):
-            raise MalformedError(f"routing table: the endpoint of {item.text('uid')} is not HOST:PORT")
+        host, port = _parse_endpoint(item)
         if stage is not None:
-            listed.append(
-                Listed(
+            servers.append(
+                ListedServer(
                     uid=item.text("uid"),
                     host=host,
-                    port=int(port),
+                    port=port,
                     stage=stage,
                     zone=item.text("az", ""),
                     cell=int(item.number("pod_group", 0.0)),
                     weight=item.number("capacity_hint", 1.0),
-                    boot=item.number("boot_ms", 0.0) / 1000.0,
+                    started_at=item.number("boot_ms", 0.0) / 1000.0,
                 )
             )
-    return Routing(int(tree.number("rev")), tree.flag("all", False), tuple(listed))
+    return EndpointUpdate(int(message.number("rev")), message.flag("all", default=False), tuple(servers))
+
+
+def _parse_endpoint(item: JsonObject) -> tuple[str, int]:
+    host, _, port = item.text("endpoint").rpartition(":")
+    if not host or not (port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536):
+        raise MalformedError(f"routing table: the endpoint of {item.text('uid')} is not HOST:PORT")
+    return host, int(port)
--- a/ironmill/protocol/http.py
+++ b/ironmill/protocol/http.py
@@ -1,4 +1,4 @@
-"""A parser for HTTP/1.1 responses, fed bytes. Bounded: a response that is too large is an error."""
+"""Parses HTTP/1.1 responses from bytes. A response that exceeds the limits on its size is an error."""
 
 from __future__ import annotations
 
@@ -6,64 +6,69 @@
 
 from msgspec import Struct
 
-HEAD_LIMIT = 16 * 1024
-BODY_LIMIT = 8 * 1024 * 1024
+from ironmill.errors import IronmillError
 
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 
-class HttpError(Exception):
-    """The bytes are no response that this parser takes."""
+
+class HttpError(IronmillError):
+    """A response that is malformed, too large or unusable."""
 
 
 class Response(Struct, frozen=True):
-    """A whole response."""
+    """A complete response."""
 
     status: int
     body: bytes
     keep_alive: bool
 
 
-class _Part(Enum):
+class _State(Enum):
+    """The part of a response that is expected next."""
+
     HEAD = auto()
-    LENGTH = auto()  # a body of stated length
-    SIZE = auto()  # the size line of a chunk
+    SIZED_BODY = auto()  # a body of stated length
+    CHUNK_SIZE = auto()
     CHUNK = auto()
     TRAILER = auto()
-    TO_END = auto()  # a body that the end of the connection ends
+    UNSIZED_BODY = auto()  # a body that extends to the end of the connection
 
 
 class ResponseParser:
-    """Parses one response after another on a connection."""
+    """Parses consecutive responses of one connection."""
 
     def __init__(self) -> None:
+        """Expects the head of a response."""
         self._data = b""
-        self._begin()
+        self._reset()
 
-    def _begin(self) -> None:
-        self._part = _Part.HEAD
+    def _reset(self) -> None:
+        self._state = _State.HEAD
         self._status = 0
         self._keep_alive = True
-        self._left = 0
+        self._remaining = 0
         self._body: list[bytes] = []
-        self._size = 0
+        self._body_size = 0
 
     def feed(self, data: bytes) -> list[Response]:
-        """The responses that the bytes complete."""
+        """Returns the responses that the bytes complete. Raises ``HttpError``."""
         self._data += data
         done = []
         while (response := self._step()) is not None:
             if isinstance(response, Response):
                 done.append(response)
-                self._begin()
+                self._reset()
         return done
 
     @property
-    def between(self) -> bool:
-        """True if nothing of a next response has come."""
-        return self._part is _Part.HEAD and not self._data
+    def at_message_boundary(self) -> bool:
+        """True if no byte of a next response has been received."""
+        return self._state is _State.HEAD and not self._data
 
-    def end(self) -> Response | None:
-        """The connection ended: the response that this completes, if any."""
-        if self._part is _Part.TO_END:
+    def end_of_stream(self) -> Response | None:
+        """Returns the response that the end of the connection completes, if any."""
+        if self._state is _State.UNSIZED_BODY:
             return self._response()
         return None
 
@@ -71,84 +76,90 @@
         return Response(self._status, b"".join(self._body), self._keep_alive)
 
     def _step(self) -> Response | bool | None:
-        """One part further: a response, True for progress, None if more bytes are needed."""
-        match self._part:
-            case _Part.HEAD:
-                return self._head()
-            case _Part.SIZE:
-                line = self._line()
-                return None if line is None else self._chunk_size(line)
-            case _Part.TRAILER:
-                line = self._line()
-                if line is None:
-                    return None
-                return True if line else self._response()
-            case _Part.TO_END:
+        """Parses one part; returns a complete response, True for progress, None if more bytes are needed."""
+        match self._state:
+            case _State.HEAD:
+                return self._parse_head()
+            case _State.CHUNK_SIZE:
+                return self._parse_chunk_size()
+            case _State.TRAILER:
+                return self._parse_trailer()
+            case _State.UNSIZED_BODY:
                 self._take(len(self._data))
                 return None
-            case _Part.LENGTH | _Part.CHUNK:
-                self._left -= self._take(self._left)
-                if self._left > 0:
-                    return None
-                if self._part is _Part.LENGTH:
-                    return self._response()
-                if len(self._data) < 2:
+            case _State.SIZED_BODY | _State.CHUNK:
+                self._remaining -= self._take(self._remaining)
+                if self._remaining > 0:
                     return None
-                if not self._data.startswith(b"\r\n"):
-                    raise HttpError("a chunk does not end where it says")
-                self._data = self._data[2:]
-                self._part = _Part.SIZE
-                return True
+                return self._response() if self._state is _State.SIZED_BODY else self._end_chunk()
 
-    def _head(self) -> Response | bool | None:
+    def _end_chunk(self) -> bool | None:
+        if len(self._data) < 2:
+            return None
+        if not self._data.startswith(b"\r\n"):
+            raise HttpError("a chunk is longer than its size line states")
+        self._data = self._data[2:]
+        self._state = _State.CHUNK_SIZE
+        return True
+
+    def _parse_trailer(self) -> Response | bool | None:
+        line = self._line()
+        if line is None:
+            return None
+        return True if line else self._response()
+
+    def _parse_head(self) -> Response | bool | None:
         head, found, rest = self._data.partition(b"\r\n\r\n")
-        if len(head) > HEAD_LIMIT:
-            raise HttpError("the head is too large")
+        if len(head) > MAX_HEAD_BYTES:
+            raise HttpError(f"the head holds more than {MAX_HEAD_BYTES} bytes")
         if not found:
             return None
         self._data = rest
         first, *lines = head.decode("latin-1").split("\r\n")
-        words = first.split(" ", 2)
-        if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit():
-            raise HttpError(f"not a status line: {first[:60]!r}")
-        self._status = int(words[1])
+        parts = first.split(" ", 2)
+        if len(parts) < 2 or not parts[0].startswith("HTTP/1.") or not parts[1].isdigit():
+            raise HttpError(f"{first[:60]!r} is not a status line")
+        self._status = int(parts[1])
         if 100 <= self._status < 200:  # an interim response: the real one follows
             return True
-        fields = {}
-        for line in lines:
-            name, _, value = line.partition(":")
-            fields[name.strip().lower()] = value.strip().lower()
-        self._keep_alive = "close" not in fields.get("connection", "") and words[0] != "HTTP/1.0"
+        fields = _parse_fields(lines)
+        self._keep_alive = "close" not in fields.get("connection", "") and parts[0] != "HTTP/1.0"
         if self._status in (204, 304):
             return self._response()
+        self._expect_body(fields)
+        return True
+
+    def _expect_body(self, fields: dict[str, str]) -> None:
         if fields.get("transfer-encoding", "").endswith("chunked"):
-            self._part = _Part.SIZE
+            self._state = _State.CHUNK_SIZE
         elif "content-length" in fields:
             if not fields["content-length"].isdigit():
-                raise HttpError("the content length is no number")
-            self._left = int(fields["content-length"])
-            self._bound(self._left)
-            self._part = _Part.LENGTH
+                raise HttpError("the content length is not a number")
+            self._remaining = int(fields["content-length"])
+            self._check_size(self._remaining)
+            self._state = _State.SIZED_BODY
         else:
             self._keep_alive = False
-            self._part = _Part.TO_END
-        return True
+            self._state = _State.UNSIZED_BODY
 
-    def _chunk_size(self, line: bytes) -> bool:
+    def _parse_chunk_size(self) -> bool | None:
+        line = self._line()
+        if line is None:
+            return None
         try:
-            self._left = int(line.partition(b";")[0], 16)
+            self._remaining = int(line.partition(b";")[0], 16)
         except ValueError:
-            raise HttpError("the size of a chunk is no number") from None
-        if self._left < 0:
+            raise HttpError("the size of a chunk is not a number") from None
+        if self._remaining < 0:
             raise HttpError("the size of a chunk is negative")
-        self._bound(self._size + self._left)
-        self._part = _Part.CHUNK if self._left else _Part.TRAILER
+        self._check_size(self._body_size + self._remaining)
+        self._state = _State.CHUNK if self._remaining else _State.TRAILER
         return True
 
     def _line(self) -> bytes | None:
         line, found, rest = self._data.partition(b"\r\n")
-        if len(line) > HEAD_LIMIT:
-            raise HttpError("a line is too long")
+        if len(line) > MAX_HEAD_BYTES:
+            raise HttpError(f"a line holds more than {MAX_HEAD_BYTES} bytes")
         if not found:
             return None
         self._data = rest
@@ -157,11 +168,19 @@
     def _take(self, count: int) -> int:
         piece, self._data = self._data[:count], self._data[count:]
         self._body.append(piece)
-        self._size += len(piece)
-        self._bound(self._size)
+        self._body_size += len(piece)
+        self._check_size(self._body_size)
         return len(piece)
 
     @staticmethod
-    def _bound(size: int) -> None:
-        if size > BODY_LIMIT:
-            raise HttpError("the body is too large")
+    def _check_size(size: int) -> None:
+        if size > MAX_BODY_BYTES:
+            raise HttpError(f"the body holds more than {MAX_BODY_BYTES} bytes")
+
+
+def _parse_fields(lines: list[str]) -> dict[str, str]:
+    fields = {}
+    for line in lines:
+        name, _, value = line.partition(":")
+        fields[name.strip().lower()] = value.strip().lower()
+    return fields
--- a/ironmill/protocol/lines.py
+++ b/ironmill/protocol/lines.py
@@ -1,48 +1,57 @@
-"""Lines of text that end with CRLF, cut from bytes as they come."""
+"""Splits a byte stream into lines of text that end with CRLF."""
 
 from __future__ import annotations
 
-LIMIT = 4096
-END = b"\r\n"
+from ironmill.errors import IronmillError
 
+MAX_LINE_BYTES = 4096  # without the line's end
+LINE_END = b"\r\n"
 
-class LineTooLongError(Exception):
-    """More bytes than a line may hold have come without its end."""
 
+class LineTooLongError(IronmillError):
+    """A line is longer than ``MAX_LINE_BYTES``."""
 
-class Lines:
-    """Cuts a stream into lines and never holds more than one line's length of it.
 
-    A strict one raises on an over-long line. The other is for streams that go on unchanged anyway:
-    it keeps the head of such a line.
+class LineReader:
+    """Splits a stream into lines and buffers at most ``MAX_LINE_BYTES`` of an incomplete one.
+
+    A strict reader raises ``LineTooLongError``. The other kind observes a stream that is forwarded unchanged:
+    it returns the first ``MAX_LINE_BYTES`` of a line that is too long.
     """
 
-    __slots__ = ("_cut", "_held", "_strict")
+    __slots__ = ("_buffer", "_strict", "_truncated")
 
-    def __init__(self, strict: bool = True) -> None:
+    def __init__(self, *, strict: bool = True) -> None:
+        """``strict``: a line that is too long raises ``LineTooLongError``."""
         self._strict = strict
-        self._held = b""
-        self._cut = False  # the line under way is over-long and its head alone is held
+        self._buffer = b""
+        self._truncated = False  # only the start of the incomplete line is buffered
 
     @property
-    def between(self) -> bool:
-        """True if the last byte fed ended a line, or none has come."""
-        return not self._held and not self._cut
+    def at_line_boundary(self) -> bool:
+        """True if the last byte fed ended a line, or none has been fed."""
+        return not self._buffer and not self._truncated
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that the bytes complete, without their ends."""
-        *lines, rest = (self._held + data).split(END)
-        if self._cut and lines:
-            lines[0], self._cut = lines[0][:LIMIT], False
-        if self._strict and any(len(line) > LIMIT for line in (*lines, rest.removesuffix(b"\r"))):
-            raise LineTooLongError
-        if len(rest) > LIMIT:
-            # The last byte stays, for a CR there may be the first half of the end.
-            rest, self._cut = rest[: LIMIT - 1] + rest[-1:], True
-        self._held = rest
-        return [line[:LIMIT] for line in lines]
-
-    def take_rest(self) -> bytes:
-        """What has come of the line under way; it is held no longer."""
-        rest, self._held = self._held, b""
+        """Returns the lines that the bytes complete, without their ends.
+
+        Raises ``LineTooLongError`` if the reader is strict and a line exceeds the limit.
+        """
+        *lines, rest = (self._buffer + data).split(LINE_END)
+        if self._truncated and lines:
+            lines[0] = lines[0][:MAX_LINE_BYTES]
+            self._truncated = False
+        if self._strict and any(len(line) > MAX_LINE_BYTES for line in (*lines, rest.removesuffix(b"\r"))):
+            raise LineTooLongError(f"a line holds more than {MAX_LINE_BYTES} bytes")
+        if len(rest) > MAX_LINE_BYTES:
+            # The last byte is kept because a CR may be the first half of the line's end.
+            rest = rest[: MAX_LINE_BYTES - 1] + rest[-1:]
+            self._truncated = True
+        self._buffer = rest
+        return [line[:MAX_LINE_BYTES] for line in lines]
+
+    def take_partial(self) -> bytes:
+        """Returns the bytes of the incomplete line and removes them from the buffer."""
+        rest = self._buffer
+        self._buffer = b""
         return rest
--- a/ironmill/protocol/server.py
+++ b/ironmill/protocol/server.py
@@ -1,4 +1,4 @@
-"""A server's side of one attempt as a state machine: what is written and what comes back."""
+"""The server's side of an attempt and of a health check as state machines: bytes in, typed events out."""
 
 from __future__ import annotations
 
@@ -9,55 +9,55 @@
 from msgspec import Struct
 
 from ironmill.balancing.interface import Outcome
-from ironmill.protocol.lines import END, Lines, LineTooLongError
+from ironmill.protocol.lines import LINE_END, LineReader, LineTooLongError
 
-Report = tuple[tuple[str, float], ...]
+LoadReport = tuple[tuple[str, float], ...]
 
+# The first word of an answer other than UP, and of a line that ends an established connection.
+_REJECTIONS = {b"BUSY": Outcome.FULL, b"ERR": Outcome.ERROR, b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}
+_FAREWELLS = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED, b"ERR": Outcome.ERROR}
 
-class Up(Struct, frozen=True):
-    """The connection stands. The data is the UP line and goes to the client as it is."""
 
-    data: bytes
-    later: bytes  # what came behind it, to be fed again once the client has the UP line
+class AttemptEstablished(Struct, frozen=True):
+    """The server accepted the connection."""
+
+    line: bytes  # the server's line, with its end; it goes to the client unchanged
+    following: bytes  # received behind it; to be fed again once the client has the line
 
 
-class Refused(Struct, frozen=True):
-    """The server gave another answer than UP."""
+class AttemptRejected(Struct, frozen=True):
+    """The server gave another answer than ``UP``."""
 
     outcome: Outcome
-    line: bytes
+    line: bytes  # with its end
 
 
-class Relayed(Struct, frozen=True):
-    """Bytes for the client; how many lines among them answer one of the client's."""
+class ServerDataReceived(Struct, frozen=True):
+    """Bytes to forward to the client."""
 
     data: bytes
-    answers: int
-    loads: tuple[float, ...]  # what LOAD lines among them tell
+    answers: int  # lines among them that answer one of the client's
+    loads: tuple[float, ...]  # the values of LOAD lines among them
 
 
-AttemptEvent: TypeAlias = Up | Refused | Relayed
+AttemptEvent: TypeAlias = AttemptEstablished | AttemptRejected | ServerDataReceived
 
 
 class AttemptState(Enum):
-    """Where an attempt is."""
+    """The state of an attempt's connection."""
 
     CONNECTING = auto()
-    ASKING = auto()  # its first line is not wholly written
-    WAITING = auto()
-    STANDING = auto()
-    OVER = auto()
-
+    SENDING_REQUEST = auto()  # the request line is not completely written
+    AWAITING_ANSWER = auto()
+    ESTABLISHED = auto()
+    CLOSED = auto()
 
-ANSWERS = {b"BUSY": Outcome.FULL, b"ERR": Outcome.ERROR, b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}
-PARTINGS = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED, b"ERR": Outcome.ERROR}
 
-
-def parse_report(text: bytes) -> Report:
-    """The load report at the end of a line; empty where there is none or it is not understood."""
+def parse_load_report(text: bytes) -> LoadReport:
+    """Parses the load report at the end of a line; empty where there is none or it is malformed."""
     pairs = []
-    for part in text.decode("ascii", "replace").split(","):
-        name, equals, value = part.partition("=")
+    for item in text.decode("ascii", "replace").split(","):
+        name, equals, value = item.partition("=")
         try:
             pairs.append((name, float(value)))
         except ValueError:
@@ -67,108 +67,122 @@
     return tuple(pairs)
 
 
-class ProbeSide:
-    """One question for the load report and its answer; the connection may then serve the next."""
+class HealthCheckProtocol:
+    """One request for a load report and its reply; the connection may then serve the next."""
 
-    QUESTION = b"STATS" + END
+    REQUEST = b"STATS" + LINE_END
 
     def __init__(self) -> None:
-        self._lines = Lines()
+        """Expects the reply to one ``REQUEST``."""
+        self._lines = LineReader()
 
-    def receive(self, data: bytes) -> tuple[Outcome, Report] | None:
-        """The answer, once it is whole."""
+    def receive(self, data: bytes) -> tuple[Outcome, LoadReport] | None:
+        """Returns the reply once it is complete, else None."""
         try:
             lines = self._lines.feed(data)
         except LineTooLongError:
             return Outcome.ERROR, ()
         if not lines:
             return None
-        word, _, rest = lines[0].partition(b" ")
-        return (Outcome.OK if word == b"PONG" else Outcome.ERROR), parse_report(rest)
+        keyword, _, rest = lines[0].partition(b" ")
+        return (Outcome.OK if keyword == b"PONG" else Outcome.ERROR), parse_load_report(rest)
 
 
-class ServerSide:
-    """What one attempt has written and read."""
+class AttemptProtocol:
+    """Tracks what one attempt has written and parses what its server sends."""
 
-    __slots__ = ("_lines", "_parting", "_raw", "report", "state", "stood", "unwritten")
+    __slots__ = ("_farewell", "_lines", "_received", "established", "report", "state", "unwritten")
 
-    def __init__(self, first_line: bytes) -> None:
+    def __init__(self, request_line: bytes) -> None:
+        """``request_line`` is what the attempt writes, with the line's end."""
         self.state = AttemptState.CONNECTING
-        self.unwritten = first_line
-        self.report: Report = ()
-        self.stood = False
-        self._raw = b""
-        self._lines = Lines()
-        self._parting = Outcome.RESET
+        self.unwritten = request_line
+        self.report: LoadReport = ()
+        self.established = False  # stays true once the connection has ended
+        self._received = b""  # until the answer is complete
+        self._lines = LineReader()
+        self._farewell = Outcome.RESET  # the outcome if the connection ended now
 
     @property
-    def between_lines(self) -> bool:
-        """True if what went to the client ends with a whole line."""
-        return self._lines.between
+    def at_line_boundary(self) -> bool:
+        """True if what was forwarded to the client ends with a complete line."""
+        return self._lines.at_line_boundary
 
     def connected(self) -> bytes:
-        """The connection is up: what to write."""
-        self.state = AttemptState.ASKING
+        """Records that the connection is up; returns the bytes to write."""
+        self.state = AttemptState.SENDING_REQUEST
         return self.unwritten
 
     def wrote(self, count: int) -> bytes:
-        """So many bytes were taken: what is left to write."""
+        """Records that so many bytes were written; returns the bytes left to write."""
         self.unwritten = self.unwritten[count:]
         if not self.unwritten:
-            self.state = AttemptState.WAITING
+            self.state = AttemptState.AWAITING_ANSWER
         return self.unwritten
 
     def receive(self, data: bytes) -> list[AttemptEvent]:
-        """The server sent these bytes."""
-        if self.state is AttemptState.STANDING:
-            return [self._relay(data)]
-        if self.state is AttemptState.OVER:
+        """Returns the events that bytes from the server cause; none once the attempt is closed."""
+        if self.state is AttemptState.ESTABLISHED:
+            return [self._receive_data(data)]
+        if self.state is AttemptState.CLOSED:
             return []
-        self._raw += data
+        return self._receive_answer(data)
+
+    def end_of_stream(self) -> Outcome:
+        """Records that the connection ended, broke or never came up; returns the attempt's outcome."""
+        before = self.state
+        self.state = AttemptState.CLOSED
+        if before in (AttemptState.CONNECTING, AttemptState.SENDING_REQUEST):
+            return Outcome.CONNECT_FAILED
+        return self._farewell if before is AttemptState.ESTABLISHED else Outcome.RESET
+
+    def time_out(self) -> Outcome:
+        """Records that the proxy stopped waiting; returns the attempt's outcome.
+
+        An attempt whose request line was not completely written cannot have run.
+        """
+        before = self.state
+        self.state = AttemptState.CLOSED
+        if before in (AttemptState.CONNECTING, AttemptState.SENDING_REQUEST):
+            return Outcome.CONNECT_FAILED
+        return Outcome.TIMEOUT
+
+    def _receive_answer(self, data: bytes) -> list[AttemptEvent]:
+        self._received += data
         try:
             lines = self._lines.feed(data)
         except LineTooLongError:
-            return [self._refused(Outcome.ERROR, b"")]
+            return [self._reject(Outcome.ERROR, b"")]
         if not lines:
             return []
-        word, _, rest = lines[0].partition(b" ")
-        if word != b"UP":
-            self.report = parse_report(rest)
-            return [self._refused(ANSWERS.get(word, Outcome.ERROR), lines[0])]
-        self.state, self.stood = AttemptState.STANDING, True
-        first, later = self._raw[: len(lines[0]) + 2], self._raw[len(lines[0]) + 2 :]
-        self._raw = b""
-        self._lines = Lines(strict=False)
-        return [Up(first, later)]
-
-    def _refused(self, outcome: Outcome, line: bytes) -> Refused:
-        self.state = AttemptState.OVER
-        return Refused(outcome, line + END)
-
-    def _relay(self, data: bytes) -> Relayed:
-        answers, loads = 0, []
+        line = lines[0]
+        keyword, _, rest = line.partition(b" ")
+        if keyword != b"UP":
+            self.report = parse_load_report(rest)
+            return [self._reject(_REJECTIONS.get(keyword, Outcome.ERROR), line)]
+        self.state = AttemptState.ESTABLISHED
+        self.established = True
+        length = len(line) + len(LINE_END)
+        event = AttemptEstablished(self._received[:length], self._received[length:])
+        self._received = b""
+        self._lines = LineReader(strict=False)
+        return [event]
+
+    def _reject(self, outcome: Outcome, line: bytes) -> AttemptRejected:
+        self.state = AttemptState.CLOSED
+        return AttemptRejected(outcome, line + LINE_END)
+
+    def _receive_data(self, data: bytes) -> ServerDataReceived:
+        answers = 0
+        loads = []
         for line in self._lines.feed(data):
-            word, _, rest = line.partition(b" ")
-            self._parting = PARTINGS.get(word, Outcome.RESET)
-            if word == b"LOAD":
-                with contextlib.suppress(ValueError):  # the line goes on all the same
+            keyword, _, rest = line.partition(b" ")
+            self._farewell = _FAREWELLS.get(keyword, Outcome.RESET)
+            if keyword == b"LOAD":
+                with contextlib.suppress(ValueError):  # the line is forwarded in any case
                     loads.append(float(rest))
-            elif word in PARTINGS:
-                self.report = parse_report(rest)
+            elif keyword in _FAREWELLS:
+                self.report = parse_load_report(rest)
             else:
                 answers += 1
-        return Relayed(data, answers, tuple(loads))
-
-    def end(self) -> Outcome:
-        """The connection ended, broke or never came up: the attempt's outcome."""
-        before, self.state = self.state, AttemptState.OVER
-        if before in (AttemptState.CONNECTING, AttemptState.ASKING):
-            return Outcome.CONNECT_FAILED
-        return self._parting if before is AttemptState.STANDING else Outcome.RESET
-
-    def time_out(self) -> Outcome:
-        """The proxy stops waiting. An attempt whose first line was not wholly written has never run."""
-        before, self.state = self.state, AttemptState.OVER
-        if before in (AttemptState.CONNECTING, AttemptState.ASKING):
-            return Outcome.CONNECT_FAILED
-        return Outcome.TIMEOUT
+        return ServerDataReceived(data, answers, tuple(loads))
--- a/ironmill/protocol/tls.py
+++ b/ironmill/protocol/tls.py
@@ -1,7 +1,7 @@
-"""TLS as a state machine fed bytes, below the protocol's own: records in, plain bytes out, and the other way.
+"""TLS as a state machine on ``ssl.MemoryBIO``: records in, plain bytes out, and the reverse.
 
-OpenSSL does the work, by ``ssl.MemoryBIO``; nothing here knows a socket or a clock. Whoever drives it writes
-what ``outgoing`` returns after each call, for a read may have something to say as well.
+It performs no I/O. The driver writes what ``outgoing`` returns after each call, because a read may produce
+records too.
 """
 
 from __future__ import annotations
@@ -10,50 +10,53 @@
 import ssl
 from enum import Enum, auto
 
-# Bytes of a handshake that are taken: a chain of certificates fits, and more than that is none.
-HANDSHAKE_MOST = 64 * 1024
-RECORD = 16 * 1024  # plain bytes of one record at the most
+from ironmill.errors import IronmillError
 
+MAX_HANDSHAKE_BYTES = 64 * 1024  # a chain of certificates fits
+MAX_RECORD_BYTES = 16 * 1024  # of plain data
 
-class TlsError(Exception):
-    """The other side does not keep to TLS, or its certificate is not taken. The text is OpenSSL's reason."""
+
+class TlsError(IronmillError):
+    """The peer broke TLS, or its certificate was rejected. The text is OpenSSL's reason."""
 
 
 class TlsState(Enum):
-    """Where the connection is."""
+    """The state of a TLS connection."""
 
     HANDSHAKE = auto()
     OPEN = auto()
-    ENDED = auto()  # the other side has said that it sends no more
-    CUT = auto()  # the other side's bytes ended without that: what came may not be all
+    ENDED = auto()  # the peer sent close_notify
+    TRUNCATED = auto()  # the peer's bytes ended without close_notify, so data may be missing
     FAILED = auto()
 
 
-class TlsSide:
+class TlsProtocol:
     """One side of a TLS connection."""
 
-    __slots__ = ("_handshake_bytes", "_in", "_out", "_shut", "_tls", "state")
+    __slots__ = ("_handshake_bytes", "_in", "_out", "_sending_ended", "_tls", "state")
 
     def __init__(
         self,
         context: ssl.SSLContext,
-        server: bool,
-        name: str | None = None,
+        *,
+        is_server: bool,
+        server_name: str | None = None,
         session: ssl.SSLSession | None = None,
     ) -> None:
-        """A client checks that the certificate is for ``name``, and may resume the ``session``."""
-        self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self._tls = context.wrap_bio(self._in, self._out, server, name, session)
+        """A client verifies that the certificate is for ``server_name``, and may resume ``session``."""
+        self._in = ssl.MemoryBIO()
+        self._out = ssl.MemoryBIO()
+        self._tls = context.wrap_bio(self._in, self._out, is_server, server_name, session)
         self._handshake_bytes = 0
-        self._shut = False
+        self._sending_ended = False
         self.state = TlsState.HANDSHAKE
-        if not server:
-            self._shake()
+        if not is_server:
+            self._handshake()
 
     def receive(self, data: bytes) -> None:
-        """The other side sent these records, or parts of them; none at the end of its bytes.
+        """Takes records, or parts of them, from the peer; empty at the end of its bytes.
 
-        TlsError if they cannot be taken: what ``outgoing`` returns then is the alert that tells why.
+        Raises ``TlsError`` if they are invalid; ``outgoing`` then returns the alert.
         """
         if data:
             self._in.write(data)
@@ -61,29 +64,29 @@
             self._in.write_eof()
         if self.state is TlsState.HANDSHAKE:
             self._handshake_bytes += len(data)
-            if self._handshake_bytes > HANDSHAKE_MOST:  # guards memory against a sender of rubbish
+            if self._handshake_bytes > MAX_HANDSHAKE_BYTES:
                 self.state = TlsState.FAILED
-                raise TlsError("more bytes than a handshake has")
-            self._shake()
+                raise TlsError(f"the handshake holds more than {MAX_HANDSHAKE_BYTES} bytes")
+            self._handshake()
             if self.state is TlsState.HANDSHAKE and not data:
-                self.state = TlsState.CUT
+                self.state = TlsState.TRUNCATED
 
-    def read(self, most: int = RECORD) -> bytes | None:
-        """Plain bytes; None if more records are needed, empty once the other side sends no more.
+    def read(self, max_bytes: int = MAX_RECORD_BYTES) -> bytes | None:
+        """Returns plain bytes; None if more records are needed, empty once the peer sends no more.
 
-        ``state`` tells then whether it has said so or was cut off. TlsError if a record is not good.
+        ``state`` is then ``ENDED`` or ``TRUNCATED``. Raises ``TlsError`` if a record is invalid.
         """
         if self.state is not TlsState.OPEN:
             return None if self.state is TlsState.HANDSHAKE else b""
         try:
-            data = self._tls.read(most)
+            data = self._tls.read(max_bytes)
         except ssl.SSLWantReadError:
             return None
         except ssl.SSLZeroReturnError:
             self.state = TlsState.ENDED
             return b""
         except ssl.SSLEOFError:
-            self.state = TlsState.CUT
+            self.state = TlsState.TRUNCATED
             return b""
         except ssl.SSLError as error:
             self.state = TlsState.FAILED
@@ -93,50 +96,50 @@
         return data
 
     def write(self, data: bytes) -> None:
-        """Plain bytes for the other side. TlsError once they can no more be sent."""
-        if self._shut:
-            raise TlsError("the sending has ended")
+        """Encrypts plain bytes for the peer. Raises ``TlsError`` once the sending direction has ended."""
+        if self._sending_ended:
+            raise TlsError("the sending direction has ended")
         try:
             self._tls.write(data)
         except ssl.SSLError as error:
             raise TlsError(_reason(error)) from None
 
-    def finish(self) -> None:
-        """Say that no more is sent; the other direction stays."""
-        if self._shut or self.state in (TlsState.HANDSHAKE, TlsState.FAILED):
+    def shutdown_write(self) -> None:
+        """Produces close_notify; the receiving direction stays open."""
+        if self._sending_ended or self.state in (TlsState.HANDSHAKE, TlsState.FAILED):
             return
-        self._shut = True
-        with contextlib.suppress(ssl.SSLError):  # the other side has not said so itself
+        self._sending_ended = True
+        with contextlib.suppress(ssl.SSLError):  # the peer has not sent close_notify itself
             self._tls.unwrap()
 
     def abandon(self) -> None:
-        """Say nothing more: the other side is to see that it was cut off."""
-        self._shut = True
+        """Suppresses close_notify, so that the peer detects the truncation."""
+        self._sending_ended = True
 
     def outgoing(self) -> bytes:
-        """Records that are to be written now."""
+        """Returns the records to write now."""
         return self._out.read()
 
     @property
     def pending(self) -> bool:
-        """True if there may be more to read without more records."""
+        """True if more plain bytes may be available without further records."""
         return self._tls.pending() > 0 or self._in.pending > 0
 
     def peer_certificate(self) -> bytes | None:
-        """The other side's certificate in DER, None if it showed none."""
+        """Returns the peer's certificate in DER; None if it presented none."""
         return self._tls.getpeercert(binary_form=True)
 
     @property
     def resumed(self) -> bool:
-        """True if the handshake took up an earlier session."""
+        """True if the handshake resumed an earlier session."""
         return self._tls.session_reused is True
 
     @property
     def session(self) -> ssl.SSLSession | None:
-        """The session, for a client to resume later."""
+        """The session that a client may resume later."""
         return self._tls.session
 
-    def _shake(self) -> None:
+    def _handshake(self) -> None:
         try:
             self._tls.do_handshake()
         except ssl.SSLWantReadError:
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -42,7 +42,7 @@
     TimerFired,
 )
 from ironmill.configuration.proxy_config import Config
-from ironmill.protocol.discovery import Routing
+from ironmill.protocol.discovery import EndpointUpdate
 from ironmill.requests.metrics import Count, Figures
 from ironmill.requests.response_delay import DelayMeter
 from ironmill.requests.routing_table import RoutingTable, Server
@@ -203,7 +203,7 @@
 
     # What drivers tell
 
-    def routing(self, routing: Routing) -> None:
+    def routing(self, routing: EndpointUpdate) -> None:
         """Discovery answered."""
         self._feed(self._table.apply(routing, self.now()))
 
--- a/ironmill/requests/routing_table.py
+++ b/ironmill/requests/routing_table.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from ironmill.balancing.interface import Entry, ListChanged, ListKind, Stage
-from ironmill.protocol.discovery import Listed, Routing
+from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.requests.start_times import StartTimes
 
 log = logging.getLogger("ironmill.requests.routing_table")
@@ -33,19 +33,19 @@
         self._by_number: dict[int, Server] = {}
         self._starts = StartTimes()
 
-    def apply(self, routing: Routing, now: float, answered: bool = True) -> ListChanged:
+    def apply(self, routing: EndpointUpdate, now: float, answered: bool = True) -> ListChanged:
         """Take in a list; what it means to the decisions.
 
         ``answered``: discovery has told it now. Else it is from before the start of this process.
         """
         now -= routing.age
         self.revision = routing.revision
-        for listed in routing.listed:
-            self._starts.see(listed.boot, now)
-        entries = tuple(self._entry(listed, now) for listed in routing.listed)
+        for listed in routing.servers:
+            self._starts.see(listed.started_at, now)
+        entries = tuple(self._entry(listed, now) for listed in routing.servers)
         if routing.full:
             # A full list drops whatever it does not name.
-            present = {listed.uid for listed in routing.listed}
+            present = {listed.uid for listed in routing.servers}
             for server in self._by_uid.values():
                 if server.uid not in present:
                     server.listed = False
@@ -66,7 +66,7 @@
         """The server that the decisions know by this number."""
         return self._by_number.get(number)
 
-    def _entry(self, listed: Listed, now: float) -> Entry:
+    def _entry(self, listed: ListedServer, now: float) -> Entry:
         address = (listed.host, listed.port)
         server = self._by_uid.get(listed.uid)
         if server is None:
@@ -79,7 +79,7 @@
             server.leaving_since = None
         else:
             self._leave(server, now)
-        start = self._starts.start_of(listed.uid, listed.boot, now)
+        start = self._starts.start_of(listed.uid, listed.started_at, now)
         return Entry(server.number, listed.stage, listed.zone, listed.cell, start, listed.weight)
 
     def _number(self, uid: str) -> int:
--- a/ironmill_testbed/call.py
+++ b/ironmill_testbed/call.py
@@ -35,8 +35,10 @@
         try:
             if context is not None:
                 sock = socket.create_connection((host, int(port)))
-                client.stream = stream = TlsStream(scheduler, sock, context, False, "localhost")
-                stream.shake(time.monotonic() + LIMIT)
+                client.stream = stream = TlsStream(
+                    scheduler, sock, context, is_server=False, server_name="localhost"
+                )
+                stream.handshake(time.monotonic() + LIMIT)
             client.open(token=shown.strip().encode())
             print(f"UP at {client.host}; a line came back: {client.ask(b'hello').decode()}")
         except NotServedError as error:
--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -23,8 +23,8 @@
 from ironmill.balancing.interface import Ended, Established, Outcome, Request, Send
 from ironmill.configuration.operator_files import read_operator
 from ironmill.configuration.site_settings import parse_settings
-from ironmill.protocol.discovery import Routing, parse_routing
-from ironmill.protocol.json_object import Tree, from_json
+from ironmill.protocol.discovery import EndpointUpdate, parse_endpoint_update
+from ironmill.protocol.json_object import JsonObject, parse_json
 from ironmill.requests.routing_table import RoutingTable
 from ironmill.runtime.gc_schedule import MIDDLE, NEVER, YOUNG
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
@@ -59,9 +59,9 @@
     return json.dumps({"rev": 1, "all": full, "targets": targets}).encode()
 
 
-def parsed(data: bytes) -> Routing:
+def parsed(data: bytes) -> EndpointUpdate:
     """The answer as the program reads it."""
-    return parse_routing(Tree(from_json(data, "routing table:"), "", "routing table"))
+    return parse_endpoint_update(JsonObject(parse_json(data, "routing table:"), "", "routing table"))
 
 
 @contextmanager
@@ -92,7 +92,7 @@
         self._standing: deque[Send] = deque()
         self.take(parsed(routing_bytes(size)))
 
-    def take(self, routing: Routing) -> None:
+    def take(self, routing: EndpointUpdate) -> None:
         """A list came."""
         self.balancer.handle(self.table.apply(routing, self.now), self.now)
 
@@ -282,7 +282,7 @@
             ),
             _sweep(
                 "table_parse_cpu",
-                "CPU of from_json and parse_routing for a full list's bytes.",
+                "CPU of parse_json and parse_endpoint_update for a full list's bytes.",
                 shape=Shape.POWER,
             ),
         ),
--- a/ironmill_testbed/emulate.py
+++ b/ironmill_testbed/emulate.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from ironmill.net.sockets import CHUNK
+from ironmill.net.sockets import READ_BYTES
 from ironmill.runtime.scheduler import READ, Scheduler
 from ironmill_testbed.discovery import EmulatedDiscovery
 from ironmill_testbed.hosts import Attempts, EmulatedHost, Mode
@@ -109,7 +109,7 @@
     try:
         while True:
             scheduler.wait(descriptor, READ)
-            data = os.read(descriptor, CHUNK)
+            data = os.read(descriptor, READ_BYTES)
             if not data:
                 break
             *lines, held = (held + data).split(b"\n")
--- a/ironmill_testbed/fleet.py
+++ b/ironmill_testbed/fleet.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.protocol.lines import END, Lines
+from ironmill.protocol.lines import LINE_END, LineReader
 from ironmill.runtime.scheduler import Scheduler
 
 CONNECT_WAIT = 5.0
@@ -31,7 +31,7 @@
         self._scheduler = scheduler
         self._address = address
         self._class = class_name
-        self._lines = Lines()
+        self._lines = LineReader()
         self._came: list[bytes] = []
         self.stream: Stream | None = None
         self.host = ""  # the server that took it, as its UP line told
@@ -45,8 +45,8 @@
         if self.stream is None:  # else it was connected, and made secure, before
             self.stream = Stream.connect(self._scheduler, self._address, CONNECT_WAIT)
         first = f"OPEN {number:x} {number * 2654435761 % 2**32:x} c={self._class},d={wait * 1000:.0f}{listed}"
-        shown = b"AUTH " + token + END if token else b""
-        self.stream.send(shown + first.encode() + END, CONNECT_WAIT)
+        shown = b"AUTH " + token + LINE_END if token else b""
+        self.stream.send(shown + first.encode() + LINE_END, CONNECT_WAIT)
         answer = self.line(wait + ANSWER_MORE)
         if not answer.startswith(b"UP"):
             self.close()
@@ -66,7 +66,7 @@
     def ask(self, line: bytes, timeout: float = 5.0) -> bytes:
         """Send a line and wait for the one that comes back."""
         assert self.stream is not None
-        self.stream.send(line + END, timeout)
+        self.stream.send(line + LINE_END, timeout)
         return self.line(timeout)
 
     def close(self) -> None:
--- a/ironmill_testbed/floors.py
+++ b/ironmill_testbed/floors.py
@@ -13,7 +13,7 @@
 import sys
 
 from ironmill.net.listener import Listener
-from ironmill.net.sockets import CHUNK, Stream, TimedOutError
+from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
 from ironmill.runtime.scheduler import Scheduler
 
 Address = tuple[str, int]
@@ -40,7 +40,7 @@
     while True:
         sock, _ = listener.accept()
         with contextlib.suppress(OSError), context.wrap_socket(sock, server_side=True) as secure:
-            while data := secure.recv(CHUNK):
+            while data := secure.recv(READ_BYTES):
                 secure.sendall(data)
 
 
@@ -58,7 +58,7 @@
                 _epoll_accept(listener, target, poll, socks, other)
             elif fd in socks:
                 try:
-                    data = socks[fd].recv(CHUNK)
+                    data = socks[fd].recv(READ_BYTES)
                     if data:
                         socks[other[fd]].sendall(data)
                         continue
@@ -97,7 +97,7 @@
                 to.send(data)
         except OSError:
             pass
-        to.finish()
+        to.shutdown_write()
         source.close()
 
     def relay(client: Stream) -> None:
--- a/ironmill_testbed/hosts.py
+++ b/ironmill_testbed/hosts.py
@@ -14,7 +14,7 @@
 
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.protocol.lines import END, Lines, LineTooLongError
+from ironmill.protocol.lines import LINE_END, LineReader, LineTooLongError
 from ironmill.runtime.scheduler import Scheduler, Task
 
 FIRST_WAIT = 10.0  # for a first line, seconds
@@ -62,7 +62,7 @@
     def begin(self, name: str, stream: Stream, may_run: bool) -> None:
         """The whole first line of an attempt has come."""
         before = self._out.get(name)
-        if before is not None and not before.closed and not before.ended():
+        if before is not None and not before.closed and not before.is_closed_by_peer():
             self.overlaps.append(name)
         self._out[name] = stream
         self.began.append((name, time.monotonic(), may_run))
@@ -136,13 +136,13 @@
 
     def _part(self, stream: Stream) -> None:
         try:
-            stream.send(b"MOVE" + END, 1.0)
-            stream.close_gently(1.0)
+            stream.send(b"MOVE" + LINE_END, 1.0)
+            stream.close_gracefully(1.0)
         except (OSError, TimedOutError):
             stream.close()
 
     def _serve(self, stream: Stream) -> None:
-        lines = Lines()
+        lines = LineReader()
         try:
             while data := stream.receive(FIRST_WAIT):
                 for line in lines.feed(data):
@@ -158,22 +158,22 @@
             if self._attempts is not None:
                 self._attempts.end(stream)
             if self._tasks.pop(stream, None) is not None:  # else it is being sent away
-                stream.finish()
+                stream.shutdown_write()
                 stream.close()
 
     def _first(self, stream: Stream, line: bytes) -> bool:
         """Answer what may open a connection; True if the connection stands from now on."""
         if line in (b"PING", b"STATS"):
             self.counts.probes += 1
-            stream.send(b"PONG" + (b" " + self._report() if line == b"STATS" else b"") + END, 1.0)
+            stream.send(b"PONG" + (b" " + self._report() if line == b"STATS" else b"") + LINE_END, 1.0)
         elif not line.startswith(b"OPEN ") or line.count(b" ") != 3:
             self.counts.malformed += 1
-            stream.send(b"SYNTAX" + END, 1.0)
+            stream.send(b"SYNTAX" + LINE_END, 1.0)
         elif self.draining_since is not None:
             self._seen(stream, line, False)
             self.counts.turned_away += 1
             self.counts.late += time.monotonic() - self.draining_since > DRAIN_GRACE
-            stream.send(b"BUSY" + END, 1.0)
+            stream.send(b"BUSY" + LINE_END, 1.0)
         elif self.mode is not Mode.SOUND:
             self._seen(stream, line, self.mode is not Mode.BUSY)
             self._fail(stream)
@@ -181,7 +181,7 @@
             self._seen(stream, line, True)
             self.counts.opened += 1
             self._standing[stream] = None
-            stream.send(b"UP " + self.uid.encode() + END, 1.0)
+            stream.send(b"UP " + self.uid.encode() + LINE_END, 1.0)
             return True
         return False
 
@@ -194,16 +194,16 @@
         if self.mode is Mode.RESET:
             stream.abort()
         elif self.mode in ANSWERS:
-            stream.send(ANSWERS[self.mode] + END, 1.0)
-            stream.finish()
+            stream.send(ANSWERS[self.mode] + LINE_END, 1.0)
+            stream.shutdown_write()
 
-    def _echo(self, stream: Stream, lines: Lines) -> None:
+    def _echo(self, stream: Stream, lines: LineReader) -> None:
         """Send each whole line back, unchanged, until the other side ends."""
         while data := stream.receive():
             whole = lines.feed(data)
             self.counts.lines += len(whole)
             if whole:
-                stream.send(END.join(whole) + END)
+                stream.send(LINE_END.join(whole) + LINE_END)
         self.counts.left += 1
 
     def _report(self) -> bytes:
--- a/ironmill_testbed/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -135,18 +135,20 @@
 
     def shaken(at: int, session: ssl.SSLSession | None) -> TlsStream:
         sock = socket.create_connection(("127.0.0.1", at))
-        stream = TlsStream(scheduler, sock, context, False, "localhost", session)
-        stream.shake(time.monotonic() + 10.0)
+        stream = TlsStream(
+            scheduler, sock, context, is_server=False, server_name="localhost", session=session
+        )
+        stream.handshake(time.monotonic() + 10.0)
         return stream
 
     def shakes(process: Process, at: int, resume: bool) -> int:
         first = shaken(at, None)
-        session = first.side.session if resume else None
+        session = first.tls.session if resume else None
         first.close()
         before = process.usage().cpu
         for _ in range(count):
             stream = shaken(at, session)
-            if stream.side.resumed is not resume:
+            if stream.tls.resumed is not resume:
                 raise RuntimeError("a session was not resumed, or was where none should be")
             stream.close()
         return round(count / (process.usage().cpu - before))
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.protocol.lines import Lines
+from ironmill.protocol.lines import LineReader
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
@@ -336,14 +336,14 @@
             self.scheduler.sleep(self.rng.random() * wait * 0.5)
             request.left_at, request.outcome = time.monotonic(), "left"
             return
-        lines = Lines()
+        lines = LineReader()
         answer = self._line(request, stream, lines, wait + PATIENCE)
         request.outcome = answer.split(b" ")[0].decode() or "closed"
         if request.outcome == "UP":
             request.stood, request.server = True, answer[3:].decode()
             self._stay(request, stream, lines)
 
-    def _stay(self, request: Request, stream: Stream, lines: Lines) -> None:
+    def _stay(self, request: Request, stream: Stream, lines: LineReader) -> None:
         """Send lines until the end, whoever brings it."""
         until = time.monotonic() + self.rng.expovariate(1.0 / 2.0)
         while time.monotonic() < until:
@@ -356,7 +356,7 @@
         request.outcome = "ended"
 
     @staticmethod
-    def _line(request: Request, stream: Stream, lines: Lines, timeout: float) -> bytes:
+    def _line(request: Request, stream: Stream, lines: LineReader, timeout: float) -> bytes:
         """The next line; empty at the end."""
         while not request.came and (data := stream.receive(timeout)):
             request.came += lines.feed(data)
--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -298,7 +298,7 @@
     def story() -> None:
         half = [it.connect(GET[:7]) for _ in range(CALLERS_MOST)]
         it.town.until(lambda: len(it.control._callers) == CALLERS_MOST)
-        half[0].send_now(GET[7:20])  # not read yet when the next one comes
+        half[0].send_nowait(GET[7:20])  # not read yet when the next one comes
         ours, theirs = socket.socketpair()
         it.control._take(Stream(it.town.scheduler, ours))
         theirs.close()
--- a/tests/system/test_garbage_collection.py
+++ b/tests/system/test_garbage_collection.py
@@ -35,7 +35,7 @@
 def ended_by_the_server(town: Town) -> None:
     client, attempt = town.pair()
     attempt.send(b"BYE\r\n")
-    attempt.close_gently(1.0)
+    attempt.close_gracefully(1.0)
     assert read_line(client) == b"BYE\r\n"
     client.close()
 
@@ -68,7 +68,7 @@
         attempt: Stream = town.attempt()
         read_line(attempt)
         attempt.send(b"BUSY\r\n")
-        attempt.close_gently(1.0)
+        attempt.close_gracefully(1.0)
         if town.gateway.pending() == 0:
             break
     assert read_line(client).startswith(b"BUSY")
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -23,8 +23,8 @@
 from ironmill.net.server import Dial
 from ironmill.net.shutdown import Shutdown, plan
 from ironmill.net.signals import Signals
-from ironmill.net.sockets import CHUNK, Stream, TimedOutError
-from ironmill.protocol.discovery import Listed, Routing
+from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
+from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.requests import discovery_backoff
 from ironmill.requests.admission import Admission
 from ironmill.requests.discovery_backoff import CallPace
@@ -47,10 +47,10 @@
             Listener(self.scheduler, ("127.0.0.1", 0), self.arrived.append) for _ in range(hosts)
         ]
         listed = tuple(
-            Listed(f"s-{at}", *listener.address, Stage.READY, "a", 0, 1.0, 0.0)
+            ListedServer(f"s-{at}", *listener.address, Stage.READY, "a", 0, 1.0, 0.0)
             for at, listener in enumerate(self.listeners)
         )
-        self.config = config(Routing(1, True, listed), **changes)
+        self.config = config(EndpointUpdate(1, True, listed), **changes)
         self.gateway = Gateway(self.config, self.scheduler)
         self.admission = Admission(self.config.sockets)
         self.callers: Callers | None = None
@@ -144,7 +144,7 @@
         client.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
         attempt.send(b"f\r\nBYE\r\n")
-        attempt.close_gently(1.0)
+        attempt.close_gracefully(1.0)
         while piece := client.receive(5.0):
             data += piece
         assert data == b"UP r1\r\nmore\r\nhalf\r\nBYE\r\n"
@@ -338,7 +338,7 @@
                 pass
         client, attempt = town.pair()
         client.send(b"last\r\n")
-        client.finish()
+        client.shutdown_write()
         assert read_line(attempt) == b"last\r\n"
         assert attempt.receive(5.0) == b""
         attempt.send(b"BYE\r\n")  # a half-closed connection still takes what is on its way
@@ -411,9 +411,9 @@
 
         def pour() -> None:
             while sent[0] < total:
-                attempt.send(b"z" * CHUNK)
-                sent[0] += CHUNK
-            attempt.close_gently(5.0)
+                attempt.send(b"z" * READ_BYTES)
+                sent[0] += READ_BYTES
+            attempt.close_gracefully(5.0)
 
         town.scheduler.spawn(pour)
         town.scheduler.sleep(0.3)
@@ -452,12 +452,12 @@
     """Guards the drain rule: what counts is the first byte."""
 
     def story(town: Town) -> None:
-        gone = Listed("s-0", *town.listeners[0].address, Stage.DRAINING, "a", 0, 1.0, 0.0)
+        gone = ListedServer("s-0", *town.listeners[0].address, Stage.DRAINING, "a", 0, 1.0, 0.0)
         town.gateway.may_start = lambda attempt: False  # type: ignore[method-assign]
         client = town.client(OPEN)
         attempt = town.attempt()
         assert attempt.receive(5.0) == b""
-        town.gateway.routing(Routing(2, False, (gone,)))
+        town.gateway.routing(EndpointUpdate(2, False, (gone,)))
         assert read_line(client).startswith(b"BUSY")
 
     Town().run(story)
@@ -482,7 +482,10 @@
 
 
 def test_an_exception_ends_its_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_module, "request_fields", lambda first: 1 / int(first.key, 16) and {})
+    parse = client_module.request_attributes
+    monkeypatch.setattr(
+        client_module, "request_attributes", lambda line: 1 / int(line.key, 16) and parse(line)
+    )
 
     def story(town: Town) -> None:
         broken = town.client(OPEN.replace(b"2b", b"00"))
@@ -496,7 +499,7 @@
 def test_discovery_takes_the_whole_list_then_changes_and_comes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_backoff, "REJOIN", 0.01)
     empty = b'{"rev":%d,"all":%s,"targets":[]}'
-    told: list[Routing] = []
+    told: list[EndpointUpdate] = []
 
     def story(town: Town) -> None:
         Discovery(town.scheduler, town.listeners[0].address, told.append, pace).start()
@@ -529,7 +532,7 @@
 @pytest.mark.parametrize("again", ["named", "empty", "partly", "silent", "broken"])
 def test_a_list_that_names_nobody_is_asked_for_once_more(again: str) -> None:
     """Guards the clients against a fault of discovery: an empty list retired all servers at once."""
-    told: list[Routing] = []
+    told: list[EndpointUpdate] = []
 
     def story(town: Town) -> None:
         Discovery(
@@ -556,12 +559,12 @@
 
     Town().run(story)
     (routing,) = told
-    assert (routing.revision, len(routing.listed)) == ((17, 1) if again == "named" else (16, 0))
+    assert (routing.revision, len(routing.servers)) == ((17, 1) if again == "named" else (16, 0))
     assert (routing.age > 0.0) is (again != "named")
 
 
 def test_where_nobody_was_known_an_empty_list_is_taken_as_it_is() -> None:
-    told: list[Routing] = []
+    told: list[EndpointUpdate] = []
 
     def story(town: Town) -> None:
         Discovery(town.scheduler, town.listeners[0].address, told.append, pace, 15).start()
@@ -569,7 +572,7 @@
         town.until(lambda: bool(told))
 
     Town().run(story)
-    assert told == [Routing(16, True, ())]
+    assert told == [EndpointUpdate(16, True, ())]
 
 
 def test_a_watch_that_is_never_answered_is_soon_taken_up_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -583,7 +586,7 @@
     revisions: list[int] = []
     ended = [0, 0]  # calls that were answered, and all that ended
 
-    def take(routing: Routing) -> None:
+    def take(routing: EndpointUpdate) -> None:
         revisions.append(routing.revision)
         ended[0] += 1
         monkeypatch.setattr(discovery_module, "ANSWER_WAIT", 0.05)  # of the next call
@@ -614,7 +617,7 @@
 ) -> None:
     monkeypatch.setattr(discovery_backoff, "REJOIN", 0.01)
     monkeypatch.setattr(discovery_backoff, "SPACING", 0.01)
-    told: list[Routing] = []
+    told: list[EndpointUpdate] = []
     seen: list[Stream] = []
 
     def story(town: Town) -> None:
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -21,7 +21,7 @@
 )
 from ironmill.net.probe import ProbeDriver
 from ironmill.net.sockets import Stream
-from ironmill.protocol.server import ProbeSide, Report
+from ironmill.protocol.server import HealthCheckProtocol, LoadReport
 from ironmill.requests.gateway import Gateway
 from ironmill.requests.routing_table import Server
 from ironmill.simulator.host import PARSERS, format_action
@@ -219,15 +219,15 @@
 
 
 def test_answers_are_read_whole_and_bounded() -> None:
-    side = ProbeSide()
+    side = HealthCheckProtocol()
     assert side.receive(b"PONG x0=0.5,ep") is None
     assert side.receive(b"s=0\r\n") == (Outcome.OK, (("x0", 0.5), ("eps", 0.0)))
-    assert ProbeSide().receive(b"NO\r\n") == (Outcome.ERROR, ())
-    assert ProbeSide().receive(b"x" * 5000) == (Outcome.ERROR, ())
+    assert HealthCheckProtocol().receive(b"NO\r\n") == (Outcome.ERROR, ())
+    assert HealthCheckProtocol().receive(b"x" * 5000) == (Outcome.ERROR, ())
 
 
 def test_one_connection_serves_question_after_question_and_is_made_anew_when_it_broke() -> None:
-    told: list[tuple[Outcome, Report]] = []
+    told: list[tuple[Outcome, LoadReport]] = []
 
     def story(town: Town) -> None:
         driver = ProbeDriver(town.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report)))
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -14,7 +14,7 @@
 from ironmill.net import proxy as proxy_module
 from ironmill.net.proxy import Proxy
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.protocol.discovery import Listed, Routing
+from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.runtime.scheduler import READ
 from tests.unit.requests.test_gateway import config
 
@@ -54,7 +54,7 @@
     """Until then a drain may have been told long ago that the list at hand does not know of."""
     monkeypatch.setattr(proxy_module, "FIRST_ANSWER_WAIT", 60.0)
     monkeypatch.setattr(proxy_module, "Collector", Quiet)
-    known = Routing(15, True, (Listed("s-0", "127.0.0.1", 1, Stage.READY, "a", 0, 1.0, 0.0),))
+    known = EndpointUpdate(15, True, (ListedServer("s-0", "127.0.0.1", 1, Stage.READY, "a", 0, 1.0, 0.0),))
     seen: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as agent:
         told = structs.replace(config(known), listen=("127.0.0.1", 0), discovery=agent.getsockname())
@@ -87,7 +87,7 @@
     monkeypatch.setattr(proxy_module, "Collector", Quiet)
     seen: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as agent:
-        known = config(Routing(15, True, ()))
+        known = config(EndpointUpdate(15, True, ()))
         settings = structs.replace(known.settings, ask_discovery=asks, relays=1000)
         told = structs.replace(
             known, listen=("127.0.0.1", 0), discovery=agent.getsockname(), settings=settings
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -28,8 +28,8 @@
 from ironmill.net.send_away import SendAway
 from ironmill.net.server import AttemptDriver
 from ironmill.net.shutdown import Shutdown
-from ironmill.net.sockets import CHUNK, Stream, TimedOutError
-from ironmill.protocol.discovery import Routing
+from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
+from ironmill.protocol.discovery import EndpointUpdate
 from ironmill.requests import discovery_backoff
 from ironmill.runtime.lifecycle import Event as LifecycleEvent
 from ironmill.runtime.lifecycle import State
@@ -197,10 +197,10 @@
 def test_where_nobody_may_linger_the_last_answer_is_not_overtaken_by_a_reset() -> None:
     def story(town: Town) -> None:
         town.admission.leaving_most = 0
-        with dialled(town, b"HELLO\r\n" + b"x" * (CHUNK + 9)) as client:
+        with dialled(town, b"HELLO\r\n" + b"x" * (READ_BYTES + 9)) as client:
             assert rest(town, client) == b"ERR\r\n"
         town.admission.most = 0
-        with dialled(town, OPEN + b"x" * CHUNK) as client:
+        with dialled(town, OPEN + b"x" * READ_BYTES) as client:
             assert rest(town, client) == b"BUSY 500\r\n"
 
     Town().run(story)
@@ -218,8 +218,8 @@
             raise TimedOutError
 
         monkeypatch.setattr(Stream, "receive", lambda self, timeout=None: late(timeout))
-        stream.send_now(b"last\r\n")
-        stream.close_gently(1.0)
+        stream.send_nowait(b"last\r\n")
+        stream.close_gracefully(1.0)
         assert theirs.recv(99) == b"last\r\n"
         assert theirs.recv(99) == b""  # a Unix socket, too, tells of a close over unread bytes
         theirs.close()
@@ -329,7 +329,7 @@
 @pytest.mark.parametrize("late", [True, False])
 def test_a_second_answer_of_discovery_does_not_bring_back_what_has_left(late: bool) -> None:
     """To an earlier call, behind the answer or some milliseconds later, when the next call is out."""
-    told: list[Routing] = []
+    told: list[EndpointUpdate] = []
 
     def story(town: Town) -> None:
         Discovery(town.scheduler, town.listeners[0].address, told.append, pace).start()
@@ -355,9 +355,9 @@
 
 def test_a_watch_outlives_a_list_that_the_program_fails_at(caplog: pytest.LogCaptureFixture) -> None:
     """Without it nothing would ever be heard again; and what was not taken is asked for once more."""
-    told: list[Routing] = []
+    told: list[EndpointUpdate] = []
 
-    def take(routing: Routing) -> None:
+    def take(routing: EndpointUpdate) -> None:
         told.append(routing)
         if len(told) == 1:
             raise ZeroDivisionError
@@ -429,7 +429,7 @@
 
 def blocked(town: Town, writer: Stream) -> None:
     """Send until nothing more is taken, for the reader at the other end reads nothing."""
-    piece = b"z" * CHUNK
+    piece = b"z" * READ_BYTES
     while True:
         try:
             writer.send(piece, 0.05)
@@ -456,7 +456,7 @@
             while not driver._writing:
                 attempt.send(b"z" * 1024)
                 town.scheduler.sleep(0.0)
-            attempt.finish()
+            attempt.shutdown_write()
         town.until(lambda: not town.gateway.held())
         assert not town.admission.used()
 
@@ -478,8 +478,8 @@
 
 def test_a_slow_reader_gets_all_of_a_server_that_has_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     """Only who takes nothing at all is given up."""
-    monkeypatch.setattr(sockets_module, "BLOCKED_LOOK", 0.01)
-    monkeypatch.setattr(sockets_module, "BLOCKED_WAIT", 0.4)
+    monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_CHECK_INTERVAL_S", 0.01)
+    monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_TIMEOUT_S", 0.4)
 
     def story(town: Town) -> None:
         client, attempt = town.pair()
@@ -488,7 +488,7 @@
         assert isinstance(standing.holder, ClientDriver)
         standing.holder._stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
         attempt.send(b"z" * 800_000)
-        attempt.finish()
+        attempt.shutdown_write()
         got = 0
         while piece := client.receive(5.0):
             got += len(piece)
@@ -542,7 +542,7 @@
                 town.until(lambda: len(told) == len(held) - 1)
         assert len(driver._streams) == KEPT_MOST
         assert read_line(held[0]) == b"STATS\r\n"  # a question is out there: it stays
-        assert [attempt.ended() for attempt in held[:5]] == [False, True, True, True, False]
+        assert [attempt.is_closed_by_peer() for attempt in held[:5]] == [False, True, True, True, False]
         assert {outcome for outcome, _ in told} == {Outcome.OK}
 
     Town(KEPT_MOST + 3).run(story)
@@ -575,7 +575,7 @@
     assert len(failed) == 2
 
 
-@pytest.mark.parametrize("step", ["_ask", "close_gently"])
+@pytest.mark.parametrize("step", ["_ask", "close_gracefully"])
 def test_a_task_that_fails_settles_all_that_its_connection_owes(
     monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
@@ -597,7 +597,7 @@
         monkeypatch.setattr(AttemptDriver if step == "_ask" else Stream, step, fails)
         client.send(OPEN)
         attempt = town.attempt()
-        if step == "close_gently":
+        if step == "close_gracefully":
             read_line(attempt)
             town.gateway.settle_all()
         assert read_line(client).split()[0] == (b"ERR" if step == "_ask" else b"BUSY")
@@ -672,7 +672,7 @@
         def gives_up(stream: Stream, data: bytes, source: Stream) -> None:
             raise TimedOutError
 
-        monkeypatch.setattr(Stream, "send_beside", gives_up)
+        monkeypatch.setattr(Stream, "send_from", gives_up)
         client = town.client(OPEN.replace(b"g=3c", b"g=3c,mid=1") + b"early\r\n")
         server = town.attempt()
         read_line(server)
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -27,7 +27,7 @@
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.net.tls import TlsStream
 from ironmill.protocol.json_object import MalformedError
-from ironmill.protocol.tls import HANDSHAKE_MOST, TlsError, TlsSide, TlsState
+from ironmill.protocol.tls import MAX_HANDSHAKE_BYTES, TlsError, TlsProtocol, TlsState
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed import call, certificates
 from ironmill_testbed.certificates import DAY, NOW, Authority, fingerprint
@@ -82,8 +82,8 @@
         """A client's stream after its handshake."""
         sock = socket.create_connection(self.listener.address)
         context = context or self.authority.client(*shown)
-        stream = TlsStream(self.scheduler, sock, context, server=False, name="localhost")
-        stream.shake(time.monotonic() + 5.0)
+        stream = TlsStream(self.scheduler, sock, context, is_server=False, server_name="localhost")
+        stream.handshake(time.monotonic() + 5.0)
         return stream
 
     def stand(self, *shown: str) -> tuple[TlsStream, Stream]:
@@ -118,7 +118,7 @@
         client, attempt = town.stand()
         crosses(town, data, client, attempt)
         attempt.send(b"BYE\r\n")
-        attempt.close_gently(1.0)
+        attempt.close_gracefully(1.0)
         assert read_line(client) == b"BYE\r\n"
         assert client.receive(5.0) == b""  # said, and not cut off
         client.close()
@@ -187,7 +187,7 @@
     def story(town: Town) -> None:
         assert isinstance(town, TlsTown)
         client, attempt = town.stand()
-        client.finish()
+        client.shutdown_write()
         assert attempt.receive(5.0) == b""
         attempt.send(b"late\r\n")
         assert read_line(client) == b"late\r\n"
@@ -210,7 +210,7 @@
 
 
 def hello(authority: Authority) -> bytes:
-    return TlsSide(authority.client(), False, "localhost").outgoing()
+    return TlsProtocol(authority.client(), is_server=False, server_name="localhost").outgoing()
 
 
 HOSTILE: dict[str, Callable[[bytes], list[bytes]]] = {
@@ -388,11 +388,13 @@
 
     def again(town: TlsTown, session: ssl.SSLSession | None) -> tuple[bool, ssl.SSLSession | None]:
         sock = socket.create_connection(town.listener.address)
-        stream = TlsStream(town.scheduler, sock, context, False, "localhost", session)
-        stream.shake(time.monotonic() + 5.0)
+        stream = TlsStream(
+            town.scheduler, sock, context, is_server=False, server_name="localhost", session=session
+        )
+        stream.handshake(time.monotonic() + 5.0)
         stream.send(b"PING\r\n")
         assert read_line(stream) == b"PONG\r\n"
-        found = stream.side.resumed, stream.side.session
+        found = stream.tls.resumed, stream.tls.session
         stream.close()
         return found
 
@@ -442,7 +444,7 @@
         def dial(address: tuple[str, int], timeout: float) -> Stream:
             self.dialled += 1
             stream = Stream.connect(self.scheduler, address, timeout)
-            return TlsStream.over(self.scheduler, stream, upstream, name)
+            return TlsStream.wrap(self.scheduler, stream, upstream, name)
 
         self.dial = dial
 
@@ -453,13 +455,13 @@
     def story(town: Town) -> None:
         client = town.client(OPEN)
         attempt = town.attempt()
-        attempt.shake(time.monotonic() + 5.0)
+        attempt.handshake(time.monotonic() + 5.0)
         assert read_line(attempt).startswith(b"OPEN 1a 2b c=read,")
         attempt.send(b"UP r1\r\n")
         assert read_line(client) == b"UP r1\r\n"
         crosses(town, data, client, attempt)
         attempt.send(b"BYE\r\n")
-        attempt.close_gently(1.0)
+        attempt.close_gracefully(1.0)
         assert read_line(client) == b"BYE\r\n"
         client.close()
         until_gone(town)
@@ -474,7 +476,7 @@
         client = town.client(OPEN)
         attempt = town.attempt()
         with pytest.raises(OSError):
-            attempt.shake(time.monotonic() + 5.0)
+            attempt.handshake(time.monotonic() + 5.0)
             attempt.receive(5.0)
         assert town.gateway.counts["attempt CONNECT_FAILED"] >= 1
         client.close()
@@ -529,15 +531,15 @@
         context = ssl.create_default_context(cafile=str(tmp_path / "authority.pem"))
         context.load_cert_chain(tmp_path / "farm.crt", tmp_path / "farm.key")
         sock = socket.create_connection(("127.0.0.1", port))
-        stream = TlsStream(scheduler, sock, context, False, "localhost")
-        stream.shake(time.monotonic() + 5.0)
+        stream = TlsStream(scheduler, sock, context, is_server=False, server_name="localhost")
+        stream.handshake(time.monotonic() + 5.0)
         return stream
 
     def story(proxy: ProxyProcess) -> None:
         client = Client(scheduler, proxy.address)
         client.stream = stands = connect()
         client.open()
-        first = stands.certificate()
+        first = stands.peer_certificate()
         certificates.write_all(tmp_path)  # another authority, too
         proxy.popen.send_signal(signal.SIGHUP)
         while True:
@@ -546,7 +548,7 @@
             except OSError:
                 scheduler.sleep(0.02)  # it still shows the old one, which the new authority did not sign
                 continue
-            assert later.certificate() != first
+            assert later.peer_certificate() != first
             later.close()
             break
         assert client.ask(b"hey") == b"hey"
@@ -578,14 +580,14 @@
     def __init__(self) -> None:
         super().__init__()
         authority = type(self).authority
-        self.client = TlsSide(authority.client(), False, "localhost")
-        self.server = TlsSide(server_tls(settings(authority)).context, True)
+        self.client = TlsProtocol(authority.client(), is_server=False, server_name="localhost")
+        self.server = TlsProtocol(server_tls(settings(authority)).context, is_server=True)
         self.wires = {"client": bytearray(), "server": bytearray()}
         self.sent = {"client": b"", "server": b""}
         self.came = {"client": b"", "server": b""}
         self.ended: set[str] = set()
 
-    def side(self, who: str) -> TlsSide:
+    def side(self, who: str) -> TlsProtocol:
         return self.client if who == "client" else self.server
 
     @rule(who=st.sampled_from(["client", "server"]), size=st.sampled_from([1, 5, 100, 1000, 20_000]))
@@ -621,7 +623,7 @@
     def finish(self, who: str) -> None:
         if self.side(who).state is not TlsState.HANDSHAKE:
             self.ended.add(who)
-        self.side(who).finish()
+        self.side(who).shutdown_write()
 
     def teardown(self) -> None:
         for _ in range(40):
@@ -637,9 +639,9 @@
 
 
 def test_a_handshake_is_bounded(authority: Authority) -> None:
-    side = TlsSide(server_tls(settings(authority)).context, True)
+    side = TlsProtocol(server_tls(settings(authority)).context, is_server=True)
     with pytest.raises(TlsError):
-        for _ in range(HANDSHAKE_MOST):
+        for _ in range(MAX_HANDSHAKE_BYTES):
             side.receive(b"\x16\x03\x01\x00\x00")
     assert side.state is TlsState.FAILED
     assert side.read() == b""
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -14,8 +14,8 @@
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import Abandoned, Carried, Ended, Event, ListKind, Outcome, Stage
 from ironmill.configuration.proxy_config import Config
-from ironmill.protocol.discovery import Listed, Routing, parse_routing
-from ironmill.protocol.json_object import MalformedError, Tree
+from ironmill.protocol.discovery import EndpointUpdate, ListedServer, parse_endpoint_update
+from ironmill.protocol.json_object import JsonObject, MalformedError
 from ironmill.requests.gateway import ANSWER_OVERDUE, Attempt, Gateway
 from ironmill.requests.response_delay import SILENT_AFTER, DelayMeter
 from ironmill.requests.routing_table import RoutingTable
@@ -39,14 +39,14 @@
         self.now = end
 
 
-def listed(uid: str, stage: Stage = Stage.READY, boot: float = 0.0) -> Listed:
-    return Listed(uid, "127.0.0.1", 9, stage, "a", 0, 1.0, boot)
+def listed(uid: str, stage: Stage = Stage.READY, boot: float = 0.0) -> ListedServer:
+    return ListedServer(uid, "127.0.0.1", 9, stage, "a", 0, 1.0, boot)
 
 
-KNOWN = Routing(1, True, (listed("s-1"), listed("s-2"), listed("s-3")))
+KNOWN = EndpointUpdate(1, True, (listed("s-1"), listed("s-2"), listed("s-3")))
 
 
-def config(known: Routing = KNOWN, **changes: Any) -> Config:
+def config(known: EndpointUpdate = KNOWN, **changes: Any) -> Config:
     fields: dict[str, Any] = {
         "name": "n0",
         "listen": ("127.0.0.1", 0),
@@ -162,7 +162,7 @@
 
     @rule(stage=st.sampled_from([Stage.READY, Stage.DRAINING, Stage.GONE]), full=st.booleans())
     def told(self, stage: Stage, full: bool) -> None:
-        self.gateway.routing(Routing(2, full, (listed("s-2", stage),)))
+        self.gateway.routing(EndpointUpdate(2, full, (listed("s-2", stage),)))
 
     @invariant()
     def one_end_for_each_attempt(self) -> None:
@@ -194,17 +194,17 @@
 
 def test_a_attempt_may_not_start_late_on_a_leaving_server(timers: FakeTimers) -> None:
     """Guards the drain rule for an attempt that was ordered in time but is slow to connect."""
-    gateway, holder = Gateway(config(Routing(1, True, (listed("s-1"),))), timers), FakeHolder()
+    gateway, holder = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), FakeHolder()
     gateway.take_request(holder, "read", 1.0, gateway.now())
     (attempt,) = holder.attempts
-    gateway.routing(Routing(2, False, (listed("s-1", Stage.DRAINING),)))
+    gateway.routing(EndpointUpdate(2, False, (listed("s-1", Stage.DRAINING),)))
     assert gateway.may_start(attempt)
-    gateway.routing(Routing(3, False, (listed("s-1", Stage.GONE),)))
+    gateway.routing(EndpointUpdate(3, False, (listed("s-1", Stage.GONE),)))
     timers.run(0.24)
     assert not gateway.may_start(attempt)
-    gateway.routing(Routing(4, False, (listed("s-1"),)))
+    gateway.routing(EndpointUpdate(4, False, (listed("s-1"),)))
     assert gateway.may_start(attempt)
-    gateway.routing(Routing(5, True, (), age=0.06))  # counts from when it was told, not when believed
+    gateway.routing(EndpointUpdate(5, True, (), age=0.06))  # counts from when it was told, not when believed
     assert gateway.may_start(attempt)
     timers.run(0.06)
     assert not gateway.may_start(attempt)
@@ -212,10 +212,10 @@
 
 def test_an_attempt_starts_so_early_that_a_process_held_up_keeps_the_grace(timers: FakeTimers) -> None:
     """STANDING: held up for up to 0.15 s between reading its clock and writing; the grace has to cover it."""
-    gateway, holder = Gateway(config(Routing(1, True, (listed("s-1"),))), timers), FakeHolder()
+    gateway, holder = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), FakeHolder()
     gateway.take_request(holder, "read", 1.0, gateway.now())
     (attempt,) = holder.attempts
-    gateway.routing(Routing(2, False, (listed("s-1", Stage.DRAINING),)))
+    gateway.routing(EndpointUpdate(2, False, (listed("s-1", Stage.DRAINING),)))
     timers.run(0.09)
     assert gateway.may_start(attempt)
     timers.run(0.02)
@@ -226,7 +226,7 @@
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     gateway, fed = Gateway(config(), timers), list[Event]()
-    gateway.routing(Routing(2, True, (listed("s-2"),)))
+    gateway.routing(EndpointUpdate(2, True, (listed("s-2"),)))
     handle = Balancer.handle
     monkeypatch.setattr(Balancer, "handle", lambda b, e, now: fed.append(e) or handle(b, e, now))
     host = gateway.server("s-1")
@@ -316,17 +316,17 @@
 
 def test_routing_table_numbers_stay_and_a_full_list_drops_the_absent() -> None:
     table = RoutingTable()
-    first = table.apply(Routing(4, True, (listed("s-1"), listed("s-2", boot=7.5))), 1.0)
+    first = table.apply(EndpointUpdate(4, True, (listed("s-1"), listed("s-2", boot=7.5))), 1.0)
     assert first.kind is ListKind.FULL
     numbers = [entry.backend for entry in first.entries]
     assert [entry.started_at for entry in first.entries] == [0.0, 1.0]  # 7.5 is yet to come
     # Another proxy, told in another order, has the same numbers.
-    other = RoutingTable().apply(Routing(9, True, (listed("s-2"), listed("s-1"))), 1.0)
+    other = RoutingTable().apply(EndpointUpdate(9, True, (listed("s-2"), listed("s-1"))), 1.0)
     assert [entry.backend for entry in other.entries] == numbers[::-1]
-    delta = table.apply(Routing(5, False, (listed("s-1", Stage.DRAINING),)), 2.0)
+    delta = table.apply(EndpointUpdate(5, False, (listed("s-1", Stage.DRAINING),)), 2.0)
     (entry,) = delta.entries
     assert (delta.kind, entry.backend, entry.stage) == (ListKind.DELTA, numbers[0], Stage.DRAINING)
-    table.apply(Routing(6, True, (listed("s-1", Stage.DRAINING), listed("s-3"))), 3.0)
+    table.apply(EndpointUpdate(6, True, (listed("s-1", Stage.DRAINING), listed("s-3"))), 3.0)
     hosts = [table.by_uid(uid) for uid in ("s-1", "s-2", "s-3")]
     assert [host.leaving_since for host in hosts if host] == [2.0, 3.0, None]
     assert table.revision == 6
@@ -335,11 +335,11 @@
 def test_a_state_that_is_not_known_is_passed_over_and_a_bad_entry_is_named() -> None:
     target = {"uid": "s-1", "endpoint": "127.0.0.1:5", "state": "resting"}
     tree = {"rev": 3, "all": True, "targets": [target, target | {"state": "up", "boot_ms": 1500}]}
-    (one,) = parse_routing(Tree(tree)).listed
-    assert (one.boot, one.port) == (1.5, 5)
+    (one,) = parse_endpoint_update(JsonObject(tree)).servers
+    assert (one.started_at, one.port) == (1.5, 5)
     for bad in ({"endpoint": "nowhere"}, {"state": 5}, {"uid": None}):
         with pytest.raises(MalformedError):
-            parse_routing(Tree({"rev": 3, "targets": [target | {"state": "up"} | bad]}))
+            parse_endpoint_update(JsonObject({"rev": 3, "targets": [target | {"state": "up"} | bad]}))
 
 
 def test_attempts_end_with_the_attempts_that_the_settings_allow(timers: FakeTimers) -> None:
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -28,12 +28,27 @@
 from ironmill.identity.keyring import KeyState, parse_ring
 from ironmill.membership import wire as membership
 from ironmill.net.revision_store import SqliteStore
-from ironmill.protocol.client import Asked, ClientSide, Left, Malformed, Onward, Opened, SendingEnded, Shown
-from ironmill.protocol.discovery import Listed, parse_routing
+from ironmill.protocol.client import (
+    ClientClosed,
+    ClientHalfClosed,
+    ClientProtocol,
+    CredentialPresented,
+    DataReceived,
+    PingReceived,
+    ProtocolViolated,
+    RequestReceived,
+)
+from ironmill.protocol.discovery import ListedServer, parse_endpoint_update
 from ironmill.protocol.http import ResponseParser
-from ironmill.protocol.json_object import Tree
-from ironmill.protocol.request import busy_line, request_fields
-from ironmill.protocol.server import ProbeSide, Refused, Relayed, ServerSide, Up
+from ironmill.protocol.json_object import JsonObject
+from ironmill.protocol.request import busy_line, request_attributes
+from ironmill.protocol.server import (
+    AttemptEstablished,
+    AttemptProtocol,
+    AttemptRejected,
+    HealthCheckProtocol,
+    ServerDataReceived,
+)
 from ironmill.requests.metrics import Figures
 from ironmill.runtime.lifecycle import Event, Lifecycle
 from ironmill.simulator.host import main as simulate
@@ -217,13 +232,13 @@
 
 
 def test_what_a_client_sends() -> None:
-    side = ClientSide(may_show=True)
+    side = ClientProtocol(accepts_credential=True)
     events = side.receive(b"PING\r\nAUTH abc.def.ghi\r\n" + OPEN)
-    assert [type(event) for event in events] == [Asked, Shown, Opened]
-    assert isinstance(events[1], Shown) and events[1].token == b"abc.def.ghi"
+    assert [type(event) for event in events] == [PingReceived, CredentialPresented, RequestReceived]
+    assert isinstance(events[1], CredentialPresented) and events[1].token == b"abc.def.ghi"
     opened = events[2]
-    assert isinstance(opened, Opened)
-    first = opened.first
+    assert isinstance(opened, RequestReceived)
+    first = opened.line
     assert (first.raw, first.id, first.key) == (OPEN, "9b1f03aa5c7e2d41", "7f3a9c21e0b4d655")
     assert first.fields == {
         "c": "chat",
@@ -233,8 +248,8 @@
         "h": "0.5",
         "r": "1",
     }
-    assert first.with_wait(1234) == OPEN.replace(b"d=2000", b"d=1234")
-    assert request_fields(first) == {
+    assert first.with_deadline(1234) == OPEN.replace(b"d=2000", b"d=1234")
+    assert msgspec.structs.asdict(request_attributes(first)) == {
         "tenant": "acme",
         "key": 0x7F3A9C21E0B4D655,
         "group": 0x5C0F6E1A2B3D4C59,
@@ -245,19 +260,19 @@
 
 
 def test_what_a_client_sends_on_an_established_connection() -> None:
-    side = ClientSide()
+    side = ClientProtocol()
     line = OPEN.replace(b"r=1", b"mid=1")
     opened = side.receive(line + b"early\r\n")[0]
-    assert isinstance(opened, Opened) and request_fields(opened.first)["rerouted"]
-    assert side.stand() == Onward(b"early\r\n", 1)
-    assert side.receive(b"one\r\ntw") == [Onward(b"one\r\ntw", 1)]
-    assert side.end() == [SendingEnded()]
+    assert isinstance(opened, RequestReceived) and request_attributes(opened.line).rerouted
+    assert side.establish() == DataReceived(b"early\r\n", 1)
+    assert side.receive(b"one\r\ntw") == [DataReceived(b"one\r\ntw", 1)]
+    assert side.end_of_stream() == [ClientHalfClosed()]
 
 
 def test_a_client_that_goes_while_it_waits() -> None:
-    side = ClientSide()
+    side = ClientProtocol()
     side.receive(OPEN)
-    assert side.end() == [Left()]
+    assert side.end_of_stream() == [ClientClosed()]
 
 
 @pytest.mark.parametrize(
@@ -274,10 +289,10 @@
     ],
 )
 def test_lines_that_are_malformed(line: bytes) -> None:
-    assert [type(event) for event in ClientSide().receive(line)] == [Malformed]
+    assert [type(event) for event in ClientProtocol().receive(line)] == [ProtocolViolated]
 
 
-def test_what_a_refused_client_is_told() -> None:
+def test_reply_to_a_rejected_client() -> None:
     assert [busy_line(seconds) for seconds in (0.0, -1.0, 0.0001, 1.5)] == [
         b"BUSY\r\n",
         b"BUSY\r\n",
@@ -294,32 +309,32 @@
         b"MOVE": Outcome.CANCELLED,
         b"NO": Outcome.ERROR,
     }.items():
-        side = ServerSide(OPEN)
+        side = AttemptProtocol(OPEN)
         assert side.connected() == OPEN
         assert side.wrote(len(OPEN)) == b""
-        assert side.receive(line + b"\r\n") == [Refused(outcome, line + b"\r\n")]
+        assert side.receive(line + b"\r\n") == [AttemptRejected(outcome, line + b"\r\n")]
     assert side.report == ()
 
 
 def test_what_a_server_sends_on_an_established_connection() -> None:
-    side = ServerSide(OPEN)
+    side = AttemptProtocol(OPEN)
     side.connected()
     side.wrote(len(OPEN))
-    assert side.receive(b"UP 17\r\nLOAD 0.5\r\n") == [Up(b"UP 17\r\n", b"LOAD 0.5\r\n")]
+    assert side.receive(b"UP 17\r\nLOAD 0.5\r\n") == [AttemptEstablished(b"UP 17\r\n", b"LOAD 0.5\r\n")]
     assert side.receive(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n") == [
-        Relayed(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n", 0, (0.5,))
+        ServerDataReceived(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n", 0, (0.5,))
     ]
     assert side.report == (("inflight", 7.0), ("queue", 2.0))
-    assert side.end() is Outcome.OK
+    assert side.end_of_stream() is Outcome.OK
 
 
 def test_what_a_probe_asks_and_is_answered() -> None:
-    assert ProbeSide.QUESTION == b"STATS\r\n"
-    assert ProbeSide().receive(b"PONG inflight=7,util=0.61\r\n") == (
+    assert HealthCheckProtocol.REQUEST == b"STATS\r\n"
+    assert HealthCheckProtocol().receive(b"PONG inflight=7,util=0.61\r\n") == (
         Outcome.OK,
         (("inflight", 7.0), ("util", 0.61)),
     )
-    assert ProbeSide().receive(b"NO\r\n") == (Outcome.ERROR, ())
+    assert HealthCheckProtocol().receive(b"NO\r\n") == (Outcome.ERROR, ())
 
 
 # The simulator's wire, and with it every decision on a recorded day
@@ -339,15 +354,15 @@
 def test_discovery_answers() -> None:
     data = (GOLDEN / "discovery.http").read_bytes()
     whole, changes = ResponseParser().feed(data)
-    routing = parse_routing(Tree(msgspec.json.decode(whole.body), "", "routing table"))
+    routing = parse_endpoint_update(JsonObject(msgspec.json.decode(whole.body), "", "routing table"))
     assert (routing.revision, routing.full) == (41, True)
-    assert routing.listed == (
-        Listed("s-5be2a07c", "10.1.0.18", 3000, Stage.READY, "a", 3, 1.0, 0.0),
-        Listed("s-6be2a07c", "10.1.0.19", 3001, Stage.DRAINING, "b", 0, 0.5, 1764700000.5),
+    assert routing.servers == (
+        ListedServer("s-5be2a07c", "10.1.0.18", 3000, Stage.READY, "a", 3, 1.0, 0.0),
+        ListedServer("s-6be2a07c", "10.1.0.19", 3001, Stage.DRAINING, "b", 0, 0.5, 1764700000.5),
     )
-    routing = parse_routing(Tree(msgspec.json.decode(changes.body), "", "routing table"))
+    routing = parse_endpoint_update(JsonObject(msgspec.json.decode(changes.body), "", "routing table"))
     assert (routing.revision, routing.full) == (43, False)
-    assert routing.listed == (Listed("s-5be2a07c", "10.1.0.18", 3000, Stage.GONE, "", 0, 1.0, 0.0),)
+    assert routing.servers == (ListedServer("s-5be2a07c", "10.1.0.18", 3000, Stage.GONE, "", 0, 1.0, 0.0),)
 
 
 # The configuration
@@ -361,7 +376,7 @@
         ("127.0.1.1", 8500),
     )
     assert (config.seed, config.sockets, config.control) == (0x8C1F30D27A5BE964, 4096, ("127.0.0.4", 3100))
-    assert config.known.listed[0].uid == "s-5be2a07c"
+    assert config.known.servers[0].uid == "s-5be2a07c"
     assert config.wait_limits == {"chat": 4.0, "sync": 10.0}
     assert (config.connect_timeout, config.drain_grace, config.packets_pass) == (0.75, 0.25, True)
 
