--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -10,15 +10,24 @@
 
 from ironmill.administration.messages import Answer, Call
 from ironmill.administration.routes import Routes
-from ironmill.requests.metrics import Figures
+from ironmill.requests.metrics import RequestMetrics
 from ironmill.runtime.lifecycle import LAST, Event, Lifecycle
 
+# Outcomes of requests, by their keys in the JSON of /admin/stats.
+_OUTCOME_KEYS = {
+    "received": "taken",
+    "established": "passed",
+    "rejected": "dropped",
+    "failed": "bad_gateway",
+    "abandoned": "abandoned",
+}
+
 
 class Served(Protocol):
-    """What the figures are taken from."""
+    """The source of the metrics."""
 
     lifecycle: Lifecycle
-    figures: Figures
+    metrics: RequestMetrics
 
     def known_servers(self) -> int:
         """How many servers are in the list."""
@@ -46,12 +55,12 @@
         return self._told(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, **more)
 
     def _stats(self, _: Call) -> Answer:
-        figures = self._served.figures
+        metrics = self._served.metrics
         return self._told(
             HTTPStatus.OK,
-            **figures.by_outcome(),
-            upstream_tries=figures.upstream_tries,
-            in_progress=figures.in_progress,
+            **{_OUTCOME_KEYS[outcome]: counts for outcome, counts in metrics.by_outcome().items()},
+            upstream_tries=metrics.attempts,
+            in_progress=metrics.in_progress,
             known_servers=self._served.known_servers(),
             skipped_servers=self._served.skipped_servers(),
         )
--- a/ironmill/identity/callers.py
+++ b/ironmill/identity/callers.py
@@ -33,7 +33,7 @@
 class Movable(Protocol):
     """A driver whose connection stands."""
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         """Send the client away politely. Must not park."""
 
 
@@ -249,7 +249,7 @@
 
     def _move(self, driver: Movable) -> None:
         if driver in self._standing:  # it may have ended meanwhile
-            driver.move()
+            driver.migrate()
 
     def _watch_ends(self) -> None:
         """A look at what stands when a key's time is over."""
--- /dev/null
+++ b/ironmill/net/clients/attempts.py
@@ -0,0 +1,200 @@
+"""Connects a client's request to a server: new requests, and connections that were open before the start."""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING
+
+from ironmill.balancing.interface import Outcome
+from ironmill.net.attempt import AttemptDriver, AttemptEnd, AttemptPlan
+from ironmill.net.clients.closing import GRACEFUL_CLOSE_TIMEOUT_S
+from ironmill.protocol.client import ClientState
+from ironmill.protocol.server import ServerDataReceived
+from ironmill.requests.tracked_request import Attempt
+
+if TYPE_CHECKING:
+    from ironmill.net.clients.connection import ClientConnection
+
+RESUME_TIMEOUT_S = 38.0  # for a connection that was open before the start to be established again
+RESUME_RETRY_INTERVAL_S = 0.25
+
+
+class ClientAttempt:
+    """One attempt for a client's request; the ``AttemptOwner`` of its driver."""
+
+    __slots__ = ("_attempt", "_connection", "_service", "run_guarded")
+
+    def __init__(self, connection: ClientConnection, attempt: Attempt | None) -> None:
+        """Does nothing until ``run``. ``attempt`` is None for a connection that is to be resumed."""
+        self._connection = connection
+        self._attempt = attempt
+        self._service = connection.service
+        self.run_guarded = connection.run_guarded  # without a method between: it runs for each read
+
+    def run(self) -> None:
+        """Runs the attempt, in a task of its own."""
+        connection = self._connection
+        attempt = self._attempt
+        line = connection.request_line
+        assert line is not None
+        assert attempt is not None
+        if not self._check_client():
+            return
+        plan = AttemptPlan(
+            line.with_deadline(max(1, int(attempt.timeout_s * 1000.0))),
+            attempt.server.address,
+            self._service.config.connect_timeout,
+            attempt.timeout_s,
+        )
+        connection.attempt_driver = AttemptDriver(self._service.dial, plan)
+        connection.attempt_driver.run(self)
+
+    # AttemptOwner
+
+    def may_start(self) -> bool:
+        """Returns False if the server drains, the request is too late, or the client is gone."""
+        attempt = self._attempt
+        return attempt is not None and self._service.gateway.may_start(attempt) and self._check_client()
+
+    def on_request_sent(self) -> None:
+        """Counts the attempt."""
+        if self._connection.counter is not None:
+            self._connection.counter.attempt_sent()
+
+    def on_established(self, driver: AttemptDriver, line: bytes) -> bool:
+        """Passes the server's acceptance to the client; from now on bytes are relayed unchanged."""
+        connection = self._connection
+        if connection.protocol.state is not ClientState.AWAITING_ANSWER or connection.request_line is None:
+            driver.close()
+            return False
+        if not self._accept(connection):
+            driver.close()
+            return False
+        connection.request_line = None
+        if connection.caller is not None:
+            connection.caller.stands()
+        early_data = connection.protocol.establish()
+        if not self._service.relay.write(connection, line):
+            return False
+        self._service.relay.forward(connection, early_data)
+        return not connection.stream.closed
+
+    def on_server_data(self, event: ServerDataReceived) -> bool:
+        """Writes to the client; the server is not read meanwhile."""
+        connection = self._connection
+        attempt = connection.attempt
+        service = self._service
+        if attempt is not None:
+            service.gateway.on_lines_answered(attempt, event.answers)
+            for load in event.loads:
+                service.gateway.on_load(attempt, load)
+        if not service.relay.write(connection, event.data):
+            return False
+        if connection.migration_requested:
+            service.migrator.retry(connection)
+        return True
+
+    def on_ended(self, driver: AttemptDriver, end: AttemptEnd) -> None:
+        """Ends the client's side in the same way, or lets the next attempt follow."""
+        if end.was_established:
+            self._end_established(driver, end)
+        else:
+            self._end_unestablished(end)
+
+    def _accept(self, connection: ClientConnection) -> bool:
+        """Reports the acceptance; returns False if the client does not wait for it any more."""
+        attempt = connection.attempt
+        return attempt is not None and self._service.gateway.on_established(attempt)
+
+    def _end_unestablished(self, end: AttemptEnd) -> None:
+        connection = self._connection
+        attempt = connection.attempt
+        if attempt is None:
+            return  # a resumed connection, whose task tries again
+        connection.attempt_driver = None
+        connection.attempt_task = None
+        connection.attempt = None
+        if end.outcome is Outcome.OK:
+            self._service.closer.finish_later(connection, end.line)
+        self._service.gateway.on_attempt_ended(attempt, end.outcome, end.report)
+
+    def _end_established(self, driver: AttemptDriver, end: AttemptEnd) -> None:
+        connection = self._connection
+        attempt = connection.attempt
+        connection.protocol.close()
+        self._service.scheduler.kill(connection.reader_task)
+        driver.close()
+        connection.attempt = None
+        connection.attempt_task = None
+        if attempt is not None:
+            by_client = connection.client_half_closed and end.outcome is Outcome.RESET
+            outcome = Outcome.CANCELLED if by_client else end.outcome
+            self._service.gateway.on_attempt_ended(attempt, outcome, end.report)
+        if end.was_reset:
+            connection.stream.abort()
+        else:
+            connection.stream.close_gracefully(GRACEFUL_CLOSE_TIMEOUT_S)
+
+    def _check_client(self) -> bool:
+        """Returns False if the client has closed, which is then handled. The last check before an attempt.
+
+        A client that closed while its connection waited to be accepted sent its end behind the request line;
+        the attempt would reach a server before that end is read.
+        """
+        if self._connection.stream.is_closed_by_peer():
+            self._service.closer.client_closed(self._connection, reset=False)
+            return False
+        return True
+
+
+class ResumedAttempt(ClientAttempt):
+    """Connects a client whose connection was open before the start to the server that it was open at."""
+
+    __slots__ = ()
+
+    def resume(self) -> None:
+        """Tries until the connection is established; fails it after ``RESUME_TIMEOUT_S``. Parks."""
+        connection = self._connection
+        resuming = self._service.gateway.resuming
+        resuming.add(connection)
+        try:
+            established = self._try_until(time.monotonic() + RESUME_TIMEOUT_S)
+        finally:
+            resuming.discard(connection)
+        if not established and not connection.stream.closed:
+            connection.fail()
+
+    def may_start(self) -> bool:
+        """Returns False if the client is gone. The server may drain: it has this connection already."""
+        return self._check_client()
+
+    def _try_until(self, deadline: float) -> bool:
+        """Returns False if the connection is not established in time or its client has closed."""
+        connection = self._connection
+        line = connection.request_line
+        assert line is not None
+        server_uid = line.resumes_at or ""
+        while time.monotonic() < deadline:
+            if not self._check_client():
+                return False
+            server = self._service.gateway.server(server_uid)
+            if server is not None:
+                timeout_s = deadline - time.monotonic()
+                plan = AttemptPlan(line.raw, server.address, self._service.config.connect_timeout, timeout_s)
+                driver = AttemptDriver(self._service.dial, plan)
+                connection.attempt_driver = driver
+                driver.run(self)
+                if driver.protocol.established:
+                    return True
+            self._service.scheduler.sleep(RESUME_RETRY_INTERVAL_S)
+        return False
+
+    def _accept(self, connection: ClientConnection) -> bool:
+        line = connection.request_line
+        assert line is not None
+        server = self._service.gateway.server(line.resumes_at or "")
+        assert server is not None
+        incoming = self._service.intake.incoming_request(connection, line)
+        connection.attempt = self._service.gateway.resume(connection, server, incoming)
+        connection.request = connection.attempt.request
+        return True
--- /dev/null
+++ b/ironmill/net/clients/closing.py
@@ -0,0 +1,111 @@
+"""Ends clients' connections: the final answer, the close, and the end of the attempt."""
+
+from __future__ import annotations
+
+import contextlib
+from typing import TYPE_CHECKING
+
+from ironmill.balancing.interface import Outcome
+from ironmill.net.sockets import TimedOutError
+from ironmill.protocol.client import ERROR_LINE
+from ironmill.protocol.request import busy_line
+from ironmill.requests.admission import Admission
+from ironmill.requests.gateway import Gateway
+from ironmill.runtime.scheduler import Scheduler
+
+if TYPE_CHECKING:
+    from ironmill.net.clients.connection import ClientConnection
+
+GRACEFUL_CLOSE_TIMEOUT_S = 1.0  # for the peer to read the last line and to close as well
+REJECTED_CLOSE_TIMEOUT_S = 0.2  # the same after a rejection
+NO_CAPACITY_RETRY_AFTER_S = 0.5  # where no descriptor is left for the client
+DRAINING_RETRY_AFTER_S = 0.2  # by then the front sends the client to another proxy
+
+
+class ConnectionCloser:
+    """Gives final answers and closes connections."""
+
+    __slots__ = ("_admission", "_gateway", "_scheduler", "_sends_retry_after")
+
+    def __init__(
+        self, scheduler: Scheduler, gateway: Gateway, admission: Admission, *, sends_retry_after: bool
+    ) -> None:
+        """``sends_retry_after``: the settings allow a time in the line ``BUSY``."""
+        self._scheduler = scheduler
+        self._gateway = gateway
+        self._admission = admission
+        self._sends_retry_after = sends_retry_after
+
+    def busy(self, retry_after_s: float) -> bytes:
+        """Returns the line ``BUSY``, with a time where the settings allow one."""
+        return busy_line(retry_after_s if self._sends_retry_after else 0.0)
+
+    def finish(
+        self, connection: ClientConnection, line: bytes, timeout_s: float = REJECTED_CLOSE_TIMEOUT_S
+    ) -> None:
+        """Ends the attempt, writes the last line and closes. Waits ``timeout_s`` for the client to close."""
+        connection.protocol.close()
+        self.end_attempt(connection, Outcome.CANCELLED)
+        stream = connection.stream
+        if stream.closed:
+            return
+        may_linger = connection.ticket is None or self._admission.start_leaving(connection.ticket)
+        try:
+            stream.send(line, GRACEFUL_CLOSE_TIMEOUT_S)
+        except (OSError, TimedOutError):
+            stream.abort()
+            return
+        if may_linger:
+            stream.close_gracefully(timeout_s)
+        else:
+            stream.close_immediately()
+
+    def finish_later(self, connection: ClientConnection, line: bytes) -> None:
+        """Does the same in a task of its own; no event of the client counts from now on."""
+        connection.protocol.close()
+        self._scheduler.spawn(connection.run_guarded, self.finish, connection, line)
+
+    def reject(self, connection: ClientConnection, retry_after_s: float) -> None:
+        """Rejects a request before the balancer has seen it."""
+        if connection.counter is not None:
+            connection.counter.rejected()
+        self.finish(connection, self.busy(retry_after_s))
+
+    def reject_immediately(self, connection: ClientConnection, retry_after_s: float) -> None:
+        """Writes the rejection and closes without parking, because the descriptor is needed."""
+        with contextlib.suppress(OSError):
+            connection.stream.send_nowait(self.busy(retry_after_s))
+        connection.stream.close_immediately()
+
+    def reject_violation(self, connection: ClientConnection, reason: str | None) -> None:
+        """Answers a client that broke the protocol with one error line; logs the reason if there is one."""
+        if reason is not None:
+            self._admission.log_violation(reason)
+        connection.protocol.close()
+        if connection.counter is not None:
+            connection.counter.failed()
+        if connection.request is not None:
+            self._gateway.on_client_closed(connection.request)
+        self.finish(connection, ERROR_LINE)
+
+    def client_closed(self, connection: ClientConnection, *, reset: bool) -> None:
+        """Ends the server's connection in the way in which the client ended its own. Any task may call it."""
+        connection.protocol.close()
+        if connection.request is not None:
+            self._gateway.on_client_closed(connection.request)
+        self.end_attempt(connection, Outcome.CANCELLED, reset=reset)
+        connection.stream.close()
+
+    def end_attempt(self, connection: ClientConnection, outcome: Outcome, *, reset: bool = False) -> None:
+        """Kills the connection's other tasks, closes the attempt's connection and reports the outcome."""
+        attempt = connection.attempt
+        connection.attempt = None
+        driver = connection.attempt_driver
+        driver_task = None if driver is None else driver.task
+        for task in (connection.reader_task, connection.attempt_task, driver_task):
+            if task is not None and not task.is_current():
+                self._scheduler.kill(task)
+        if driver is not None:
+            driver.close(reset=reset)
+        if attempt is not None:
+            self._gateway.on_attempt_ended(attempt, outcome)
--- /dev/null
+++ b/ironmill/net/clients/connection.py
@@ -0,0 +1,173 @@
+"""The state of one client's connection, and the gateway's orders to it."""
+
+from __future__ import annotations
+
+import contextlib
+import logging
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from ironmill.net.attempt import AttemptDriver
+from ironmill.net.clients.attempts import ClientAttempt
+from ironmill.net.clients.closing import DRAINING_RETRY_AFTER_S, NO_CAPACITY_RETRY_AFTER_S
+from ironmill.net.sockets import Stream
+from ironmill.protocol.client import ERROR_LINE, ClientProtocol, ClientState
+from ironmill.protocol.lines import LINE_END
+from ironmill.protocol.request import MalformedLineError, RequestLine, parse_request_line
+from ironmill.requests.admission import Ticket
+from ironmill.requests.metrics import RequestCounter
+from ironmill.requests.tracked_request import Attempt, TrackedRequest
+from ironmill.runtime.scheduler import Task
+
+if TYPE_CHECKING:
+    from ironmill.identity.callers import Guest
+    from ironmill.net.clients.service import ClientService
+
+log = logging.getLogger("ironmill.client")
+
+
+class ClientConnection:
+    """Owns the client's socket, its tasks and its attempt; a ``RequestHandler`` of the gateway."""
+
+    __slots__ = (
+        "attempt",
+        "attempt_driver",
+        "attempt_task",
+        "caller",
+        "client_half_closed",
+        "counter",
+        "is_writing",
+        "migration_requested",
+        "protocol",
+        "reader_task",
+        "request",
+        "request_line",
+        "request_line_deadline",
+        "service",
+        "stream",
+        "ticket",
+    )
+
+    def __init__(self, service: ClientService, stream: Stream) -> None:
+        """Does nothing until ``start``."""
+        callers = service.callers
+        self.service = service
+        self.stream = stream
+        self.protocol = ClientProtocol(accepts_credential=callers is not None)
+        # None where callers are not identified.
+        self.caller: Guest | None = None if callers is None else callers.guest(self, stream.peer_address())
+        self.ticket: Ticket | None = None
+        self.request_line: RequestLine | None = None  # until the connection is established
+        self.request_line_deadline = 0.0
+        self.counter: RequestCounter | None = None  # from the request line on
+        self.request: TrackedRequest | None = None
+        self.reader_task: Task | None = None
+        self.attempt: Attempt | None = None  # the current one, as the gateway knows it
+        self.attempt_task: Task | None = None
+        self.attempt_driver: AttemptDriver | None = None
+        self.is_writing = False  # to the client
+        self.client_half_closed = False
+        self.migration_requested = False
+
+    def start(self) -> None:
+        """Begins to read, or rejects the client if there is no capacity."""
+        self.ticket = self.service.admission.enter(self._evict)
+        if self.ticket is None:
+            self._count_unread_request()
+            self.service.closer.reject_immediately(self, NO_CAPACITY_RETRY_AFTER_S)
+            return
+        self.stream.on_close = self._on_stream_closed
+        self.reader_task = self.service.scheduler.spawn(self.run_guarded, self.service.reader.read, self)
+
+    def run_guarded(self, function: Callable[..., object], *args: object) -> None:
+        """Runs a task of this connection; an exception is logged and ends this connection only."""
+        try:
+            function(*args)
+        except Exception:
+            log.exception("a connection failed")
+            self._abandon()
+
+    # RequestHandler
+
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Runs the attempt in a task of its own."""
+        self.attempt = attempt
+        self.attempt_task = self.service.scheduler.spawn(self.run_guarded, ClientAttempt(self, attempt).run)
+
+    def cancel_attempt(self) -> bool:
+        """Ends the current attempt; the client still waits. Returns True if the attempt may have run."""
+        driver = self.attempt_driver
+        task = self.attempt_task
+        self.attempt_driver = None
+        self.attempt_task = None
+        self.attempt = None
+        self.service.scheduler.kill(task)
+        if driver is None:
+            return False
+        may_have_run = not driver.protocol.unwritten
+        driver.close()
+        return may_have_run
+
+    def reject(self, retry_after_s: float) -> None:
+        """Answers ``BUSY`` and closes."""
+        self.service.closer.finish_later(self, self.service.closer.busy(retry_after_s))
+
+    def fail(self) -> None:
+        """Answers ``ERR`` and closes."""
+        if self.counter is not None:
+            self.counter.failed()
+        self.service.closer.finish_later(self, ERROR_LINE)
+
+    def migrate(self) -> None:
+        """Sends ``MOVE`` as soon as no line is incomplete, and closes."""
+        self.service.migrator.request(self)
+
+    # Ends
+
+    def _evict(self, *, immediately: bool) -> bool:
+        """Ends a connection without a request; returns False if bytes have arrived that are not read yet.
+
+        It is rejected, because a request may be on its way, and a retry of it is harmless.
+        """
+        if self.stream.has_unread():
+            return False
+        self.protocol.close()
+        self.service.scheduler.kill(self.reader_task)
+        closer = self.service.closer
+        if immediately:
+            closer.reject_immediately(self, NO_CAPACITY_RETRY_AFTER_S)
+        else:
+            self.service.scheduler.spawn(
+                self.run_guarded, closer.finish, self, closer.busy(DRAINING_RETRY_AFTER_S)
+            )
+        return True
+
+    def _count_unread_request(self) -> None:
+        """Counts a rejected request that has arrived, although there is no capacity to wait for one."""
+        gateway = self.service.gateway
+        line, end, _ = self.stream.receive_nowait().partition(LINE_END)
+        with contextlib.suppress(MalformedLineError):
+            class_name = parse_request_line(line).class_name if end else ""
+            if gateway.has_class(class_name):
+                gateway.metrics.start(class_name).rejected()
+
+    def _abandon(self) -> None:
+        """Gives up the connection after an exception: its request fails, and its resources are released."""
+        was_established = self.protocol.state is ClientState.ESTABLISHED
+        self.protocol.close()
+        if self.counter is not None:
+            self.counter.failed()
+        try:
+            if self.request is not None:
+                self.service.gateway.on_client_closed(self.request)
+            self.service.closer.finish(self, b"" if was_established else ERROR_LINE)
+        finally:  # a second exception must not leak the descriptor, the id or the ticket
+            self.stream.abort()
+
+    def _on_stream_closed(self) -> None:
+        if self.ticket is not None:
+            self.service.admission.leave(self.ticket)
+        if self.counter is not None:
+            self.counter.closed()
+        if self.caller is not None:
+            self.caller.left()
--- /dev/null
+++ b/ironmill/net/clients/intake.py
@@ -0,0 +1,103 @@
+"""Checks a client's credential and request line, and opens the request."""
+
+from __future__ import annotations
+
+import math
+import time
+from typing import TYPE_CHECKING
+
+from msgspec import structs
+
+from ironmill.net.clients.attempts import ResumedAttempt
+from ironmill.net.clients.closing import DRAINING_RETRY_AFTER_S, NO_CAPACITY_RETRY_AFTER_S
+from ironmill.protocol.client import ClientState
+from ironmill.protocol.request import RequestLine, request_attributes
+from ironmill.requests.tracked_request import IncomingRequest
+
+if TYPE_CHECKING:
+    from ironmill.net.clients.connection import ClientConnection
+    from ironmill.net.clients.service import ClientService
+
+
+class RequestIntake:
+    """Decides whether a request is passed to the gateway."""
+
+    __slots__ = ("_admission", "_closer", "_gateway", "_scheduler")
+
+    def __init__(self, service: ClientService) -> None:
+        """Uses the service's closer, which must exist."""
+        self._admission = service.admission
+        self._closer = service.closer
+        self._gateway = service.gateway
+        self._scheduler = service.scheduler
+
+    def present_certificate(self, connection: ClientConnection) -> None:
+        """Checks the certificate of the TLS handshake, if callers are identified and there is one."""
+        caller = connection.caller
+        certificate = None if caller is None else connection.stream.peer_certificate()
+        if caller is not None and certificate is not None:
+            self._check_verdict(connection, caller.show_certificate(certificate))
+
+    def present_token(self, connection: ClientConnection, token: bytes) -> None:
+        """Checks a token; a client that was rejected before is ignored."""
+        if connection.caller is not None and connection.protocol.state is not ClientState.CLOSED:
+            self._check_verdict(connection, connection.caller.show(token))
+
+    def open(self, connection: ClientConnection, line: RequestLine) -> None:
+        """Opens the request, or gives the final answer."""
+        if connection.protocol.state is ClientState.CLOSED:
+            return  # its credential was rejected, and the request line arrived in the same read
+        received_at = self._gateway.now()
+        queued_since = connection.stream.queued_since
+        if queued_since is not None:  # the deadline counts from when the client sent the line
+            received_at -= time.monotonic() - queued_since
+        if not self._gateway.has_class(line.class_name):
+            self._closer.reject_violation(connection, "a class that does not exist")
+            return
+        connection.counter = self._gateway.metrics.start(line.class_name)
+        if not self._admit(connection, line):
+            return
+        connection.request_line = line
+        if line.resumes_at is not None:
+            resumed = ResumedAttempt(connection, None)
+            connection.attempt_task = self._scheduler.spawn(connection.run_guarded, resumed.resume)
+            return
+        incoming = self.incoming_request(connection, line, received_at)
+        connection.request = self._gateway.open_request(connection, incoming)
+
+    def incoming_request(
+        self, connection: ClientConnection, line: RequestLine, received_at: float = 0.0
+    ) -> IncomingRequest:
+        """Returns what the gateway needs of a request line; an identified caller determines the tenant."""
+        attributes = request_attributes(line)
+        if connection.caller is not None:
+            attributes = structs.replace(attributes, tenant=connection.caller.tenant)
+        return IncomingRequest(line.class_name, received_at, line.deadline_s, attributes, connection.counter)
+
+    def _admit(self, connection: ClientConnection, line: RequestLine) -> bool:
+        """Returns False if the request got its final answer: draining, not permitted, or no capacity."""
+        ticket = connection.ticket
+        assert ticket is not None
+        if not self._gateway.lifecycle.policy.opens:
+            self._closer.reject(connection, DRAINING_RETRY_AFTER_S)
+            return False
+        caller = connection.caller
+        if caller is not None and not self._check_verdict(connection, caller.ask(line.class_name)):
+            return False
+        if not self._admission.claim_id(ticket, line.id):
+            self._closer.reject_violation(connection, "the id of an open connection")
+            return False
+        if not self._admission.admit(ticket):
+            self._closer.reject(connection, NO_CAPACITY_RETRY_AFTER_S)
+            return False
+        return True
+
+    def _check_verdict(self, connection: ClientConnection, retry_after_s: float | None) -> bool:
+        """Returns True for None; else rejects the client, for ever if the number is infinite."""
+        if retry_after_s is None:
+            return True
+        if math.isinf(retry_after_s):
+            self._closer.reject_violation(connection, None)  # identity has logged and counted the reason
+        else:
+            self._closer.reject(connection, retry_after_s)
+        return False
--- /dev/null
+++ b/ironmill/net/clients/service.py
@@ -0,0 +1,76 @@
+"""What all clients' connections of a proxy share."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import TYPE_CHECKING
+
+from msgspec import Struct
+
+from ironmill.configuration.proxy_config import Config
+from ironmill.net.attempt import Dial
+from ironmill.net.clients.closing import ConnectionCloser
+from ironmill.net.clients.connection import ClientConnection
+from ironmill.net.clients.intake import RequestIntake
+from ironmill.net.clients.migration import Migrator
+from ironmill.net.clients.reading import ClientReader
+from ironmill.net.clients.relaying import DataRelay
+from ironmill.net.sockets import Stream
+from ironmill.requests.admission import Admission
+from ironmill.requests.gateway import Gateway
+from ironmill.runtime.scheduler import Scheduler
+
+if TYPE_CHECKING:
+    from ironmill.identity.callers import Callers
+
+
+class ClientDependencies(Struct, frozen=True, eq=False):
+    """What a ``ClientService`` works with."""
+
+    scheduler: Scheduler
+    gateway: Gateway
+    config: Config
+    admission: Admission
+    callers: Callers | None = None  # None where callers are not identified
+    dial: Dial | None = None  # None: plain TCP
+
+
+class ClientService:
+    """Serves accepted clients."""
+
+    __slots__ = (
+        "admission",
+        "callers",
+        "closer",
+        "config",
+        "dial",
+        "gateway",
+        "intake",
+        "migrator",
+        "reader",
+        "relay",
+        "scheduler",
+    )
+
+    def __init__(self, dependencies: ClientDependencies) -> None:
+        """Builds the parts that serve connections."""
+        self.scheduler = dependencies.scheduler
+        self.gateway = dependencies.gateway
+        self.config = dependencies.config
+        self.admission = dependencies.admission
+        self.callers = dependencies.callers
+        self.dial = dependencies.dial or partial(Stream.connect, self.scheduler)
+        self.closer = ConnectionCloser(
+            self.scheduler,
+            self.gateway,
+            self.admission,
+            sends_retry_after=self.config.settings.retry_after_max > 0.0,
+        )
+        self.migrator = Migrator(self.scheduler, self.closer)
+        self.relay = DataRelay(self.gateway, self.closer)
+        self.intake = RequestIntake(self)
+        self.reader = ClientReader(self)
+
+    def serve(self, stream: Stream) -> None:
+        """Serves an accepted client, in tasks of its own."""
+        ClientConnection(self, stream).start()
--- a/ironmill/net/drain.py
+++ b/ironmill/net/drain.py
@@ -50,17 +50,17 @@
 
     def _run(self) -> None:
         began = time.monotonic()
-        log.info("draining: %d owed an answer, %d stand", self._gateway.pending(), self._standing())
+        log.info("draining: %d owed an answer, %d stand", self._gateway.pending_count(), self._standing())
         self._scheduler.sleep(FRONT)
         self._gateway.lifecycle.tell(Event.HEARD)
         away = None if self._keeps else SendAway(self._scheduler, self._gateway)
         if away is not None:
             away.run(began + MOVED_BY)
         self._scheduler.sleep(max(0.0, began + SETTLED_BY - time.monotonic()))
-        self._gateway.settle_all()
+        self._gateway.resolve_all()
         if away is not None:
             away.run(time.monotonic() + LOOK_FOR)
         log.info("drained: %d stand", self._standing())
 
     def _standing(self) -> int:
-        return len(self._gateway.standing())
+        return len(self._gateway.established())
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING
 
 from ironmill.configuration.proxy_config import Address, Config
-from ironmill.net.client import ClientDriver
+from ironmill.net.clients.service import ClientDependencies, ClientService
 from ironmill.net.discovery import Discovery
 from ironmill.net.drain import Drain
+from ironmill.net.health_check import HealthCheckDriver
 from ironmill.net.listener import Listener
-from ironmill.net.probe import ProbeDriver
 from ironmill.net.reload import Reload, no_operator
 from ironmill.net.shutdown import Shutdown
 from ironmill.net.signals import Signals
@@ -74,12 +74,14 @@
         self.scheduler = Scheduler(poller)
         self.lifecycle = Lifecycle()
         self.gateway = Gateway(config, self.scheduler, self.lifecycle)
-        self.gateway.prober = ProbeDriver(
-            self.scheduler, config.connect_timeout, self.gateway.probed, self._dial
+        self.gateway.use_health_checker(
+            HealthCheckDriver(
+                self.scheduler, config.connect_timeout, self.gateway.on_health_check, self._dial
+            )
         )
         self.listener = Listener(self.scheduler, config.listen, self._take, at_once=False, shared=True)
         if self.listener.succeeds:
-            self.gateway.succeed(SUCCESSION_MOST)
+            self.gateway.on_predecessor(SUCCESSION_MOST)
         pace = partial(
             CallPace,
             config.settings.relays,
@@ -91,7 +93,7 @@
         self.discovery = Discovery(
             self.scheduler,
             config.discovery,
-            self.gateway.routing,
+            self.gateway.on_endpoints,
             pace,
             known,
             self._open,
@@ -107,6 +109,9 @@
             self.callers = Callers(operator.settings.identity, operator.ring, self.scheduler)
             self._watch = KeyWatch(self.scheduler, operator.settings.identity.keys, self._take_ring)
             self._watch.start()
+        self._clients = ClientService(
+            ClientDependencies(self.scheduler, self.gateway, config, self.admission, self.callers, self._dial)
+        )
         self.reload = Reload(
             config,
             read_again,
@@ -176,13 +181,13 @@
         self._signals.on(signal.SIGTERM, shutdown.run)
         self._signals.on(signal.SIGINT, shutdown.run)
         self._signals.start(self.scheduler)
-        Collector(self.scheduler, self.gateway.held).start()
+        Collector(self.scheduler, self.gateway.request_count).start()
         log.info("listening on %s:%d", *self.listener.address)
         if self.listener.succeeds:
             log.info("another process listens there: clients come here too once discovery has answered")
         if self.tls_listener is not None:
             log.info("listening for TLS on %s:%d", *self.tls_listener.address)
-        log.info("of %d descriptors %d are for clients", self._config.sockets, self.admission.most)
+        log.info("of %d descriptors %d are for clients", self._config.sockets, self.admission.max_descriptors)
         self.scheduler.run()
 
     def _first_answer_wait(self) -> float:
@@ -217,9 +222,7 @@
             self.tls_listener.close(within)
 
     def _take(self, stream: Stream) -> None:
-        ClientDriver(
-            self.scheduler, self.gateway, self._config, self.admission, stream, self.callers, self._dial
-        ).start()
+        self._clients.serve(stream)
 
     def _dial(self, address: Address, timeout: float) -> Stream:
         """A connection to a server, with TLS on it where the settings of now ask for that."""
--- a/ironmill/net/send_away.py
+++ b/ironmill/net/send_away.py
@@ -30,9 +30,9 @@
 
         Also where packets pass through: what stands when the process ends is set up anew there, too.
         """
-        while (left := end - time.monotonic()) > 0.0 and self._gateway.busy():
-            waiting = [one for one in self._gateway.standing() if one.id not in self._moved]
+        while (left := end - time.monotonic()) > 0.0 and self._gateway.request_count():
+            waiting = [one for one in self._gateway.established() if one.id not in self._moved]
             for request in waiting[: due(len(waiting), left)]:
                 self._moved.add(request.id)
-                request.holder.move()
+                request.handler.migrate()
             self._scheduler.sleep(LOOK)
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from ironmill.configuration.proxy_config import Config
-from ironmill.net.client import REFUSED_WAIT
+from ironmill.net.clients.closing import REJECTED_CLOSE_TIMEOUT_S
 from ironmill.net.send_away import SendAway
 from ironmill.requests.admission import Admission
 from ironmill.requests.gateway import Gateway
@@ -30,7 +30,7 @@
 SPARE = 0.25  # the process has ended by itself so much sooner
 # Before its end: for the last answers to go out, and for whom they go to to end as well. Guards those answers
 # against the exit, which resets whatever still has unread bytes.
-FLUSH = REFUSED_WAIT + 0.05
+FLUSH = REJECTED_CLOSE_TIMEOUT_S + 0.05
 EMPTY_MOST = 1.0  # for accepts that fail while the listener is emptied; what stands is sent away after it
 DECIDE_LAST = 0.05  # where all deadlines are short: for the last client to be placed
 MOVE_SPAN = 0.25  # the same: for what stands to be sent away
@@ -96,7 +96,7 @@
         self._scheduler.stop()
 
     def _drain(self) -> None:
-        owed, standing = self._gateway.pending(), len(self._gateway.standing())
+        owed, standing = self._gateway.pending_count(), len(self._gateway.established())
         log.info("ending: %d owed an answer, %d stand", owed, standing)
         times = plan(max(self._config.wait_limits.values(), default=LONGEST))
         began = time.monotonic()
@@ -111,13 +111,13 @@
         # is, and who has said nothing is told so before the exit closes its connection.
         settled_at = time.monotonic()
         self._gateway.lifecycle.tell(Event.SETTLE)
-        self._gateway.settle_all()
-        for request in self._gateway.standing():
-            request.holder.move()  # what came to stand since the last look, too
-        self._admission.end_silent()
+        self._gateway.resolve_all()
+        for request in self._gateway.established():
+            request.handler.migrate()  # what came to stand since the last look, too
+        self._admission.evict_silent()
         # What lies in the queue of the address of staff would be reset by the exit.
         if self._control is not None:
             self._control.close(FLUSH / 2.0)
         self._scheduler.sleep(max(0.0, settled_at + FLUSH - time.monotonic()))
-        figures, counts = self._gateway.figures, self._gateway.counts
-        log.info("ended: %s, %d attempts, %s", figures.by_outcome(), figures.upstream_tries, counts)
+        metrics, counts = self._gateway.metrics, self._gateway.counts
+        log.info("ended: %s, %d attempts, %s", metrics.by_outcome(), metrics.attempts, counts)
--- a/ironmill/requests/admission.py
+++ b/ironmill/requests/admission.py
@@ -1,154 +1,161 @@
-"""Which clients' connections are let in, counted in descriptors against the stated limit.
+"""Limits on clients' connections, counted in descriptors against the configured number.
 
-A client's connection is silent until its first line has come, then admitted (a second descriptor is
-set aside for its attempt), and leaving once it has its last answer. Nothing here knows a socket: room is
-made by telling the oldest silent connection to go, for an honest client speaks at once.
+A connection is silent until its request line has arrived, then admitted, with a second descriptor reserved
+for its attempt, and leaving once it has its final answer. Nothing here knows a socket: the oldest silent
+connection is evicted where room is needed, because an ordinary client sends its request at once.
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 from enum import Enum, auto
 from itertools import islice
+from typing import Protocol
 
 from ironmill.runtime.rate_limited_log import LogThrottle
 
-# Descriptors that are not for clients: standard streams 3, poller 1, signals 2, listeners 3 (clients, TLS,
-# staff), staff's callers 12, discovery 2 while it changes its address, a file that is read 1, membership 1,
-# probes 20 (``net/probe``); 45, and the connection that is being accepted.
-OWN = 48
-# What may be silent, and what may be leaving, as parts of the stated descriptors. Clients' requests hold
-# a third of them at the most, and as many attempts.
-SILENT_PART = 4
-LEAVING_PART = 8
-LEAST = 16  # descriptors for clients, however few are stated
-# Silent connections that are looked at for one that may go. Guards the processor in a flood: each look is a
-# system call, and who is passed over is read in the same turn and silent no more.
-LOOKED_AT = 16
+# Descriptors for other purposes: standard streams 3, poller 1, signals 2, listeners 3 (clients, TLS, admin
+# API), callers of the admin API 12, discovery 2 while it changes its address, a file that is read 1,
+# membership 1, health checks 20, and the connection that is being accepted; rounded up.
+RESERVED_DESCRIPTORS = 48
+# Of the configured descriptors, 1 in so many may be silent, and 1 in so many may be leaving. Requests and
+# their attempts take at most a third each.
+SILENT_DIVISOR = 4
+LEAVING_DIVISOR = 8
+MIN_CLIENT_DESCRIPTORS = 16  # however few are configured
+MAX_EVICTION_CANDIDATES = 16  # each check is a system call
 
 log = logging.getLogger("ironmill.requests.admission")
 
 
-class Stage(Enum):
-    """Where an admitted or waiting connection is counted."""
+class Phase(Enum):
+    """How a connection is counted."""
 
     SILENT = auto()
     ADMITTED = auto()
     LEAVING = auto()
-    GONE = auto()
+    CLOSED = auto()
 
 
-# Ends a silent connection: at once where its descriptor is needed, else its answer has time to arrive. False
-# if it is silent no more, for bytes have come that nobody has read yet; nothing is done then.
-Evict = Callable[[bool], bool]
+class Evict(Protocol):
+    """Ends a silent connection."""
 
+    def __call__(self, *, immediately: bool) -> bool:
+        """Ends it without parking, or with time for its answer to arrive.
 
-def _nothing(_: bool) -> bool:
-    """There is nothing left to evict."""
+        Returns False, and does nothing, if bytes have arrived that are not read yet.
+        """
+
+
+def _nothing_to_evict(*, immediately: bool) -> bool:
+    """Replaces the callback of a closed connection."""
     return False
 
 
 class Ticket:
-    """One client's connection in the count."""
+    """One client's connection, as it is counted."""
 
-    __slots__ = ("evict", "name", "stage")
+    __slots__ = ("client_id", "evict", "phase")
 
     def __init__(self, evict: Evict) -> None:
+        """Is created by ``Admission.enter``."""
         self.evict = evict
-        self.name = ""  # the id that it has claimed
-        self.stage = Stage.SILENT
+        self.client_id = ""  # once it is claimed
+        self.phase = Phase.SILENT
 
 
 class Admission:
-    """Counts clients' connections and their attempts, and knows which ids are taken."""
+    """Counts clients' connections and their attempts, and knows which client ids are in use."""
 
     def __init__(self, sockets: int) -> None:
-        self.most = max(LEAST, sockets - OWN)
-        self.silent_most = max(LEAST // 2, sockets // SILENT_PART)
-        self.leaving_most = max(LEAST // 4, sockets // LEAVING_PART)
+        """``sockets`` is the configured number of descriptors of the process."""
+        self.max_descriptors = max(MIN_CLIENT_DESCRIPTORS, sockets - RESERVED_DESCRIPTORS)
+        self.max_silent = max(MIN_CLIENT_DESCRIPTORS // 2, sockets // SILENT_DIVISOR)
+        self.max_leaving = max(MIN_CLIENT_DESCRIPTORS // 4, sockets // LEAVING_DIVISOR)
         self._silent: dict[Ticket, None] = {}  # the oldest first
         self._admitted = 0
         self._leaving = 0
-        self._names: set[str] = set()
-        self._complaints = LogThrottle()
+        self._client_ids: set[str] = set()
+        self._log_throttle = LogThrottle()
 
     def used(self) -> int:
-        """Descriptors held by clients, or set aside for their attempts."""
+        """Returns how many descriptors clients use or have reserved for their attempts."""
         return len(self._silent) + 2 * self._admitted + self._leaving
 
     def enter(self, evict: Evict) -> Ticket | None:
-        """A connection was accepted; None if there is no room and none can be made."""
-        # Guards descriptors and memory against clients that open connections and say nothing.
-        if len(self._silent) >= self.silent_most or self.used() >= self.most:
+        """Counts an accepted connection; evicts a silent one if necessary. None if there is no room."""
+        if len(self._silent) >= self.max_silent or self.used() >= self.max_descriptors:
             self._make_room()
-        if self.used() >= self.most:
+        if self.used() >= self.max_descriptors:
             return None
         ticket = Ticket(evict)
         self._silent[ticket] = None
         return ticket
 
     def admit(self, ticket: Ticket) -> bool:
-        """Its request is in form: set a descriptor aside for its attempt. False if there is none."""
-        if ticket.stage is not Stage.SILENT:
+        """Reserves a descriptor for the attempt of a silent connection. Returns False if there is none."""
+        if ticket.phase is not Phase.SILENT:
             return False
         del self._silent[ticket]
-        if self.used() + 2 > self.most:
+        if self.used() + 2 > self.max_descriptors:
             self._make_room()
-        if self.used() + 2 > self.most:
+        if self.used() + 2 > self.max_descriptors:
             self._silent[ticket] = None
             return False
-        ticket.stage = Stage.ADMITTED
+        ticket.phase = Phase.ADMITTED
         self._admitted += 1
         return True
 
-    def claim(self, ticket: Ticket, name: str) -> bool:
-        """Take an id for as long as the connection lasts; False if an open connection has it."""
-        if name in self._names:  # guards a client's id against another that takes it as well
+    def claim_id(self, ticket: Ticket, client_id: str) -> bool:
+        """Reserves a client id until the connection leaves; False if another open connection has it."""
+        if client_id in self._client_ids:
             return False
-        ticket.name = name
-        self._names.add(name)
+        ticket.client_id = client_id
+        self._client_ids.add(client_id)
         return True
 
-    def part(self, ticket: Ticket) -> bool:
-        """It has its last answer. False if too many are leaving: it is then to be closed at once."""
+    def start_leaving(self, ticket: Ticket) -> bool:
+        """Counts a connection that has its final answer.
+
+        Returns False if too many are leaving; the connection must then be closed without a delay.
+        """
         self._uncount(ticket)
-        if self._leaving >= self.leaving_most:
+        if self._leaving >= self.max_leaving:
             return False
-        ticket.stage = Stage.LEAVING
+        ticket.phase = Phase.LEAVING
         self._leaving += 1
         return True
 
-    def gone(self, ticket: Ticket) -> None:
-        """Its socket is closed."""
+    def leave(self, ticket: Ticket) -> None:
+        """Ends the count of a connection whose socket is closed. Further calls do nothing."""
         self._uncount(ticket)
 
-    def complain(self, reason: str) -> None:
-        """Log what was malformed."""
-        left_out = self._complaints.allow()
-        if left_out is not None:
-            log.info("turned away: %s (%d more since the last such line)", reason, left_out)
+    def log_violation(self, reason: str) -> None:
+        """Logs why a client was rejected, at a limited rate."""
+        skipped = self._log_throttle.allow()
+        if skipped is not None:
+            log.info("rejected: %s (%d more since the last such line)", reason, skipped)
 
-    def end_silent(self) -> None:
-        """The process ends: whoever has said nothing is told so. Who has will be read, and answered then."""
+    def evict_silent(self) -> None:
+        """Ends all silent connections at shutdown, with time for their answers to arrive."""
         for ticket in list(self._silent):
-            ticket.evict(False)
+            ticket.evict(immediately=False)
 
     def _make_room(self) -> None:
-        """Guards a request that has come but was not read: its connection is passed over."""
-        for ticket in islice(self._silent, LOOKED_AT):
-            if ticket.evict(True):
+        """Evicts the oldest silent connection that has no unread bytes; others are about to be read."""
+        for ticket in islice(self._silent, MAX_EVICTION_CANDIDATES):
+            if ticket.evict(immediately=True):
                 self._uncount(ticket)
                 return
 
     def _uncount(self, ticket: Ticket) -> None:
-        if ticket.stage is Stage.SILENT:
+        if ticket.phase is Phase.SILENT:
             self._silent.pop(ticket, None)
-        elif ticket.stage is Stage.ADMITTED:
+        elif ticket.phase is Phase.ADMITTED:
             self._admitted -= 1
-        elif ticket.stage is Stage.LEAVING:
+        elif ticket.phase is Phase.LEAVING:
             self._leaving -= 1
-        ticket.stage = Stage.GONE
-        ticket.evict = _nothing  # it knows the driver, which knows the ticket: they would be freed late
-        self._names.discard(ticket.name)
-        ticket.name = ""
+        ticket.phase = Phase.CLOSED
+        ticket.evict = _nothing_to_evict  # breaks the cycle between the ticket and its connection
+        self._client_ids.discard(ticket.client_id)
+        ticket.client_id = ""
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -1,497 +1,309 @@
-"""The gateway: between the decisions and whatever protocol carries them out.
+"""The hub between protocol drivers and the balancer.
 
-It owns the ``Balancer``, the requests and their attempts. Protocol drivers tell it what happened in
-terms of these; it feeds the decisions and turns their actions into orders to the drivers. It knows no
-socket and no line, so a second protocol is one more kind of ``Holder``.
+Drivers report what happened to requests and attempts by the ``on_*`` methods; the balancer's actions come
+back as calls of ``RequestHandler``. The gateway knows neither sockets nor the line protocol.
 """
 
 from __future__ import annotations
 
-import itertools
-import logging
-import math
 import time
-from collections import deque
-from collections.abc import Callable
-from typing import Any, Protocol
-
-from msgspec import Struct
 
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import (
-    Abandoned,
-    Action,
     Carried,
     CutShort,
     Ended,
     Established,
-    Event,
-    Fail,
-    Move,
     Note,
     NoteKind,
     Outcome,
-    Probe,
     Probed,
-    Refuse,
     Request,
-    Send,
-    SetTimer,
-    Subscribe,
     Succession,
-    TimerFired,
 )
 from ironmill.configuration.proxy_config import Config
 from ironmill.protocol.discovery import EndpointUpdate
-from ironmill.requests.metrics import Count, Figures
-from ironmill.requests.response_delay import DelayMeter
+from ironmill.requests.action_executor import ActionExecutor, ExecutorParts
+from ironmill.requests.decision_loop import DecisionLoop
+from ironmill.requests.metrics import EventCounts, RequestMetrics
+from ironmill.requests.request_registry import RequestRegistry
+from ironmill.requests.round_trips import RoundTripObserver
 from ironmill.requests.routing_table import RoutingTable, Server
+from ironmill.requests.tracked_request import (
+    Attempt,
+    HealthChecker,
+    IncomingRequest,
+    RequestHandler,
+    TrackedRequest,
+)
 from ironmill.runtime.lifecycle import Lifecycle, State
 from ironmill.runtime.scheduler import Timers
-from ironmill.runtime.timers import Timer
-
-# The final answer is due this long before the client stops waiting, so that it still gets there.
-ANSWER_LEAD = 0.01
-# If the decisions have said nothing by then the gateway answers for them.
-ANSWER_OVERDUE = 0.02
-# An attempt begins this much sooner than the rule on draining servers would let it. A process may be held up
-# for as long between reading its clock and writing, and the grace has to cover that (STANDING).
-DRAIN_LEAD = 0.15
-
-log = logging.getLogger("ironmill.requests.gateway")
-
-
-class Holder(Protocol):
-    """The driver of a client's connection: what the gateway orders of it. None of these may park."""
-
-    def start_attempt(self, attempt: Attempt) -> None:
-        """Open a connection to the attempt's server and ask there."""
-
-    def stop_attempt(self) -> bool:
-        """End the attempt that is out, at once. True if its first line was written whole: it may have run."""
-
-    def refuse(self, retry_after: float) -> None:
-        """Give the final answer that trying again is harmless, and when."""
-
-    def fail(self) -> None:
-        """Give the final answer that it failed."""
-
-    def move(self) -> None:
-        """Send the client of a standing connection away politely."""
-
-
-class _Nobody:
-    """The holder of a request that is over: the one it had must not be kept alive by it."""
-
-    def start_attempt(self, attempt: Attempt) -> None:
-        """Nobody asks."""
-
-    def stop_attempt(self) -> bool:
-        """Nothing is out."""
-        return False
-
-    def refuse(self, retry_after: float) -> None:
-        """Nobody waits."""
 
-    def fail(self) -> None:
-        """Nobody waits."""
-
-    def move(self) -> None:
-        """Nobody stands."""
-
-
-NOBODY = _Nobody()
-
-
-class Prober(Protocol):
-    """The driver of probes."""
-
-    def probe(self, server: Server) -> None:
-        """Ask the server for its load report; ``Gateway.probed`` is then told. Must not park."""
-
-
-class ClientRequest(Struct, eq=False):
-    """A client's request, from its arrival until its connection is over."""
-
-    id: str
-    give_up_at: float
-    holder: Holder
-    count: Count
-    attempts: int = 0
-    attempt: Attempt | None = None  # the one that is out or stands; there is never a second
-    standing: bool = False
-    silent: bool = False  # nothing came back for long
-    over: bool = False  # no answer is owed any more
-    deadline: Timer | None = None
-
-
-class Attempt(Struct, eq=False):
-    """One attempt of a request at one server."""
-
-    request: ClientRequest
-    number: int
-    server: Server
-    started_at: float
-    timeout: float
-    start_by: float = math.inf  # on the decisions' clock: begun later it could take effect a second time
-    ended: bool = False
+ANSWER_LEAD_S = (
+    0.01  # the final answer is due so long before the client's deadline, so that it arrives in time
+)
+DEFAULT_DEADLINE_S = 10.0  # of a class without a limit in the settings
+# An attempt starts at a draining server only so long before the end of its grace period: the process may be
+# suspended for as long between reading its clock and writing.
+DRAIN_LEAD_S = 0.15
+# A delay is reported above the shortest latency objective divided by this.
+DELAY_THRESHOLD_DIVISOR = 3.0
 
 
 class Gateway:
-    """Feeds the decisions of one proxy and carries them out."""
+    """The requests of one proxy, the endpoint list and the balancer that decides on both."""
 
     def __init__(self, config: Config, timers: Timers, lifecycle: Lifecycle | None = None) -> None:
+        """Starts with the endpoint list of the configuration."""
         self._config = config
         self.lifecycle = lifecycle or Lifecycle(State.SERVING)
-        self.figures = Figures(config.wait_limits)
-        self._timers = timers
-        # One clock for all: Unix time as it was at the start, from then on as steady as the monotonic.
-        self._offset = time.time() - time.monotonic()
+        self.metrics = RequestMetrics(config.wait_limits)
+        self.counts = EventCounts()
+        self.resuming: set[RequestHandler] = set()  # of connections that are not established again yet
+        # Unix time as it was at the start, from then on as steady as the monotonic clock.
+        self._clock_offset = time.time() - time.monotonic()
         self._balancer = Balancer(config.settings, config.seed, self.now())
-        self._table = RoutingTable()
-        self._requests: dict[str, ClientRequest] = {}
-        self._meters: dict[int, DelayMeter] = {}
-        self._events: deque[Event] = deque()
-        self._feeding = False
-        self._serial = itertools.count()
-        self.counts: dict[str, int] = {}
-        self.prober: Prober | None = None
-        self.carrying: set[Holder] = set()  # whose connections, open before the run, are not up again yet
-        self._feed(self._table.apply(config.known, self.now(), answered=False))
+        self._servers = RoutingTable()
+        self._decisions = DecisionLoop(self._balancer, self.now)
+        self.requests = RequestRegistry(timers, self.now, self._decisions.feed, self.counts)
+        self._executor = ActionExecutor(
+            ExecutorParts(
+                requests=self.requests,
+                servers=self._servers,
+                timers=timers,
+                counts=self.counts,
+                now=self.now,
+                feed=self._decisions.feed,
+                max_attempts=config.settings.max_attempts,
+            )
+        )
+        self._decisions.execute = self._executor.execute
+        self._round_trips = RoundTripObserver(
+            timers,
+            config.shortest_aim / DELAY_THRESHOLD_DIVISOR,
+            self._on_delay,
+            self._on_unresponsive,
+        )
+        # Called for each chunk of relayed data, so without a method of the gateway between.
+        self.on_lines_sent = self._round_trips.lines_sent
+        self.on_lines_answered = self._round_trips.lines_answered
+        self.feed = self._decisions.feed
+        self.feed(self._servers.apply(config.known, self.now(), answered=False))
 
-    def now(self) -> float:
-        """The clock that the decisions are given."""
-        return time.monotonic() + self._offset
+    # State
 
-    @property
-    def revision(self) -> int:
-        """The version of the routing table."""
-        return self._table.revision
+    def now(self) -> float:
+        """Returns the time that the balancer sees, in seconds."""
+        return time.monotonic() + self._clock_offset
 
-    def succeed(self, within: float) -> None:
-        """Another process of this proxy, which is about to end, serves beside it for so long at the most."""
-        self._feed(Succession(self.now() + within))
+    def pending_count(self) -> int:
+        """Returns how many requests have no final answer yet."""
+        return self.requests.pending_count()
 
-    def pending(self) -> int:
-        """How many requests are owed an answer."""
-        return sum(1 for request in self._requests.values() if not request.over)
+    def request_count(self) -> int:
+        """Returns how many requests there are, established ones included."""
+        return len(self.requests)
 
-    def standing(self) -> list[ClientRequest]:
-        """Those whose connections stand."""
-        return [request for request in self._requests.values() if request.standing]
+    def established(self) -> list[TrackedRequest]:
+        """Returns the requests whose connections are established."""
+        return self.requests.established()
 
     def known_servers(self) -> int:
-        """How many servers are in the list, the draining ones among them."""
-        return len(self._table.listed())
+        """Returns how many servers are in the endpoint list, draining ones included."""
+        return len(self._servers.listed())
 
     def skipped_servers(self) -> int:
-        """How many of those get nothing new now: they drain, or too much has failed there."""
-        left_out = self._balancer.left_out()
+        """Returns how many listed servers get no new connections, because they drain or are ejected."""
+        ejected = self._balancer.left_out()
         return sum(
             1
-            for server in self._table.listed()
-            if server.leaving_since is not None or server.number in left_out
+            for server in self._servers.listed()
+            if server.leaving_since is not None or server.number in ejected
         )
 
-    def held(self) -> int:
-        """How many requests there are, those whose connections stand among them."""
-        return len(self._requests)
-
-    def busy(self) -> bool:
-        """True while an answer is owed or a connection stands."""
-        return bool(self._requests)
-
-    # What drivers tell
-
-    def routing(self, routing: EndpointUpdate) -> None:
-        """Discovery answered."""
-        self._feed(self._table.apply(routing, self.now()))
-
     def server(self, uid: str) -> Server | None:
-        """The server of that uid, if discovery has ever told of it."""
-        return self._table.by_uid(uid)
+        """Returns the server with that id, if discovery has ever listed it."""
+        return self._servers.by_uid(uid)
 
-    def knows(self, class_name: str) -> bool:
-        """True if the settings name the class."""
+    def has_class(self, class_name: str) -> bool:
+        """Returns True if the settings define the class."""
         return class_name in self._config.wait_limits
 
-    def take_request(
-        self,
-        holder: Holder,
-        class_name: str,
-        wait: float | None,
-        came_at: float,
-        count: Count | None = None,
-        **fields: Any,
-    ) -> ClientRequest:
-        """A client asks for a connection. What is known of the request beyond its class goes in fields.
-
-        ``count`` is where it is counted, if its driver has counted it already.
+    def may_start(self, attempt: Attempt) -> bool:
+        """Returns False if it is too late for an attempt's first byte.
+
+        That is past its ``start_by``, and at a server whose grace period for draining is almost over.
         """
-        if wait is None:
-            wait = self._config.wait_limits.get(class_name, 10.0)
-        count = count or self.figures.take(class_name)
-        request = self._admit(holder, came_at + wait - ANSWER_LEAD, count)
-        request.deadline = self._timers.call_later(
-            request.give_up_at - self.now() + ANSWER_OVERDUE, self._overdue, request
-        )
-        self._feed(Request(request.id, class_name, request.give_up_at, **fields))
+        if self.now() >= attempt.start_by:
+            return False
+        since = attempt.server.leaving_since
+        return since is None or self.now() - since < self._config.drain_grace - DRAIN_LEAD_S
+
+    def use_health_checker(self, checker: HealthChecker) -> None:
+        """Sets the driver of health checks; without one they are skipped."""
+        self._executor.health_checker = checker
+
+    # Events of drivers
+
+    def on_endpoints(self, update: EndpointUpdate) -> None:
+        """Takes a response of discovery."""
+        self.feed(self._servers.apply(update, self.now()))
+
+    def on_predecessor(self, max_overlap_s: float) -> None:
+        """Notes that a process of the same proxy serves beside this one for at most so many seconds."""
+        self.feed(Succession(self.now() + max_overlap_s))
+
+    def open_request(self, handler: RequestHandler, incoming: IncomingRequest) -> TrackedRequest:
+        """Takes a new request; its handler gets the orders that follow."""
+        class_name = incoming.class_name
+        deadline_s = incoming.deadline_s
+        if deadline_s is None:
+            deadline_s = self._config.wait_limits.get(class_name, DEFAULT_DEADLINE_S)
+        give_up_at = incoming.received_at + deadline_s - ANSWER_LEAD_S
+        counter = incoming.counter or self.metrics.start(class_name)
+        request = self.requests.add(handler, give_up_at, counter)
+        self.requests.watch_deadline(request)
+        self.feed(_decision_request(request, incoming))
         return request
 
-    def carry(
-        self, holder: Holder, server: Server, class_name: str, count: Count | None = None, **fields: Any
-    ) -> Attempt:
-        """A connection that was open before the proxy began is up again at its server."""
-        self.carrying.discard(holder)
-        request = self._admit(holder, 0.0, count or self.figures.take(class_name))
-        request.count.passed()
-        request.over = request.standing = True
+    def resume(self, handler: RequestHandler, server: Server, incoming: IncomingRequest) -> Attempt:
+        """Takes a connection, open before the process started, that is established at its server again."""
+        self.resuming.discard(handler)
+        request = self.requests.add(handler, 0.0, incoming.counter or self.metrics.start(incoming.class_name))
+        request.counter.established()
+        request.resolved = True
+        request.established = True
         attempt = Attempt(request, 0, server, self.now(), 0.0)
-        request.attempt, request.attempts = attempt, 1
-        self._meter(server).add(request.id)
-        self._count("carried")
-        self._feed(Carried(Request(request.id, class_name, 0.0, **fields), server.number))
+        request.attempt = attempt
+        request.attempt_count = 1
+        self._round_trips.start(attempt)
+        self.counts.add("resumed")
+        self.feed(Carried(_decision_request(request, incoming), server.number))
         return attempt
 
-    def may_start(self, attempt: Attempt) -> bool:
-        """False once it is too late for an attempt's first byte: for a repeat that could take effect a second
-        time, and at a server that was told to be leaving."""
-        if self.now() >= attempt.start_by:
-            return False
-        since = attempt.server.leaving_since
-        return since is None or self.now() - since < self._config.drain_grace - DRAIN_LEAD
-
-    def up(self, attempt: Attempt) -> bool:
-        """The server took the connection; False if nobody waits for it any more."""
+    def on_established(self, attempt: Attempt) -> bool:
+        """Takes a server's acceptance; returns False if the client does not wait for it any more."""
         request = attempt.request
-        if request.over or attempt.ended:
+        if request.resolved or attempt.ended:
             return False
-        request.standing = True
-        request.count.passed()
-        self._settle(request)
-        self._meter(attempt.server).add(request.id)
+        request.established = True
+        request.counter.established()
+        self.requests.resolve(request)
+        self._round_trips.start(attempt)
         delay = self.now() - attempt.started_at
-        self._feed(Established(request.id, attempt.number, attempt.server.number, delay))
+        self.feed(Established(request.id, attempt.number, attempt.server.number, delay))
         return True
 
-    def ended(self, attempt: Attempt, outcome: Outcome, report: tuple[tuple[str, float], ...] = ()) -> None:
-        """The attempt is over and its connection closed. Tells the decisions once."""
+    def on_attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, report: tuple[tuple[str, float], ...] = ()
+    ) -> None:
+        """Takes the end of an attempt whose connection is closed. Later calls for the attempt do nothing."""
         if attempt.ended:
             return
         attempt.ended = True
         request = attempt.request
         request.attempt = None
-        if outcome is Outcome.CONNECT_FAILED and self.now() >= attempt.start_by:
-            outcome = Outcome.MOOT  # it came too late, and its server is not to blame
-        if request.silent and outcome is Outcome.CANCELLED:
-            outcome = Outcome.RESET  # it was the server that was lost, not the client that left
-        if request.standing:
-            self._meter(attempt.server).drop(request.id)
+        outcome = self._attribute(attempt, outcome)
+        if request.established:
+            self._round_trips.stop(attempt)
         if outcome is Outcome.OK:
-            request.count.failed()  # unless it stood: to its client any other line than UP is a failure
-            self._settle(request)
-        final = request.over
+            request.counter.failed()  # unless established: any line other than UP is a failure to the client
+            self.requests.resolve(request)
+        final = request.resolved
         if final:
-            self._forget(request)
-        self._count(f"{'standing' if request.standing else 'attempt'} {outcome.name}")
+            self.requests.remove(request)
+        self.counts.add(f"{'established' if request.established else 'attempt'} {outcome.name}")
         delay = self.now() - attempt.started_at
-        self._feed(Ended(request.id, attempt.number, attempt.server.number, outcome, delay, final, report))
+        self.feed(Ended(request.id, attempt.number, attempt.server.number, outcome, delay, final, report))
 
-    def left(self, request: ClientRequest) -> None:
-        """The client went before it had its answer. Its attempt, if one is out, is then to be ended."""
-        if request.over:
+    def on_client_closed(self, request: TrackedRequest) -> None:
+        """Takes a client's close before its final answer. The driver then ends the current attempt."""
+        if request.resolved:
             return
-        request.count.abandoned()
-        self._drop(request)
-
-    def lines_sent(self, attempt: Attempt, count: int) -> None:
-        """So many of the client's lines were written to the server."""
-        self._meter(attempt.server).sent(attempt.request.id, count)
+        request.counter.abandoned()
+        self.requests.abandon(request)
 
-    def lines_back(self, attempt: Attempt, count: int) -> None:
-        """So many lines answered."""
-        self._meter(attempt.server).answered(attempt.request.id, count)
+    def on_client_stalled(self, attempt: Attempt) -> None:
+        """Pauses the observation of a connection whose client does not read.
 
-    def client_slow(self, attempt: Attempt) -> None:
-        """The client does not read, so what its server answers cannot be seen.
-
-        Guards a sound server against being taken for slow or silent.
+        The server's answers cannot be observed then, and it must not count as slow or unresponsive.
         """
-        self._meter(attempt.server).drop(attempt.request.id)
+        self._round_trips.stop(attempt)
 
-    def client_reads(self, attempt: Attempt) -> None:
-        """The client took what was held for it."""
+    def on_client_reading(self, attempt: Attempt) -> None:
+        """Continues the observation once the client has read what was buffered for it."""
         if not attempt.ended:
-            self._meter(attempt.server).add(attempt.request.id)
+            self._round_trips.start(attempt)
 
-    def load(self, attempt: Attempt, value: float) -> None:
-        """The server told the connection's load."""
-        self._feed(Note(attempt.request.id, attempt.number, attempt.server.number, NoteKind.LOAD, value))
+    def on_load(self, attempt: Attempt, load: float) -> None:
+        """Takes the load that the server reports for a connection."""
+        self.feed(Note(attempt.request.id, attempt.number, attempt.server.number, NoteKind.LOAD, load))
 
-    def probed(self, server: Server, outcome: Outcome, report: tuple[tuple[str, float], ...] = ()) -> None:
-        """A probe's answer came, or none did."""
-        self._count(f"probe {outcome.name}")
-        self._feed(Probed(server.number, outcome, report))
+    def on_health_check(
+        self, server: Server, outcome: Outcome, report: tuple[tuple[str, float], ...] = ()
+    ) -> None:
+        """Takes the outcome of a health check."""
+        self.counts.add(f"health check {outcome.name}")
+        self.feed(Probed(server.number, outcome, report))
 
-    # The decisions
+    # Shutdown
 
-    def _feed(self, event: Event) -> None:
-        """Hand an event to the decisions. Events that their orders bring about wait their turn."""
-        self._events.append(event)
-        if self._feeding:
-            return
-        self._feeding = True
-        try:
-            while self._events:
-                for action in self._handle(self._events.popleft()):
-                    try:
-                        self._order(action)
-                    except Exception:  # guards the other orders, and whom they would answer
-                        log.exception("an order failed: %r", action)
-        finally:
-            self._feeding = False
-
-    def _handle(self, event: Event) -> list[Action]:
-        try:
-            return self._balancer.handle(event, self.now())
-        except Exception:  # guards the process: what is owed is answered by the deadline's timer
-            log.exception("the decisions failed at %r", event)
-            return []
-
-    def _order(self, action: Action) -> None:
-        match action:
-            case Send():
-                self._send(action)
-            case SetTimer():
-                self._timers.call_later(action.delay, self._feed, TimerFired(action.name))
-            case Refuse():
-                self._answer(action.id, Count.dropped, lambda holder: holder.refuse(action.retry_after))
-            case Fail():
-                self._answer(action.id, Count.failed, lambda holder: holder.fail())
-            case Move():
-                request = self._requests.get(action.id)
-                if request is not None and request.standing:
-                    self._count("moved")
-                    request.holder.move()
-            case Probe():
-                server = self._table.by_number(action.backend)
-                if server is not None and self.prober is not None:
-                    self.prober.probe(server)
-            case Subscribe():
-                pass  # the watch on discovery always stands
-
-    def _send(self, send: Send) -> None:
-        request = self._requests.get(send.id)
-        server = self._table.by_number(send.backend)
-        left = 0.0 if request is None else request.give_up_at - self.now()
-        moot = (
-            request is None
-            or request.over
-            or request.attempt is not None  # attempts never overlap
-            or request.attempts >= self._config.settings.max_attempts
-            or left <= 0.0
-        )
-        if request is None or server is None or moot:
-            number = 0 if request is None else request.attempts
-            self._feed(Ended(send.id, number, send.backend, Outcome.MOOT, 0.0, request is None))
-            return
-        timeout = min(left, send.timeout) if send.timeout > 0.0 else left
-        attempt = Attempt(request, request.attempts, server, self.now(), timeout, send.start_by)
-        request.attempts += 1
-        request.attempt = attempt
-        self._count("attempts")
-        request.holder.start_attempt(attempt)
+    def resolve_all(self) -> None:
+        """Gives every pending request its final answer at once, as the balancer decides.
 
-    def _answer(self, id_: str, count: Callable[[Count], None], order: Callable[[Holder], None]) -> None:
-        request = self._requests.get(id_)
-        if request is None or request.over:
-            return
-        count(request.count)
-        self._settle(request)
-        holder = request.holder
-        if request.attempt is None:
-            self._forget(request)
-        order(holder)
-
-    def _overdue(self, request: ClientRequest) -> None:
-        """Guards the promise of an answer against decisions that fell silent."""
-        if request.over:
-            return
-        log.warning("no answer for %s in time", request.id)
-        self._count("overdue")
-        request.count.failed()
-        holder = request.holder
-        self._drop(request)
-        holder.fail()
-
-    def settle_all(self) -> None:
-        """The proxy ends: whoever is owed an answer gets it now, for nothing else will answer.
-
-        Which one the decisions say, for an attempt that is out may have run: a request that may not simply be
-        repeated has failed then. Not to be called from a task of a connection.
+        A request whose attempt may have run fails, unless it is idempotent. Must not be called from a
+        connection's task.
         """
-        for holder in list(self.carrying):
-            holder.fail()
-        for request in list(self._requests.values()):
-            if request.over:
-                continue
-            self._count("settled at the end")
-            self._feed(CutShort(request.id))
-            attempt = request.attempt
-            if attempt is not None:
-                may_have_run = request.holder.stop_attempt()
-                self.ended(attempt, Outcome.CANCELLED if may_have_run else Outcome.MOOT)
-            self._overdue(request)  # guards against decisions that fail; else it is over
-
-    # Book-keeping
-
-    def _admit(self, holder: Holder, give_up_at: float, count: Count) -> ClientRequest:
-        # A number of our own: a client's id that came twice must not mix up two requests.
-        request = ClientRequest(f"a{next(self._serial)}", give_up_at, holder, count)
-        self._requests[request.id] = request
-        return request
-
-    def _drop(self, request: ClientRequest) -> None:
-        """Nothing is owed any more, and the decisions are not the ones who said so."""
-        self._settle(request)
-        if request.attempt is None:
-            self._forget(request)
-        self._feed(Abandoned(request.id))
-
-    def _forget(self, request: ClientRequest) -> None:
-        self._requests.pop(request.id, None)
-        request.count.ended()
-        request.holder = NOBODY
-
-    def _settle(self, request: ClientRequest) -> None:
-        request.over = True
-        self._timers.cancel(request.deadline)
-        request.deadline = None
-
-    def _meter(self, server: Server) -> DelayMeter:
-        meter = self._meters.get(server.number)
-        if meter is None:
-            meter = self._meters[server.number] = DelayMeter(
-                self._timers,
-                self._config.shortest_aim / 3.0,
-                lambda id_, delay: self._delayed(id_, server, delay),
-                self._silent,
-            )
-        return meter
+        for handler in list(self.resuming):
+            handler.fail()
+        for request in self.requests.all():
+            if not request.resolved:
+                self._resolve_now(request)
+
+    def _resolve_now(self, request: TrackedRequest) -> None:
+        self.counts.add("resolved at shutdown")
+        self.feed(CutShort(request.id))
+        attempt = request.attempt
+        if attempt is not None:
+            may_have_run = request.handler.cancel_attempt()
+            self.on_attempt_ended(attempt, Outcome.CANCELLED if may_have_run else Outcome.MOOT)
+        self.requests.fail_overdue(request)  # only if the balancer raised an exception
+
+    # Internal events
+
+    def _attribute(self, attempt: Attempt, outcome: Outcome) -> Outcome:
+        """Corrects an outcome for which the driver cannot see the cause."""
+        if outcome is Outcome.CONNECT_FAILED and self.now() >= attempt.start_by:
+            return Outcome.MOOT  # it started too late, which is not the server's fault
+        if attempt.request.unresponsive and outcome is Outcome.CANCELLED:
+            return Outcome.RESET  # the server was lost; the client did not close
+        return outcome
 
-    def _delayed(self, id_: str, server: Server, delay: float) -> None:
-        request = self._requests.get(id_)
+    def _on_delay(self, request_id: str, server: Server, delay_s: float) -> None:
+        request = self.requests.by_id.get(request_id)
         if request is not None and request.attempt is not None:
             number = request.attempt.number
-            self._feed(Note(id_, number, server.number, NoteKind.DELAY, delay * 1000.0))
-
-    def _silent(self, id_: str) -> None:
-        """Nothing has come back for long: the server's machine may have vanished without a word."""
-        request = self._requests.get(id_)
-        if request is not None and request.standing:
-            self._count("silent")
-            request.silent = True
-            request.holder.move()
-
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+            self.feed(Note(request_id, number, server.number, NoteKind.DELAY, delay_s * 1000.0))
+
+    def _on_unresponsive(self, request_id: str) -> None:
+        """Migrates a connection whose server has not answered for long; its machine may be lost."""
+        request = self.requests.by_id.get(request_id)
+        if request is not None and request.established:
+            self.counts.add("unresponsive")
+            request.unresponsive = True
+            request.handler.migrate()
+
+
+def _decision_request(request: TrackedRequest, incoming: IncomingRequest) -> Request:
+    attributes = incoming.attributes
+    return Request(
+        request.id,
+        incoming.class_name,
+        request.give_up_at,
+        tenant=attributes.tenant,
+        key=attributes.key,
+        group=attributes.group,
+        load_hint=attributes.load_hint,
+        returning=attributes.returning,
+        rerouted=attributes.rerouted,
+    )
--- a/ironmill/requests/metrics.py
+++ b/ironmill/requests/metrics.py
@@ -1,7 +1,6 @@
-"""The figures of one process: each request counted once, at the moment its outcome is final.
+"""Metrics of one process: each request is counted once, at the moment its outcome is final.
 
-At any instant ``taken = passed + dropped + bad_gateway + abandoned + pending``, in each class.
-Whatever shows figures takes them from here.
+In each class ``received = established + rejected + failed + abandoned + pending`` holds at any time.
 """
 
 from __future__ import annotations
@@ -10,97 +9,109 @@
 
 from msgspec import Struct
 
+OUTCOMES = ("received", "established", "rejected", "failed", "abandoned")
 
-class ClassFigures(Struct):
+
+class EventCounts(dict[str, int]):
+    """Counts of named events, for the log line at the process's end."""
+
+    def add(self, name: str) -> None:
+        """Counts one event."""
+        self[name] = self.get(name, 0) + 1
+
+
+class ClassMetrics(Struct):
     """Requests of one class since the start of the process."""
 
-    taken: int = 0
-    passed: int = 0  # brought up
-    dropped: int = 0  # refused: trying again is harmless
-    bad_gateway: int = 0  # failed
-    abandoned: int = 0  # the client went before it had its answer
-    upstream_tries: int = 0  # attempts whose first line was written whole to a server
+    received: int = 0
+    established: int = 0
+    rejected: int = 0  # a retry is harmless
+    failed: int = 0
+    abandoned: int = 0  # the client closed before its final answer
+    attempts: int = 0  # whose request line was completely written to a server
 
     @property
     def pending(self) -> int:
-        """Requests that are owed an answer."""
-        return self.taken - self.passed - self.dropped - self.bad_gateway - self.abandoned
+        """Requests that have no final answer yet."""
+        return self.received - self.established - self.rejected - self.failed - self.abandoned
 
 
-class Count:
-    """One request in the count. Its first outcome stands; one that passed ends later."""
+class RequestCounter:
+    """Counts one request. Only its first outcome counts; an established one is closed later."""
 
-    __slots__ = ("_class", "_figures", "_open", "_owed")
+    __slots__ = ("_class", "_in_progress", "_metrics", "_pending")
 
-    def __init__(self, figures: Figures, class_figures: ClassFigures) -> None:
-        self._figures = figures
-        self._class = class_figures
-        self._owed = self._open = True
+    def __init__(self, metrics: RequestMetrics, class_metrics: ClassMetrics) -> None:
+        """Is created by ``RequestMetrics.start``, which has counted the request as received."""
+        self._metrics = metrics
+        self._class = class_metrics
+        self._pending = True
+        self._in_progress = True
 
-    def passed(self) -> None:
-        """It is up."""
-        if self._owed:
-            self._owed = False
-            self._class.passed += 1
+    def established(self) -> None:
+        """Counts the request as established."""
+        if self._pending:
+            self._pending = False
+            self._class.established += 1
 
-    def dropped(self) -> None:
-        """It was refused."""
-        if self._owed:
-            self._class.dropped += 1
-            self._settle()
+    def rejected(self) -> None:
+        """Counts the request as rejected."""
+        if self._pending:
+            self._class.rejected += 1
+            self._finish()
 
     def failed(self) -> None:
-        """It failed."""
-        if self._owed:
-            self._class.bad_gateway += 1
-            self._settle()
+        """Counts the request as failed."""
+        if self._pending:
+            self._class.failed += 1
+            self._finish()
 
     def abandoned(self) -> None:
-        """Its client went before it had an answer."""
-        if self._owed:
+        """Counts the request as abandoned by its client."""
+        if self._pending:
             self._class.abandoned += 1
-            self._settle()
+            self._finish()
 
-    def tried(self) -> None:
-        """An attempt was written whole to a server."""
-        self._class.upstream_tries += 1
+    def attempt_sent(self) -> None:
+        """Counts an attempt whose request line was completely written."""
+        self._class.attempts += 1
 
-    def ended(self) -> None:
-        """Its connection is over."""
-        if self._owed:
+    def closed(self) -> None:
+        """Counts the end of the connection; a request without an outcome is abandoned."""
+        if self._pending:
             self.abandoned()
-        elif self._open:
-            self._open = False
-            self._figures.in_progress -= 1
+        elif self._in_progress:
+            self._in_progress = False
+            self._metrics.in_progress -= 1
 
-    def _settle(self) -> None:
-        self._owed = False
-        self.ended()
+    def _finish(self) -> None:
+        self._pending = False
+        self.closed()
 
 
-class Figures:
-    """All requests of the process."""
+class RequestMetrics:
+    """Metrics of all requests of the process."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self.classes = {name: ClassFigures() for name in classes}
-        self.in_progress = 0  # taken and not yet ended
-
-    def take(self, class_name: str) -> Count:
-        """A request came."""
-        class_figures = self.classes.setdefault(class_name, ClassFigures())
-        class_figures.taken += 1
+        """Starts with all counters of these classes at 0; others are added when first seen."""
+        self.classes = {name: ClassMetrics() for name in classes}
+        self.in_progress = 0  # received, and the connection is not closed yet
+
+    def start(self, class_name: str) -> RequestCounter:
+        """Counts a request as received; returns the counter for its outcome."""
+        class_metrics = self.classes.setdefault(class_name, ClassMetrics())
+        class_metrics.received += 1
         self.in_progress += 1
-        return Count(self, class_figures)
+        return RequestCounter(self, class_metrics)
 
     @property
-    def upstream_tries(self) -> int:
+    def attempts(self) -> int:
         """Attempts of all classes."""
-        return sum(one.upstream_tries for one in self.classes.values())
+        return sum(one.attempts for one in self.classes.values())
 
     def by_outcome(self) -> dict[str, dict[str, int]]:
-        """What became of the requests, by outcome and class."""
+        """Returns the number of requests by outcome and class."""
         return {
-            field: {name: getattr(one, field) for name, one in self.classes.items()}
-            for field in ClassFigures.__struct_fields__
-            if field != "upstream_tries"
+            outcome: {name: getattr(one, outcome) for name, one in self.classes.items()}
+            for outcome in OUTCOMES
         }
--- /dev/null
+++ b/ironmill/requests/request_registry.py
@@ -0,0 +1,95 @@
+"""The requests of a process and their deadlines."""
+
+from __future__ import annotations
+
+import itertools
+import logging
+from collections.abc import Callable
+
+from ironmill.balancing.interface import Abandoned, Event
+from ironmill.requests.metrics import EventCounts, RequestCounter
+from ironmill.requests.tracked_request import NULL_HANDLER, RequestHandler, TrackedRequest
+from ironmill.runtime.scheduler import Timers
+
+# The gateway itself fails a request that has no decision so long after its deadline.
+OVERDUE_DELAY_S = 0.02
+
+log = logging.getLogger("ironmill.requests.request_registry")
+
+
+class RequestRegistry:
+    """Holds every request until its connection is closed, and fails those without a decision in time."""
+
+    def __init__(
+        self, timers: Timers, now: Callable[[], float], feed: Callable[[Event], None], counts: EventCounts
+    ) -> None:
+        """``feed`` passes an event to the balancer."""
+        self._timers = timers
+        self._now = now
+        self._feed = feed
+        self._counts = counts
+        self._serial = itertools.count()
+        self.by_id: dict[str, TrackedRequest] = {}
+
+    def __len__(self) -> int:
+        """The number of requests, established ones included."""
+        return len(self.by_id)
+
+    def add(self, handler: RequestHandler, give_up_at: float, counter: RequestCounter) -> TrackedRequest:
+        """Creates a request. Its id is unique in this process, unlike the client's."""
+        request = TrackedRequest(f"a{next(self._serial)}", give_up_at, handler, counter)
+        self.by_id[request.id] = request
+        return request
+
+    def all(self) -> list[TrackedRequest]:
+        """Returns all requests as they are now."""
+        return list(self.by_id.values())
+
+    def established(self) -> list[TrackedRequest]:
+        """Returns the requests whose connections are established."""
+        return [request for request in self.by_id.values() if request.established]
+
+    def pending_count(self) -> int:
+        """Returns how many requests have no final answer yet."""
+        return sum(1 for request in self.by_id.values() if not request.resolved)
+
+    def watch_deadline(self, request: TrackedRequest) -> None:
+        """Fails the request if nothing has resolved it shortly after its deadline."""
+        request.deadline_timer = self._timers.call_later(
+            request.give_up_at - self._now() + OVERDUE_DELAY_S, self.fail_overdue, request
+        )
+
+    def resolve(self, request: TrackedRequest) -> None:
+        """Records that no answer is due any more."""
+        request.resolved = True
+        self._timers.cancel(request.deadline_timer)
+        request.deadline_timer = None
+
+    def finish(self, request: TrackedRequest) -> RequestHandler:
+        """Resolves the request and removes it unless an attempt is running; returns its handler."""
+        self.resolve(request)
+        handler = request.handler
+        if request.attempt is None:
+            self.remove(request)
+        return handler
+
+    def abandon(self, request: TrackedRequest) -> RequestHandler:
+        """Finishes a request that the balancer has not decided, and notifies it; returns the handler."""
+        handler = self.finish(request)
+        self._feed(Abandoned(request.id))
+        return handler
+
+    def remove(self, request: TrackedRequest) -> None:
+        """Forgets a request whose connection is closed."""
+        self.by_id.pop(request.id, None)
+        request.counter.closed()
+        request.handler = NULL_HANDLER
+
+    def fail_overdue(self, request: TrackedRequest) -> None:
+        """Fails a request that has no decision; does nothing if it is resolved."""
+        if request.resolved:
+            return
+        log.warning("request %s: no decision in time", request.id)
+        self._counts.add("overdue")
+        request.counter.failed()
+        self.abandon(request).fail()
--- a/ironmill/requests/response_delay.py
+++ b/ironmill/requests/response_delay.py
@@ -59,11 +59,11 @@
         self._last = ""  # the connection that the latest measurement came from
         self._telling: Timer | None = None
 
-    def add(self, connection: str) -> None:
+    def add_connection(self, connection: str) -> None:
         """The connection stands here now."""
         self._open[connection] = _Lines()
 
-    def drop(self, connection: str) -> None:
+    def remove_connection(self, connection: str) -> None:
         """The connection stands here no more."""
         lines = self._open.pop(connection, None)
         if lines is not None:
@@ -76,7 +76,7 @@
             self._sent.clear()
             self._sum = 0.0
 
-    def sent(self, connection: str, count: int) -> None:
+    def lines_sent(self, connection: str, count: int) -> None:
         """So many lines went to the server."""
         lines = self._open.get(connection)
         if lines is None or count == 0:
@@ -92,7 +92,7 @@
         if lines.timer is None:
             self._watch(connection, lines)
 
-    def answered(self, connection: str, count: int) -> None:
+    def lines_answered(self, connection: str, count: int) -> None:
         """So many lines came back, in the order in which theirs went."""
         lines = self._open.get(connection)
         if lines is None:
--- /dev/null
+++ b/ironmill/requests/round_trips.py
@@ -0,0 +1,58 @@
+"""Observes how long servers take to answer lines on established connections."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from ironmill.requests.response_delay import DelayMeter
+from ironmill.requests.routing_table import Server
+from ironmill.requests.tracked_request import Attempt
+from ironmill.runtime.scheduler import Timers
+
+
+class RoundTripObserver:
+    """Keeps one ``DelayMeter`` for each server and maps attempts to it."""
+
+    def __init__(
+        self,
+        timers: Timers,
+        threshold_s: float,
+        on_delay: Callable[[str, Server, float], object],
+        on_unresponsive: Callable[[str], object],
+    ) -> None:
+        """``on_delay`` gets a request's id, its server, and a delay in seconds above the threshold.
+
+        ``on_unresponsive`` gets the id of a request whose server has not answered for long.
+        """
+        self._timers = timers
+        self._threshold_s = threshold_s
+        self._on_delay = on_delay
+        self._on_unresponsive = on_unresponsive
+        self._meters: dict[int, DelayMeter] = {}
+
+    def start(self, attempt: Attempt) -> None:
+        """Begins to observe an established connection."""
+        self._meter(attempt.server).add_connection(attempt.request.id)
+
+    def stop(self, attempt: Attempt) -> None:
+        """Ends the observation of a connection."""
+        self._meter(attempt.server).remove_connection(attempt.request.id)
+
+    def lines_sent(self, attempt: Attempt, count: int) -> None:
+        """Records that so many of the client's lines were written to the server."""
+        self._meter(attempt.server).lines_sent(attempt.request.id, count)
+
+    def lines_answered(self, attempt: Attempt, count: int) -> None:
+        """Records that the server answered so many lines."""
+        self._meter(attempt.server).lines_answered(attempt.request.id, count)
+
+    def _meter(self, server: Server) -> DelayMeter:
+        meter = self._meters.get(server.number)
+        if meter is None:
+            meter = self._meters[server.number] = DelayMeter(
+                self._timers,
+                self._threshold_s,
+                lambda request_id, delay_s: self._on_delay(request_id, server, delay_s),
+                self._on_unresponsive,
+            )
+        return meter
--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -19,7 +19,7 @@
 from ironmill.net.control import CALLERS_MOST, Control
 from ironmill.net.drain import Drain
 from ironmill.net.sockets import Stream
-from ironmill.requests.metrics import ClassFigures, Figures
+from ironmill.requests.metrics import ClassMetrics, RequestMetrics
 from ironmill.runtime.lifecycle import Event, Lifecycle, State
 from ironmill_testbed.staff import call
 from tests.system.test_net import OPEN, Town, read_line
@@ -32,7 +32,7 @@
 
     def __init__(self, state: State = State.SERVING) -> None:
         self.lifecycle = Lifecycle(state)
-        self.figures = Figures(["read"])
+        self.metrics = RequestMetrics(["read"])
 
     def known_servers(self) -> int:
         return 4
@@ -99,8 +99,8 @@
     assert ask("GET", "/admin/nothing")[0] == 404
     assert ask("GET", "/admin/quiesce") == (405, {"Allow": "POST"})
     assert ask("DELETE", "/admin/stats") == (405, {"Allow": "GET"})
-    served.figures.take("read").passed()
-    served.figures.take("read").dropped()
+    served.metrics.start("read").established()
+    served.metrics.start("read").rejected()
     status, stats = ask("GET", "/admin/stats")
     assert (status, stats["passed"], stats["dropped"], stats["bad_gateway"]) == (
         200,
@@ -116,29 +116,29 @@
     assert ask("POST", "/admin/resume")[0] == 409
 
 
-STEPS = ("passed", "dropped", "failed", "abandoned", "ended", "tried")
+STEPS = ("established", "rejected", "failed", "abandoned", "closed", "attempt_sent")
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(STEPS))))
 def test_each_request_is_counted_once_at_any_instant(steps: list[tuple[int, str]]) -> None:
-    figures = Figures(["read", "write"])
-    counts = [figures.take("read" if at % 2 else "write") for at in range(10)]
+    metrics = RequestMetrics(["read", "write"])
+    counts = [metrics.start("read" if at % 2 else "write") for at in range(10)]
     outcomes: dict[int, str] = {}
     over: set[int] = set()
     for which, step in steps:
         getattr(counts[which], step)()
         if step in STEPS[:4]:
             outcomes.setdefault(which, step)
-        if step == "ended":
+        if step == "closed":
             outcomes.setdefault(which, "abandoned")
             over.add(which)
-        over |= {at for at, outcome in outcomes.items() if outcome != "passed"}
-        for one in figures.classes.values():
-            assert one.taken == 5
+        over |= {at for at, outcome in outcomes.items() if outcome != "established"}
+        for one in metrics.classes.values():
+            assert one.received == 5
             assert one.pending >= 0
-        told = [sum(by.values()) for by in figures.by_outcome().values()][1:]
-        assert told == [list(outcomes.values()).count(name) for name in STEPS[:4]]
-        assert figures.in_progress == 10 - len(over)
+        outcome_sums = [sum(by.values()) for by in metrics.by_outcome().values()][1:]
+        assert outcome_sums == [list(outcomes.values()).count(name) for name in STEPS[:4]]
+        assert metrics.in_progress == 10 - len(over)
 
 
 class Called:
@@ -223,16 +223,16 @@
         for stream in (client, late, stuck, attempt, late_attempt, stuck_attempt):
             stream.close()
         assert read_line(town.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
-        town.until(lambda: not town.gateway.busy())
+        town.until(lambda: not town.gateway.request_count())
         assert it.ask("POST", "/admin/resume")[0] == 200
         asking.send(b"PING\r\n")
         assert read_line(asking) == b"PONG\r\n"
         town.arrived.clear()  # what came for the one that was stuck
         town.pair()
-        counted = town.gateway.figures.classes["read"]
-        assert counted == ClassFigures(5, passed=3, dropped=2, upstream_tries=counted.upstream_tries)
-        assert counted.upstream_tries >= 4
-        assert town.gateway.figures.in_progress == 1
+        counted = town.gateway.metrics.classes["read"]
+        assert counted == ClassMetrics(5, established=3, rejected=2, attempts=counted.attempts)
+        assert counted.attempts >= 4
+        assert town.gateway.metrics.in_progress == 1
 
     it.run(story)
 
@@ -256,8 +256,8 @@
         assert read_line(attempt) == b"hey\r\n"
         attempt.send(b"you\r\n")
         assert read_line(client) == b"you\r\n"
-        assert "moved" not in town.gateway.counts
-        assert len(town.gateway.standing()) == 1
+        assert "migrated" not in town.gateway.counts
+        assert len(town.gateway.established()) == 1
         for stream in (client, attempt, stuck, stuck_attempt):
             stream.close()
 
@@ -279,12 +279,12 @@
             read_line(client)
             pairs.append((client, attempt))
         it.ask("POST", "/admin/quiesce")
-        town.until(lambda: len(town.gateway.standing()) < 12)
+        town.until(lambda: len(town.gateway.established()) < 12)
         it.ask("POST", "/admin/resume")
-        left = len(town.gateway.standing())
+        left = len(town.gateway.established())
         assert left > 0
         town.scheduler.sleep(0.3)
-        assert len(town.gateway.standing()) == left
+        assert len(town.gateway.established()) == left
         for client, attempt in pairs:
             client.close()
             attempt.close()
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -75,7 +75,7 @@
         assert read_line(attempt).startswith(b"OPEN 1a 2b c=read,")
         attempt.send(b"UP r1\r\nhey\r\n")
         client.close()
-        town.until(lambda: not town.gateway.busy())
+        town.until(lambda: not town.gateway.request_count())
         assert town.callers is not None
         assert town.callers._usage.connections("farms") == 0
 
@@ -118,7 +118,7 @@
         assert answer(town, OPEN.replace(b"1a", b"1b")).startswith(b"BUSY 1000")
         first.close()
         assert attempt.receive(5.0) == b""
-        town.until(lambda: not town.gateway.busy())
+        town.until(lambda: not town.gateway.request_count())
         client, _ = stand(town, keys.token())
         client.close()
         tenants = [event.tenant for event in seen if type(event).__name__ == "Request"]
@@ -146,7 +146,7 @@
         if within is not None:
             for at in (0, 1, 3):
                 assert read_line(stood[at][0]) == b"MOVE\r\n"
-            town.until(lambda: len(town.gateway.standing()) == 2)
+            town.until(lambda: len(town.gateway.established()) == 2)
         town.scheduler.sleep(0.1)
         for at in range(5) if within is None else (2, 4):
             client, attempt = stood[at]
@@ -162,7 +162,7 @@
     def __init__(self) -> None:
         self.moved: list[float] = []
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         self.moved.append(time.monotonic())
 
 
--- a/tests/system/test_garbage_collection.py
+++ b/tests/system/test_garbage_collection.py
@@ -42,7 +42,7 @@
 
 def moved(town: Town) -> None:
     client, attempt = town.pair()
-    town.gateway.standing()[0].holder.move()
+    town.gateway.established()[0].handler.migrate()
     assert read_line(client) == b"MOVE\r\n"
     client.close()
     attempt.close()
@@ -69,7 +69,7 @@
         read_line(attempt)
         attempt.send(b"BUSY\r\n")
         attempt.close_gracefully(1.0)
-        if town.gateway.pending() == 0:
+        if town.gateway.pending_count() == 0:
             break
     assert read_line(client).startswith(b"BUSY")
     client.close()
@@ -91,13 +91,13 @@
 
     def run(town: Town) -> None:
         story(town)
-        town.until(lambda: not town.gateway.busy() and town.admission.used() == 0)
+        town.until(lambda: not town.gateway.request_count() and town.admission.used() == 0)
         gc.collect()
         gc.set_debug(gc.DEBUG_SAVEALL)
         try:
             for _ in range(3):
                 story(town)
-                town.until(lambda: not town.gateway.busy() and town.admission.used() == 0)
+                town.until(lambda: not town.gateway.request_count() and town.admission.used() == 0)
             town.scheduler.sleep(0.01)
             gc.collect()
             seen.update(
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -14,13 +14,15 @@
 
 from ironmill.balancing.interface import Stage
 from ironmill.identity.callers import Callers
-from ironmill.net import client as client_module
 from ironmill.net import discovery as discovery_module
 from ironmill.net import shutdown as shutdown_module
-from ironmill.net.client import ClientDriver
+from ironmill.net.attempt import Dial
+from ironmill.net.clients import intake as intake_module
+from ironmill.net.clients import migration as migration_module
+from ironmill.net.clients import reading as reading_module
+from ironmill.net.clients.service import ClientDependencies, ClientService
 from ironmill.net.discovery import Discovery
 from ironmill.net.listener import Listener
-from ironmill.net.server import Dial
 from ironmill.net.shutdown import Shutdown, plan
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
@@ -29,7 +31,7 @@
 from ironmill.requests.admission import Admission
 from ironmill.requests.discovery_backoff import CallPace
 from ironmill.requests.gateway import Gateway
-from ironmill.requests.metrics import ClassFigures
+from ironmill.requests.metrics import ClassMetrics
 from ironmill.requests.response_delay import DelayMeter
 from ironmill.runtime.scheduler import READ, Scheduler
 from tests.unit.requests.test_gateway import config
@@ -58,9 +60,11 @@
         self.listener = Listener(self.scheduler, ("127.0.0.1", 0), self._take)
 
     def _take(self, stream: Stream) -> None:
-        ClientDriver(
-            self.scheduler, self.gateway, self.config, self.admission, stream, self.callers, self.dial
-        ).start()
+        ClientService(
+            ClientDependencies(
+                self.scheduler, self.gateway, self.config, self.admission, self.callers, self.dial
+            )
+        ).serve(stream)
 
     def run(self, story: Callable[[Town], None]) -> None:
         failed: list[BaseException] = []
@@ -149,7 +153,7 @@
             data += piece
         assert data == b"UP r1\r\nmore\r\nhalf\r\nBYE\r\n"
         client.close()
-        town.until(lambda: town.gateway.counts.get("standing OK") == 1)
+        town.until(lambda: town.gateway.counts.get("established OK") == 1)
 
     Town().run(story)
 
@@ -176,7 +180,7 @@
         assert client.receive(5.0) == b""
         client.close()
         assert not town.arrived  # nothing of it goes on
-        assert not town.gateway.pending()
+        assert not town.gateway.pending_count()
 
     Town().run(story)
 
@@ -210,7 +214,7 @@
 
 
 def test_a_dripping_client_has_no_more_time_than_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_module, "FIRST_LINE_WAIT", 0.1)
+    monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.1)
 
     def story(town: Town) -> None:
         silent, dripping = town.client(), town.client()
@@ -230,11 +234,11 @@
 
 def test_silent_clients_make_room_for_those_that_speak() -> None:
     def story(town: Town) -> None:
-        most = town.admission.silent_most
+        most = town.admission.max_silent
         silent = [town.client() for _ in range(most + 2)]
         assert read_line(silent[0]) == read_line(silent[1]) == b"BUSY 500\r\n"
         assert town.pair()
-        assert town.admission.used() <= town.admission.most
+        assert town.admission.used() <= town.admission.max_descriptors
 
     Town(sockets=64).run(story)
 
@@ -242,7 +246,7 @@
 def test_where_nothing_gives_way_a_client_is_refused_at_once() -> None:
     def story(town: Town) -> None:
         pairs = []
-        for at in range(town.admission.most // 2):
+        for at in range(town.admission.max_descriptors // 2):
             pairs.append(town.client(OPEN.replace(b"1a", b"%x" % at)))
             attempt = town.attempt()
             read_line(attempt)
@@ -250,7 +254,7 @@
         late = town.client(OPEN.replace(b"1a", b"ffff"))
         assert read_line(late).startswith(b"BUSY ")
         pairs[0].close()
-        town.until(lambda: town.admission.used() <= town.admission.most - 2)
+        town.until(lambda: town.admission.used() <= town.admission.max_descriptors - 2)
         assert town.pair()
 
     Town(sockets=64).run(story)
@@ -319,8 +323,8 @@
         client.close()
         assert attempt.receive(5.0) == b""
         assert town.gateway.counts == {"attempts": 1, "attempt CANCELLED": 1}
-        counted = ClassFigures(taken=1, abandoned=1, upstream_tries=1)
-        assert town.gateway.figures.classes["read"] == counted
+        counted = ClassMetrics(received=1, abandoned=1, attempts=1)
+        assert town.gateway.metrics.classes["read"] == counted
 
     Town().run(story)
 
@@ -345,9 +349,9 @@
         assert read_line(client) == b"BYE\r\n"
         attempt.close()
         assert client.receive(5.0) == b""
-        town.until(lambda: town.gateway.counts.get("standing OK") == 1)
-        assert town.gateway.counts["standing RESET"] == 1
-        assert town.gateway.counts["standing CANCELLED"] == 1
+        town.until(lambda: town.gateway.counts.get("established OK") == 1)
+        assert town.gateway.counts["established RESET"] == 1
+        assert town.gateway.counts["established CANCELLED"] == 1
 
     Town().run(story)
 
@@ -357,8 +361,8 @@
         client, attempt = town.pair()
         attempt.send(b"ha")
         assert client.receive(5.0) == b"ha"
-        (request,) = town.gateway.standing()
-        request.holder.move()
+        (request,) = town.gateway.established()
+        request.handler.migrate()
         town.scheduler.sleep(0.02)
         attempt.send(b"lf\r\n")
         data = b""
@@ -372,14 +376,14 @@
 
 
 def test_a_line_that_never_ends_does_not_hold_a_move_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_module, "MOVE_WAIT", 0.05)
+    monkeypatch.setattr(migration_module, "MIGRATION_TIMEOUT_S", 0.05)
 
     def story(town: Town) -> None:
         client, attempt = town.pair()
         attempt.send(b"ha")
         assert client.receive(5.0) == b"ha"
-        (request,) = town.gateway.standing()
-        request.holder.move()
+        (request,) = town.gateway.established()
+        request.handler.migrate()
         assert client.receive(5.0) == b""
 
     Town().run(story)
@@ -394,15 +398,15 @@
         client.send(b"hey\r\n")
         assert read_line(client) == b"MOVE\r\n"
         assert client.receive(5.0) == b""
-        town.until(lambda: town.gateway.counts.get("standing RESET") == 1)
-        assert town.gateway.counts["silent"] == 1
+        town.until(lambda: town.gateway.counts.get("established RESET") == 1)
+        assert town.gateway.counts["unresponsive"] == 1
 
     Town().run(story)
 
 
 def test_a_slow_reader_holds_the_sender_back_and_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     seen: list[int] = []
-    monkeypatch.setattr(DelayMeter, "answered", lambda self, id_, count: seen.append(count))
+    monkeypatch.setattr(DelayMeter, "lines_answered", lambda self, id_, count: seen.append(count))
 
     def story(town: Town) -> None:
         client, attempt = town.pair()
@@ -437,12 +441,12 @@
         assert read_line(attempt) == b"hey\r\n"
         poured = town.scheduler.spawn(attempt.send, b"z" * 40_000_000 + b"\r\n")
         town.scheduler.sleep(1.0)
-        assert "silent" not in town.gateway.counts
+        assert "unresponsive" not in town.gateway.counts
         while not client.receive(5.0).endswith(b"\r\n"):
             pass
         client.send(b"you\r\n")  # measured again from here on
         assert read_line(attempt) == b"you\r\n"
-        town.until(lambda: town.gateway.counts.get("silent") == 1)
+        town.until(lambda: town.gateway.counts.get("unresponsive") == 1)
         town.scheduler.kill(poured)
 
     Town().run(story)
@@ -457,7 +461,7 @@
         client = town.client(OPEN)
         attempt = town.attempt()
         assert attempt.receive(5.0) == b""
-        town.gateway.routing(EndpointUpdate(2, False, (gone,)))
+        town.gateway.on_endpoints(EndpointUpdate(2, False, (gone,)))
         assert read_line(client).startswith(b"BUSY")
 
     Town().run(story)
@@ -472,7 +476,7 @@
             assert read_line(attempt) == at
             attempt.send(answer)
         assert read_line(client) == b"UP r9\r\n"
-        (request,) = town.gateway.standing()
+        (request,) = town.gateway.established()
         assert request.attempt is not None
         assert request.attempt.server.uid == "s-1"
         client.send(b"hey\r\n")
@@ -482,9 +486,9 @@
 
 
 def test_an_exception_ends_its_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    parse = client_module.request_attributes
+    parse = intake_module.request_attributes
     monkeypatch.setattr(
-        client_module, "request_attributes", lambda line: 1 / int(line.key, 16) and parse(line)
+        intake_module, "request_attributes", lambda line: 1 / int(line.key, 16) and parse(line)
     )
 
     def story(town: Town) -> None:
@@ -722,10 +726,10 @@
         client = town.client(OPEN)
         attempt = town.attempt()
         read_line(attempt)
-        town.gateway.settle_all()
+        town.gateway.resolve_all()
         assert read_line(client).startswith(b"BUSY ")
         assert attempt.receive(5.0) == b""
-        assert not town.gateway.pending()
+        assert not town.gateway.pending_count()
 
     Town().run(story)
 
@@ -834,4 +838,4 @@
 
 def test_a_first_line_may_be_written_in_two_seconds() -> None:
     """DAYS: some are written in 2 s. STANDING: who stops half way gets an error or a close within 3 s."""
-    assert 2.3 <= client_module.FIRST_LINE_WAIT <= 2.7
+    assert 2.3 <= reading_module.REQUEST_LINE_TIMEOUT_S <= 2.7
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -19,15 +19,16 @@
     Stage,
     TimerFired,
 )
-from ironmill.net.probe import ProbeDriver
+from ironmill.net.health_check import HealthCheckDriver
 from ironmill.net.sockets import Stream
 from ironmill.protocol.server import HealthCheckProtocol, LoadReport
 from ironmill.requests.gateway import Gateway
 from ironmill.requests.routing_table import Server
+from ironmill.requests.tracked_request import IncomingRequest
 from ironmill.simulator.host import PARSERS, format_action
 from tests.support.balancing import Relay, sends
 from tests.system.test_net import Town, read_line
-from tests.unit.requests.test_gateway import FakeHolder, FakeTimers, config, timers
+from tests.unit.requests.test_gateway import FakeTimers, RecordingHandler, config, timers
 
 __all__ = ["timers"]
 
@@ -204,18 +205,18 @@
     gateway, hosts = Gateway(config(), timers), list[Server]()
 
     class FakeProber:
-        def probe(self, host: Server) -> None:
+        def check(self, host: Server) -> None:
             hosts.append(host)
-            gateway.probed(host, Outcome.OK, (("x0", 0.2),))
+            gateway.on_health_check(host, Outcome.OK, (("x0", 0.2),))
 
-    gateway.prober = FakeProber()
-    number = gateway._table.by_uid("s-2").number  # type: ignore[union-attr]
-    gateway._order(Probe(number))
+    gateway.use_health_checker(FakeProber())
+    number = gateway._servers.by_uid("s-2").number  # type: ignore[union-attr]
+    gateway._executor.execute(Probe(number))
     assert [host.number for host in hosts] == [number]
-    assert gateway.counts["probe OK"] == 1
-    holder = FakeHolder()
-    gateway.take_request(holder, "read", 1.0, gateway.now())
-    assert len(holder.attempts) == 1
+    assert gateway.counts["health check OK"] == 1
+    handler = RecordingHandler()
+    gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
+    assert len(handler.attempts) == 1
 
 
 def test_answers_are_read_whole_and_bounded() -> None:
@@ -230,13 +231,15 @@
     told: list[tuple[Outcome, LoadReport]] = []
 
     def story(town: Town) -> None:
-        driver = ProbeDriver(town.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report)))
+        driver = HealthCheckDriver(
+            town.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report))
+        )
         host = town.gateway.server("s-0")
         assert host is not None
 
         def ask() -> None:
-            driver.probe(host)
-            driver.probe(host)  # one question at a time
+            driver.check(host)
+            driver.check(host)  # one question at a time
 
         ask()
         attempt: Stream = town.attempt()
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -16,17 +16,20 @@
 
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import Carried, Ended, Event, Outcome, Refuse, Request, Scope, TimerFired
-from ironmill.net import client as client_module
 from ironmill.net import discovery as discovery_module
-from ironmill.net import probe as probe_module
+from ironmill.net import health_check as health_check_module
 from ironmill.net import shutdown as shutdown_module
 from ironmill.net import sockets as sockets_module
-from ironmill.net.client import ClientDriver
+from ironmill.net.attempt import AttemptDriver
+from ironmill.net.clients import attempts as attempts_module
+from ironmill.net.clients import connection as connection_module
+from ironmill.net.clients import reading as reading_module
+from ironmill.net.clients.attempts import ClientAttempt
+from ironmill.net.clients.connection import ClientConnection
 from ironmill.net.discovery import Discovery
+from ironmill.net.health_check import MAX_CONNECTIONS, HealthCheckDriver
 from ironmill.net.listener import Listener
-from ironmill.net.probe import KEPT_MOST, ProbeDriver
 from ironmill.net.send_away import SendAway
-from ironmill.net.server import AttemptDriver
 from ironmill.net.shutdown import Shutdown
 from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
 from ironmill.protocol.discovery import EndpointUpdate
@@ -76,10 +79,10 @@
         held = instant(town)
         with dialled(town, OPEN):
             pass
-        town.until(lambda: town.gateway.figures.classes["read"].abandoned == 1)
-        assert town.gateway.figures.upstream_tries == 0
+        town.until(lambda: town.gateway.metrics.classes["read"].abandoned == 1)
+        assert town.gateway.metrics.attempts == 0
         assert not held  # nor was anybody disturbed
-        assert not town.gateway.held()
+        assert not town.gateway.request_count()
         assert not town.admission.used()
 
     Town().run(story)
@@ -97,7 +100,7 @@
                 return dial(address, timeout)
 
             town.dial = slow
-            town.until(lambda: town.gateway.figures.classes["read"].abandoned == 1)
+            town.until(lambda: town.gateway.metrics.classes["read"].abandoned == 1)
         assert held[0].receive(5.0) == b""
         assert town.gateway.counts == {"attempts": 1, "attempt CANCELLED": 1}
 
@@ -126,13 +129,13 @@
             attempt = town.attempt()
             read_line(attempt)
         town.until(lambda: town.gateway.counts.get("attempts") == 1)
-        town.gateway.settle_all()
-        assert not town.gateway.pending()
+        town.gateway.resolve_all()
+        assert not town.gateway.pending_count()
         assert read_line(client).split()[0] == answer
         assert client.receive(5.0) == b""
         if written:
             assert attempt.receive(5.0) == b""
-        town.until(lambda: not town.gateway.held())
+        town.until(lambda: not town.gateway.request_count())
         assert town.gateway.counts["attempts"] == 1
         assert "overdue" not in town.gateway.counts
 
@@ -142,8 +145,8 @@
 def test_a_waiting_request_is_answered_at_the_end() -> None:
     def story(town: Town) -> None:
         client = town.client(OPEN.replace(b"c=read", b"c=order"))
-        town.until(lambda: town.gateway.pending() == 1)
-        town.gateway.settle_all()
+        town.until(lambda: town.gateway.pending_count() == 1)
+        town.gateway.resolve_all()
         assert read_line(client).startswith(b"BUSY ")
 
     Town(0, wait_limits=LIMITS).run(story)
@@ -177,7 +180,7 @@
     town.run(story)  # until the process would exit
     assert told_all == [b"", b"PONG\r\nBUSY 200\r\n", b"BUSY 200\r\n"]
     assert not town.arrived
-    assert town.gateway.figures.classes["read"].dropped == 1
+    assert town.gateway.metrics.classes["read"].rejected == 1
 
 
 def test_nothing_begins_in_the_last_moment() -> None:
@@ -196,10 +199,10 @@
 
 def test_where_nobody_may_linger_the_last_answer_is_not_overtaken_by_a_reset() -> None:
     def story(town: Town) -> None:
-        town.admission.leaving_most = 0
+        town.admission.max_leaving = 0
         with dialled(town, b"HELLO\r\n" + b"x" * (READ_BYTES + 9)) as client:
             assert rest(town, client) == b"ERR\r\n"
-        town.admission.most = 0
+        town.admission.max_descriptors = 0
         with dialled(town, OPEN + b"x" * READ_BYTES) as client:
             assert rest(town, client) == b"BUSY 500\r\n"
 
@@ -231,19 +234,19 @@
     def story(town: Town) -> None:
         with dialled(town) as oldest, dialled(town) as second:
             town.until(lambda: len(town.admission._silent) == 2)
-            town.admission.silent_most = 2
+            town.admission.max_silent = 2
             oldest.sendall(OPEN)
-            ticket = town.admission.enter(lambda at_once: True)
+            ticket = town.admission.enter(lambda *, immediately: True)
             assert ticket is not None
             assert rest(town, second) == b"BUSY 500\r\n"
             read_line(town.attempt())
-            town.admission.gone(ticket)
+            town.admission.leave(ticket)
 
     Town().run(story)
 
 
 def test_a_first_line_that_has_come_by_its_time_is_heard(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_module, "FIRST_LINE_WAIT", 0.0)
+    monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.0)
 
     def story(town: Town) -> None:
         with dialled(town, OPEN):
@@ -288,7 +291,7 @@
 
 def test_without_leave_to_name_a_time_a_refusal_names_none() -> None:
     def story(town: Town) -> None:
-        town.admission.most = 0
+        town.admission.max_descriptors = 0
         with dialled(town, OPEN) as client:
             assert rest(town, client) == b"BUSY\r\n"
 
@@ -427,7 +430,7 @@
             held.append(town.attempt())
             read_line(held[-1])
             held[-1].send(b"UP r1\r\n")
-        town.until(lambda: len(town.gateway.standing()) == 3)
+        town.until(lambda: len(town.gateway.established()) == 3)
 
     Town().run(story)
     assert [request.tenant for request in told] == ["club", "", "press"]
@@ -449,21 +452,21 @@
 
     def story(town: Town) -> None:
         client, attempt = town.pair()
-        (standing,) = town.gateway.standing()
-        driver = standing.holder
-        assert isinstance(driver, ClientDriver)
+        (standing,) = town.gateway.established()
+        driver = standing.handler
+        assert isinstance(driver, ClientConnection)
         if end == "reset":
             blocked(town, attempt)
             attempt.abort()
         else:
             # So little is held on the way to the client that the rest waits at the proxy, the end behind it.
-            driver._stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            driver.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             client._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            while not driver._writing:
+            while not driver.is_writing:
                 attempt.send(b"z" * 1024)
                 town.scheduler.sleep(0.0)
             attempt.shutdown_write()
-        town.until(lambda: not town.gateway.held())
+        town.until(lambda: not town.gateway.request_count())
         assert not town.admission.used()
 
     Town().run(story)
@@ -474,7 +477,7 @@
         client, attempt = town.pair()
         blocked(town, client)
         client.abort()
-        town.until(lambda: not town.gateway.held())
+        town.until(lambda: not town.gateway.request_count())
         with pytest.raises(ConnectionResetError):  # what came is not all that was sent
             while attempt.receive(5.0):
                 pass
@@ -490,9 +493,9 @@
     def story(town: Town) -> None:
         client, attempt = town.pair()
         client._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-        (standing,) = town.gateway.standing()
-        assert isinstance(standing.holder, ClientDriver)
-        standing.holder._stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
+        (standing,) = town.gateway.established()
+        assert isinstance(standing.handler, ClientConnection)
+        standing.handler.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
         attempt.send(b"z" * 800_000)
         attempt.shutdown_write()
         got = 0
@@ -504,8 +507,8 @@
     Town().run(story)
 
 
-def prober(town: Town, told: list[tuple[Outcome, object]]) -> ProbeDriver:
-    return ProbeDriver(town.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report)))
+def prober(town: Town, told: list[tuple[Outcome, object]]) -> HealthCheckDriver:
+    return HealthCheckDriver(town.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report)))
 
 
 @pytest.mark.parametrize("between", [b"", b"PONG x0=9\r\n"])
@@ -517,7 +520,7 @@
         driver, host = prober(town, told), town.gateway.server("s-0")
         assert host is not None
         for _ in range(2):
-            driver.probe(host)
+            driver.check(host)
             attempt = town.attempt()  # the second one is a new connection
             read_line(attempt)
             attempt.send(b"PONG x0=0.5\r\n")
@@ -533,25 +536,25 @@
 
 
 def test_probes_keep_to_the_descriptors_that_are_set_aside_for_them(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(probe_module, "ANSWER_WAIT", 60.0)
+    monkeypatch.setattr(health_check_module, "REPLY_TIMEOUT_S", 60.0)
     told: list[tuple[Outcome, object]] = []
 
     def story(town: Town) -> None:
         driver, held = prober(town, told), []
-        hosts = [host for at in range(KEPT_MOST + 3) if (host := town.gateway.server(f"s-{at}"))]
+        hosts = [host for at in range(MAX_CONNECTIONS + 3) if (host := town.gateway.server(f"s-{at}"))]
         for host in hosts:
-            driver.probe(host)
+            driver.check(host)
             held.append(town.attempt())
             if len(held) > 1:
                 read_line(held[-1])
                 held[-1].send(b"PONG x0=0.5\r\n")
                 town.until(lambda: len(told) == len(held) - 1)
-        assert len(driver._streams) == KEPT_MOST
+        assert len(driver._streams) == MAX_CONNECTIONS
         assert read_line(held[0]) == b"STATS\r\n"  # a question is out there: it stays
         assert [attempt.is_closed_by_peer() for attempt in held[:5]] == [False, True, True, True, False]
         assert {outcome for outcome, _ in told} == {Outcome.OK}
 
-    Town(KEPT_MOST + 3).run(story)
+    Town(MAX_CONNECTIONS + 3).run(story)
 
 
 def test_descriptors_that_run_out_cost_a_probe_and_a_call_of_discovery_no_more(
@@ -571,7 +574,7 @@
         host = town.gateway.server("s-0")
         assert host is not None
         monkeypatch.setattr(Stream, "connect", full)
-        prober(town, told).probe(host)
+        prober(town, told).check(host)
         town.until(lambda: bool(told))
         Discovery(town.scheduler, town.listeners[0].address, lambda _: None, pace).start()
         assert asked(town.attempt()) == b"/api/targets"
@@ -581,7 +584,7 @@
     assert len(failed) == 2
 
 
-@pytest.mark.parametrize("step", ["_ask", "close_gracefully"])
+@pytest.mark.parametrize("step", ["_request", "close_gracefully"])
 def test_a_task_that_fails_settles_all_that_its_connection_owes(
     monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
@@ -600,19 +603,19 @@
     def story(town: Town) -> None:
         client = town.client()
         monkeypatch.setattr(Balancer, "handle", recorded)
-        monkeypatch.setattr(AttemptDriver if step == "_ask" else Stream, step, fails)
+        monkeypatch.setattr(AttemptDriver if step == "_request" else Stream, step, fails)
         client.send(OPEN)
         attempt = town.attempt()
         if step == "close_gracefully":
             read_line(attempt)
-            town.gateway.settle_all()
-        assert read_line(client).split()[0] == (b"ERR" if step == "_ask" else b"BUSY")
+            town.gateway.resolve_all()
+        assert read_line(client).split()[0] == (b"ERR" if step == "_request" else b"BUSY")
         town.until(lambda: not town.admission.used())
-        assert not town.gateway.held()
-        assert not town.admission._names
-        counted = town.gateway.figures.classes["read"]
-        assert (counted.taken, counted.bad_gateway + counted.dropped, counted.pending) == (1, 1, 0)
-        assert town.gateway.figures.in_progress == 0
+        assert not town.gateway.request_count()
+        assert not town.admission._client_ids
+        counted = town.gateway.metrics.classes["read"]
+        assert (counted.received, counted.failed + counted.rejected, counted.pending) == (1, 1, 0)
+        assert town.gateway.metrics.in_progress == 0
 
     Town().run(story)
     assert len(told) == 1
@@ -623,31 +626,31 @@
 
     def story(town: Town) -> None:
         first, second = (town.client(OPEN.replace(b"1a", name)) for name in (b"1a", b"1b"))
-        town.until(lambda: town.gateway.pending() == 2)
-        ids = list(town.gateway._requests)
+        town.until(lambda: town.gateway.pending_count() == 2)
+        ids = list(town.gateway.requests.by_id)
         orders = [Refuse(ids[0], 0.1), Refuse(ids[1], 0.1)]
-        holder = town.gateway._requests[ids[0]].holder
+        handler = town.gateway.requests.by_id[ids[0]].handler
 
-        def failing(self: ClientDriver, retry_after: float) -> None:
-            if self is holder:
+        def failing(self: ClientConnection, retry_after: float) -> None:
+            if self is handler:
                 raise ZeroDivisionError
-            refuse(self, retry_after)
+            reject(self, retry_after)
 
-        monkeypatch.setattr(ClientDriver, "refuse", failing)
+        monkeypatch.setattr(ClientConnection, "reject", failing)
         monkeypatch.setattr(Balancer, "handle", lambda *_: orders)
-        town.gateway._feed(TimerFired("any"))
+        town.gateway.feed(TimerFired("any"))
         monkeypatch.undo()
         assert read_line(second) == b"BUSY 100\r\n"
         first.close()
         town.until(lambda: not town.admission.used())
 
-    refuse = ClientDriver.refuse
+    reject = ClientConnection.reject
     Town(0).run(story)
 
 
 def test_who_waits_to_be_up_again_and_leaves_is_asked_for_no_more(monkeypatch: pytest.MonkeyPatch) -> None:
     """A connection that was open before the run is tried again and again: not for nobody."""
-    monkeypatch.setattr(client_module, "CARRY_PAUSE", 0.0)
+    monkeypatch.setattr(attempts_module, "RESUME_RETRY_INTERVAL_S", 0.0)
 
     def story(town: Town) -> None:
         held = instant(town)
@@ -660,7 +663,7 @@
                 return dial(address, timeout)
 
             town.dial = leaves
-            town.until(lambda: town.gateway.figures.classes["read"].abandoned == 1)
+            town.until(lambda: town.gateway.metrics.classes["read"].abandoned == 1)
         for _ in range(20):
             town.scheduler.sleep(0.0)
         assert len(held) == 1
@@ -672,7 +675,7 @@
 def test_early_bytes_that_nobody_takes_end_with_their_client(monkeypatch: pytest.MonkeyPatch) -> None:
     """The server has taken the connection and reads nothing, and the client has left."""
     failed: list[object] = []
-    monkeypatch.setattr(client_module.log, "exception", lambda *args: failed.append(args))
+    monkeypatch.setattr(connection_module.log, "exception", lambda *args: failed.append(args))
 
     def story(town: Town) -> None:
         def gives_up(stream: Stream, data: bytes, source: Stream) -> None:
@@ -684,7 +687,7 @@
         read_line(server)
         server.send(b"UP r1\r\n")
         assert read_line(client) == b"UP r1\r\n"
-        town.until(lambda: not town.gateway.held())
+        town.until(lambda: not town.gateway.request_count())
         assert not town.admission.used()
 
     Town().run(story)
@@ -699,14 +702,14 @@
         client = town.client(b"OPEN 1a 2b c=read,at=%b\r\n" % (b"s-0" if known else b"s-9"))
         if known:
             read_line(town.attempt())
-        town.until(lambda: bool(town.gateway.carrying))
-        town.gateway.settle_all()
+        town.until(lambda: bool(town.gateway.resuming))
+        town.gateway.resolve_all()
         assert read_line(client) == b"ERR\r\n"
         assert client.receive(5.0) == b""
         client.close()
         town.until(lambda: not town.admission.used())
-        assert not town.gateway.carrying
-        assert town.gateway.figures.classes["read"].bad_gateway == 1
+        assert not town.gateway.resuming
+        assert town.gateway.metrics.classes["read"].failed == 1
 
     Town().run(story)
 
@@ -731,15 +734,15 @@
     """Its first line still waits to be taken when the process ends."""
 
     def story(town: Town) -> None:
-        monkeypatch.setattr(ClientDriver, "attempt_data", lambda *_: town.scheduler.sleep(60.0))
+        monkeypatch.setattr(ClientAttempt, "on_server_data", lambda *_: town.scheduler.sleep(60.0))
         client = town.client(b"OPEN 1a 2b c=read,at=s-0\r\n")
         server = town.attempt()
         read_line(server)
         server.send(b"UP r1\r\nline\r\n")
         assert read_line(client) == b"UP r1\r\n"
-        town.gateway.settle_all()
-        (standing,) = town.gateway.standing()
-        standing.holder.move()
+        town.gateway.resolve_all()
+        (standing,) = town.gateway.established()
+        standing.handler.migrate()
         assert read_line(client) == b"MOVE\r\n"  # and nothing before it
 
     Town().run(story)
@@ -758,14 +761,14 @@
 
         driver = prober(town, told)
         driver._dial = dial
-        for at in range(KEPT_MOST + 2):
+        for at in range(MAX_CONNECTIONS + 2):
             host = town.gateway.server(f"s-{at}")
             assert host is not None
-            driver.probe(host)
+            driver.check(host)
         town.until(lambda: len(told) == 2)
-        assert len(dialling) == KEPT_MOST
+        assert len(dialling) == MAX_CONNECTIONS
 
-    Town(KEPT_MOST + 2).run(story)
+    Town(MAX_CONNECTIONS + 2).run(story)
     assert told == [(Outcome.MOOT, ())] * 2
 
 
@@ -804,13 +807,13 @@
             attempt.send(b"line\r\n")
         else:
             client.send(b"line\r\n")
-        town.until(lambda: not town.gateway.held() and not town.admission.used())
+        town.until(lambda: not town.gateway.request_count() and not town.admission.used())
         assert stream.closed
         if call != "setsockopt":
             with contextlib.suppress(ConnectionResetError):
                 while attempt.receive(5.0):
                     pass
-        assert town.gateway.figures.classes["read"].passed == 1
+        assert town.gateway.metrics.classes["read"].established == 1
 
     Town().run(story)
 
@@ -839,7 +842,7 @@
         read_line(attempt)
         attempt.send(b"ERR\r\n")  # another attempt follows after a pause
         client.close()
-        town.until(lambda: town.gateway.figures.classes["read"].abandoned == 1)
+        town.until(lambda: town.gateway.metrics.classes["read"].abandoned == 1)
         town.scheduler.sleep(0.3)
         assert not town.arrived
         assert town.gateway.counts["attempts"] == 1
@@ -857,7 +860,7 @@
             return super().send(data[:1], flags)
 
     def story(town: Town) -> None:
-        town.admission.most = 0
+        town.admission.max_descriptors = 0
         monkeypatch.setattr(sockets_module.socket, "socket", Short)
         with dialled(town, OPEN) as client:
             assert rest(town, client) == b"BUSY 500\r\n"
@@ -874,7 +877,7 @@
         def left() -> float:
             """Until the last request is given up."""
             read_line(town.attempt())
-            *_, request = town.gateway._requests.values()
+            *_, request = town.gateway.requests.by_id.values()
             return request.give_up_at - town.gateway.now()
 
         with socket.create_connection(late.address) as early, socket.create_connection(late.address) as slow:
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -22,7 +22,7 @@
 from ironmill.identity.callers import Callers
 from ironmill.identity.keyring import KeyRing
 from ironmill.identity.rules import Caller, CallerRule, Identity, Rights
-from ironmill.net import client as client_module
+from ironmill.net.clients import reading as reading_module
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.net.tls import TlsStream
@@ -40,7 +40,7 @@
 @pytest.fixture(autouse=True)
 def _short_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     """Servers that the tests play do not end by themselves once their client has."""
-    monkeypatch.setattr(client_module, "HALF_CLOSED_WAIT", 0.2)
+    monkeypatch.setattr(reading_module, "HALF_CLOSED_TIMEOUT_S", 0.2)
 
 
 @pytest.fixture(scope="module")
@@ -107,7 +107,7 @@
 
 
 def until_gone(town: Town) -> None:
-    town.until(lambda: not town.gateway.busy() and town.admission.used() == 0)
+    town.until(lambda: not town.gateway.request_count() and town.admission.used() == 0)
 
 
 def test_bytes_go_on_unchanged_both_ways_and_the_servers_end_comes_through(authority: Authority) -> None:
@@ -123,7 +123,7 @@
         assert client.receive(5.0) == b""  # said, and not cut off
         client.close()
         until_gone(town)
-        assert town.gateway.counts["standing OK"] == 1
+        assert town.gateway.counts["established OK"] == 1
 
     TlsTown(authority).run(story)
 
@@ -178,7 +178,7 @@
             assert attempt.receive(5.0) == b""
         attempt.close()
         until_gone(town)
-        assert town.gateway.counts["standing CANCELLED"] == 1
+        assert town.gateway.counts["established CANCELLED"] == 1
 
     TlsTown(authority).run(story)
 
@@ -229,7 +229,7 @@
 def test_a_handshake_that_is_none_is_closed_and_the_others_are_served(
     authority: Authority, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_module, "FIRST_LINE_WAIT", 0.5)
+    monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.5)
     pieces = HOSTILE[name](hello(authority))
 
     def story(town: Town) -> None:
@@ -261,7 +261,7 @@
 def test_a_handshake_that_drips_has_the_time_of_a_first_line(
     authority: Authority, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_module, "FIRST_LINE_WAIT", 0.3)
+    monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.3)
     ended: list[bool] = []
 
     def story(town: Town) -> None:
@@ -465,7 +465,7 @@
         assert read_line(client) == b"BYE\r\n"
         client.close()
         until_gone(town)
-        assert town.gateway.counts["standing OK"] == 1
+        assert town.gateway.counts["established OK"] == 1
 
     SecureHosts(authority, "localhost").run(story)
 
--- a/tests/unit/requests/test_admission.py
+++ b/tests/unit/requests/test_admission.py
@@ -22,11 +22,13 @@
 
     @rule()
     def enter(self) -> None:
-        oldest = next((ticket for ticket, held in self.open.items() if ticket.name == "" and held == 1), None)
+        oldest = next(
+            (ticket for ticket, held in self.open.items() if ticket.client_id == "" and held == 1), None
+        )
         before = self.evicted
 
-        def evict(at_once: bool) -> bool:
-            assert at_once
+        def evict(*, immediately: bool) -> bool:
+            assert immediately
             self.evicted += 1
             del self.open[ticket_of[0]]
             return True
@@ -43,10 +45,10 @@
     @rule(at=st.integers(0, 99))
     def speak(self, at: int) -> None:
         ticket = self._pick(at)
-        if ticket is None or ticket.name:
+        if ticket is None or ticket.client_id:
             return
-        assert self.admission.claim(ticket, f"i{id(ticket)}")
-        assert not self.admission.claim(ticket, ticket.name)
+        assert self.admission.claim_id(ticket, f"i{id(ticket)}")
+        assert not self.admission.claim_id(ticket, ticket.client_id)
         if self.admission.admit(ticket):
             self.open[ticket] = 2
 
@@ -55,17 +57,17 @@
         ticket = self._pick(at)
         if ticket is None:
             return
-        if answered and self.admission.part(ticket):
+        if answered and self.admission.start_leaving(ticket):
             self.open[ticket] = 1
-            ticket.name = "left"
+            ticket.client_id = "left"
             return
-        self.admission.gone(ticket)
-        self.admission.gone(ticket)  # told twice, counted once
+        self.admission.leave(ticket)
+        self.admission.leave(ticket)  # called twice, counted once
         del self.open[ticket]
 
     @invariant()
     def counted(self) -> None:
-        assert self.admission.used() == sum(self.open.values()) <= self.admission.most
+        assert self.admission.used() == sum(self.open.values()) <= self.admission.max_descriptors
 
 
 TestCounted = Counted.TestCase
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -16,9 +16,12 @@
 from ironmill.configuration.proxy_config import Config
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer, parse_endpoint_update
 from ironmill.protocol.json_object import JsonObject, MalformedError
-from ironmill.requests.gateway import ANSWER_OVERDUE, Attempt, Gateway
+from ironmill.protocol.request import RequestAttributes
+from ironmill.requests.gateway import Gateway
+from ironmill.requests.request_registry import OVERDUE_DELAY_S
 from ironmill.requests.response_delay import SILENT_AFTER, DelayMeter
 from ironmill.requests.routing_table import RoutingTable
+from ironmill.requests.tracked_request import Attempt, IncomingRequest
 from ironmill.runtime.timers import TimerQueue
 from tests.support.balancing import SETTINGS
 
@@ -65,26 +68,29 @@
     return Config(**(fields | changes))
 
 
-class FakeHolder:
-    """Remembers what it was ordered."""
+class RecordingHandler:
+    """A request handler that records the gateway's orders."""
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
         self.answers: list[str] = []
-        self.moves = 0
+        self.migrations = 0
 
     def start_attempt(self, attempt: Attempt) -> None:
         assert all(before.ended for before in self.attempts), "attempts overlap"
         self.attempts.append(attempt)
 
-    def refuse(self, retry_after: float) -> None:
-        self.answers.append(f"BUSY {retry_after:.3f}")
+    def cancel_attempt(self) -> bool:
+        raise AssertionError("no attempt is cancelled here")
+
+    def reject(self, retry_after_s: float) -> None:
+        self.answers.append(f"BUSY {retry_after_s:.3f}")
 
     def fail(self) -> None:
         self.answers.append("ERR")
 
-    def move(self) -> None:
-        self.moves += 1
+    def migrate(self) -> None:
+        self.migrations += 1
 
 
 @pytest.fixture
@@ -108,34 +114,35 @@
 
         self.patch.setattr(Balancer, "handle", recorded)
         self.gateway = Gateway(config(), self.timers)
-        self.holders: list[tuple[FakeHolder, Any]] = []
+        self.handlers: list[tuple[RecordingHandler, Any]] = []
         self.up: set[str] = set()
         self.left: set[str] = set()
 
     def teardown(self) -> None:
         self.timers.run(5.0)  # whatever is owed has been answered by then
-        for holder, request in self.holders:
-            settled = len(holder.answers) + (request.id in self.up) + (request.id in self.left)
-            assert settled == 1, (holder.answers, request)
-        assert self.gateway.pending() == 0
+        for handler, request in self.handlers:
+            settled = len(handler.answers) + (request.id in self.up) + (request.id in self.left)
+            assert settled == 1, (handler.answers, request)
+        assert self.gateway.pending_count() == 0
         self.patch.undo()
 
     def out(self) -> list[Attempt]:
-        last = [holder.attempts[-1] for holder, _ in self.holders if holder.attempts]
+        last = [handler.attempts[-1] for handler, _ in self.handlers if handler.attempts]
         return [attempt for attempt in last if not attempt.ended]
 
     @rule(wait=st.sampled_from([0.0, 0.05, 1.0, None]), mid=st.booleans())
-    def take_request(self, wait: float | None, mid: bool) -> None:
-        holder = FakeHolder()
-        request = self.gateway.take_request(holder, "read", wait, self.gateway.now(), rerouted=mid)
-        self.holders.append((holder, request))
+    def open_request(self, wait: float | None, mid: bool) -> None:
+        handler = RecordingHandler()
+        incoming = IncomingRequest("read", self.gateway.now(), wait, RequestAttributes(rerouted=mid))
+        request = self.gateway.open_request(handler, incoming)
+        self.handlers.append((handler, request))
 
     @precondition(lambda self: self.out())
     @rule(pick=st.integers(0, 99))
     def stand(self, pick: int) -> None:
         attempt = self.out()[pick % len(self.out())]
-        owed = not attempt.request.over
-        assert self.gateway.up(attempt) == owed
+        owed = not attempt.request.resolved
+        assert self.gateway.on_established(attempt) == owed
         if owed:
             self.up.add(attempt.request.id)
 
@@ -143,18 +150,18 @@
     @rule(pick=st.integers(0, 99), outcome=st.sampled_from([o for o in Outcome if o is not Outcome.OK]))
     def end(self, pick: int, outcome: Outcome) -> None:
         attempt = self.out()[pick % len(self.out())]
-        self.gateway.ended(attempt, outcome)
-        self.gateway.ended(attempt, Outcome.RESET)  # told once, however often it is called
+        self.gateway.on_attempt_ended(attempt, outcome)
+        self.gateway.on_attempt_ended(attempt, Outcome.RESET)  # told once, however often it is called
 
-    @precondition(lambda self: self.holders)
+    @precondition(lambda self: self.handlers)
     @rule(pick=st.integers(0, 99))
     def leave(self, pick: int) -> None:
-        holder, request = self.holders[pick % len(self.holders)]
-        if not request.over:
+        handler, request = self.handlers[pick % len(self.handlers)]
+        if not request.resolved:
             self.left.add(request.id)
-        self.gateway.left(request)
-        if holder.attempts:
-            self.gateway.ended(holder.attempts[-1], Outcome.CANCELLED)
+        self.gateway.on_client_closed(request)
+        if handler.attempts:
+            self.gateway.on_attempt_ended(handler.attempts[-1], Outcome.CANCELLED)
 
     @rule(span=st.sampled_from([0.01, 0.2, 3.0]))
     def wait(self, span: float) -> None:
@@ -162,13 +169,13 @@
 
     @rule(stage=st.sampled_from([Stage.READY, Stage.DRAINING, Stage.GONE]), full=st.booleans())
     def told(self, stage: Stage, full: bool) -> None:
-        self.gateway.routing(EndpointUpdate(2, full, (listed("s-2", stage),)))
+        self.gateway.on_endpoints(EndpointUpdate(2, full, (listed("s-2", stage),)))
 
     @invariant()
     def one_end_for_each_attempt(self) -> None:
         ends = [(event.id, event.attempt) for event in self.fed if isinstance(event, Ended)]
         assert len(ends) == len(set(ends))
-        attempts = [attempt for holder, _ in self.holders for attempt in holder.attempts]
+        attempts = [attempt for handler, _ in self.handlers for attempt in handler.attempts]
         assert set(ends) >= {(attempt.request.id, attempt.number) for attempt in attempts if attempt.ended}
 
 
@@ -179,32 +186,34 @@
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the rule that every request has its answer, also where the decisions raise."""
-    gateway, holder = Gateway(config(), timers), FakeHolder()
+    gateway, handler = Gateway(config(), timers), RecordingHandler()
 
     def broken(*_: object) -> None:
         raise ZeroDivisionError
 
     monkeypatch.setattr(Balancer, "handle", broken)
-    gateway.take_request(holder, "read", 1.0, gateway.now())
+    gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
     timers.run(0.9)
-    assert holder.answers == []
-    timers.run(0.1 + ANSWER_OVERDUE)
-    assert holder.answers == ["ERR"]
+    assert handler.answers == []
+    timers.run(0.1 + OVERDUE_DELAY_S)
+    assert handler.answers == ["ERR"]
 
 
 def test_a_attempt_may_not_start_late_on_a_leaving_server(timers: FakeTimers) -> None:
     """Guards the drain rule for an attempt that was ordered in time but is slow to connect."""
-    gateway, holder = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), FakeHolder()
-    gateway.take_request(holder, "read", 1.0, gateway.now())
-    (attempt,) = holder.attempts
-    gateway.routing(EndpointUpdate(2, False, (listed("s-1", Stage.DRAINING),)))
+    gateway, handler = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), RecordingHandler()
+    gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
+    (attempt,) = handler.attempts
+    gateway.on_endpoints(EndpointUpdate(2, False, (listed("s-1", Stage.DRAINING),)))
     assert gateway.may_start(attempt)
-    gateway.routing(EndpointUpdate(3, False, (listed("s-1", Stage.GONE),)))
+    gateway.on_endpoints(EndpointUpdate(3, False, (listed("s-1", Stage.GONE),)))
     timers.run(0.24)
     assert not gateway.may_start(attempt)
-    gateway.routing(EndpointUpdate(4, False, (listed("s-1"),)))
+    gateway.on_endpoints(EndpointUpdate(4, False, (listed("s-1"),)))
     assert gateway.may_start(attempt)
-    gateway.routing(EndpointUpdate(5, True, (), age=0.06))  # counts from when it was told, not when believed
+    gateway.on_endpoints(
+        EndpointUpdate(5, True, (), age=0.06)
+    )  # counts from when it was told, not when believed
     assert gateway.may_start(attempt)
     timers.run(0.06)
     assert not gateway.may_start(attempt)
@@ -212,10 +221,10 @@
 
 def test_an_attempt_starts_so_early_that_a_process_held_up_keeps_the_grace(timers: FakeTimers) -> None:
     """STANDING: held up for up to 0.15 s between reading its clock and writing; the grace has to cover it."""
-    gateway, holder = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), FakeHolder()
-    gateway.take_request(holder, "read", 1.0, gateway.now())
-    (attempt,) = holder.attempts
-    gateway.routing(EndpointUpdate(2, False, (listed("s-1", Stage.DRAINING),)))
+    gateway, handler = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), RecordingHandler()
+    gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
+    (attempt,) = handler.attempts
+    gateway.on_endpoints(EndpointUpdate(2, False, (listed("s-1", Stage.DRAINING),)))
     timers.run(0.09)
     assert gateway.may_start(attempt)
     timers.run(0.02)
@@ -226,29 +235,31 @@
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     gateway, fed = Gateway(config(), timers), list[Event]()
-    gateway.routing(EndpointUpdate(2, True, (listed("s-2"),)))
+    gateway.on_endpoints(EndpointUpdate(2, True, (listed("s-2"),)))
     handle = Balancer.handle
     monkeypatch.setattr(Balancer, "handle", lambda b, e, now: fed.append(e) or handle(b, e, now))
     host = gateway.server("s-1")
     assert host is not None
-    attempt = gateway.carry(FakeHolder(), host, "read", key=5)
-    gateway.ended(attempt, Outcome.OK)
+    attempt = gateway.resume(
+        RecordingHandler(), host, IncomingRequest("read", attributes=RequestAttributes(key=5))
+    )
+    gateway.on_attempt_ended(attempt, Outcome.OK)
     carried, ended = fed
     assert isinstance(carried, Carried)
     assert isinstance(ended, Ended)
     assert (carried.backend, carried.request.key, ended.attempt, ended.final) == (host.number, 5, 0, True)
-    assert gateway.standing() == []
+    assert gateway.established() == []
 
 
 def test_client_that_left_is_told_before_the_end_of_its_attempt(
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    gateway, holder, fed = Gateway(config(), timers), FakeHolder(), list[Event]()
-    request = gateway.take_request(holder, "read", 1.0, gateway.now())
+    gateway, handler, fed = Gateway(config(), timers), RecordingHandler(), list[Event]()
+    request = gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
     handle = Balancer.handle
     monkeypatch.setattr(Balancer, "handle", lambda b, e, now: fed.append(e) or handle(b, e, now))
-    gateway.left(request)
-    gateway.ended(holder.attempts[0], Outcome.CANCELLED)
+    gateway.on_client_closed(request)
+    gateway.on_attempt_ended(handler.attempts[0], Outcome.CANCELLED)
     assert [type(event) for event in fed] == [Abandoned, Ended]
     assert isinstance(fed[1], Ended)
     assert fed[1].final
@@ -271,11 +282,11 @@
 
 def test_quick_answers_tell_nothing(timers: FakeTimers) -> None:
     it = Meter(timers)
-    it.meter.add("a")
+    it.meter.add_connection("a")
     for _ in range(20):
-        it.meter.sent("a", 1)
+        it.meter.lines_sent("a", 1)
         timers.run(0.04)
-        it.meter.answered("a", 1)
+        it.meter.lines_answered("a", 1)
         timers.run(2.0)
     assert (it.told, it.silent) == ([], [])
 
@@ -283,11 +294,11 @@
 def test_slow_answers_are_told_once_a_second_and_once_when_over(timers: FakeTimers) -> None:
     it = Meter(timers)
     for id_ in "ab":
-        it.meter.add(id_)
+        it.meter.add_connection(id_)
     for _ in range(3):
-        it.meter.sent("a", 1)
+        it.meter.lines_sent("a", 1)
         timers.run(0.2)
-        it.meter.answered("a", 1)
+        it.meter.lines_answered("a", 1)
         timers.run(0.6)
     assert it.told == [("a", 0.05), ("a", 0.2), ("a", 0.2)]
     timers.run(5.0)
@@ -300,15 +311,15 @@
 def test_an_unanswered_line_counts_and_a_silent_connection_is_given_up(timers: FakeTimers) -> None:
     """Guards against a machine that vanished: its connections stay open and say nothing."""
     it = Meter(timers)
-    it.meter.add("a")
-    it.meter.sent("a", 1)
+    it.meter.add_connection("a")
+    it.meter.lines_sent("a", 1)
     timers.run(SILENT_AFTER - 0.1)
     assert [delay for _, delay in it.told] == [0.05, 1.05, 2.05]
     assert SILENT_AFTER + 2.0 < 6.0  # a line every 2 s, and 7 s from the silence on
     assert it.silent == []
     timers.run(0.2)
     assert it.silent == ["a"]
-    it.meter.drop("a")
+    it.meter.remove_connection("a")
     count = len(it.told)
     timers.run(9.0)
     assert len(it.told) == count
@@ -343,13 +354,13 @@
 
 
 def test_attempts_end_with_the_attempts_that_the_settings_allow(timers: FakeTimers) -> None:
-    gateway, holder = Gateway(config(), timers), FakeHolder()
-    gateway.take_request(holder, "read", 1.9, gateway.now())
+    gateway, handler = Gateway(config(), timers), RecordingHandler()
+    gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.9))
     for step in itertools.count():
-        if holder.answers or step > 50:
+        if handler.answers or step > 50:
             break
-        if holder.attempts and not holder.attempts[-1].ended:
-            gateway.ended(holder.attempts[-1], Outcome.CONNECT_FAILED)
+        if handler.attempts and not handler.attempts[-1].ended:
+            gateway.on_attempt_ended(handler.attempts[-1], Outcome.CONNECT_FAILED)
         timers.run(0.02)
-    assert len(holder.attempts) == SETTINGS.max_attempts
-    assert holder.answers[0].startswith("BUSY 0.")
+    assert len(handler.attempts) == SETTINGS.max_attempts
+    assert handler.answers[0].startswith("BUSY 0.")
--- a/tests/unit/requests/test_response_delay.py
+++ b/tests/unit/requests/test_response_delay.py
@@ -27,12 +27,12 @@
     def add(self, name: str) -> None:
         if name not in self.sent:
             self.sent[name] = deque()
-            self.meter.add(name)
+            self.meter.add_connection(name)
 
     @rule(name=st.sampled_from("abc"))
     def drop(self, name: str) -> None:
         self.sent.pop(name, None)
-        self.meter.drop(name)
+        self.meter.remove_connection(name)
         if not self.sent:
             self.samples.clear()
 
@@ -40,13 +40,13 @@
     def send(self, name: str, count: int) -> None:
         if name in self.sent:
             self.sent[name].extend([self.now] * count)
-        self.meter.sent(name, count)
+        self.meter.lines_sent(name, count)
 
     @rule(name=st.sampled_from("abc"), count=st.integers(0, 3))
     def answer(self, name: str, count: int) -> None:
         for _ in range(min(count, len(self.sent.get(name, ())))):
             self.samples.append((self.now, self.now - self.sent[name].popleft()))
-        self.meter.answered(name, count)
+        self.meter.lines_answered(name, count)
 
     @rule(span=st.sampled_from([0.01, 0.3, 1.0]))
     def step(self, span: float) -> None:
@@ -64,15 +64,15 @@
     """Guards memory against a client that sends empty lines at full speed."""
     now = 0.0
     meter = DelayMeter(TimerQueue(lambda: now), 0.05, lambda *_: None, lambda _: None, clock=lambda: now)
-    meter.add("a")
+    meter.add_connection("a")
     for _ in range(100):
-        meter.sent("a", 1000)
+        meter.lines_sent("a", 1000)
     lines = meter._open["a"]
     assert (len(lines.sent), lines.untimed) == (TIMED_MOST, 100_000 - TIMED_MOST)
     assert len(meter._sent) == TIMED_MOST
     now = 1.0
-    meter.answered("a", TIMED_MOST + 10)
+    meter.lines_answered("a", TIMED_MOST + 10)
     # What was counted alone is still owed: one of it is watched for silence.
     assert (len(lines.sent), lines.untimed) == (1, 100_000 - TIMED_MOST - 11)
-    meter.answered("a", 100_000)
+    meter.lines_answered("a", 100_000)
     assert (len(lines.sent), lines.untimed) == (0, 0)
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -49,7 +49,7 @@
     HealthCheckProtocol,
     ServerDataReceived,
 )
-from ironmill.requests.metrics import Figures
+from ironmill.requests.metrics import RequestMetrics
 from ironmill.runtime.lifecycle import Event, Lifecycle
 from ironmill.simulator.host import main as simulate
 from tests.golden import messages
@@ -385,15 +385,15 @@
 
 
 class Observed:
-    """A proxy whose figures are fixed."""
+    """A proxy whose metrics are fixed."""
 
     def __init__(self) -> None:
         self.lifecycle = Lifecycle()
-        self.figures = Figures(["chat"])
-        for end in ("passed", "dropped", "failed", "abandoned"):
-            getattr(self.figures.take("chat"), end)()
-        count = self.figures.take("sync")
-        count.tried()
+        self.metrics = RequestMetrics(["chat"])
+        for end in ("established", "rejected", "failed", "abandoned"):
+            getattr(self.metrics.start("chat"), end)()
+        count = self.metrics.start("sync")
+        count.attempt_sent()
 
     def known_servers(self) -> int:
         return 3
