--- a/ironmill/administration/configuration_api.py
+++ b/ironmill/administration/configuration_api.py
@@ -15,31 +15,34 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ironmill.administration.messages import Answer, Call
+from ironmill.administration.messages import ApiRequest, ApiResponse
 from ironmill.administration.routes import Routes
-from ironmill.distribution.revision import (
-    AUTHOR_MOST,
-    NOTE_MOST,
-    NUMBER_MOST,
-    TICKET_MOST,
-    Changes,
-    Entry,
+from ironmill.distribution.changes import Changes
+from ironmill.distribution.errors import (
     FencedError,
-    HeadError,
     NotOriginError,
-    Position,
-    RefusedError,
+    PositionConflictError,
     RevisionError,
+    RevisionRejectedError,
     StoreError,
 )
+from ironmill.distribution.revision import (
+    MAX_AUTHOR_LENGTH,
+    MAX_NOTE_LENGTH,
+    MAX_TICKET_LENGTH,
+    NUMBER_LIMIT,
+    Position,
+    RevisionMetadata,
+    StoredRevision,
+)
 
 STATUS = "/admin/configuration"
 REVISIONS = "/admin/configuration/revisions"
 REVERT = "/admin/configuration/revert"
 
-HISTORY_MOST = 1000  # revisions in one answer
-HISTORY_USUAL = 20
-HISTORY_BYTES = 1 << 20  # of their keys and values in one answer; the newest is there however large it is
+MAX_HISTORY = 1000  # revisions in one answer
+DEFAULT_HISTORY = 20
+MAX_HISTORY_BYTES = 1 << 20  # of their keys and values in one answer; the newest is there however large it is
 
 
 class Reader(Protocol):
@@ -53,30 +56,24 @@
     """The origin, as calls see it; whoever is behind it also sends what there is to be sent."""
 
     def push(
-        self,
-        changes: Changes,
-        at: float,
-        author: str,
-        note: str,
-        ticket: str,
-        now: float,
-        expect: Position | None = None,
+        self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
         """Keep the changes as the next revision; its position, or the one that the ticket got before.
 
-        RevisionError, RefusedError, HeadError, NotOriginError, StoreError: then nothing was kept.
+        RevisionError, RevisionRejectedError, PositionConflictError, NotOriginError, StoreError: then nothing
+        was kept.
         """
 
     def undo(self, number: int) -> Changes:
         """What brings every key back to its value as of that revision. StoreError."""
 
-    def history(self, most: int) -> list[Entry]:
+    def history(self, max_count: int) -> list[StoredRevision]:
         """The last revisions, the newest first. StoreError."""
 
 
-_Author = Annotated[str, Meta(min_length=1, max_length=AUTHOR_MOST)]
-_Note = Annotated[str, Meta(max_length=NOTE_MOST)]
-_Ticket = Annotated[str, Meta(min_length=1, max_length=TICKET_MOST)]
+_Author = Annotated[str, Meta(min_length=1, max_length=MAX_AUTHOR_LENGTH)]
+_Note = Annotated[str, Meta(max_length=MAX_NOTE_LENGTH)]
+_Ticket = Annotated[str, Meta(min_length=1, max_length=MAX_TICKET_LENGTH)]
 _Expect = Annotated[str, Meta(max_length=40)]
 
 
@@ -93,7 +90,7 @@
 class Revert(Struct, forbid_unknown_fields=True, kw_only=True):
     """The body of a call that goes back to what was in force as of a revision, by a new one."""
 
-    number: Annotated[int, Meta(ge=0, lt=NUMBER_MOST)]
+    number: Annotated[int, Meta(ge=0, lt=NUMBER_LIMIT)]
     author: _Author
     note: _Note = ""
     ticket: _Ticket
@@ -115,7 +112,7 @@
     return Position(int(epoch), int(number))
 
 
-class ConfigurationCalls:
+class ConfigurationApi:
     """Answers them; without a writer those that write are told who could."""
 
     def __init__(
@@ -139,10 +136,10 @@
         routes.add(REVISIONS, {"GET": self._history, "POST": self._push}, detailed=True)
         routes.add(REVERT, {"POST": self._revert}, detailed=True)
 
-    def _status(self, _: Call) -> Answer:
+    def _status(self, _: ApiRequest) -> ApiResponse:
         return _answer(HTTPStatus.OK, self._reader.status(self._now()))
 
-    def _push(self, call: Call) -> Answer:
+    def _push(self, call: ApiRequest) -> ApiResponse:
         def push(writer: Writer) -> Position:
             told = _body(call, Push)
             try:
@@ -153,7 +150,7 @@
 
         return self._written(push)
 
-    def _revert(self, call: Call) -> Answer:
+    def _revert(self, call: ApiRequest) -> ApiResponse:
         def revert(writer: Writer) -> Position:
             told = _body(call, Revert)
             changes = writer.undo(told.number)
@@ -176,15 +173,16 @@
             expect = read_position(told.expect) if told.expect else None
         except ValueError as error:
             raise _CallError(f"expect: {error}") from None
-        return writer.push(changes, self._clock(), told.author, told.note, told.ticket, self._now(), expect)
+        metadata = RevisionMetadata(self._clock(), told.author, told.note, told.ticket)
+        return writer.push(changes, metadata, self._now(), expect)
 
-    def _history(self, call: Call) -> Answer:
+    def _history(self, call: ApiRequest) -> ApiResponse:
         if self._writer is None:
             return self._no_origin()
-        words = parse_qs(call.query, max_num_fields=8).get("most", [str(HISTORY_USUAL)])[-1]
+        words = parse_qs(call.query, max_num_fields=8).get("most", [str(DEFAULT_HISTORY)])[-1]
         if re.fullmatch(r"[0-9]{1,6}", words, re.ASCII) is None:
             return _reason(HTTPStatus.BAD_REQUEST, f"most is no number: {words[:20]!r}")
-        most = min(int(words), HISTORY_MOST)
+        most = min(int(words), MAX_HISTORY)
         try:
             entries = self._writer.history(most)
         except StoreError as error:
@@ -193,22 +191,22 @@
         size = 0
         for entry in entries:
             size += sum(len(key) + len(value or b"") for key, value in entry.changes.items())
-            if shown and size > HISTORY_BYTES:
+            if shown and size > MAX_HISTORY_BYTES:
                 break
             shown.append(_entry(entry))
         return _answer(HTTPStatus.OK, {"revisions": shown, "cut": len(shown) < len(entries)})
 
-    def _written(self, write: Callable[[Writer], Position]) -> Answer:
+    def _written(self, write: Callable[[Writer], Position]) -> ApiResponse:
         if self._writer is None:
             return self._no_origin()
         try:
             position = write(self._writer)
         except (_CallError, RevisionError) as error:
             return _reason(HTTPStatus.BAD_REQUEST, str(error))
-        except RefusedError as error:
-            refusal = error.refusal
-            return _answer(HTTPStatus.CONFLICT, {"key": refusal.key, "reason": refusal.reason})
-        except HeadError as error:
+        except RevisionRejectedError as error:
+            rejection = error.rejection
+            return _answer(HTTPStatus.CONFLICT, {"key": rejection.key, "reason": rejection.reason})
+        except PositionConflictError as error:
             return _reason(HTTPStatus.PRECONDITION_FAILED, str(error))
         except (NotOriginError, FencedError) as error:
             return self._no_origin(str(error))
@@ -216,20 +214,20 @@
             return _reason(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
         return _answer(HTTPStatus.CREATED, {"position": str(position)})
 
-    def _no_origin(self, why: str = "this process is no origin") -> Answer:
+    def _no_origin(self, why: str = "this process is no origin") -> ApiResponse:
         who = " or ".join(self._origins) or "not known here"
         told = {"reason": f"{why}; the origin is {who}", "origins": list(self._origins)}
         return _answer(HTTPStatus.SERVICE_UNAVAILABLE, told)
 
 
-def _body(call: Call, kind: type[_Body]) -> _Body:
+def _body(call: ApiRequest, kind: type[_Body]) -> _Body:
     try:
         return msgspec.json.decode(call.body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise _CallError(f"the body is not right: {str(error).splitlines()[0]}") from None
 
 
-def _entry(entry: Entry) -> dict[str, Any]:
+def _entry(entry: StoredRevision) -> dict[str, Any]:
     changes = {
         key: None if value is None else value.decode(errors="backslashreplace")
         for key, value in entry.changes.items()
@@ -243,9 +241,9 @@
     }
 
 
-def _reason(status: HTTPStatus, why: str) -> Answer:
+def _reason(status: HTTPStatus, why: str) -> ApiResponse:
     return _answer(status, {"reason": why})
 
 
-def _answer(status: HTTPStatus, told: dict[str, Any]) -> Answer:
-    return Answer(status, msgspec.json.encode(told) + b"\n")
+def _answer(status: HTTPStatus, told: dict[str, Any]) -> ApiResponse:
+    return ApiResponse(status, msgspec.json.encode(told) + b"\n")
--- a/ironmill/distribution/publisher.py
+++ b/ironmill/distribution/publisher.py
@@ -12,10 +12,11 @@
 
 from msgspec import Struct
 
+from ironmill.distribution.changes import pack_entry
 from ironmill.distribution.keyspace import LEVEL_BITS, children_of
 from ironmill.distribution.link import Link
 from ironmill.distribution.replica import Replica
-from ironmill.distribution.revision import START, Position, Refusal, pack_entry
+from ironmill.distribution.revision import START, Position, Rejection
 from ironmill.distribution.timing import (
     BEHIND_AFTER,
     LEASE,
@@ -57,7 +58,9 @@
     Tally,
     Word,
 )
-from ironmill.membership.envelope import DATAGRAM_MOST, Address, DroppedError, Envelope
+from ironmill.membership.envelope import DroppedError, Envelope
+from ironmill.membership.identity import Address
+from ironmill.membership.limits import MAX_DATAGRAM_BYTES
 
 CHILDREN_MOST = 4096  # guards memory; a machine of the plan has 104, three times that when others are down
 PARTS_A_TICK = 1024  # datagrams of pushes in a tenth of a second; what is left goes with the next
@@ -78,7 +81,7 @@
     token: int = 0  # to be echoed to it
     held: Position = START
     in_force: Position = START
-    refusal: Refusal | None = None
+    refusal: Rejection | None = None
     summary: Summary | None = None
     stale: bool = False
     attached: int = 0
@@ -202,7 +205,7 @@
     def poll(self, envelope: Envelope[Message], poll: Poll, source: Address) -> None:
         """A child's poll."""
         link, now, name = self._link, self._link.now, envelope.sender
-        proven = link.tokens.proves(name, envelope.incarnation, poll.echo, now)
+        proven = link.tokens.verify(name, envelope.incarnation, poll.echo, now)
         if not proven or poll.probe:
             # Nothing is kept of whom nothing is proven of, and it is told no more than it has sent.
             self._word(envelope, source, poll, counted=False)
@@ -266,7 +269,7 @@
     def _word(self, envelope: Envelope[Message], source: Address, poll: Poll, counted: bool) -> None:
         replica, name, incarnation = self._replica, envelope.sender, envelope.incarnation
         assert replica.log is not None
-        token = self._link.tokens.give(name, incarnation, self._link.now)
+        token = self._link.tokens.issue(name, incarnation, self._link.now)
         reaches = replica.log.reaches(poll.held)
         word = Word(
             poll.token,
@@ -286,7 +289,7 @@
         child = self.children.get(envelope.sender)
         if child is None or child.incarnation != envelope.incarnation:
             raise DroppedError("stale")
-        if not self._link.tokens.proves(envelope.sender, envelope.incarnation, leave.echo, self._link.now):
+        if not self._link.tokens.verify(envelope.sender, envelope.incarnation, leave.echo, self._link.now):
             raise DroppedError("unproven")
         self._forget(child)
 
@@ -434,11 +437,11 @@
     def _serve(self, envelope: Envelope[Message], echo: int) -> None:
         """DroppedError where nothing is proven, or the rate of answers is used up: it is asked again."""
         now, rate = self._link.now, self._timing.serve_rate
-        if not self._link.tokens.proves(envelope.sender, envelope.incarnation, echo, now):
+        if not self._link.tokens.verify(envelope.sender, envelope.incarnation, echo, now):
             raise DroppedError("unproven")
         self._serve_credit = min(rate * SERVE_BURST, self._serve_credit + (now - self._serve_at) * rate)
         self._serve_at = now
-        if self._serve_credit < DATAGRAM_MOST:
+        if self._serve_credit < MAX_DATAGRAM_BYTES:
             raise DroppedError("busy")
 
     # The sum
@@ -499,10 +502,10 @@
 
     def _laggard(self, child: Child) -> Laggard:
         why = UNREACHABLE if not child.reachable else REFUSED if child.refusal is not None else BEHIND
-        refusal = child.refusal or Refusal("", "")
+        refusal = child.refusal or Rejection("", "")
         if child.summary is not None:
             below = sum(tally.proxies for tally in child.summary.tallies)
-            refusal = Refusal("", f"a relay; {below} proxies were behind it")
+            refusal = Rejection("", f"a relay; {below} proxies were behind it")
         return Laggard(child.name, child.zone, child.in_force, why, refusal.key, refusal.reason)
 
 
--- a/ironmill/distribution/wire.py
+++ b/ironmill/distribution/wire.py
@@ -10,9 +10,12 @@
 import msgspec
 from msgspec import Struct
 
+from ironmill.distribution.changes import MAX_KEY_BYTES
 from ironmill.distribution.keyspace import LEAVES, LEVEL_BITS
-from ironmill.distribution.revision import KEY_MOST, NUMBER_MOST, Position, Refusal
-from ironmill.membership.envelope import Address, DroppedError, Envelope, SignedCodec, named, short
+from ironmill.distribution.revision import NUMBER_LIMIT, Position, Rejection
+from ironmill.membership.envelope import DroppedError, Envelope, SignedCodec
+from ironmill.membership.identity import Address
+from ironmill.membership.limits import fits_text, is_name
 
 BODY_MOST = 940  # bytes of packed entries in a datagram; with all else it stays under what one may hold
 PARTS_MOST = 256  # of one delta
@@ -87,7 +90,7 @@
     age: int  # milliseconds since the origin's word, AGE_NEVER if there was none
     target: Position  # the delta that is being put together
     missing: list[int]  # what it lacks of that
-    refusal: Refusal | None = None
+    refusal: Rejection | None = None
     summary: Summary | None = None
 
 
@@ -217,7 +220,7 @@
 
 
 def _number(value: int) -> bool:
-    return 0 <= value < NUMBER_MOST
+    return 0 <= value < NUMBER_LIMIT
 
 
 def _position(position: Position) -> bool:
@@ -229,7 +232,7 @@
 
 
 def _key(key: str) -> bool:
-    return len(key) <= KEY_MOST and len(key.encode(errors="replace")) <= KEY_MOST
+    return len(key) <= MAX_KEY_BYTES and len(key.encode(errors="replace")) <= MAX_KEY_BYTES
 
 
 def _refusal(key: str, reason: str) -> bool:
@@ -243,7 +246,7 @@
         """The first key signs; at most one more is taken as well, while keys are being replaced."""
         super().__init__(cluster, keys, _DECODER)
 
-    def check(self, message: Message) -> None:
+    def validate(self, message: Message) -> None:
         """Bounds that types do not say. Guards memory against a process that is out of its mind."""
         if not _fits(message):
             raise DroppedError("malformed")
@@ -289,13 +292,13 @@
                 and (not message.partial or message.body != b"")
             )
         case Moved() | Noted():
-            return named(message.name) and _number(message.attached)
+            return is_name(message.name) and _number(message.attached)
         case Sought():
             return len(message.children) <= SOUGHT_MOST and all(
-                named(one.name)
-                and short(one.zone)
+                is_name(one.name)
+                and fits_text(one.zone)
                 and _position(one.in_force)
-                and 0 < one.incarnation < NUMBER_MOST
+                and 0 < one.incarnation < NUMBER_LIMIT
                 and _number(one.attached)
                 for one in message.children
             )
@@ -310,10 +313,10 @@
         and _number(poll.lineage)
         and _number(poll.term)
         and _number(poll.attached)
-        and short(poll.zone)
+        and fits_text(poll.zone)
         and len(poll.missing) <= MISSING_MOST
         and len(poll.previous) <= PREVIOUS_MOST
-        and all(short(one) for one in poll.previous)
+        and all(fits_text(one) for one in poll.previous)
     )
     if refusal is not None and not _refusal(refusal.key, refusal.reason):
         return False
@@ -324,13 +327,16 @@
         and len(summary.tallies) <= TALLIES_MOST
         and summary.more >= 0
         and all(
-            short(one.zone)
+            fits_text(one.zone)
             and _position(one.lowest)
             and min(one.proxies, one.refused, one.unreachable, one.stale) >= 0
             for one in summary.tallies
         )
         and all(
-            named(one.name) and short(one.zone) and _refusal(one.key, one.reason) and _position(one.in_force)
+            is_name(one.name)
+            and fits_text(one.zone)
+            and _refusal(one.key, one.reason)
+            and _position(one.in_force)
             for one in summary.laggards
         )
     )
--- a/ironmill/net/attempt.py
+++ b/ironmill/net/attempt.py
@@ -19,7 +19,7 @@
     ServerDataReceived,
 )
 from ironmill.runtime.scheduler import Task
-from ironmill.runtime.system_calls import EXHAUSTED, UnsentError
+from ironmill.runtime.system_calls import RESOURCE_EXHAUSTED_ERRNOS, UnsentError
 
 # Connects to an address within so many seconds. ``Stream.handshake`` follows before the first byte.
 Dial = Callable[[tuple[str, int], float], Stream]
@@ -107,8 +107,8 @@
             outcome = self.protocol.time_out()
         except UnsentError as error:
             outcome = self.protocol.end_of_stream()
-            if error.errno in EXHAUSTED:
-                outcome = Outcome.MOOT  # this machine lacks resources, which is not the server's fault
+            if error.errno in RESOURCE_EXHAUSTED_ERRNOS:
+                outcome = Outcome.NOT_SENT  # this machine lacks resources, which is not the server's fault
         except OSError:
             outcome = self.protocol.end_of_stream()
             was_reset = True
@@ -143,7 +143,11 @@
             try:
                 return self._dial(plan.address, min(plan.connect_timeout_s, deadline - time.monotonic()))
             except UnsentError as error:
-                if error.errno not in EXHAUSTED or time.monotonic() >= deadline or not owner.may_start():
+                if (
+                    error.errno not in RESOURCE_EXHAUSTED_ERRNOS
+                    or time.monotonic() >= deadline
+                    or not owner.may_start()
+                ):
                     raise
 
     def _request(self, owner: AttemptOwner, stream: Stream, deadline: float) -> AttemptEvent | None:
--- a/ironmill/net/clients/intake.py
+++ b/ironmill/net/clients/intake.py
@@ -78,7 +78,7 @@
         """Returns False if the request got its final answer: draining, not permitted, or no capacity."""
         ticket = connection.ticket
         assert ticket is not None
-        if not self._gateway.lifecycle.policy.opens:
+        if not self._gateway.lifecycle.policy.admits_requests:
             self._closer.reject(connection, DRAINING_RETRY_AFTER_S)
             return False
         caller = connection.caller
--- a/ironmill/net/clients/reading.py
+++ b/ironmill/net/clients/reading.py
@@ -136,7 +136,7 @@
 
     def _reply_to_ping(self, connection: ClientConnection) -> None:
         connection.request_line_deadline = time.monotonic() + REQUEST_LINE_TIMEOUT_S
-        line = PONG_LINE if self._gateway.lifecycle.policy.pong else DRAINING_LINE
+        line = PONG_LINE if self._gateway.lifecycle.policy.answers_pong else DRAINING_LINE
         connection.stream.send(line, GRACEFUL_CLOSE_TIMEOUT_S)
 
     def _half_close(self, connection: ClientConnection) -> None:
--- a/ironmill/net/clients/service.py
+++ b/ironmill/net/clients/service.py
@@ -64,7 +64,7 @@
             self.scheduler,
             self.gateway,
             self.admission,
-            sends_retry_after=self.config.settings.retry_after_max > 0.0,
+            sends_retry_after=self.config.settings.max_retry_after > 0.0,
         )
         self.migrator = Migrator(self.scheduler, self.closer)
         self.relay = DataRelay(self.gateway, self.closer)
--- a/ironmill/net/health_check.py
+++ b/ironmill/net/health_check.py
@@ -12,7 +12,7 @@
 from ironmill.protocol.server import HealthCheckProtocol, LoadReport
 from ironmill.requests.routing_table import Server
 from ironmill.runtime.scheduler import Scheduler
-from ironmill.runtime.system_calls import EXHAUSTED
+from ironmill.runtime.system_calls import RESOURCE_EXHAUSTED_ERRNOS
 
 REPLY_TIMEOUT_S = 0.5
 MAX_CONNECTIONS = 20  # reserved in ``admission.RESERVED_DESCRIPTORS``; the least recently used is closed
@@ -49,7 +49,7 @@
         except TimedOutError:
             outcome = Outcome.TIMEOUT
         except OSError as error:
-            outcome = Outcome.MOOT if error.errno in EXHAUSTED else Outcome.CONNECT_FAILED
+            outcome = Outcome.NOT_SENT if error.errno in RESOURCE_EXHAUSTED_ERRNOS else Outcome.CONNECT_FAILED
         finally:
             self._checking.discard(server.number)
         if outcome is not Outcome.OK or server.leaving_since is not None:
@@ -61,7 +61,7 @@
         if stream is None:
             # Each server under check has a connection, or is about to.
             if len(self._streams.keys() | self._checking) > MAX_CONNECTIONS and not self._make_room():
-                return Outcome.MOOT, ()
+                return Outcome.NOT_SENT, ()
             stream = self._streams[server.number] = self._dial(server.address, self._connect_timeout_s)
             stream.handshake(time.monotonic() + self._connect_timeout_s)
         return self._request_report(stream)
--- a/ironmill/net/sockets.py
+++ b/ironmill/net/sockets.py
@@ -14,7 +14,12 @@
 
 from ironmill.errors import IronmillError
 from ironmill.runtime.scheduler import READ, WRITE, Scheduler, Task
-from ironmill.runtime.system_calls import EXHAUSTED, RETRY_PAUSE, UNSENT, UnsentError
+from ironmill.runtime.system_calls import (
+    NOT_SENT_ERRNOS,
+    RESOURCE_EXHAUSTED_ERRNOS,
+    RETRY_INTERVAL_S,
+    UnsentError,
+)
 
 READ_BYTES = 16 * 1024  # of one read, and so the bound of what is buffered for the other side
 MAX_DISCARDED_BYTES = 64 * 1024  # read and dropped after the last answer
@@ -92,7 +97,7 @@
             except UnsentError:
                 if time.monotonic() >= give_up_at:
                     raise
-            scheduler.sleep(RETRY_PAUSE)
+            scheduler.sleep(RETRY_INTERVAL_S)
 
     @classmethod
     def _connect_once(
@@ -107,7 +112,7 @@
             if source:
                 stream._sock.bind((source, 0))
             code = stream._sock.connect_ex(address)
-            if code in UNSENT:
+            if code in NOT_SENT_ERRNOS:
                 raise UnsentError(code, os.strerror(code))
             if code in (errno.EINPROGRESS, errno.EINTR):
                 if not scheduler.wait(stream._sock.fileno(), WRITE, timeout):
@@ -146,7 +151,7 @@
                 except BlockingIOError:
                     self._immediate_reads = 0
                 except OSError as error:
-                    if error.errno not in EXHAUSTED:
+                    if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                         raise
                     self._pause_retry(until)
                     continue
@@ -163,7 +168,7 @@
         """Parks after a call failed for lack of memory. Raises ``TimedOutError`` from ``until`` on."""
         if time.monotonic() >= until:
             raise TimedOutError
-        self._scheduler.sleep(RETRY_PAUSE)
+        self._scheduler.sleep(RETRY_INTERVAL_S)
 
     def receive_nowait(self) -> bytes:
         """Returns the bytes received so far without parking, perhaps none."""
@@ -171,7 +176,7 @@
             try:
                 return self._sock.recv(READ_BYTES)
             except OSError as error:
-                if error.errno not in EXHAUSTED:
+                if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                     break
         return b""
 
@@ -189,7 +194,7 @@
         try:
             return bool(self._sock.recv(1, socket.MSG_PEEK))
         except OSError as error:  # otherwise: no bytes, or no connection
-            return error.errno in EXHAUSTED
+            return error.errno in RESOURCE_EXHAUSTED_ERRNOS
 
     def is_stale(self) -> bool:
         """Returns True if a cached connection must not be reused: it ended, or holds unrequested bytes."""
@@ -209,7 +214,7 @@
             except BlockingIOError:
                 pass
             except OSError as error:
-                if error.errno not in EXHAUSTED:
+                if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                     raise
                 self._pause_retry(until)
                 continue
@@ -233,7 +238,7 @@
             except BlockingIOError:
                 break
             except OSError as error:
-                if error.errno not in EXHAUSTED:
+                if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                     raise
         return 0
 
--- a/ironmill/requests/action_executor.py
+++ b/ironmill/requests/action_executor.py
@@ -8,13 +8,13 @@
 
 from ironmill.balancing.interface import (
     Action,
+    CheckHealth,
     Ended,
     Event,
     Fail,
-    Move,
+    Migrate,
     Outcome,
-    Probe,
-    Refuse,
+    Reject,
     Send,
     SetTimer,
     Subscribe,
@@ -60,24 +60,24 @@
                 self._send(action)
             case SetTimer():
                 self._timers.call_later(action.delay, self._feed, TimerFired(action.name))
-            case Refuse():
+            case Reject():
                 self._reject(action)
             case Fail():
                 self._fail(action)
-            case Move():
+            case Migrate():
                 self._migrate(action)
-            case Probe():
+            case CheckHealth():
                 self._check_health(action)
             case Subscribe():
                 pass  # the watch on discovery is always open
 
     def _send(self, send: Send) -> None:
-        request = self._requests.by_id.get(send.id)
-        server = self._servers.by_number(send.backend)
+        request = self._requests.by_id.get(send.request_id)
+        server = self._servers.by_number(send.server_id)
         left = 0.0 if request is None else request.give_up_at - self._now()
         if request is None or server is None or left <= 0.0 or not self._may_attempt(request):
             number = 0 if request is None else request.attempt_count
-            self._feed(Ended(send.id, number, send.backend, Outcome.MOOT, 0.0, request is None))
+            self._feed(Ended(send.request_id, number, send.server_id, Outcome.NOT_SENT, 0.0, request is None))
             return
         timeout = min(left, send.timeout) if send.timeout > 0.0 else left
         attempt = Attempt(request, request.attempt_count, server, self._now(), timeout, send.start_by)
@@ -93,14 +93,14 @@
             and request.attempt_count < self._max_attempts
         )
 
-    def _reject(self, reject: Refuse) -> None:
-        request = self._unresolved(reject.id)
+    def _reject(self, reject: Reject) -> None:
+        request = self._unresolved(reject.request_id)
         if request is not None:
             request.counter.rejected()
             self._requests.finish(request).reject(reject.retry_after)
 
     def _fail(self, fail: Fail) -> None:
-        request = self._unresolved(fail.id)
+        request = self._unresolved(fail.request_id)
         if request is not None:
             request.counter.failed()
             self._requests.finish(request).fail()
@@ -109,13 +109,13 @@
         request = self._requests.by_id.get(request_id)
         return None if request is None or request.resolved else request
 
-    def _migrate(self, migrate: Move) -> None:
-        request = self._requests.by_id.get(migrate.id)
+    def _migrate(self, migrate: Migrate) -> None:
+        request = self._requests.by_id.get(migrate.request_id)
         if request is not None and request.established:
             self._counts.add("migrated")
             request.handler.migrate()
 
-    def _check_health(self, check: Probe) -> None:
-        server = self._servers.by_number(check.backend)
+    def _check_health(self, check: CheckHealth) -> None:
+        server = self._servers.by_number(check.server_id)
         if server is not None and self.health_checker is not None:
             self.health_checker.check(server)
--- a/ironmill/requests/admission.py
+++ b/ironmill/requests/admission.py
@@ -12,7 +12,7 @@
 from itertools import islice
 from typing import Protocol
 
-from ironmill.runtime.rate_limited_log import LogThrottle
+from ironmill.runtime.rate_limited_log import LogRateLimiter
 
 # Descriptors for other purposes: standard streams 3, poller 1, signals 2, listeners 3 (clients, TLS, admin
 # API), callers of the admin API 12, discovery 2 while it changes its address, a file that is read 1,
@@ -76,7 +76,7 @@
         self._admitted = 0
         self._leaving = 0
         self._client_ids: set[str] = set()
-        self._log_throttle = LogThrottle()
+        self._log_throttle = LogRateLimiter()
 
     def used(self) -> int:
         """Returns how many descriptors clients use or have reserved for their attempts."""
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -10,16 +10,16 @@
 
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import (
-    Carried,
-    CutShort,
+    AnswerDue,
+    ConnectionSample,
     Ended,
     Established,
-    Note,
-    NoteKind,
+    HandoverStarted,
+    HealthChecked,
     Outcome,
-    Probed,
     Request,
-    Succession,
+    Resumed,
+    SampleKind,
 )
 from ironmill.configuration.proxy_config import Config
 from ironmill.protocol.discovery import EndpointUpdate
@@ -36,7 +36,7 @@
     RequestHandler,
     TrackedRequest,
 )
-from ironmill.runtime.lifecycle import Lifecycle, State
+from ironmill.runtime.lifecycle import Lifecycle, ProcessState
 from ironmill.runtime.scheduler import Timers
 
 ANSWER_LEAD_S = (
@@ -56,7 +56,7 @@
     def __init__(self, config: Config, timers: Timers, lifecycle: Lifecycle | None = None) -> None:
         """Starts with the endpoint list of the configuration."""
         self._config = config
-        self.lifecycle = lifecycle or Lifecycle(State.SERVING)
+        self.lifecycle = lifecycle or Lifecycle(ProcessState.SERVING)
         self.metrics = RequestMetrics(config.wait_limits)
         self.counts = EventCounts()
         self.resuming: set[RequestHandler] = set()  # of connections that are not established again yet
@@ -80,7 +80,7 @@
         self._decisions.execute = self._executor.execute
         self._round_trips = RoundTripObserver(
             timers,
-            config.shortest_aim / DELAY_THRESHOLD_DIVISOR,
+            config.shortest_latency_objective_s / DELAY_THRESHOLD_DIVISOR,
             self._on_delay,
             self._on_unresponsive,
         )
@@ -151,7 +151,7 @@
 
     def on_predecessor(self, max_overlap_s: float) -> None:
         """Notes that a process of the same proxy serves beside this one for at most so many seconds."""
-        self.feed(Succession(self.now() + max_overlap_s))
+        self.feed(HandoverStarted(self.now() + max_overlap_s))
 
     def open_request(self, handler: RequestHandler, incoming: IncomingRequest) -> TrackedRequest:
         """Takes a new request; its handler gets the orders that follow."""
@@ -178,7 +178,7 @@
         request.attempt_count = 1
         self._round_trips.start(attempt)
         self.counts.add("resumed")
-        self.feed(Carried(_decision_request(request, incoming), server.number))
+        self.feed(Resumed(_decision_request(request, incoming), server.number))
         return attempt
 
     def on_established(self, attempt: Attempt) -> bool:
@@ -237,14 +237,16 @@
 
     def on_load(self, attempt: Attempt, load: float) -> None:
         """Takes the load that the server reports for a connection."""
-        self.feed(Note(attempt.request.id, attempt.number, attempt.server.number, NoteKind.LOAD, load))
+        self.feed(
+            ConnectionSample(attempt.request.id, attempt.number, attempt.server.number, SampleKind.LOAD, load)
+        )
 
     def on_health_check(
         self, server: Server, outcome: Outcome, report: tuple[tuple[str, float], ...] = ()
     ) -> None:
         """Takes the outcome of a health check."""
         self.counts.add(f"health check {outcome.name}")
-        self.feed(Probed(server.number, outcome, report))
+        self.feed(HealthChecked(server.number, outcome, report))
 
     # Shutdown
 
@@ -262,11 +264,11 @@
 
     def _resolve_now(self, request: TrackedRequest) -> None:
         self.counts.add("resolved at shutdown")
-        self.feed(CutShort(request.id))
+        self.feed(AnswerDue(request.id))
         attempt = request.attempt
         if attempt is not None:
             may_have_run = request.handler.cancel_attempt()
-            self.on_attempt_ended(attempt, Outcome.CANCELLED if may_have_run else Outcome.MOOT)
+            self.on_attempt_ended(attempt, Outcome.CANCELLED if may_have_run else Outcome.NOT_SENT)
         self.requests.fail_overdue(request)  # only if the balancer raised an exception
 
     # Internal events
@@ -274,7 +276,7 @@
     def _attribute(self, attempt: Attempt, outcome: Outcome) -> Outcome:
         """Corrects an outcome for which the driver cannot see the cause."""
         if outcome is Outcome.CONNECT_FAILED and self.now() >= attempt.start_by:
-            return Outcome.MOOT  # it started too late, which is not the server's fault
+            return Outcome.NOT_SENT  # it started too late, which is not the server's fault
         if attempt.request.unresponsive and outcome is Outcome.CANCELLED:
             return Outcome.RESET  # the server was lost; the client did not close
         return outcome
@@ -283,7 +285,7 @@
         request = self.requests.by_id.get(request_id)
         if request is not None and request.attempt is not None:
             number = request.attempt.number
-            self.feed(Note(request_id, number, server.number, NoteKind.DELAY, delay_s * 1000.0))
+            self.feed(ConnectionSample(request_id, number, server.number, SampleKind.DELAY, delay_s * 1000.0))
 
     def _on_unresponsive(self, request_id: str) -> None:
         """Migrates a connection whose server has not answered for long; its machine may be lost."""
--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -17,11 +17,11 @@
 
 import psutil
 
-from ironmill.configuration.operator_files import read_operator
+from ironmill.configuration.operator_files import read_operator_files
 from ironmill.configuration.settings.model import DistributionSettings
-from ironmill.distribution.revision import START, Position, Refusal
+from ironmill.distribution.revision import START, Position, Rejection
 from ironmill.distribution.timing import TICK
-from ironmill.membership.envelope import Address, Datagram
+from ironmill.membership.identity import Address, Datagram
 from ironmill.net.datagrams import Machine
 from ironmill.net.distribution import Distribution
 from ironmill.runtime.scheduler import Scheduler
@@ -135,7 +135,7 @@
     def __init__(self, tally: Tally) -> None:
         self._tally = tally
 
-    def check(self, changes: Mapping[str, bytes | None]) -> Refusal | None:
+    def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
         """Nothing is refused."""
         return None
 
@@ -191,7 +191,7 @@
 
 def run(settings: str, first: int, count: int) -> int:
     """Serve until standard input ends; the exit status. MalformedError where the settings are not fit."""
-    operator = read_operator(settings, ())
+    operator = read_operator_files(settings, ())
     distribution = operator.settings.distribution
     assert distribution is not None
     scheduler, tally, ps = Scheduler(), Tally(), psutil.Process()
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -15,7 +15,16 @@
 from msgspec import structs
 
 from ironmill.balancing.balancer import Balancer
-from ironmill.balancing.interface import Carried, Ended, Event, Outcome, Refuse, Request, Scope, TimerFired
+from ironmill.balancing.interface import (
+    DeduplicationScope,
+    Ended,
+    Event,
+    Outcome,
+    Reject,
+    Request,
+    Resumed,
+    TimerFired,
+)
 from ironmill.net import discovery as discovery_module
 from ironmill.net import health_check as health_check_module
 from ironmill.net import shutdown as shutdown_module
@@ -29,13 +38,12 @@
 from ironmill.net.discovery import Discovery
 from ironmill.net.health_check import MAX_CONNECTIONS, HealthCheckDriver
 from ironmill.net.listener import Listener
-from ironmill.net.send_away import SendAway
+from ironmill.net.migration import Migration
 from ironmill.net.shutdown import Shutdown
 from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
 from ironmill.protocol.discovery import EndpointUpdate
 from ironmill.requests import discovery_backoff
-from ironmill.runtime.lifecycle import Event as LifecycleEvent
-from ironmill.runtime.lifecycle import State
+from ironmill.runtime.lifecycle import LifecycleEvent, ProcessState
 from tests.support.balancing import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.system.test_net import ONE, OPEN, Town, answer, pace, read_line
 
@@ -153,7 +161,7 @@
 
 
 def end_of(town: Town, monkeypatch: pytest.MonkeyPatch) -> Shutdown:
-    for name, value in {"ACCEPT_FOR": 0.02, "LONGEST": 0.05, "GRACE": 0.6}.items():
+    for name, value in {"ACCEPT_PERIOD_S": 0.02, "MAX_DEADLINE_S": 0.05, "KILL_GRACE_S": 0.6}.items():
         monkeypatch.setattr(shutdown_module, name, value)
     return Shutdown(town.scheduler, town.gateway, town.listener, town.config, town.admission)
 
@@ -166,11 +174,11 @@
         with dialled(town, b"PING\r\n") as resting, dialled(town) as silent, dialled(town) as speaking:
             town.until(lambda: len(town.admission._silent) == 3)
 
-            def told(state: State) -> None:
-                if state is State.SETTLING:
+            def told(state: ProcessState) -> None:
+                if state is ProcessState.FINALIZING:
                     speaking.sendall(OPEN)  # not read yet when the resting ones are ended
 
-            town.gateway.lifecycle.watch(told)
+            town.gateway.lifecycle.add_listener(told)
             town.scheduler.spawn(end_of(town, monkeypatch).run)
             assert read_line(Stream(town.scheduler, silent.dup())) == b"BUSY 200\r\n"
             silent.sendall(OPEN)  # too late: it has its answer
@@ -187,8 +195,12 @@
     def story(town: Town) -> None:
         client = town.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
-        for step in (LifecycleEvent.OPENED, LifecycleEvent.END, LifecycleEvent.SETTLE):
-            town.gateway.lifecycle.tell(step)
+        for step in (
+            LifecycleEvent.STARTED,
+            LifecycleEvent.SHUTDOWN_REQUESTED,
+            LifecycleEvent.GRACE_PERIOD_ENDED,
+        ):
+            town.gateway.lifecycle.handle(step)
         client.send(OPEN)
         assert read_line(client) == b"BUSY 200\r\n"
         assert client.receive(5.0) == b""
@@ -255,13 +267,15 @@
     Town().run(story)
 
 
-@pytest.mark.parametrize(("scope", "answer"), [(Scope.ZONE, b"ERR"), (Scope.ALL, b"BUSY")])
+@pytest.mark.parametrize(
+    ("scope", "answer"), [(DeduplicationScope.ZONE, b"ERR"), (DeduplicationScope.ALL, b"BUSY")]
+)
 def test_a_repeat_whose_connection_comes_up_late_is_not_sent(
-    scope: Scope, answer: bytes, monkeypatch: pytest.MonkeyPatch
+    scope: DeduplicationScope, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Repeats are dropped within the window alone: what begins later could take effect a second time."""
     window = 10.0
-    keyed = structs.replace(KEYED, scope=scope, window=window)
+    keyed = structs.replace(KEYED, deduplication_scope=scope, deduplication_window=window)
     settings = structs.replace(SETTINGS, classes=(SAFE, keyed, UNSAFE))
 
     def story(town: Town) -> None:
@@ -284,7 +298,7 @@
         second = town.attempt()
         assert second.receive(5.0) == b""
         assert read_line(client).split()[0] == answer
-        assert town.gateway.counts == {"attempts": 2, "attempt RESET": 1, "attempt MOOT": 1}
+        assert town.gateway.counts == {"attempts": 2, "attempt RESET": 1, "attempt NOT_SENT": 1}
 
     Town(2, settings=settings, wait_limits=LIMITS).run(story)
 
@@ -295,7 +309,7 @@
         with dialled(town, OPEN) as client:
             assert rest(town, client) == b"BUSY\r\n"
 
-    Town(settings=structs.replace(SETTINGS, retry_after_max=0.0)).run(story)
+    Town(settings=structs.replace(SETTINGS, max_retry_after=0.0)).run(story)
 
 
 def test_every_accepted_connection_sends_small_writes_at_once() -> None:
@@ -417,8 +431,8 @@
     handle = Balancer.handle
 
     def recorded(balancer: Balancer, event: Event, now: float) -> object:
-        if isinstance(event, Request | Carried):
-            told.append(event.request if isinstance(event, Carried) else event)
+        if isinstance(event, Request | Resumed):
+            told.append(event.request if isinstance(event, Resumed) else event)
         return handle(balancer, event, now)
 
     monkeypatch.setattr(Balancer, "handle", recorded)
@@ -580,7 +594,7 @@
         assert asked(town.attempt()) == b"/api/targets"
 
     Town().run(story)
-    assert told == [(Outcome.MOOT, ())]
+    assert told == [(Outcome.NOT_SENT, ())]
     assert len(failed) == 2
 
 
@@ -628,7 +642,7 @@
         first, second = (town.client(OPEN.replace(b"1a", name)) for name in (b"1a", b"1b"))
         town.until(lambda: town.gateway.pending_count() == 2)
         ids = list(town.gateway.requests.by_id)
-        orders = [Refuse(ids[0], 0.1), Refuse(ids[1], 0.1)]
+        orders = [Reject(ids[0], 0.1), Reject(ids[1], 0.1)]
         handler = town.gateway.requests.by_id[ids[0]].handler
 
         def failing(self: ClientConnection, retry_after: float) -> None:
@@ -718,7 +732,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     got: list[bytes] = []
-    monkeypatch.setattr(SendAway, "run", lambda self, end: None)  # it has looked, and nothing stood
+    monkeypatch.setattr(Migration, "run", lambda self, end: None)  # it has looked, and nothing stood
 
     def story(town: Town) -> None:
         client, _ = town.pair()
@@ -769,7 +783,7 @@
         assert len(dialling) == MAX_CONNECTIONS
 
     Town(MAX_CONNECTIONS + 2).run(story)
-    assert told == [(Outcome.MOOT, ())] * 2
+    assert told == [(Outcome.NOT_SENT, ())] * 2
 
 
 class Broken:
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -15,16 +15,17 @@
 import msgspec
 import pytest
 
-from ironmill.administration.configuration_api import ConfigurationCalls, read_position
-from ironmill.administration.http import CallSide
-from ironmill.administration.messages import Answer, Call
-from ironmill.administration.proxy_api import Staff
+from ironmill.administration.configuration_api import ConfigurationApi, read_position
+from ironmill.administration.http import HttpExchange
+from ironmill.administration.messages import ApiRequest, ApiResponse
+from ironmill.administration.proxy_api import ProxyApi
 from ironmill.administration.routes import Routes
 from ironmill.balancing.interface import Outcome, Stage
 from ironmill.configuration.proxy_config import load
 from ironmill.distribution import wire as distribution
+from ironmill.distribution.changes import pack_entry, unpack_entries
 from ironmill.distribution.keyspace import Keyspace
-from ironmill.distribution.revision import pack_entry, unpack_entries
+from ironmill.distribution.revision import RevisionMetadata
 from ironmill.identity.keyring import KeyState, parse_ring
 from ironmill.membership import wire as membership
 from ironmill.net.revision_store import SqliteStore
@@ -50,7 +51,7 @@
     ServerDataReceived,
 )
 from ironmill.requests.metrics import RequestMetrics
-from ironmill.runtime.lifecycle import Event, Lifecycle
+from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent
 from ironmill.simulator.host import main as simulate
 from tests.golden import messages
 
@@ -74,8 +75,8 @@
     kind, message = list(messages.MEMBERSHIP.items())[at]
     data = bytes.fromhex(recorded("datagrams.json")["membership"][kind])
     codec, _ = codecs()
-    assert codec.write(messages.SENDER, "n2", 1000 + at, message) == data
-    assert codec.read(data) == messages.envelope(message, "n2", 1000 + at)
+    assert codec.encode(messages.SENDER, "n2", 1000 + at, message) == data
+    assert codec.decode(data) == messages.envelope(message, "n2", 1000 + at)
 
 
 @pytest.mark.parametrize("at", range(len(messages.DISTRIBUTION)))
@@ -83,8 +84,8 @@
     kind, message = list(messages.DISTRIBUTION.items())[at]
     data = bytes.fromhex(recorded("datagrams.json")["distribution"][kind])
     _, codec = codecs()
-    assert codec.write(messages.SENDER, "c1", 2000 + at, message) == data
-    assert codec.read(data) == messages.envelope(message, "c1", 2000 + at)
+    assert codec.encode(messages.SENDER, "c1", 2000 + at, message) == data
+    assert codec.decode(data) == messages.envelope(message, "c1", 2000 + at)
 
 
 def test_every_recorded_datagram_is_of_a_known_kind() -> None:
@@ -107,9 +108,9 @@
     data = bytes.fromhex(recorded("datagrams.json")["older key"])
     codec, _ = codecs()
     ping = messages.MEMBERSHIP["ping"]
-    assert codec.read(data) == messages.envelope(ping, "n2", 3000)
+    assert codec.decode(data) == messages.envelope(ping, "n2", 3000)
     older = membership.Codec(messages.CLUSTER, [messages.OLDER_KEY])
-    assert older.write(messages.SENDER, "n2", 3000, ping) == data
+    assert older.encode(messages.SENDER, "n2", 3000, ping) == data
 
 
 def test_words_that_travel_are_as_recorded() -> None:
@@ -179,7 +180,7 @@
 def test_the_recorded_store_takes_the_next_revision(store_path: str) -> None:
     found = recorded("revisions.json")
     store = SqliteStore(store_path)
-    position = store.commit({"log.level": b"info"}, 1764700100.0, "ann", "", "t9")
+    position = store.commit({"log.level": b"info"}, RevisionMetadata(1764700100.0, "ann", "", "t9"))
     assert position == (found["epoch"] + 1, read_position(found["position"]).number + 1)
     assert dict(store.entries())["log.level"] == b"info"
     store.close()
@@ -403,10 +404,10 @@
 
 
 def call(routes: Routes, request: bytes) -> bytes:
-    side = CallSide(routes.detailed)
+    side = HttpExchange(routes.detailed)
     call = side.receive(request)
     assert call is not None
-    return side.answer(routes.answer(call) if isinstance(call, Call) else call)
+    return side.answer(routes.answer(call) if isinstance(call, ApiRequest) else call)
 
 
 def request(method: str, path: str, body: bytes = b"") -> bytes:
@@ -415,27 +416,27 @@
 
 def test_the_calls_of_a_proxy() -> None:
     observed = Observed()
-    staff = Staff(observed)
+    staff = ProxyApi(observed)
     answers = []
     for step in (
         ("GET", "/admin/health"),
-        Event.OPENED,
+        LifecycleEvent.STARTED,
         ("GET", "/admin/health"),
         ("GET", "/admin/stats"),
         ("POST", "/admin/quiesce"),
         ("GET", "/admin/health"),
-        Event.HEARD,
+        LifecycleEvent.DRAIN_PROPAGATED,
         ("GET", "/admin/health"),
         ("POST", "/admin/resume"),
         ("GET", "/admin/resume"),
         ("GET", "/admin/nothing"),
-        Event.END,
+        LifecycleEvent.SHUTDOWN_REQUESTED,
         ("POST", "/admin/resume"),
-        Event.SETTLE,
+        LifecycleEvent.GRACE_PERIOD_ENDED,
         ("GET", "/admin/health"),
     ):
-        if isinstance(step, Event):
-            observed.lifecycle.tell(step)
+        if isinstance(step, LifecycleEvent):
+            observed.lifecycle.handle(step)
         else:
             answers.append([*step, call(staff, request(*step)).decode()])
     assert answers == recorded("admin.json")["proxy"]
@@ -444,14 +445,19 @@
 def test_the_states_of_a_process() -> None:
     found = []
     for steps in (
-        (Event.QUIESCE, Event.OPENED, Event.RESUME),
-        (Event.QUIESCE, Event.RESUME, Event.END),
-        (Event.OPENED, Event.QUIESCE, Event.HEARD, Event.END),
+        (LifecycleEvent.DRAIN_REQUESTED, LifecycleEvent.STARTED, LifecycleEvent.RESUME_REQUESTED),
+        (LifecycleEvent.DRAIN_REQUESTED, LifecycleEvent.RESUME_REQUESTED, LifecycleEvent.SHUTDOWN_REQUESTED),
+        (
+            LifecycleEvent.STARTED,
+            LifecycleEvent.DRAIN_REQUESTED,
+            LifecycleEvent.DRAIN_PROPAGATED,
+            LifecycleEvent.SHUTDOWN_REQUESTED,
+        ),
     ):
         lifecycle = Lifecycle()
         states = [lifecycle.state.value]
         for step in steps:
-            lifecycle.tell(step)
+            lifecycle.handle(step)
             states.append(lifecycle.state.value)
         found.append(states)
     assert found == recorded("admin.json")["states"]
@@ -470,15 +476,15 @@
     class Writer:
         """An origin that keeps what it is given and asks no consumer."""
 
-        def push(self, changes, at, author, note, ticket, now, expect=None):  # type: ignore[no-untyped-def]
-            return store.commit(changes, at, author, note, ticket)
+        def push(self, changes, metadata, now, expect=None):  # type: ignore[no-untyped-def]
+            return store.commit(changes, metadata)
 
         undo, history = store.undo, store.history
 
     answers = []
     for calls in (
-        ConfigurationCalls(Reader(), None, ["c1", "c2"], clock=lambda: 1764700200.0, now=lambda: 1.0),
-        ConfigurationCalls(Reader(), Writer(), ["c1"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+        ConfigurationApi(Reader(), None, ["c1", "c2"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+        ConfigurationApi(Reader(), Writer(), ["c1"], clock=lambda: 1764700200.0, now=lambda: 1.0),
     ):
         routes = Routes()
         calls.add_to(routes)
@@ -490,6 +496,6 @@
 
 
 def test_a_call_that_is_too_large() -> None:
-    side = CallSide(["/x"])
+    side = HttpExchange(["/x"])
     answer = side.receive(request("POST", "/x", b"x" * 65537))
-    assert isinstance(answer, Answer) and answer.status is HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+    assert isinstance(answer, ApiResponse) and answer.status is HTTPStatus.REQUEST_ENTITY_TOO_LARGE
