--- a/ironmill/net/admin_server.py
+++ b/ironmill/net/admin_server.py
@@ -51,7 +51,7 @@
         while len(self._connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
             self._scheduler.kill(self._connections.pop(oldest))
-            oldest.close_now()
+            oldest.close_immediately()
         self._connections[stream] = self._scheduler.spawn(self._serve, stream)
 
     def _serve(self, stream: Stream) -> None:
@@ -63,13 +63,13 @@
             response = self._respond(stream, exchange)
             if response is not None:
                 stream.send(exchange.encode(response), RESPONSE_TIMEOUT_S)
-                stream.close_gently(CLOSE_TIMEOUT_S)
+                stream.close_gracefully(CLOSE_TIMEOUT_S)
         except (OSError, TimedOutError):
             pass  # the peer is gone, or does not read its response
         finally:
             self._connections.pop(stream, None)
             if not stream.closed:
-                stream.close_now()
+                stream.close_immediately()
 
     def _respond(self, stream: Stream, exchange: HttpExchange) -> ApiResponse | None:
         """Reads one request and returns its response; None if the peer closes before it is complete."""
