--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -10,7 +10,7 @@
 
 from ironmill.administration.messages import ApiRequest, ApiResponse
 from ironmill.administration.routes import Routes
-from ironmill.requests.metrics import Figures
+from ironmill.requests.metrics import RequestMetrics
 from ironmill.runtime.lifecycle import TERMINAL_STATES, Lifecycle, LifecycleEvent
 
 
@@ -18,7 +18,7 @@
     """The requests and servers that the metrics describe."""
 
     lifecycle: Lifecycle
-    figures: Figures
+    metrics: RequestMetrics
 
     def known_servers(self) -> int:
         """The number of servers in the endpoint list."""
@@ -71,16 +71,16 @@
         return ApiResponse.from_json(status, body)
 
     def _stats(self, _: ApiRequest) -> ApiResponse:
-        metrics = self._source.figures
+        metrics = self._source.metrics
         outcomes = metrics.by_outcome()
         body = StatsBody(
             state=self._lifecycle.state.value,
-            taken=outcomes["taken"],
-            passed=outcomes["passed"],
-            dropped=outcomes["dropped"],
-            bad_gateway=outcomes["bad_gateway"],
+            taken=outcomes["received"],
+            passed=outcomes["established"],
+            dropped=outcomes["rejected"],
+            bad_gateway=outcomes["failed"],
             abandoned=outcomes["abandoned"],
-            upstream_tries=metrics.upstream_tries,
+            upstream_tries=metrics.attempts,
             in_progress=metrics.in_progress,
             known_servers=self._source.known_servers(),
             skipped_servers=self._source.skipped_servers(),
--- a/ironmill/configuration/site_settings.py
+++ b/ironmill/configuration/site_settings.py
@@ -16,7 +16,7 @@
     Settings,
     Tenant,
 )
-from ironmill.protocol.json_object import Tree, from_json
+from ironmill.protocol.json_object import JsonObject, parse_json
 
 log = logging.getLogger("ironmill.configuration.site_settings")
 
@@ -34,15 +34,15 @@
 
 def parse_settings(text: str) -> Settings:
     """Returns the settings from JSON text. Raises MalformedError that names the key."""
-    return settings_from(Tree(from_json(text, "settings:")))
+    return settings_from(JsonObject(parse_json(text, "settings:")))
 
 
-def settings_from(root: Tree) -> Settings:
+def settings_from(root: JsonObject) -> Settings:
     """Returns the settings from the parsed object. Raises MalformedError that names the key."""
-    family = root.tree("familyInfo", {})
-    ceilings = root.tree("ceilings")
-    rules = root.tree("rules")
-    costs = root.tree("prices", {})
+    family = root.nested("familyInfo", {})
+    ceilings = root.nested("ceilings")
+    rules = root.nested("rules")
+    costs = root.nested("prices", {})
     message_objectives = family.numbers("messageAimS")
     quotas = family.numbers("tenantQuotaConnections")
     classes = _request_classes(root, message_objectives)
@@ -62,15 +62,15 @@
         max_retry_after=_max_retry_after(ceilings),
         keepalive_timeout=ceilings.number("keepaliveS", 0.0),
         min_round_interval=root.number("roundS", 0.001),
-        health_checks=ceilings.flag("probes", False),
-        reports_delay=family.flag("tellsDelay", True),
+        health_checks=ceilings.flag("probes", default=False),
+        reports_delay=family.flag("tellsDelay", default=True),
         live_weights=root.text("weightSource", "off") == "live",
     )
 
 
-def _request_classes(root: Tree, message_objectives: list[float]) -> tuple[RequestClass, ...]:
+def _request_classes(root: JsonObject, message_objectives: list[float]) -> tuple[RequestClass, ...]:
     classes = []
-    for at, item in enumerate(root.trees("categories")):
+    for at, item in enumerate(root.nested_list("categories")):
         objective = item.number("aimS")
         idempotency, scope = _idempotency_and_scope(item)
         classes.append(
@@ -87,7 +87,7 @@
     return tuple(classes)
 
 
-def _idempotency_and_scope(item: Tree) -> tuple[Idempotency, DeduplicationScope]:
+def _idempotency_and_scope(item: JsonObject) -> tuple[Idempotency, DeduplicationScope]:
     """Returns whether a request of the class may run again, and where.
 
     A class whose values this version does not know is never repeated; the rest of the settings is used.
@@ -107,19 +107,19 @@
     return idempotency or Idempotency.NONE, scope or DeduplicationScope.ALL
 
 
-def _tenants(root: Tree, quotas: list[float]) -> tuple[Tenant, ...]:
+def _tenants(root: JsonObject, quotas: list[float]) -> tuple[Tenant, ...]:
     return tuple(
         Tenant(
             name=item.text("name"),
             quota_rate=item.number("quotaRps", 0.0),
             quota_connections=_at(quotas, at, 0.0),
         )
-        for at, item in enumerate(root.trees("projects", []))
+        for at, item in enumerate(root.nested_list("projects", []))
     )
 
 
-def _max_retry_after(ceilings: Tree) -> float:
-    if not ceilings.flag("retryAfter", False):
+def _max_retry_after(ceilings: JsonObject) -> float:
+    if not ceilings.flag("retryAfter", default=False):
         return 0.0
     return ceilings.number("maxRetryAfterS", 0.0)
 
--- a/ironmill/net/drain.py
+++ b/ironmill/net/drain.py
@@ -48,17 +48,17 @@
 
     def _run(self) -> None:
         started_at = time.monotonic()
-        log.info("draining: %d pending, %d established", self._gateway.pending(), self._established())
+        log.info("draining: %d pending, %d established", self._gateway.pending_count(), self._established())
         self._scheduler.sleep(FRONT_UPDATE_DELAY_S)
         self._gateway.lifecycle.handle(LifecycleEvent.DRAIN_PROPAGATED)
         migration = None if self._keeps_established else Migration(self._scheduler, self._gateway)
         if migration is not None:
             migration.migrate_all(started_at + MIGRATION_DEADLINE_S)
         self._scheduler.sleep(max(0.0, started_at + FINAL_ANSWER_DEADLINE_S - time.monotonic()))
-        self._gateway.settle_all()
+        self._gateway.resolve_all()
         if migration is not None:
             migration.migrate_all(time.monotonic() + LATE_MIGRATION_S)
         log.info("drained: %d established", self._established())
 
     def _established(self) -> int:
-        return len(self._gateway.standing())
+        return len(self._gateway.established())
--- a/ironmill/net/migration.py
+++ b/ironmill/net/migration.py
@@ -32,9 +32,9 @@
 
         Connections whose packets reach other proxies are migrated as well: they end with the process too.
         """
-        while (remaining_s := deadline - time.monotonic()) > 0.0 and self._gateway.busy():
-            waiting = [request for request in self._gateway.standing() if request.id not in self._migrated]
+        while (remaining_s := deadline - time.monotonic()) > 0.0 and self._gateway.request_count():
+            waiting = [request for request in self._gateway.established() if request.id not in self._migrated]
             for request in waiting[: batch_size(len(waiting), remaining_s)]:
                 self._migrated.add(request.id)
-                request.holder.move()
+                request.handler.migrate()
             self._scheduler.sleep(MIGRATION_INTERVAL_S)
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -13,11 +13,11 @@
 from msgspec import Struct
 
 from ironmill.configuration.proxy_config import Address, Config
-from ironmill.net.client import ClientDriver
+from ironmill.net.clients.service import ClientDependencies, ClientService
 from ironmill.net.discovery import Discovery
 from ironmill.net.drain import Drain
+from ironmill.net.health_check import HealthCheckDriver
 from ironmill.net.listener import Listener
-from ironmill.net.probe import ProbeDriver
 from ironmill.net.reload import Reload, no_operator_files
 from ironmill.net.shutdown import Shutdown, ShutdownContext
 from ironmill.net.signals import Signals
@@ -31,7 +31,6 @@
 
 if TYPE_CHECKING:  # what is off is not imported
     from ironmill.configuration.operator_files import OperatorFiles
-    from ironmill.identity.callers import Callers
     from ironmill.net.admin_server import AdminServer
     from ironmill.net.operator_features import OperatorFeatures
 
@@ -71,11 +70,11 @@
         self.gateway = self._build_gateway()
         self.listener = Listener(self.scheduler, config.listen, self._accepted, at_once=False, shared=True)
         if self.listener.succeeds:
-            self.gateway.succeed(MAX_SUCCESSION_S)
+            self.gateway.on_predecessor(MAX_SUCCESSION_S)
         self.discovery = self._build_discovery()
         self.admission = Admission(config.sockets)
         self._features = self._build_features(options)
-        self._callers: Callers | None = None if self._features is None else self._features.callers
+        self._clients = self._build_clients()
         self.reload = self._build_reload(options)
         self.admin_server = self._build_admin_server()
         if self._features is not None:
@@ -86,8 +85,10 @@
 
     def _build_gateway(self) -> Gateway:
         gateway = Gateway(self._config, self.scheduler, self.lifecycle)
-        gateway.prober = ProbeDriver(
-            self.scheduler, self._config.connect_timeout_s, gateway.probed, self._connect
+        gateway.use_health_checker(
+            HealthCheckDriver(
+                self.scheduler, self._config.connect_timeout_s, gateway.on_health_check, self._connect
+            )
         )
         return gateway
 
@@ -103,9 +104,9 @@
         return Discovery(
             self.scheduler,
             config.discovery,
-            self.gateway.routing,
+            self.gateway.on_endpoints,
             backoff,
-            config.known.revision if config.known.listed else None,
+            config.known.revision if config.known.servers else None,
             self._start_accepting,
             self.gateway.known_servers,
         )
@@ -117,6 +118,14 @@
 
         return OperatorFeatures(self.scheduler, self._config.name, options.files)
 
+    def _build_clients(self) -> ClientService:
+        callers = None if self._features is None else self._features.callers
+        return ClientService(
+            ClientDependencies(
+                self.scheduler, self.gateway, self._config, self.admission, callers, self._connect
+            )
+        )
+
     def _build_reload(self, options: ProxyOptions) -> Reload:
         reload = Reload(
             self._config, options.read_config, self.discovery.watch_at, sleep=self.scheduler.sleep
@@ -154,7 +163,7 @@
         self.discovery.start()
         self.scheduler.call_later(self._first_poll_timeout_s(), self._start_accepting)
         self._handle_signals()
-        GcSchedule(self.scheduler, self.gateway.held).start()
+        GcSchedule(self.scheduler, self.gateway.request_count).start()
         self._log_start()
         self.scheduler.run()
 
@@ -174,7 +183,7 @@
             log.info("another process listens there: clients are accepted once discovery has answered")
         for listener in self._listeners[1:]:
             log.info("listening for TLS on %s:%d", *listener.address)
-        log.info("of %d descriptors %d are for clients", self._config.sockets, self.admission.most)
+        log.info("of %d descriptors %d are for clients", self._config.sockets, self.admission.max_descriptors)
 
     def _first_poll_timeout_s(self) -> float:
         if self.listener.succeeds:
@@ -202,9 +211,7 @@
             listener.close(within)
 
     def _accepted(self, stream: Stream) -> None:
-        ClientDriver(
-            self.scheduler, self.gateway, self._config, self.admission, stream, self._callers, self._connect
-        ).start()
+        self._clients.serve(stream)
 
     def _connect(self, address: Address, timeout: float) -> Stream:
         """Connects to a server, over TLS where the current settings ask for it."""
