--- a/ironmill/configuration/settings/load.py
+++ b/ironmill/configuration/settings/load.py
@@ -177,10 +177,16 @@
     def _membership(self, element: etree._Element) -> MembershipSettings:
         from ironmill.membership.timing import Timing  # here, for what is off is not imported
 
-        times = ("ping-every", "pause-borne", "suspect-after", "gone-within", "alone-after", "forget-after")
-        timing = Timing(**{name.replace("-", "_"): duration(_text(element, name)) for name in times})
-        if wrong := timing.wrong():
-            raise self._error(element, wrong)
+        timing = Timing(
+            ping_interval_s=duration(_text(element, "ping-every")),
+            tolerated_pause_s=duration(_text(element, "pause-borne")),
+            suspicion_timeout_s=duration(_text(element, "suspect-after")),
+            max_detection_s=duration(_text(element, "gone-within")),
+            isolation_timeout_s=duration(_text(element, "alone-after")),
+            forget_delay_s=duration(_text(element, "forget-after")),
+        )
+        if inconsistency := timing.inconsistency():
+            raise self._error(element, inconsistency)
         listen = self._address(element, "listen")
         seeds = tuple(self._address(it, "address") for it in self._children(element, "seed"))
         peers: dict[str, tuple[str, int]] = {}
--- /dev/null
+++ b/ironmill/membership/joining.py
@@ -0,0 +1,120 @@
+"""Joining a cluster, starting one, and the changes of the own record."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+
+from msgspec import structs
+
+from ironmill.membership.events import ChangeCause, RemovedByOthers, Superseded
+from ironmill.membership.identity import Address
+from ironmill.membership.member_state import MemberState
+from ironmill.membership.messages import MemberRecord
+from ironmill.membership.pinging import Pinger
+from ironmill.membership.self_health import SelfHealth
+from ironmill.membership.timing import (
+    BOOTSTRAP_DELAY_S,
+    JOINING_SEED_PING_INTERVAL_S,
+    SEED_PING_INTERVAL_S,
+    TICK_INTERVAL_S,
+)
+from ironmill.membership.view_agreement import ViewAgreement
+
+JOINED_MEMBER_PING_INTERVAL_S = 2.0 * TICK_INTERVAL_S
+
+
+class Joining:
+    """Brings this member into a view and keeps its own record in agreement with the others."""
+
+    def __init__(
+        self,
+        state: MemberState,
+        seeds: Sequence[Address],
+        pinger: Pinger,
+        health: SelfHealth,
+        agreement: ViewAgreement,
+    ) -> None:
+        own_address = state.identity.address
+        self._state = state
+        self._pinger = pinger
+        self._health = health
+        self._agreement = agreement
+        self._seeds = [seed for seed in seeds if seed != own_address]
+        self._seed_rank = seeds.index(own_address) if own_address in seeds else None
+        self._was_joined = False  # since this process started
+        self._waiting_since = state.now  # for another member, before this seed starts a cluster
+        self._next_seed_ping_at = state.now
+        self._last_joined_ping_at = -math.inf
+
+    def start(self) -> None:
+        """Creates the own record, out of the view."""
+        self._agreement.apply(MemberRecord(self._state.identity, transitions=1), ChangeCause.STARTED)
+
+    def note_joined(self) -> None:
+        """Remembers that this process has been in the view, if it is now."""
+        self._was_joined = self._was_joined or self._state.is_joined
+
+    def run(self) -> None:
+        """Starts a cluster if this seed has waited long enough; pings a seed if that is due."""
+        state = self._state
+        if self._may_bootstrap():
+            self._agreement.apply_own(state.record.transitions + 1, ChangeCause.BOOTSTRAPPED)
+        if state.now < self._next_seed_ping_at or not self._seeds:
+            return
+        needs_contact = not state.is_joined or self._health.is_isolated
+        interval_s = JOINING_SEED_PING_INTERVAL_S if needs_contact else SEED_PING_INTERVAL_S
+        self._next_seed_ping_at = state.now + interval_s * (0.75 + 0.5 * state.rng.random())
+        known = {record.identity.address for record in state.view.members()}
+        seeds = [seed for seed in self._seeds if needs_contact or seed not in known]
+        if seeds:
+            self._pinger.ping_unknown(state.rng.choice(seeds))
+
+    def on_ping_of_joined_member(self, name: str, source: Address) -> None:
+        """Pings back a member of a view, to join there rather than to start a second cluster."""
+        state = self._state
+        self._waiting_since = state.now
+        if state.now - self._last_joined_ping_at >= JOINED_MEMBER_PING_INTERVAL_S:
+            self._last_joined_ping_at = state.now
+            self._pinger.ping_unknown(source, name)
+
+    def on_own_record(self, record: MemberRecord) -> None:
+        """Handles a record with the own name that another member sent."""
+        own = self._state.record
+        if record.identity.incarnation > self._state.identity.incarnation:
+            if self._was_joined:
+                self.supersede(record.identity.incarnation)
+            else:
+                # An earlier process of this name, whose wall clock was ahead. If instead both run, the one
+                # that is in the view receives the higher incarnation and withdraws.
+                self._rejoin(record.identity.incarnation + 1)
+        elif record.order > own.order and not own.left:
+            if record.is_present:
+                self._agreement.apply_own(record.transitions, ChangeCause.READMITTED)
+            elif own.is_present or record.left:
+                self._on_removed(record)
+            else:
+                self._agreement.apply_own(record.transitions, ChangeCause.GOSSIP)
+
+    def supersede(self, newer_incarnation: int) -> None:
+        """Withdraws for good, for a newer process uses the name."""
+        self._state.is_superseded = True
+        self._state.on_event(Superseded(self._state.identity.incarnation, newer_incarnation))
+
+    def _may_bootstrap(self) -> bool:
+        state = self._state
+        if state.is_joined or self._seed_rank is None or len(state.view.rings) > 0:
+            return False
+        return state.now - self._waiting_since >= BOOTSTRAP_DELAY_S * (1 + 2 * self._seed_rank)
+
+    def _on_removed(self, record: MemberRecord) -> None:
+        """Refutes the removal if this member was healthy all along, and otherwise rejoins."""
+        if self._health.was_healthy and not record.left:
+            self._agreement.apply_own(record.transitions + 1, ChangeCause.REFUTED)
+            return
+        self._state.on_event(RemovedByOthers(self._state.identity.incarnation))
+        self._rejoin(self._state.identity.incarnation + 1)
+
+    def _rejoin(self, incarnation: int) -> None:
+        self._state.identity = structs.replace(self._state.identity, incarnation=incarnation)
+        self._agreement.apply(MemberRecord(self._state.identity, transitions=1), ChangeCause.REJOINED)
--- /dev/null
+++ b/ironmill/membership/member_state.py
@@ -0,0 +1,101 @@
+"""The state that the parts of one member share."""
+
+from __future__ import annotations
+
+import math
+import random
+
+from msgspec import Struct
+
+from ironmill.membership.config import MemberConfig
+from ironmill.membership.contact_tokens import ContactTokens
+from ironmill.membership.events import EventListener
+from ironmill.membership.identity import Address
+from ironmill.membership.messages import MemberRecord
+from ironmill.membership.replay_window import ReplayWindow
+from ironmill.membership.view import View
+
+_TOKEN_SECRET_BYTES = 16
+
+
+class Peer(Struct):
+    """What a member stores about another one beside its record. Times are by the member's clock."""
+
+    incarnation: int = 0
+    replay_window: ReplayWindow | None = None
+    address: Address | None = None  # the source of its last datagram that proved contact both ways
+    token: int = 0  # to be echoed to it
+    last_alive_at: float = -math.inf  # the last ack to a ping, direct or relayed
+    last_ack_at: float = -math.inf  # the last direct ack to a ping of this member
+    last_contact_at: float = -math.inf  # the last proof of contact both ways, by an ack or an echoed token
+    next_ping_at: float = 0.0
+    indirect_ping_at: float = -math.inf
+    observed_since: float = -math.inf
+    opinion_sent_at: float = -math.inf
+    quorum_since: float = -math.inf  # since when a quorum supports a change
+    changed_at: float = 0.0  # the last change of its record
+
+
+class MemberState:
+    """The state that the parts of one member share. ``now`` is set by ``Member`` before any part runs."""
+
+    __slots__ = (
+        "identity",
+        "is_superseded",
+        "now",
+        "on_event",
+        "peer_addresses",
+        "peers",
+        "rng",
+        "timing",
+        "tokens",
+        "view",
+    )
+
+    def __init__(
+        self, config: MemberConfig, rng: random.Random, now: float, on_event: EventListener, view: View
+    ) -> None:
+        self.identity = config.identity
+        self.timing = config.timing
+        self.peer_addresses = config.peer_addresses
+        self.rng = rng
+        self.now = now
+        self.on_event = on_event
+        self.view = view
+        self.peers: dict[str, Peer] = {}
+        self.tokens = ContactTokens(rng.randbytes(_TOKEN_SECRET_BYTES))
+        self.is_superseded = False
+
+    @property
+    def name(self) -> str:
+        """The name of this member."""
+        return self.identity.name
+
+    @property
+    def record(self) -> MemberRecord:
+        """The record of this member."""
+        return self.view.records[self.identity.name]
+
+    @property
+    def is_joined(self) -> bool:
+        """Whether this member is in its own view."""
+        return self.record.is_present
+
+    def peer(self, name: str) -> Peer:
+        """Returns what is stored about a member; creates it on first use."""
+        peer = self.peers.get(name)
+        if peer is None:
+            peer = self.peers[name] = Peer()
+        return peer
+
+    def address_of(self, name: str, reported: MemberRecord | None = None) -> Address:
+        """Returns the address of a member; ``reported`` takes precedence over its record in the view."""
+        address = self.peer_addresses.get(name)
+        if address is not None:
+            return address
+        record = reported or self.view.records.get(name)
+        if record is not None:
+            return record.identity.address
+        peer = self.peers.get(name)
+        assert peer is not None and peer.address is not None, name
+        return peer.address
--- a/ironmill/membership/rings.py
+++ b/ironmill/membership/rings.py
@@ -1,8 +1,8 @@
-"""Who observes whom: the same at every member that has the same view, and no work to agree on.
+"""Assigns observers to members. Every member with the same view computes the same assignment.
 
-Each member stands once in each of some rings, in an order of that ring's own, made by a hash of its name. In
-each ring it is observed by the next one that is not itself in doubt. So observers of one are spread evenly,
-unlike those of another, and a set that is cut off is observed from outside it in all directions.
+Each member has one position in each of ``RING_COUNT`` rings, given by a hash of its name. In each ring it is
+observed by the next member that is not itself suspected. The observers of different members therefore differ,
+and a partitioned group of members has observers outside of it.
 """
 
 from __future__ import annotations
@@ -12,71 +12,75 @@
 from bisect import bisect_left, insort
 from collections.abc import Callable
 
-RINGS = 6
-WALK_MOST = 64  # steps past members in doubt, in one ring; guards the time of one look in a large fleet
+RING_COUNT = 6
+MAX_RING_STEPS = 64  # past suspected members in one ring; bounds the time of a look-up
+_POSITION_BYTES = 8
 
 
-def _places(name: str) -> list[int]:
-    digest = hashlib.blake2b(name.encode(), digest_size=8 * RINGS).digest()
-    return [int.from_bytes(digest[at : at + 8]) for at in range(0, 8 * RINGS, 8)]
+def ring_positions(name: str) -> list[int]:
+    """Returns the position of a name in each ring."""
+    digest = hashlib.blake2b(name.encode(), digest_size=_POSITION_BYTES * RING_COUNT).digest()
+    return [
+        int.from_bytes(digest[at : at + _POSITION_BYTES]) for at in range(0, len(digest), _POSITION_BYTES)
+    ]
 
 
 class Rings:
     """The members of one view in their rings."""
 
     def __init__(self) -> None:
-        self._rings: list[list[tuple[int, str]]] = [[] for _ in range(RINGS)]
-        self._places: dict[str, list[int]] = {}
+        self._rings: list[list[tuple[int, str]]] = [[] for _ in range(RING_COUNT)]
+        self._positions: dict[str, list[int]] = {}
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._positions)
 
     def __contains__(self, name: str) -> bool:
-        return name in self._places
+        return name in self._positions
 
     def add(self, name: str) -> None:
-        """Take a member in; a second time changes nothing."""
-        if name not in self._places:
-            self._places[name] = _places(name)
-            for ring, place in zip(self._rings, self._places[name], strict=True):
-                insort(ring, (place, name))
+        """Adds a member; does nothing if it is present."""
+        if name not in self._positions:
+            self._positions[name] = ring_positions(name)
+            for ring, position in zip(self._rings, self._positions[name], strict=True):
+                insort(ring, (position, name))
 
     def discard(self, name: str) -> None:
-        """Take a member out, if it is in."""
-        places = self._places.pop(name, None)
-        if places is not None:
-            for ring, place in zip(self._rings, places, strict=True):
-                del ring[bisect_left(ring, (place, name))]
-
-    def some(self, rng: random.Random, count: int) -> list[str]:
-        """So many members by chance, each once."""
+        """Removes a member; does nothing if it is absent."""
+        positions = self._positions.pop(name, None)
+        if positions is not None:
+            for ring, position in zip(self._rings, positions, strict=True):
+                del ring[bisect_left(ring, (position, name))]
+
+    def sample(self, rng: random.Random, count: int) -> list[str]:
+        """Returns up to ``count`` different members in random order."""
         ring = self._rings[0]
         return [name for _, name in rng.sample(ring, min(count, len(ring)))]
 
-    def observers(self, name: str, doubted: Callable[[str], bool]) -> list[str]:
-        """Who observes the member, whether it is in or not: one a ring, each once, in the rings' order."""
-        places = self._places.get(name) or _places(name)
-        found: dict[str, None] = {}
-        for ring, place in zip(self._rings, places, strict=True):
-            at = bisect_left(ring, (place, name))
-            for step in range(min(WALK_MOST, len(ring))):
-                other = ring[(at + step) % len(ring)][1]
-                if other != name and not doubted(other):
-                    found[other] = None
+    def observers(self, name: str, is_suspected: Callable[[str], bool]) -> list[str]:
+        """Returns the observers of a member, present or not: at most one per ring, in the rings' order."""
+        positions = self._positions.get(name) or ring_positions(name)
+        observers: dict[str, None] = {}
+        for ring, position in zip(self._rings, positions, strict=True):
+            start = bisect_left(ring, (position, name))
+            for step in range(min(MAX_RING_STEPS, len(ring))):
+                other = ring[(start + step) % len(ring)][1]
+                if other != name and not is_suspected(other):
+                    observers[other] = None
                     break
-        return list(found)
-
-    def subjects(self, name: str, doubted: Callable[[str], bool]) -> list[str]:
-        """Whom the member observes: in each ring those before it, back to the first that is not in doubt."""
-        places = self._places.get(name) or _places(name)
-        found: dict[str, None] = {}
-        for ring, place in zip(self._rings, places, strict=True):
-            at = bisect_left(ring, (place, name))
-            for step in range(1, min(WALK_MOST, len(ring)) + 1):
-                other = ring[(at - step) % len(ring)][1]
+        return list(observers)
+
+    def subjects(self, name: str, is_suspected: Callable[[str], bool]) -> list[str]:
+        """Returns the members that a member observes: in each ring back to the first unsuspected one."""
+        positions = self._positions.get(name) or ring_positions(name)
+        subjects: dict[str, None] = {}
+        for ring, position in zip(self._rings, positions, strict=True):
+            start = bisect_left(ring, (position, name))
+            for step in range(1, min(MAX_RING_STEPS, len(ring)) + 1):
+                other = ring[(start - step) % len(ring)][1]
                 if other == name:
                     break
-                found[other] = None
-                if not doubted(other):
+                subjects[other] = None
+                if not is_suspected(other):
                     break
-        return list(found)
+        return list(subjects)
--- /dev/null
+++ b/ironmill/membership/state_sync.py
@@ -0,0 +1,69 @@
+"""Fetches records page by page from a member whose view differs for longer than gossip takes."""
+
+from __future__ import annotations
+
+import math
+
+from msgspec import Struct
+
+from ironmill.membership.identity import Address
+from ironmill.membership.member_state import MemberState
+from ironmill.membership.messages import StateSyncPage, StateSyncRequest
+from ironmill.membership.outbox import Outbox
+
+MAX_PAGE_BYTES = 900  # of the records in one datagram
+MIN_SYNC_INTERVAL_S = 1.0  # between two syncs
+PATIENCE_PING_INTERVALS = 2.0  # in which gossip may remove the difference
+
+
+class ViewDifference(Struct):
+    """A member with another view, and since when."""
+
+    name: str
+    since: float
+
+
+class StateSync:
+    """Compares digests of views and requests the records of another member."""
+
+    __slots__ = ("_difference", "_last_request_at", "_outbox", "_state")
+
+    def __init__(self, state: MemberState, outbox: Outbox) -> None:
+        self._state = state
+        self._outbox = outbox
+        self._difference: ViewDifference | None = None
+        self._last_request_at = -math.inf
+
+    def compare(self, name: str, digest: int) -> None:
+        """Compares the digest of another member's view; starts a sync if a difference has lasted."""
+        state = self._state
+        if digest == state.view.digest:
+            if self._difference is not None and self._difference.name == name:
+                self._difference = None
+            return
+        if self._difference is None:
+            self._difference = ViewDifference(name, state.now)
+        patience_s = PATIENCE_PING_INTERVALS * state.timing.ping_interval_s if state.is_joined else 0.0
+        has_lasted = state.now - self._difference.since >= patience_s
+        if has_lasted and state.now - self._last_request_at >= MIN_SYNC_INTERVAL_S:
+            self._difference = None
+            self.request_page(name, "")
+
+    def request_page(self, name: str, after: str) -> None:
+        """Requests the records of the names after ``after``."""
+        state = self._state
+        self._last_request_at = state.now
+        peer = state.peer(name)
+        token = state.tokens.issue(name, peer.incarnation, state.now)
+        request = StateSyncRequest(peer.token, token, after)
+        self._outbox.send(name, state.address_of(name), request)
+
+    def send_page(self, name: str, source: Address, request: StateSyncRequest) -> None:
+        """Answers a request with as many records as fit into one datagram."""
+        records, is_last = self._state.view.page(request.after, MAX_PAGE_BYTES)
+        self._outbox.send(name, source, StateSyncPage(request.token, records, is_last))
+
+    def continue_after(self, name: str, page: StateSyncPage) -> None:
+        """Requests the page that follows this one, if there is one."""
+        if not page.is_last and page.records and not self._state.is_superseded:
+            self.request_page(name, page.records[-1].identity.name)
--- a/ironmill/membership/view.py
+++ b/ironmill/membership/view.py
@@ -1,205 +1,214 @@
-"""The facts of one member's view, and the opinions that speak for a change of it. No clock, no datagram."""
+"""The records of one member's view and the opinions about its members; without a clock and without I/O."""
 
 from __future__ import annotations
 
 import hashlib
+import math
 from collections.abc import Iterable
 
 from msgspec import Struct
 
-from ironmill.membership.rings import RINGS, Rings
-from ironmill.membership.wire import ACCUSES, VOUCHES, Fact, Opinion, Rumour, pack
+from ironmill.membership.codec import encode_update
+from ironmill.membership.messages import ALIVE, NEUTRAL, SUSPECT, GossipUpdate, MemberRecord, Opinion
+from ironmill.membership.rings import RING_COUNT, Rings
 
-# Of the observers that are not themselves in doubt: so many must accuse, or vouch.
-REMOVE_PART, ADMIT_PART = 0.75, 0.6
-CRISIS = 4  # members that are accused at once, from which on one accuser is enough to doubt one
-OPINIONS_MOST = 2 * RINGS  # kept of one member: those of its observers, and of those that stand in for them
+# Of the observers that are not suspected themselves.
+REMOVAL_QUORUM_FRACTION, ADMISSION_QUORUM_FRACTION = 0.75, 0.6
+MIN_REMOVAL_SUPPORTERS = 2
+# One suspecting observer makes a member suspected while this many members have one; otherwise it takes two.
+MASS_FAILURE_MEMBERS = 4
+SMALL_CLUSTER_MEMBERS = 4  # up to this size one suspecting observer is always enough
+MAX_OPINIONS_PER_SUBJECT = 2 * RING_COUNT  # its observers, and those that replace suspected ones
+_DIGEST_BYTES = 7
 
 
-class Held(Struct):
-    """An opinion, and until when it counts."""
+class StoredOpinion(Struct):
+    """An opinion with its time of expiry."""
 
     opinion: Opinion
-    until: float
+    expires_at: float
 
 
-def _weight(fact: Fact) -> int:
-    text = f"{fact.card.name}\n{fact.card.incarnation}\n{fact.flips}"
-    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=7).digest())
+def _record_digest(record: MemberRecord) -> int:
+    text = f"{record.identity.name}\n{record.identity.incarnation}\n{record.transitions}"
+    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES).digest())
 
 
-def _part(count: int, part: float) -> int:
-    """The least whole number that is the part of the count."""
-    return -int(-count * part // 1)
+def _quorum(count: int, fraction: float) -> int:
+    return math.ceil(count * fraction)
 
 
 class View:
-    """Facts by name, the rings of those that are present, and opinions by whom they are on."""
+    """Records by name, the rings of the members that are present, and opinions by subject."""
 
     def __init__(self) -> None:
-        self.facts: dict[str, Fact] = {}
+        self.records: dict[str, MemberRecord] = {}
         self.rings = Rings()
-        self.digest = 0  # of all that are present: two members with the same one have the same view
-        self.changes = 0  # of who observes whom
-        self._observers: dict[str, list[str]] = {}  # as long as that does not change
-        self._opinions: dict[str, dict[str, Held]] = {}
-        self._accusers: dict[str, int] = {}
-        self._doubt_from = 1
-
-    def present(self, name: str) -> bool:
-        """True if the member is in the view."""
+        self.digest = 0  # of all members that are present; equal digests mean equal views
+        self.assignment_version = 0  # increases whenever the assignment of observers may have changed
+        self._observers: dict[str, list[str]] = {}  # cached for the current assignment
+        self._opinions: dict[str, dict[str, StoredOpinion]] = {}
+        self._suspicion_counts: dict[str, int] = {}
+        self._min_suspicions = 1
+
+    def is_present(self, name: str) -> bool:
+        """Returns whether the member is in the view."""
         return name in self.rings
 
-    def members(self) -> list[Fact]:
-        """Those in the view, by name."""
-        return [self.facts[name] for name in sorted(self.facts) if self.present(name)]
-
-    def absent(self) -> Iterable[Fact]:
-        """Those that are known and not in the view, but for those that left."""
-        return [fact for name, fact in self.facts.items() if name not in self.rings and not fact.left]
-
-    def put(self, fact: Fact) -> None:
-        """Take a fact as it is. What was said of the member so far is forgotten where its place changes."""
-        name = fact.card.name
-        old = self.facts.get(name)
-        if old is not None and old.present:
-            self.digest ^= _weight(old)
-        self.facts[name] = fact
-        if fact.present:
-            self.digest ^= _weight(fact)
+    def members(self) -> list[MemberRecord]:
+        """Returns the records of the members in the view, by name."""
+        return [self.records[name] for name in sorted(self.records) if self.is_present(name)]
+
+    def removed_members(self) -> Iterable[MemberRecord]:
+        """Returns the records of members that are out of the view and did not leave gracefully."""
+        return [record for name, record in self.records.items() if name not in self.rings and not record.left]
+
+    def apply(self, record: MemberRecord) -> None:
+        """Replaces the record of a member. A record of another order discards the opinions about it."""
+        name = record.identity.name
+        old = self.records.get(name)
+        if old is not None and old.is_present:
+            self.digest ^= _record_digest(old)
+        self.records[name] = record
+        if record.is_present:
+            self.digest ^= _record_digest(record)
             self.rings.add(name)
         else:
             self.rings.discard(name)
-        if old is None or old.order != fact.order:
-            self._changed()
-            self._forget_opinions(name)
+        if old is None or old.order != record.order:
+            self._invalidate_assignment()
+            self._discard_opinions(name)
 
     def forget(self, name: str) -> None:
-        """Know no more of one that is out of the view."""
-        del self.facts[name]
-        self._forget_opinions(name)
-        self._changed()  # nobody observes it any more
-
-    def page(self, after: str, room: int) -> tuple[list[Fact], bool]:
-        """Facts of the names after this one, as many as so many bytes hold; whether these are the last."""
-        names = sorted(name for name in self.facts if name > after)
-        page: list[Fact] = []
+        """Deletes the record of a member that is out of the view."""
+        del self.records[name]
+        self._discard_opinions(name)
+        self._invalidate_assignment()
+
+    def page(self, after: str, max_bytes: int) -> tuple[list[MemberRecord], bool]:
+        """Returns the records of the names after ``after`` that fit, and whether no name follows them."""
+        names = sorted(name for name in self.records if name > after)
+        remaining_bytes = max_bytes
+        page: list[MemberRecord] = []
         for name in names:
-            room -= len(pack(self.facts[name]))
-            if room < 0:
+            remaining_bytes -= len(encode_update(self.records[name]))
+            if remaining_bytes < 0:
                 break
-            page.append(self.facts[name])
+            page.append(self.records[name])
         return page, len(page) == len(names)
 
     # Opinions
 
-    def hear(self, opinion: Opinion, until: float) -> bool:
-        """Take an opinion; False if it says nothing new, or is of somebody whose opinion does not count."""
-        if not self.current(opinion):
+    def add_opinion(self, opinion: Opinion, expires_at: float) -> bool:
+        """Stores an opinion. Returns False if it is outdated or its observer may not have one."""
+        if not self.is_current(opinion):
             return False
         if opinion.observer not in self.rings or opinion.observer == opinion.subject:
             return False
-        held = self._opinions.setdefault(opinion.subject, {})
-        old = held.get(opinion.observer)
+        opinions = self._opinions.setdefault(opinion.subject, {})
+        old = opinions.get(opinion.observer)
         if old is not None and old.opinion.stamp >= opinion.stamp:
             return False
-        if old is None and len(held) >= OPINIONS_MOST:
+        if old is None and len(opinions) >= MAX_OPINIONS_PER_SUBJECT:
             return False
-        held[opinion.observer] = Held(opinion, until)
-        self._count(opinion.subject)
+        opinions[opinion.observer] = StoredOpinion(opinion, expires_at)
+        self._recount_suspicions(opinion.subject)
         return True
 
-    def current(self, rumour: Rumour) -> bool:
-        """False for an opinion of a place that its subject is no longer in."""
-        if isinstance(rumour, Fact):
+    def is_current(self, update: GossipUpdate) -> bool:
+        """Returns False for an opinion that refers to an earlier state of its subject."""
+        if isinstance(update, MemberRecord):
             return True
-        fact = self.facts.get(rumour.subject)
-        return fact is not None and fact.order == (rumour.incarnation, False, rumour.flips)
+        record = self.records.get(update.subject)
+        return record is not None and record.order == (update.incarnation, False, update.transitions)
 
-    def opinion(self, observer: str, subject: str) -> int:
-        """What the observer is known to hold of the subject."""
-        held = self._opinions.get(subject, {}).get(observer)
-        return 0 if held is None else held.opinion.value
+    def opinion_value(self, observer: str, subject: str) -> int:
+        """Returns the value of the observer's opinion of the subject; ``NEUTRAL`` if there is none."""
+        stored = self._opinions.get(subject, {}).get(observer)
+        return NEUTRAL if stored is None else stored.opinion.value
 
-    def expire(self, now: float) -> None:
-        """Let go of opinions whose time is over."""
+    def expire_opinions(self, now: float) -> None:
+        """Deletes opinions that were not renewed in time."""
         for subject in list(self._opinions):
-            held = self._opinions[subject]
-            for observer in [one for one, opinion in held.items() if opinion.until <= now]:
-                del held[observer]
-            if held:
-                self._count(subject)
+            opinions = self._opinions[subject]
+            for observer in [name for name, stored in opinions.items() if stored.expires_at <= now]:
+                del opinions[observer]
+            if opinions:
+                self._recount_suspicions(subject)
             else:
-                self._forget_opinions(subject)
+                self._discard_opinions(subject)
 
-    def spoken_of(self) -> list[str]:
-        """Whom opinions are held of."""
+    def subjects_of_opinions(self) -> list[str]:
+        """Returns the members about which opinions are stored."""
         return list(self._opinions)
 
-    def doubted(self, name: str) -> bool:
-        """True if enough accuse it that its own word does not count: others stand in for it as observers."""
-        return self._accusers.get(name, 0) >= self._doubt_from
+    def is_suspected(self, name: str) -> bool:
+        """Returns whether enough observers suspect the member that others replace it as an observer."""
+        return self._suspicion_counts.get(name, 0) >= self._min_suspicions
 
     @property
-    def doubts(self) -> bool:
-        """True while anybody is doubted."""
-        return any(count >= self._doubt_from for count in self._accusers.values())
+    def has_suspected_members(self) -> bool:
+        """Whether any member is suspected."""
+        return any(count >= self._min_suspicions for count in self._suspicion_counts.values())
 
-    def accusers(self, name: str) -> list[str]:
-        """Who accuses it."""
-        return [o for o, held in self._opinions.get(name, {}).items() if held.opinion.value == ACCUSES]
+    def suspecting_observers(self, name: str) -> list[str]:
+        """Returns the members that suspect this one."""
+        opinions = self._opinions.get(name, {})
+        return [observer for observer, stored in opinions.items() if stored.opinion.value == SUSPECT]
 
     def observers(self, name: str) -> list[str]:
-        """Who observes the member, in the view or out of it."""
-        found = self._observers.get(name)
-        if found is None:
-            found = self._observers[name] = self.rings.observers(name, self.doubted)
-        return found
+        """Returns the observers of a member, whether it is in the view or out of it."""
+        observers = self._observers.get(name)
+        if observers is None:
+            observers = self._observers[name] = self.rings.observers(name, self.is_suspected)
+        return observers
 
-    def speaks_for_change(self, name: str) -> list[str]:
-        """Who speaks for the other place of this member; nobody if that is not enough of its observers.
+    def supporters_of_change(self, name: str) -> list[str]:
+        """Returns the observers that support moving a member into or out of the view; empty without a quorum.
 
-        Out of the view: most of its observers that are not in doubt themselves accuse it, and so do all that
-        are left where that is one. Into the view: most of its observers vouch for it.
+        Only observers that are not suspected themselves count. A member that left gracefully stays out.
         """
-        fact = self.facts.get(name)
-        if fact is None or fact.left:
+        record = self.records.get(name)
+        if record is None or record.left:
             return []
-        wanted, part = (ACCUSES, REMOVE_PART) if fact.present else (VOUCHES, ADMIT_PART)
-        held = self._opinions.get(name)
-        if not held or all(one.opinion.value != wanted for one in held.values()):
+        value = SUSPECT if record.is_present else ALIVE
+        opinions = self._opinions.get(name)
+        if not opinions or all(stored.opinion.value != value for stored in opinions.values()):
             return []
         observers = self.observers(name)
-        speak = [one for one in observers if one in held and held[one].opinion.value == wanted]
-        need = max(_part(len(observers), part), min(2, len(observers)) if fact.present else 1)
-        return speak if speak and len(speak) >= need else []
-
-    def _changed(self) -> None:
-        self.changes += 1
+        supporters = [one for one in observers if one in opinions and opinions[one].opinion.value == value]
+        fraction = REMOVAL_QUORUM_FRACTION if record.is_present else ADMISSION_QUORUM_FRACTION
+        minimum = min(MIN_REMOVAL_SUPPORTERS, len(observers)) if record.is_present else 1
+        needed = max(_quorum(len(observers), fraction), minimum)
+        return supporters if supporters and len(supporters) >= needed else []
+
+    def _invalidate_assignment(self) -> None:
+        self.assignment_version += 1
         self._observers.clear()
 
-    def _count(self, name: str) -> None:
-        before = self.doubted(name)
-        self._accused(name, len(self.accusers(name)))
-        if self.doubted(name) is not before:
-            self._changed()  # who observes whom depends on it
+    def _recount_suspicions(self, name: str) -> None:
+        was_suspected = self.is_suspected(name)
+        self._set_suspicion_count(name, len(self.suspecting_observers(name)))
+        if self.is_suspected(name) is not was_suspected:
+            self._invalidate_assignment()
 
-    def _accused(self, name: str, count: int) -> None:
-        """So many accuse it now. Where many are accused, one accuser is enough for a doubt.
+    def _set_suspicion_count(self, name: str, count: int) -> None:
+        """Sets how many observers suspect a member, and how many are needed for any member.
 
-        Guards a herd: of 14 members 10 were killed at once, and the last was out after 5.4 s, for those who
-        stood in for its observers were dead as well, and so were those who stood in for them.
+        In a mass failure the observers of a dead member and those that would replace them may all be dead, so
+        there one suspecting observer is enough to replace a member as an observer.
         """
         if count:
-            self._accusers[name] = count
+            self._suspicion_counts[name] = count
         else:
-            self._accusers.pop(name, None)
-        doubt_from = 2 if len(self.rings) > 4 and len(self._accusers) < CRISIS else 1
-        if doubt_from != self._doubt_from:
-            self._doubt_from = doubt_from
-            self._changed()
-
-    def _forget_opinions(self, name: str) -> None:
+            self._suspicion_counts.pop(name, None)
+        is_mass_failure = len(self._suspicion_counts) >= MASS_FAILURE_MEMBERS
+        min_suspicions = 1 if is_mass_failure or len(self.rings) <= SMALL_CLUSTER_MEMBERS else 2
+        if min_suspicions != self._min_suspicions:
+            self._min_suspicions = min_suspicions
+            self._invalidate_assignment()
+
+    def _discard_opinions(self, name: str) -> None:
         if self._opinions.pop(name, None) is not None:
-            self._changed()
-        self._accused(name, 0)
+            self._invalidate_assignment()
+        self._set_suspicion_count(name, 0)
--- a/ironmill/net/datagrams.py
+++ b/ironmill/net/datagrams.py
@@ -1,7 +1,4 @@
-"""One UDP socket and one timer in the hub, for a state machine that is fed datagrams and the time.
-
-Its work in a turn is bounded: so many datagrams are read, then the others have theirs.
-"""
+"""Drives a state machine of datagrams with one UDP socket and one timer on the scheduler."""
 
 from __future__ import annotations
 
@@ -17,31 +14,31 @@
 from ironmill.runtime.scheduler import READ, Scheduler, Task
 from ironmill.runtime.system_calls import retry_at_start
 
-AT_ONCE = 32  # datagrams read in one turn
-# What comes while the process does not run waits in the kernel, so that nobody is taken for silent for it.
-RECEIVE_BUFFER = 1 << 20
+MAX_DATAGRAMS_PER_TURN = 32  # before other tasks run
+RECEIVE_BUFFER_BYTES = 1 << 20  # keeps the datagrams that arrive while the process is paused
 
 log = logging.getLogger("ironmill.datagrams")
 
 
-class Machine(Protocol):
-    """What is fed."""
+class DatagramMachine(Protocol):
+    """A state machine without I/O; both methods return the datagrams to send."""
 
     def tick(self, now: float) -> Sequence[Datagram]:
-        """So much time is over."""
+        """Runs everything that is due."""
 
     def receive(self, data: bytes, source: Address, now: float) -> Sequence[Datagram]:
-        """A datagram came."""
+        """Handles a datagram."""
 
 
 class Datagrams:
-    """The socket. OSError where its address is not to be had."""
+    """A bound UDP socket and the tasks that serve it."""
 
     def __init__(self, scheduler: Scheduler, listen: Address) -> None:
+        """Binds the socket; raises ``OSError`` if that fails."""
         self._scheduler = scheduler
         self._sock = retry_at_start(socket.socket, socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             retry_at_start(self._sock.bind, listen)
         except OSError:
             self._sock.close()
@@ -51,55 +48,55 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address that the socket is bound to."""
         host, port = self._sock.getsockname()
         return host, port
 
-    def start(self, machine: Machine, every: float) -> None:
-        """Feed it from now on."""
+    def start(self, machine: DatagramMachine, tick_interval_s: float) -> None:
+        """Starts the tasks that feed the machine with datagrams and ticks."""
         self._tasks = [
-            self._scheduler.spawn(self._read, machine),
-            self._scheduler.spawn(self._tick, machine, every),
+            self._scheduler.spawn(self._receive_forever, machine),
+            self._scheduler.spawn(self._tick_forever, machine, tick_interval_s),
         ]
 
     def send(self, datagrams: Sequence[Datagram]) -> None:
-        """Put these on their way; what the system does not take is lost like any other."""
+        """Sends datagrams; one that the system does not accept is lost like any other."""
         for address, data in datagrams:
-            with contextlib.suppress(OSError):  # no route, no buffer
+            with contextlib.suppress(OSError):  # no route or no buffer
                 self._sock.sendto(data, address)
 
     @property
     def closed(self) -> bool:
-        """True after ``close``."""
+        """Whether the socket has been closed."""
         return self._sock.fileno() < 0
 
     def close(self) -> None:
-        """What still comes is read no more."""
+        """Ends the tasks and closes the socket."""
         for task in self._tasks:
             self._scheduler.kill(task)
         self._scheduler.forget(self._sock.fileno())
         self._sock.close()
 
-    def _read(self, machine: Machine) -> None:
+    def _receive_forever(self, machine: DatagramMachine) -> None:
         while True:
             self._scheduler.wait(self._sock.fileno(), READ)
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
                     data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except BlockingIOError:
                     break
                 except OSError:
-                    continue  # a port that was unreachable is told here; whoever is silent is found out
-                self._guarded(machine.receive, data, source, time.monotonic())
+                    continue  # an earlier datagram met an unreachable port; silence is detected elsewhere
+                self._step(machine.receive, data, source, time.monotonic())
             self._scheduler.sleep(0.0)
 
-    def _tick(self, machine: Machine, every: float) -> None:
+    def _tick_forever(self, machine: DatagramMachine, interval_s: float) -> None:
         while True:
-            self._guarded(machine.tick, time.monotonic())
-            self._scheduler.sleep(every)
+            self._step(machine.tick, time.monotonic())
+            self._scheduler.sleep(interval_s)
 
-    def _guarded(self, step: Callable[..., Sequence[Datagram]], *args: object) -> None:
-        """Guards the machine against one datagram, or one tick, that it cannot deal with."""
+    def _step(self, step: Callable[..., Sequence[Datagram]], *args: object) -> None:
+        """Runs one step of the machine. An exception ends that step alone, so the machine goes on."""
         try:
             self.send(step(*args))
         except Exception:
--- a/ironmill_testbed/capacity/sweep_membership.py
+++ b/ironmill_testbed/capacity/sweep_membership.py
@@ -1,7 +1,7 @@
 """Sweeps of membership: simulated members on a virtual clock, the program's state machines unchanged.
 
-Bytes are those of the datagrams without the headers of UDP and IP. Members keep equal facts once for all of
-them (``ironmill_testbed.faults.shared``), but where memory is measured.
+Bytes are those of the datagrams without the headers of UDP and IP. Members intern equal values
+(``ironmill_testbed.faults.interning``), except where memory is measured.
 """
 
 from __future__ import annotations
@@ -16,123 +16,142 @@
 
 from msgspec import Raw
 
+from ironmill.membership.codec import Codec, decode_update, encode_update
+from ironmill.membership.config import MemberConfig
+from ironmill.membership.events import MemberJoined, MemberRemoved
 from ironmill.membership.identity import MemberIdentity
 from ironmill.membership.member import Member
-from ironmill.membership.timing import TICK, Timing
-from ironmill.membership.wire import Codec, Fact, Rumour, pack, unpack
+from ironmill.membership.messages import GossipUpdate, MemberRecord
+from ironmill.membership.timing import TICK_INTERVAL_S, Timing
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
-from ironmill_testbed.faults.shared import Shared
-from ironmill_testbed.faults.simulated_cluster import KEY, SimulatedCluster
+from ironmill_testbed.faults.interning import MemberInterner
+from ironmill_testbed.faults.simulated_cluster import KEY, ClusterOptions, SimulatedCluster
 
 ZONES = 11
-SETTLED = 5.0  # seconds before anything is measured
-REST, REST_QUICK = 10, 5  # seconds
-WATCH = 20.0  # seconds after the zone was killed
-LIMIT = 6000.0  # bytes a second of the mean member, which the span is measured over
-SECOND = round(1.0 / TICK)  # ticks
-MEMBERS = (30, 60, 100, 200, 300, 600, 1000)
-MEMBERS_QUICK = (30, 60, 100, 200, 300)
-IN_ZONES = (44, 66, 110, 220, 330, 660, 1001)
-IN_ZONES_QUICK = (44, 66, 110, 165, 220)
-VIEWS = (30, 100, 300, 1000, 3000)
-
-
-def _world(size: int, seed: int) -> SimulatedCluster:
-    world = SimulatedCluster(size, [], seed, zones=ZONES, make=Shared())
-    world.settle()
-    world.run(SETTLED)
-    return world
+WARM_UP_S = 5.0  # before anything is measured
+IDLE_SPAN_S, QUICK_IDLE_SPAN_S = 10, 5
+ZONE_FAILURE_SPAN_S = 20.0  # after the zone was killed
+RATE_THRESHOLD = 6000.0  # bytes a second of the mean member, above which the span is measured
+TICKS_PER_SECOND = round(1.0 / TICK_INTERVAL_S)
+MEMORY_TICKS = 50
+IDLE_SIZES = (30, 60, 100, 200, 300, 600, 1000)
+QUICK_IDLE_SIZES = (30, 60, 100, 200, 300)
+ZONE_SIZES = (44, 66, 110, 220, 330, 660, 1001)
+QUICK_ZONE_SIZES = (44, 66, 110, 165, 220)
+VIEW_SIZES = (30, 100, 300, 1000, 3000)
+
+
+def _converged_cluster(size: int, seed: int) -> SimulatedCluster:
+    options = ClusterOptions(zones=ZONES, make_member=MemberInterner())
+    cluster = SimulatedCluster(size, [], seed, options)
+    cluster.start_converged()
+    cluster.run(WARM_UP_S)
+    return cluster
 
 
 def rest(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """What the mean member sends and computes a second while nothing happens."""
-    world = _world(size, seed)
-    seconds = REST_QUICK if quick else REST
-    before, took = sum(member.sent_bytes for member in world.running()), list[float]()
-    for second in range(seconds):
+    """Measures what the mean member sends and computes a second while nothing happens."""
+    cluster = _converged_cluster(size, seed)
+    span_s = QUICK_IDLE_SPAN_S if quick else IDLE_SPAN_S
+    sent_before = sum(member.sent_bytes for member in cluster.running_members())
+    cpu_s: list[float] = []
+    for second in range(span_s):
         start = time.process_time()
-        world.run(SETTLED + second + 1.0)
-        took.append(time.process_time() - start)
-    sent = sum(member.sent_bytes for member in world.running()) - before
+        cluster.run(WARM_UP_S + second + 1.0)
+        cpu_s.append(time.process_time() - start)
+    sent = sum(member.sent_bytes for member in cluster.running_members()) - sent_before
     return {
-        "membership_rest_bytes": sent / seconds / size,
-        "membership_rest_cpu": statistics.median(took) / size,
+        "membership_rest_bytes": sent / span_s / size,
+        "membership_rest_cpu": statistics.median(cpu_s) / size,
     }
 
 
 def zone(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """One of eleven zones is killed: what the survivors send, and until when the dead are in a view."""
+    """Kills one of eleven zones; measures what the survivors send and when all dead members are removed."""
     del quick
-    world = _world(size, seed)
-    chosen = f"z{random.Random(seed).randrange(2, ZONES)}"  # without the two seeds: joining is no part of it
-    dead = {node.name for node in world.nodes.values() if node.zone == chosen}
+    cluster = _converged_cluster(size, seed)
+    killed_zone = f"z{random.Random(seed).randrange(2, ZONES)}"  # not those of the seeds: joining is excluded
+    dead = {process.name for process in cluster.processes.values() if process.zone == killed_zone}
     for name in dead:
-        world.kill(name)
-    alive = world.running()
-    wanted, out = len(alive) * len(dead), set[tuple[str, str]]()
-    sums: deque[int] = deque([sum(member.sent_bytes for member in alive)], SECOND + 1)
-    highest, over, gone, read = 0.0, 0, math.inf, len(world.events)
-    for tick in range(1, round(WATCH / TICK) + 1):
-        world.run(SETTLED + tick * TICK)
+        cluster.kill(name)
+    alive = cluster.running_members()
+    watch = _RemovalWatch(cluster, dead, len(alive) * len(dead))
+    sums: deque[int] = deque([sum(member.sent_bytes for member in alive)], TICKS_PER_SECOND + 1)
+    max_rate, ticks_above_threshold = 0.0, 0
+    for tick in range(1, round(ZONE_FAILURE_SPAN_S / TICK_INTERVAL_S) + 1):
+        cluster.run(WARM_UP_S + tick * TICK_INTERVAL_S)
         sums.append(sum(member.sent_bytes for member in alive))
-        if len(sums) > SECOND:
+        if len(sums) > TICKS_PER_SECOND:
             rate = (sums[-1] - sums[0]) / len(alive)
-            highest = max(highest, rate)
-            over += rate > LIMIT
-        for event in world.events[read:]:
-            if event.what in ("in", "out") and event.fields["member"] in dead and event.name not in dead:
-                pair = event.name, event.fields["member"]
-                (out.add if event.what == "out" else out.discard)(pair)
-                gone = event.at - SETTLED if len(out) == wanted else math.inf
-        read = len(world.events)
+            max_rate = max(max_rate, rate)
+            ticks_above_threshold += rate > RATE_THRESHOLD
+        watch.update()
     return {
-        "membership_zone_bytes": highest,
-        "membership_zone_span": over * TICK,
-        "membership_zone_gone": gone,
+        "membership_zone_bytes": max_rate,
+        "membership_zone_span": ticks_above_threshold * TICK_INTERVAL_S,
+        "membership_zone_gone": watch.complete_at_s,
     }
 
 
+class _RemovalWatch:
+    """Finds the time at which all dead members were out of all views."""
+
+    def __init__(self, cluster: SimulatedCluster, dead: set[str], expected: int) -> None:
+        self._cluster = cluster
+        self._dead = dead
+        self._expected = expected
+        self._removed: set[tuple[str, str]] = set()  # the member with the view, and the dead one
+        self._read = len(cluster.events)
+        self.complete_at_s = math.inf  # since the failure
+
+    def update(self) -> None:
+        """Reads the events since the last call."""
+        for one in self._cluster.events[self._read :]:
+            if not isinstance(one.event, MemberJoined | MemberRemoved):
+                continue
+            member = one.event.member
+            if member not in self._dead or one.observer in self._dead:
+                continue
+            if isinstance(one.event, MemberRemoved):
+                self._removed.add((one.observer, member))
+            else:
+                self._removed.discard((one.observer, member))
+            is_complete = len(self._removed) == self._expected
+            self.complete_at_s = one.at_s - WARM_UP_S if is_complete else math.inf
+        self._read = len(self._cluster.events)
+
+
 def memory(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Bytes of one member whose view has so many, each fact as it comes off the wire."""
+    """Measures the bytes of one member whose view has so many, each record as it comes off the wire."""
     del quick
-    data = [
-        pack(
-            Fact(
-                MemberIdentity(f"p{at:05d}", f"10.0.{at >> 8}.{at & 255}", 7000, f"z{at % ZONES}", "r1", 1), 2
-            )
-        )
-        for at in range(size)
-    ]
+    data = [encode_update(MemberRecord(_identity(at), 2)) for at in range(size)]
     gc.collect()
     tracemalloc.start()
-    own = unpack(Raw(data[0]))
-    assert isinstance(own, Fact)
-    member = Member(
-        own.card,
-        Codec("sim", [KEY]),
-        Timing(),
-        [own.card.address],
-        random.Random(seed),
-        0.0,
-        lambda what, fields: None,
-    )
-    member.adopt(_facts(data), 0.0)
-    for tick in range(1, 50):  # its own looks, without an answer
-        member.tick(tick * TICK)
+    own = decode_update(Raw(data[0]))
+    assert isinstance(own, MemberRecord)
+    config = MemberConfig(own.identity, Timing(), [own.identity.address])
+    member = Member(config, Codec("sim", [KEY]), random.Random(seed), 0.0, lambda event: None)
+    member.restore(_records(data), 0.0)
+    for tick in range(1, MEMORY_TICKS):  # its own observations, without an answer
+        member.tick(tick * TICK_INTERVAL_S)
     gc.collect()
     found = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {"membership_memory": float(found)}
 
 
-def _facts(data: list[bytes]) -> list[Fact]:
-    rumours: list[Rumour] = [unpack(Raw(one)) for one in data]
-    return [rumour for rumour in rumours if isinstance(rumour, Fact)]
+def _identity(at: int) -> MemberIdentity:
+    return MemberIdentity(f"p{at:05d}", f"10.0.{at >> 8}.{at & 255}", 7000, f"z{at % ZONES}", "r1", 1)
+
+
+def _records(data: list[bytes]) -> list[MemberRecord]:
+    updates: list[GossipUpdate] = [decode_update(Raw(one)) for one in data]
+    return [update for update in updates if isinstance(update, MemberRecord)]
 
 
-def _sweep(name: str, what: str, unit: str, shape: Shape = Shape.LINE) -> Sweep:
-    return Sweep(name, what, "members", unit, Sign.VIRTUAL, (), shape)
+def _sweep(name: str, meaning: str, unit: str, shape: Shape = Shape.LINE) -> Sweep:
+    return Sweep(name, meaning, "members", unit, Sign.VIRTUAL, (), shape)
 
 
 RUNS = (
@@ -158,8 +177,8 @@
                 "s",
             ),
         ),
-        IN_ZONES,
-        IN_ZONES_QUICK,
+        ZONE_SIZES,
+        QUICK_ZONE_SIZES,
         repeats=3,
     ),
     Runs(
@@ -179,8 +198,8 @@
                 Shape.POWER,
             ),
         ),
-        MEMBERS,
-        MEMBERS_QUICK,
+        IDLE_SIZES,
+        QUICK_IDLE_SIZES,
         repeats=3,
     ),
     Runs(
@@ -193,7 +212,7 @@
                 "B",
             ),
         ),
-        VIEWS,
-        VIEWS,
+        VIEW_SIZES,
+        VIEW_SIZES,
     ),
 )
--- a/ironmill_testbed/faults/checker.py
+++ b/ironmill_testbed/faults/checker.py
@@ -41,7 +41,7 @@
     return [
         one
         for one in seen
-        if one.what == "out" and since <= one.at < until and one.fields["member"] != one.name
+        if one.what == "removed" and since <= one.at < until and one.fields["member"] != one.name
     ]
 
 
@@ -67,6 +67,6 @@
     """Through how many different sequences of views these members went: 1 where all went through the same."""
     steps: dict[str, list[str]] = {name: [] for name in names}
     for one in seen:
-        if one.what in ("in", "out", "left") and one.at >= since and one.name in steps:
+        if one.what in ("joined", "removed", "left") and one.at >= since and one.name in steps:
             steps[one.name].append(str(one.fields["view"]))
     return len({tuple(step) for step in steps.values()})
--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -22,7 +22,7 @@
 from ironmill.distribution.revision import START, Position, Refusal
 from ironmill.distribution.timing import TICK
 from ironmill.membership.identity import Address, Datagram
-from ironmill.net.datagrams import Machine
+from ironmill.net.datagrams import DatagramMachine
 from ironmill.net.distribution import Distribution
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.emulate import answer_commands
@@ -149,7 +149,7 @@
 class _Counted:
     """A machine whose datagrams are counted as they come."""
 
-    def __init__(self, machine: Machine, tally: Tally) -> None:
+    def __init__(self, machine: DatagramMachine, tally: Tally) -> None:
         self._machine = machine
         self._tally = tally
 
--- a/ironmill_testbed/faults/simulated_cluster.py
+++ b/ironmill_testbed/faults/simulated_cluster.py
@@ -10,242 +10,250 @@
 
 from msgspec import Struct
 
+from ironmill.membership.codec import Codec
+from ironmill.membership.config import MemberConfig
+from ironmill.membership.events import Event, EventListener, MemberRemoved
 from ironmill.membership.identity import Address, Datagram, MemberIdentity
 from ironmill.membership.member import Member
-from ironmill.membership.timing import TICK, Timing
-from ironmill.membership.wire import Codec, Fact
+from ironmill.membership.messages import MemberRecord
+from ironmill.membership.timing import TICK_INTERVAL_S, Timing
 from ironmill_testbed.faults.schedule import Fault, Links
 
 KEY = b"a key of the simulated cluster.."
-EPOCH = 1_700_000_000.0  # Unix time at the start of a story
+CLUSTER = "sim"
+START_UNIX_TIME_S = 1_700_000_000.0
+MAX_BUFFERED_DATAGRAMS = 2000  # in the socket of a paused process
+RESUME_DELAY_S = 0.001  # from the end of a pause to the first tick
 
 
-class Runs(Protocol):
-    """What the world asks of a member."""
+class SimulatedMember(Protocol):
+    """The interface that a simulated cluster needs of a member."""
 
-    card: MemberIdentity
-    sent_bytes: int
+    @property
+    def identity(self) -> MemberIdentity:
+        """The identity of the member."""
 
-    def members(self) -> list[Fact]:
-        """The view, by name."""
+    @property
+    def sent_bytes(self) -> int:
+        """Bytes of all datagrams so far."""
 
-    def adopt(self, facts: Sequence[Fact], now: float, /) -> None:
-        """Begin with a view that is known to hold."""
+    def members(self) -> list[MemberRecord]:
+        """Returns the records of the members in the view, by name."""
+
+    def restore(self, records: Sequence[MemberRecord], now: float, /) -> None:
+        """Starts from a view that is known to be true."""
 
     def tick(self, now: float, /) -> list[Datagram]:
-        """A tenth of a second is over."""
+        """Runs everything that is due."""
 
     def receive(self, data: bytes, source: Address, now: float, /) -> list[Datagram]:
-        """A datagram came."""
+        """Handles a datagram."""
 
     def leave(self, now: float, /) -> list[Datagram]:
-        """It ends in an orderly way."""
+        """Announces a graceful shutdown."""
+
+
+MemberFactory = Callable[[MemberConfig, Codec, random.Random, float, EventListener], SimulatedMember]
 
 
-Make = Callable[
-    [
-        MemberIdentity,
-        Codec,
-        Timing,
-        Sequence[Address],
-        random.Random,
-        float,
-        Callable[[str, dict[str, Any]], object],
-    ],
-    Runs,
-]
+class ClusterOptions(Struct, frozen=True):
+    """What differs between simulated clusters beside their size, faults and seed."""
 
+    timing: Timing = Timing()
+    seed_members: int = 2
+    zones: int = 3
+    make_member: MemberFactory = Member  # those of the program, or of a baseline
 
-class Event(Struct, frozen=True):
-    """Something that a member told."""
 
-    at: float
-    name: str
-    what: str
-    fields: dict[str, Any]
+class ClusterEvent(Struct, frozen=True):
+    """An event of one member."""
 
+    at_s: float
+    observer: str
+    event: Event
 
-class Node:
-    """One process."""
+
+class SimulatedProcess:
+    """One process, which may be killed, paused and started again."""
 
     def __init__(self, name: str, zone: str, address: Address) -> None:
-        self.name, self.zone, self.address = name, zone, address
-        self.member: Runs | None = None
+        self.name = name
+        self.zone = zone
+        self.address = address
+        self.member: SimulatedMember | None = None
         self.starts = 0
         self.paused_until = 0.0
-        self.waiting: deque[tuple[bytes, Address]] = deque(maxlen=2000)  # as a kernel holds them
+        self.buffered: deque[tuple[bytes, Address]] = deque(maxlen=MAX_BUFFERED_DATAGRAMS)
 
 
 class SimulatedCluster:
-    """Members, links and the clock."""
+    """Processes, the links between them and the clock."""
 
     def __init__(
         self,
         count: int,
         faults: Sequence[Fault] = (),
         seed: int = 1,
-        timing: Timing | None = None,
-        seeds: int = 2,
-        zones: int = 3,
-        prefix: str = "p",
-        make: Make = Member,
+        options: ClusterOptions | None = None,
     ) -> None:
-        """``make`` makes a member: those of the program, or of a baseline."""
-        self._make = make
+        """Creates ``count`` processes, none of which runs yet."""
+        self._options = options or ClusterOptions()
         self.now = 0.0
-        self.events: list[Event] = []
+        self.events: list[ClusterEvent] = []
         self.datagrams = 0
         self._rng = random.Random(seed)
         self.links = Links(list(faults), seed)
-        self._timing = timing or Timing()
-        self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._serial = 0
-        self.nodes: dict[str, Node] = {}
-        self._by_address: dict[Address, Node] = {}
+        self._actions: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._last_action = 0
+        self.processes: dict[str, SimulatedProcess] = {}
+        self._by_address: dict[Address, SimulatedProcess] = {}
         for at in range(count):
             address = (f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}", 7000)
-            node = Node(f"{prefix}{at:05d}", f"z{at % zones}", address)
-            self.nodes[node.name] = self._by_address[node.address] = node
-        self._seeds = [node.address for node in list(self.nodes.values())[:seeds]]
+            process = SimulatedProcess(f"p{at:05d}", f"z{at % self._options.zones}", address)
+            self.processes[process.name] = process
+            self._by_address[address] = process
+        self._seeds = list(self._by_address)[: self._options.seed_members]
         for fault in faults:
-            for name in fault.names:
-                if fault.kind == "pause":
-                    self.at(fault.start, self.pause, name, fault.end)
-                elif fault.kind == "kill":
-                    self.at(fault.start, self.kill, name)
-                elif fault.kind == "start":
-                    self.at(fault.start, self.start, name)
+            self._schedule_fault(fault)
 
-    # The story
+    # Time
 
-    def at(self, time: float, action: Callable[..., None], *args: Any) -> None:
-        """Do something at that time."""
-        self._serial += 1
-        heapq.heappush(self._heap, (time, self._serial, action, args))
+    def schedule(self, at_s: float, action: Callable[..., None], *args: Any) -> None:
+        """Schedules an action."""
+        self._last_action += 1
+        heapq.heappush(self._actions, (at_s, self._last_action, action, args))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
-        while self._heap and self._heap[0][0] <= until:
-            self.now, _, action, args = heapq.heappop(self._heap)
+        """Runs until a time of the virtual clock."""
+        while self._actions and self._actions[0][0] <= until:
+            self.now, _, action, args = heapq.heappop(self._actions)
             action(*args)
         self.now = until
 
-    def run_until(self, true: Callable[[], bool], limit: float) -> float | None:
-        """Let time pass until something is true; the seconds it took, or None if it did not happen."""
-        began = self.now
-        while self.now < began + limit:
-            if true():
-                return self.now - began
-            self.run(self.now + TICK)
+    def run_until(self, condition: Callable[[], bool], limit_s: float) -> float | None:
+        """Runs until a condition is true; returns the seconds that took, or None after ``limit_s``."""
+        start = self.now
+        while self.now < start + limit_s:
+            if condition():
+                return self.now - start
+            self.run(self.now + TICK_INTERVAL_S)
         return None
 
-    def start(self, name: str, ahead: float = 0.0) -> None:
-        """Start the process, anew if it ran before, by a wall clock that is so many seconds ahead."""
-        node = self.nodes[name]
-        node.starts += 1
-        card = MemberIdentity(
-            name, *node.address, node.zone, "r1", int((EPOCH + ahead + self.now) * 1000.0) + node.starts
-        )
-        codec = Codec("sim", [KEY])
-        node.waiting.clear()
-        node.paused_until = 0.0
-        node.member = self._make(
-            card,
-            codec,
-            self._timing,
-            self._seeds,
+    # Processes
+
+    def start(self, name: str, clock_offset_s: float = 0.0) -> None:
+        """Starts a process, or starts it again, with a wall clock that is ahead by ``clock_offset_s``."""
+        process = self.processes[name]
+        process.starts += 1
+        process.buffered.clear()
+        process.paused_until = 0.0
+        unix_time_ms = int((START_UNIX_TIME_S + clock_offset_s + self.now) * 1000.0)
+        identity = MemberIdentity(name, *process.address, process.zone, "r1", unix_time_ms + process.starts)
+        process.member = self._options.make_member(
+            MemberConfig(identity, self._options.timing, self._seeds),
+            Codec(CLUSTER, [KEY]),
             random.Random(self._rng.random()),
             self.now,
-            lambda what, fields: self.events.append(Event(self.now, name, what, fields)),
+            lambda event: self.events.append(ClusterEvent(self.now, name, event)),
         )
-        self.at(self.now + TICK * self._rng.random(), self._tick, node, node.member)
+        first_tick_at = self.now + TICK_INTERVAL_S * self._rng.random()
+        self.schedule(first_tick_at, self._tick, process, process.member)
 
-    def start_all(self, spread: float = 0.2) -> None:
-        """All processes start within so many seconds."""
-        for name in self.nodes:
-            self.at(self.now + spread * self._rng.random(), self.start, name)
+    def start_all(self, within_s: float = 0.2) -> None:
+        """Starts all processes at random times within some seconds."""
+        for name in self.processes:
+            self.schedule(self.now + within_s * self._rng.random(), self.start, name)
 
-    def settle(self) -> None:
-        """Begin as after a long time: all run, and each knows all."""
-        for name in self.nodes:
+    def start_converged(self) -> None:
+        """Starts all processes with the complete view, as after a long time."""
+        for name in self.processes:
             self.start(name)
-        facts = [Fact(node.member.card, 2) for node in self.nodes.values() if node.member is not None]
-        for node in self.nodes.values():
-            if node.member is not None:
-                node.member.adopt(facts, self.now)
-                self.events.clear()  # of each at once: a million of them in a world of a thousand
+        records = [MemberRecord(member.identity, 2) for member in self.running_members()]
+        for member in self.running_members():
+            member.restore(records, self.now)
+            self.events.clear()  # of this member alone there are as many as members
 
     def kill(self, name: str) -> None:
-        """End the process without a word."""
-        self.nodes[name].member = None
+        """Ends a process without notice."""
+        self.processes[name].member = None
 
     def leave(self, name: str) -> None:
-        """End it in an orderly way."""
-        node = self.nodes[name]
-        if node.member is not None:
-            self._send(node, node.member.leave(self.now))
-            node.member = None
+        """Shuts a process down gracefully."""
+        process = self.processes[name]
+        if process.member is not None:
+            self._send(process, process.member.leave(self.now))
+            process.member = None
 
     def pause(self, name: str, until: float) -> None:
-        """Stop it from running, as SIGSTOP does."""
-        self.nodes[name].paused_until = until
+        """Stops a process until a time, as SIGSTOP does."""
+        self.processes[name].paused_until = until
 
-    # What is seen
+    # Observations
 
-    def running(self) -> list[Runs]:
-        """The members of processes that have not been killed."""
-        return [node.member for node in self.nodes.values() if node.member is not None]
+    def running_members(self) -> list[SimulatedMember]:
+        """Returns the members of the processes that have not ended."""
+        return [process.member for process in self.processes.values() if process.member is not None]
 
     def views(self, names: Sequence[str] | None = None) -> set[tuple[str, ...]]:
-        """The different views that these have, or all that run."""
-        nodes = self.nodes.values() if names is None else [self.nodes[name] for name in names]
+        """Returns the different views of some members, by default of all that run."""
+        processes = self.processes.values() if names is None else [self.processes[name] for name in names]
         return {
-            tuple(fact.card.name for fact in node.member.members())
-            for node in nodes
-            if node.member is not None
+            tuple(record.identity.name for record in process.member.members())
+            for process in processes
+            if process.member is not None
         }
 
     def agree(self, names: Sequence[str] | None = None, on: Sequence[str] | None = None) -> bool:
-        """True if these all see exactly those (by default: themselves, or all that run)."""
+        """Returns whether the views of some members are exactly ``on``, by default themselves."""
         if on is None:
-            on = names if names is not None else [n.name for n in self.nodes.values() if n.member is not None]
+            running = [process.name for process in self.processes.values() if process.member is not None]
+            on = running if names is None else names
         return self.views(names) == {tuple(sorted(on))}
 
-    def removals(self, since: float = 0.0) -> list[Event]:
-        """Who was put out of whose view, but for itself."""
+    def removals(self, since: float = 0.0) -> list[ClusterEvent]:
+        """Returns the removals of members from the views of others."""
         return [
-            event
-            for event in self.events
-            if event.what == "out" and event.at >= since and event.fields["member"] != event.name
+            one
+            for one in self.events
+            if isinstance(one.event, MemberRemoved) and one.at_s >= since and one.event.member != one.observer
         ]
 
     # The network
 
-    def _tick(self, node: Node, member: Runs) -> None:
-        if node.member is not member:
-            return  # another process by now
-        if self.now < node.paused_until:
-            self.at(node.paused_until + 0.001, self._tick, node, member)
+    def _schedule_fault(self, fault: Fault) -> None:
+        for name in fault.names:
+            if fault.kind == "pause":
+                self.schedule(fault.start, self.pause, name, fault.end)
+            elif fault.kind == "kill":
+                self.schedule(fault.start, self.kill, name)
+            elif fault.kind == "start":
+                self.schedule(fault.start, self.start, name)
+
+    def _tick(self, process: SimulatedProcess, member: SimulatedMember) -> None:
+        if process.member is not member:
+            return  # the process was killed or started again
+        if self.now < process.paused_until:
+            self.schedule(process.paused_until + RESUME_DELAY_S, self._tick, process, member)
             return
-        self._send(node, member.tick(self.now))
-        while node.waiting:
-            data, source = node.waiting.popleft()
-            self._send(node, member.receive(data, source, self.now))
-        self.at(self.now + TICK, self._tick, node, member)
+        self._send(process, member.tick(self.now))
+        while process.buffered:
+            data, source = process.buffered.popleft()
+            self._send(process, member.receive(data, source, self.now))
+        self.schedule(self.now + TICK_INTERVAL_S, self._tick, process, member)
 
-    def _send(self, node: Node, datagrams: list[Datagram]) -> None:
+    def _send(self, process: SimulatedProcess, datagrams: list[Datagram]) -> None:
         for address, data in datagrams:
             self.datagrams += 1
             target = self._by_address.get(address)
             if target is None:
                 continue
-            for delay, copy in self.links.carry(self.now, node.name, target.name, data):
-                self.at(self.now + delay, self._arrive, target, copy, node.address)
+            for delay, copy in self.links.carry(self.now, process.name, target.name, data):
+                self.schedule(self.now + delay, self._arrive, target, copy, process.address)
 
-    def _arrive(self, node: Node, data: bytes, source: Address) -> None:
-        if node.member is None:
+    def _arrive(self, process: SimulatedProcess, data: bytes, source: Address) -> None:
+        if process.member is None:
             return
-        if self.now < node.paused_until:
-            node.waiting.append((data, source))
+        if self.now < process.paused_until:
+            process.buffered.append((data, source))
             return
-        self._send(node, node.member.receive(data, source, self.now))
+        self._send(process, process.member.receive(data, source, self.now))
--- a/ironmill_testbed/faults/swim.py
+++ b/ironmill_testbed/faults/swim.py
@@ -1,175 +1,209 @@
-"""The baseline: plain SWIM, with the interface that the simulated world asks of a member.
+"""The baseline: plain SWIM, with the interface of a simulated member.
 
-After Das, Gupta and Motivala (2002): one member is pinged a period, three others are asked to try where no
-ack comes, then it is suspected; who is not cleared within the suspicion's time is gone. Its times are set so
-that a killed member is gone within about the same 5 s as with ours.
+After Das, Gupta and Motivala (2002): one member is pinged per period. Without an ack three others are
+requested to ping it, then it is suspected. A suspicion that is not refuted in time removes it. The times are
+set so that a killed member is removed within about the same 5 s as by the program's own members.
 """
 
 from __future__ import annotations
 
 import math
 import random
-from collections.abc import Callable, Sequence
-from typing import Any
+from collections.abc import Sequence
 
 import msgspec
 from msgspec import Struct
 
+from ironmill.membership.config import MemberConfig
+from ironmill.membership.events import ChangeCause, EventListener, MemberJoined, MemberRemoved
 from ironmill.membership.identity import Address, Datagram, MemberIdentity
-from ironmill.membership.wire import Fact
+from ironmill.membership.messages import MemberRecord
 
-PERIOD = 0.6  # seconds
-ACK_WITHIN = 0.3
-HELPERS = 3
-SUSPICION = 2.0  # seconds to be cleared in
-NEWS = 6  # pieces of news in a datagram
-SPREAD_TIMES = 3.0
+PERIOD_S = 0.6
+ACK_TIMEOUT_S = 0.3
+HELPER_COUNT = 3
+SUSPICION_TIMEOUT_S = 2.0
+MAX_UPDATES_PER_DATAGRAM = 6
+TRANSMIT_FACTOR = 3.0
+MAX_RELAYED_PINGS = 256
 
-ALIVE, SUSPECTED, GONE = 0, 1, 2
+ALIVE, SUSPECTED, DEAD = 0, 1, 2
 
 
-class State(Struct, array_like=True):
-    """What is known of one member: the higher incarnation holds, then the worse state."""
+class SwimState(Struct, array_like=True):
+    """The state of one member: the higher incarnation wins, then the worse status."""
 
-    card: MemberIdentity
+    identity: MemberIdentity
     incarnation: int
     status: int
 
     @property
     def order(self) -> tuple[int, int]:
-        """What decides between two of one name."""
+        """The key by which states of one name are ordered."""
         return self.incarnation, self.status
 
 
-class Swim:
-    """One member."""
+class ProbedMember(Struct):
+    """The member that is pinged in the current period."""
+
+    name: str
+    pinged_at: float
+    number: int
+    is_pinged_indirectly: bool = False
+
+
+class SwimMember:
+    """One member of the baseline."""
 
     def __init__(
-        self,
-        card: MemberIdentity,
-        _codec: object,
-        _timing: object,
-        seeds: Sequence[Address],
-        rng: random.Random,
-        now: float,
-        told: Callable[[str, dict[str, Any]], object],
+        self, config: MemberConfig, _codec: object, rng: random.Random, now: float, on_event: EventListener
     ) -> None:
-        self.card = card
+        self.identity = config.identity
         self.sent_bytes = 0
-        self._seeds, self._rng, self._told = seeds, rng, told
-        self._states = {card.name: State(card, 0, ALIVE)}
+        self._seeds = config.seeds
+        self._rng = rng
+        self._on_event = on_event
+        self._states = {config.identity.name: SwimState(config.identity, 0, ALIVE)}
         self._suspected_at: dict[str, float] = {}
-        self._news: dict[str, int] = {}  # how often each was passed on
-        self._order: list[str] = []
-        self._period_at = now
-        self._pinged: tuple[str, float, int, bool] | None = None  # whom, when, its number, whether asked for
-        self._behalf: dict[int, tuple[Address, int]] = {}
-        self._number = 0
+        self._transmissions: dict[str, int] = {}  # of the states that are gossiped
+        self._probe_order: list[str] = []
+        self._next_period_at = now
+        self._probed: ProbedMember | None = None
+        self._relayed: dict[int, tuple[Address, int]] = {}  # the requester and its number, by own number
+        self._last_number = 0
         self._out: list[Datagram] = []
 
-    def members(self) -> list[Fact]:
-        """The view, by name."""
-        return [Fact(state.card, 0) for _, state in sorted(self._states.items()) if state.status != GONE]
+    def members(self) -> list[MemberRecord]:
+        """Returns the records of the members in the view, by name."""
+        states = [state for _, state in sorted(self._states.items()) if state.status != DEAD]
+        return [MemberRecord(state.identity, 0) for state in states]
 
-    def adopt(self, facts: Sequence[Fact], _now: float) -> None:
-        """Begin with a view that is known to hold."""
-        for fact in facts:
-            self._states[fact.card.name] = State(fact.card, 0, ALIVE)
+    def restore(self, records: Sequence[MemberRecord], _now: float) -> None:
+        """Starts from a view that is known to be true."""
+        for record in records:
+            self._states[record.identity.name] = SwimState(record.identity, 0, ALIVE)
 
     def leave(self, _now: float) -> list[Datagram]:
-        """Not part of the baseline."""
+        """Does nothing: the baseline has no graceful shutdown."""
         return []
 
     def tick(self, now: float) -> list[Datagram]:
-        """To be called every tenth of a second."""
-        for name, since in list(self._suspected_at.items()):
-            if now - since >= SUSPICION:
-                state = self._states[name]
-                self._take(State(state.card, state.incarnation, GONE), now)
-        if self._pinged is not None:
-            name, at, _, asked = self._pinged
-            if not asked and now - at >= ACK_WITHIN:
-                self._pinged = (name, at, self._number, True)
-                others = [one for one in self._alive() if one != name]
-                for helper in self._rng.sample(others, min(HELPERS, len(others))):
-                    self._send(self._states[helper].card.address, "seek", self._number, name)
-        if now >= self._period_at:
-            if self._pinged is not None:
-                state = self._states[self._pinged[0]]
-                if state.status == ALIVE:
-                    self._take(State(state.card, state.incarnation, SUSPECTED), now)
-            self._period_at = now + PERIOD
-            self._pinged = None
-            if not self._order:
-                self._order = self._alive()
-                self._rng.shuffle(self._order)
-            if self._order:
-                name = self._order.pop()
-                self._number += 1
-                self._pinged = (name, now, self._number, False)
-                self._send(self._states[name].card.address, "ping", self._number, "")
-            elif self._seeds:
-                self._send(self._rng.choice(self._seeds), "ping", 0, "")
+        """Runs everything that is due."""
+        self._remove_suspected(now)
+        self._ping_indirectly(now)
+        if now >= self._next_period_at:
+            self._begin_period(now)
         return self._flush()
 
     def receive(self, data: bytes, source: Address, now: float) -> list[Datagram]:
-        """A datagram came."""
+        """Handles a datagram."""
         try:
-            kind, number, name, news = msgspec.msgpack.decode(data, type=tuple[str, int, str, list[State]])
+            kind, number, name, updates = msgspec.msgpack.decode(
+                data, type=tuple[str, int, str, list[SwimState]]
+            )
         except (msgspec.DecodeError, UnicodeDecodeError):
             return []
-        for state in news:
-            self._take(state, now)
+        for state in updates:
+            self._apply(state, now)
         if kind == "ping":
-            self._send(source, "ack", number, self.card.name)
+            self._send(source, "ack", number, self.identity.name)
         elif kind == "seek" and name in self._states:
-            self._number += 1
-            self._behalf[self._number] = (source, number)
-            if len(self._behalf) > 256:
-                del self._behalf[next(iter(self._behalf))]
-            self._send(self._states[name].card.address, "ping", self._number, "")
+            self._relay_ping(source, number, name)
         elif kind == "ack":
-            if number in self._behalf:
-                asker, theirs = self._behalf.pop(number)
-                self._send(asker, "ack", theirs, name)
-            elif self._pinged is not None and self._pinged[2] == number:
-                self._pinged = None
+            self._on_ack(number, name)
         return self._flush()
 
-    def _alive(self) -> list[str]:
-        return [n for n, state in self._states.items() if state.status != GONE and n != self.card.name]
+    def _remove_suspected(self, now: float) -> None:
+        for name, since in list(self._suspected_at.items()):
+            if now - since >= SUSPICION_TIMEOUT_S:
+                state = self._states[name]
+                self._apply(SwimState(state.identity, state.incarnation, DEAD), now)
 
-    def _take(self, state: State, now: float) -> None:
-        name = state.card.name
+    def _ping_indirectly(self, now: float) -> None:
+        probed = self._probed
+        if probed is None or probed.is_pinged_indirectly or now - probed.pinged_at < ACK_TIMEOUT_S:
+            return
+        probed.number = self._last_number
+        probed.is_pinged_indirectly = True
+        others = [name for name in self._other_members() if name != probed.name]
+        for helper in self._rng.sample(others, min(HELPER_COUNT, len(others))):
+            self._send(self._states[helper].identity.address, "seek", self._last_number, probed.name)
+
+    def _begin_period(self, now: float) -> None:
+        if self._probed is not None:
+            state = self._states[self._probed.name]
+            if state.status == ALIVE:
+                self._apply(SwimState(state.identity, state.incarnation, SUSPECTED), now)
+        self._next_period_at = now + PERIOD_S
+        self._probed = None
+        if not self._probe_order:
+            self._probe_order = self._other_members()
+            self._rng.shuffle(self._probe_order)
+        if self._probe_order:
+            name = self._probe_order.pop()
+            self._last_number += 1
+            self._probed = ProbedMember(name, now, self._last_number)
+            self._send(self._states[name].identity.address, "ping", self._last_number, "")
+        elif self._seeds:
+            self._send(self._rng.choice(self._seeds), "ping", 0, "")
+
+    def _relay_ping(self, requester: Address, number: int, name: str) -> None:
+        self._last_number += 1
+        self._relayed[self._last_number] = (requester, number)
+        if len(self._relayed) > MAX_RELAYED_PINGS:
+            del self._relayed[next(iter(self._relayed))]
+        self._send(self._states[name].identity.address, "ping", self._last_number, "")
+
+    def _on_ack(self, number: int, name: str) -> None:
+        if number in self._relayed:
+            requester, requested_number = self._relayed.pop(number)
+            self._send(requester, "ack", requested_number, name)
+        elif self._probed is not None and self._probed.number == number:
+            self._probed = None
+
+    def _other_members(self) -> list[str]:
+        own = self.identity.name
+        return [name for name, state in self._states.items() if state.status != DEAD and name != own]
+
+    def _apply(self, state: SwimState, now: float) -> None:
+        name = state.identity.name
         old = self._states.get(name)
         if old is not None and state.order <= old.order:
             return
-        if name == self.card.name:
-            if state.status != ALIVE:  # it refutes
-                self._states[name] = State(self.card, state.incarnation + 1, ALIVE)
-                self._news[name] = 0
+        if name == self.identity.name:
+            if state.status != ALIVE:
+                self._refute(state)
             return
         self._states[name] = state
-        self._news[name] = 0
+        self._transmissions[name] = 0
         if state.status == SUSPECTED:
             self._suspected_at.setdefault(name, now)
         else:
             self._suspected_at.pop(name, None)
-        before = old is not None and old.status != GONE
-        if (state.status != GONE) is not before:
-            self._told("out" if state.status == GONE else "in", {"member": name, "why": "decided"})
+        was_present = old is not None and old.status != DEAD
+        if (state.status != DEAD) is not was_present:
+            kind = MemberRemoved if state.status == DEAD else MemberJoined
+            members = sum(one.status != DEAD for one in self._states.values())
+            self._on_event(kind(name, state.incarnation, ChangeCause.DECIDED, [], "", members))
+
+    def _refute(self, state: SwimState) -> None:
+        name = self.identity.name
+        self._states[name] = SwimState(self.identity, state.incarnation + 1, ALIVE)
+        self._transmissions[name] = 0
 
     def _send(self, address: Address, kind: str, number: int, name: str) -> None:
-        enough = math.ceil(SPREAD_TIMES * math.log2(len(self._states) + 1))
-        picked = sorted(self._news, key=lambda one: self._news[one])[:NEWS]
-        for one in picked:
-            self._news[one] += 1
-            if self._news[one] >= enough:
-                del self._news[one]
-        data = msgspec.msgpack.encode((kind, number, name, [self._states[one] for one in picked]))
+        max_transmissions = math.ceil(TRANSMIT_FACTOR * math.log2(len(self._states) + 1))
+        selected = sorted(self._transmissions, key=lambda one: self._transmissions[one])
+        selected = selected[:MAX_UPDATES_PER_DATAGRAM]
+        for one in selected:
+            self._transmissions[one] += 1
+            if self._transmissions[one] >= max_transmissions:
+                del self._transmissions[one]
+        data = msgspec.msgpack.encode((kind, number, name, [self._states[one] for one in selected]))
         self.sent_bytes += len(data)
         self._out.append((address, data))
 
     def _flush(self) -> list[Datagram]:
-        out, self._out = self._out, []
-        return out
+        datagrams = self._out
+        self._out = []
+        return datagrams
--- a/ironmill_testbed/measures/membership.py
+++ b/ironmill_testbed/measures/membership.py
@@ -15,21 +15,27 @@
 from pathlib import Path
 from typing import Any
 
+from ironmill.membership.events import MemberRemoved
 from ironmill.membership.identity import Address
 from ironmill.membership.member import Member
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.faults import checker
 from ironmill_testbed.faults.process_cluster import ProcessCluster
 from ironmill_testbed.faults.schedule import Fault, both_ways
-from ironmill_testbed.faults.simulated_cluster import Make, SimulatedCluster
-from ironmill_testbed.faults.swim import Swim
+from ironmill_testbed.faults.simulated_cluster import (
+    ClusterEvent,
+    ClusterOptions,
+    MemberFactory,
+    SimulatedCluster,
+)
+from ironmill_testbed.faults.swim import SwimMember
 from ironmill_testbed.fleet import Client, Fleet, in_parallel, play
 
 PLOTS = Path("found")
 CLIENTS = 60
 LIMIT = 600.0
 SETTLED = 5.0  # seconds before anything goes wrong
-KINDS: dict[str, Make] = {"ours": Member, "swim": Swim}
+KINDS: dict[str, MemberFactory] = {"ours": Member, "swim": SwimMember}
 
 
 def measure(quick: bool, poller: str, program: Path | None) -> dict[str, Any]:
@@ -66,28 +72,33 @@
     return {name: round(value, 3) if isinstance(value, float) else value for name, value in found.items()}
 
 
-def _world(kind: str, size: int, faults: Sequence[Fault], seed: int) -> SimulatedCluster:
-    world = SimulatedCluster(size, faults, seed, make=KINDS[kind])
-    world.settle()
-    world.run(SETTLED)
-    return world
+def _converged_cluster(kind: str, size: int, faults: Sequence[Fault], seed: int) -> SimulatedCluster:
+    cluster = SimulatedCluster(size, faults, seed, ClusterOptions(make_member=KINDS[kind]))
+    cluster.start_converged()
+    cluster.run(SETTLED)
+    return cluster
 
 
 def _detection(kind: str, size: int, seeds: Sequence[int]) -> tuple[float, float]:
     """Seconds until a killed member is out of every view: the mean, and the 99th percentile of all views."""
     took: list[float] = []
     for seed in seeds:
-        world = _world(kind, size, [], seed)
-        dead = world.nodes[random.Random(seed).choice(list(world.nodes))].name
-        world.kill(dead)
-        since = world.now
-        world.run(since + 12.0)
-        at = {e.name: e.at - since for e in world.removals(since) if e.fields["member"] == dead}
-        took += [at.get(name, float("inf")) for name in world.nodes if name != dead]
+        cluster = _converged_cluster(kind, size, [], seed)
+        dead = random.Random(seed).choice(list(cluster.processes))
+        cluster.kill(dead)
+        since = cluster.now
+        cluster.run(since + 12.0)
+        at = {one.observer: one.at_s - since for one in cluster.removals(since) if _member(one) == dead}
+        took += [at.get(name, float("inf")) for name in cluster.processes if name != dead]
     took.sort()
     return sum(took) / len(took), took[int(0.99 * (len(took) - 1))]
 
 
+def _member(removal: ClusterEvent) -> str:
+    assert isinstance(removal.event, MemberRemoved)
+    return removal.event.member
+
+
 def _loss(share: float, span: float) -> Fault:
     return Fault("loss", SETTLED, SETTLED + span, share=share)
 
@@ -115,9 +126,9 @@
     """How often anybody who is well was put out of a view."""
     count = 0
     for seed in seeds:
-        world = _world(kind, size, faults, seed)
-        world.run(SETTLED + span)
-        count += len(world.removals(SETTLED))
+        cluster = _converged_cluster(kind, size, faults, seed)
+        cluster.run(SETTLED + span)
+        count += len(cluster.removals(SETTLED))
     return count
 
 
@@ -125,22 +136,22 @@
     """Removals beyond one in each view; seconds until it was out everywhere, and in again after the cut."""
     one = ("p00001",)
     cut = Fault("cut", SETTLED, SETTLED + 20.0, () if deaf else one, one if deaf else ())
-    world = _world("ours", size, [cut], seed)
-    rest = [name for name in world.nodes if name not in one]
-    gone = world.run_until(lambda: world.agree(rest), 20.0)
-    world.run(SETTLED + 20.0)
-    back = world.run_until(world.agree, 20.0)
-    return len(world.removals(SETTLED)) - len(rest), _or_never(gone), _or_never(back)
+    cluster = _converged_cluster("ours", size, [cut], seed)
+    rest = [name for name in cluster.processes if name not in one]
+    gone = cluster.run_until(lambda: cluster.agree(rest), 20.0)
+    cluster.run(SETTLED + 20.0)
+    back = cluster.run_until(cluster.agree, 20.0)
+    return len(cluster.removals(SETTLED)) - len(rest), _or_never(gone), _or_never(back)
 
 
 def _halves(size: int, seed: int) -> tuple[float, float]:
     """Seconds until both halves were whole, and until all were one again."""
     names = tuple(f"p{at:05d}" for at in range(size))
     one, other = names[: size // 2], names[size // 2 :]
-    world = _world("ours", size, both_ways(SETTLED, SETTLED + 25.0, one, other), seed)
-    whole = world.run_until(lambda: world.agree(one) and world.agree(other), 25.0)
-    world.run(SETTLED + 25.0)
-    return _or_never(whole), _or_never(world.run_until(world.agree, 25.0))
+    cluster = _converged_cluster("ours", size, both_ways(SETTLED, SETTLED + 25.0, one, other), seed)
+    whole = cluster.run_until(lambda: cluster.agree(one) and cluster.agree(other), 25.0)
+    cluster.run(SETTLED + 25.0)
+    return _or_never(whole), _or_never(cluster.run_until(cluster.agree, 25.0))
 
 
 def _or_never(took: float | None) -> float:
@@ -151,15 +162,15 @@
     """Bytes a second that the busiest member sends at rest; bytes that one more member costs each."""
     import tracemalloc
 
-    world = _world("ours", size, [], 1)
-    before = [member.sent_bytes for member in world.running()]
-    world.run(SETTLED + 10.0)
-    sent = [m.sent_bytes - was for m, was in zip(world.running(), before, strict=True)]
+    cluster = _converged_cluster("ours", size, [], 1)
+    before = [member.sent_bytes for member in cluster.running_members()]
+    cluster.run(SETTLED + 10.0)
+    sent = [m.sent_bytes - was for m, was in zip(cluster.running_members(), before, strict=True)]
     held = []
     for count in (size, 2 * size):
         tracemalloc.start()
         one = SimulatedCluster(count, [], 1)
-        one.settle()
+        one.start_converged()
         held.append(tracemalloc.get_traced_memory()[0] / count)
         tracemalloc.stop()
     return max(sent) / 10.0, (held[1] - held[0]) / size
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -6,7 +6,8 @@
 
 from ironmill.distribution import wire as distribution
 from ironmill.distribution.revision import Position, Refusal
-from ironmill.membership import wire as membership
+from ironmill.membership import codec as membership_codec
+from ironmill.membership import messages as membership
 from ironmill.membership.envelope import Envelope
 from ironmill.membership.identity import MemberIdentity
 
@@ -15,27 +16,27 @@
 SENDER = MemberIdentity("n1", "10.0.0.4", 7946, "a", "east", 1764700000123)
 OTHER = MemberIdentity("n2", "10.0.0.5", 7946, "b", "east", 1764700000456)
 
-FACTS = {
-    "joined": membership.Fact(SENDER, 0),
-    "out": membership.Fact(OTHER, 3),
-    "left": membership.Fact(OTHER, 4, True),
+RECORDS = {
+    "joined": membership.MemberRecord(SENDER, 0),
+    "out": membership.MemberRecord(OTHER, 3),
+    "left": membership.MemberRecord(OTHER, 4, True),
 }
 OPINIONS = {
-    "accuses": membership.Opinion("n1", "n2", 1764700000456, 0, 17, membership.ACCUSES),
-    "nothing": membership.Opinion("n1", "n2", 1764700000456, 0, 18, membership.NOTHING),
-    "vouches": membership.Opinion("n1", "n2", 1764700000456, 1, 19, membership.VOUCHES),
+    "accuses": membership.Opinion("n1", "n2", 1764700000456, 0, 17, membership.SUSPECT),
+    "nothing": membership.Opinion("n1", "n2", 1764700000456, 0, 18, membership.NEUTRAL),
+    "vouches": membership.Opinion("n1", "n2", 1764700000456, 1, 19, membership.ALIVE),
 }
-RUMOURS = [Raw(membership.pack(one)) for one in (*FACTS.values(), *OPINIONS.values())]
+UPDATES = [Raw(membership_codec.encode_update(one)) for one in (*RECORDS.values(), *OPINIONS.values())]
 
 MEMBERSHIP: dict[str, membership.Message] = {
-    "ping": membership.Ping(7, 4_000_000_001, 0x1234567890ABCD, RUMOURS),
+    "ping": membership.Ping(7, 4_000_000_001, 0x1234567890ABCD, UPDATES),
     "ping without rumours": membership.Ping(8, 0, 0, []),
-    "ack": membership.Ack(7, 77, 0x1234567890ABCD, RUMOURS[:1]),
+    "ack": membership.Ack(7, 77, 0x1234567890ABCD, UPDATES[:1]),
     "ack passed on": membership.Ack(9, 0, 5, [], "n3"),
-    "seek": membership.Seek(10, 3, "n3"),
-    "want": membership.Want(11, 12, "n1"),
-    "page": membership.Page(12, list(FACTS.values()), False),
-    "last page": membership.Page(12, [], True),
+    "seek": membership.IndirectPing(10, 3, "n3"),
+    "want": membership.StateSyncRequest(11, 12, "n1"),
+    "page": membership.StateSyncPage(12, list(RECORDS.values()), False),
+    "last page": membership.StateSyncPage(12, [], True),
 }
 
 _HELD, _TARGET = Position(3, 17), Position(4, 300)
--- a/tests/system/test_membership_processes.py
+++ b/tests/system/test_membership_processes.py
@@ -26,7 +26,7 @@
         names = town.names
         town.start()
         town.until(lambda: town.agree(names))
-        assert not [one for one in town.seen() if one.what == "out" and one.fields["why"] == "decided"]
+        assert not [one for one in town.seen() if one.what == "removed" and one.fields["why"] == "decided"]
 
         began = town.kill("m05", "m06")
         rest = [name for name in names if name not in ("m05", "m06")]
@@ -46,7 +46,7 @@
             town.until(lambda: town.agree(rest))
             seen = town.seen()
             assert {one.fields["member"] for one in checker.removals(seen, began)} == {"m03"}
-            assert [one for one in seen if one.name == "m03" and one.what == "cut-off" and one.at >= began]
+            assert [one for one in seen if one.name == "m03" and one.what == "isolated" and one.at >= began]
             town.play([])
             town.until(lambda: town.agree(names))
 
@@ -57,7 +57,7 @@
         town.until(lambda: town.agree(names))
         seen = town.seen()
         assert {one.fields["member"] for one in checker.removals(seen, began)} == {"m02"}
-        assert [one for one in seen if one.name == "m02" and one.what == "was-removed"]
+        assert [one for one in seen if one.name == "m02" and one.what == "removed-by-others"]
 
         one, other = names[:4], names[4:]
         town.play(both_ways(0.0, 1e9, tuple(one), tuple(other)))
--- /dev/null
+++ b/tests/unit/membership/test_member.py
@@ -0,0 +1,302 @@
+"""Members in a simulated network: which are removed, which never are, and on what they agree."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterator
+
+import pytest
+
+from ironmill.membership import events
+from ironmill.membership.codec import Codec
+from ironmill.membership.events import ChangeCause, ViewChanged
+from ironmill.membership.identity import MemberIdentity
+from ironmill.membership.member import Member
+from ironmill.membership.messages import Ping
+from ironmill.membership.timing import Timing
+from ironmill_testbed.faults.schedule import Fault, both_ways
+from ironmill_testbed.faults.simulated_cluster import KEY, ClusterOptions, SimulatedCluster
+
+COUNT = 14
+NAMES = tuple(f"p{at:05d}" for at in range(COUNT))
+SEEDS = (1, 2, 3)
+
+
+def converged_cluster(*faults: Fault, seed: int = 1, count: int = COUNT) -> SimulatedCluster:
+    """A cluster whose members all know each other; faults begin at 5 s."""
+    cluster = SimulatedCluster(count, faults, seed)
+    cluster.start_converged()
+    cluster.run(5.0)
+    assert cluster.agree()
+    return cluster
+
+
+def assert_agree_within(
+    cluster: SimulatedCluster, limit_s: float, names: tuple[str, ...], on: tuple[str, ...] | None = None
+) -> None:
+    took_s = cluster.run_until(lambda: cluster.agree(names, on), limit_s + 1.0)
+    assert took_s is not None, cluster.views(names)
+    assert took_s <= limit_s + 0.05
+
+
+def member_of(cluster: SimulatedCluster, name: str) -> Member:
+    member = cluster.processes[name].member
+    assert isinstance(member, Member)
+    return member
+
+
+def without(*names: str) -> tuple[str, ...]:
+    return tuple(name for name in NAMES if name not in names)
+
+
+def removed_members(cluster: SimulatedCluster) -> set[str]:
+    return {one.event.member for one in cluster.removals() if isinstance(one.event, ViewChanged)}
+
+
+def changes_by_cause(cluster: SimulatedCluster, cause: ChangeCause) -> list[events.Event]:
+    found = [one.event for one in cluster.events]
+    return [event for event in found if isinstance(event, ViewChanged) and event.cause is cause]
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+@pytest.mark.parametrize("killed", [1, 4, 10])
+def test_killed_member_is_out_of_every_view_within_5_seconds(killed: int, seed: int) -> None:
+    cluster = converged_cluster(seed=seed)
+    dead = random.Random(seed).sample(NAMES, killed)
+    for name in dead:
+        cluster.kill(name)
+    assert_agree_within(cluster, 5.0, without(*dead))
+    assert removed_members(cluster) == set(dead)
+    for name in dead:
+        cluster.start(name)
+    assert_agree_within(cluster, 5.0, NAMES)
+
+
+def _pauses(seed: int) -> list[Fault]:
+    rng = random.Random(seed)
+    return [Fault("pause", at, at + 2.0, names=tuple(rng.sample(NAMES, 3))) for at in range(5, 35, 3)]
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+@pytest.mark.parametrize(
+    "faults",
+    [
+        [Fault("loss", 5.0, 65.0, share=0.3)],
+        [Fault("delay", 5.0, 35.0, most=1.0), Fault("duplicate", 5.0, 35.0, share=0.2, most=1.0)],
+        [Fault("cut", 5.0, 35.0, NAMES[1:2], NAMES[2:3])],
+        [Fault("cut", 5.0, 35.0, NAMES[1:2], NAMES[2:6])],  # a third does not receive from it
+        [Fault("corrupt", 5.0, 35.0, share=0.2)],
+        "pauses",
+    ],
+    ids=["loss", "delay", "one-link", "a-third", "corrupt", "pauses"],
+)
+def test_healthy_member_is_never_removed(faults: list[Fault] | str, seed: int) -> None:
+    cluster = converged_cluster(*(_pauses(seed) if isinstance(faults, str) else faults), seed=seed)
+    cluster.run(68.0 if faults[0] == "loss" else 38.0)
+    assert cluster.removals() == []
+    assert cluster.agree()
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+@pytest.mark.parametrize("cannot_receive", [True, False])
+def test_member_with_one_way_contact_is_removed_and_rejoins_once(cannot_receive: bool, seed: int) -> None:
+    affected = NAMES[1:2]
+    cut = Fault("cut", 5.0, 25.0, () if cannot_receive else affected, affected if cannot_receive else ())
+    cluster = converged_cluster(cut, seed=seed)
+    assert_agree_within(cluster, 8.0, without(*affected))
+    assert any(
+        one.observer in affected and isinstance(one.event, events.IsolationStarted) and one.at_s <= 8.0
+        for one in cluster.events
+    )
+    cluster.run(25.0)
+    assert removed_members(cluster) == set(affected)
+    assert len(cluster.removals()) == COUNT - 1  # once in each view
+    assert_agree_within(cluster, 5.0, NAMES)
+    cluster.run(35.0)
+    assert len(cluster.removals()) == COUNT - 1
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+def test_paused_member_removes_none_and_rejoins_under_a_new_incarnation(seed: int) -> None:
+    cluster = converged_cluster(Fault("pause", 5.0, 35.0, names=NAMES[3:4]), seed=seed)
+    paused = member_of(cluster, NAMES[3])
+    incarnation = paused.identity.incarnation
+    assert_agree_within(cluster, 5.0, without(NAMES[3]))
+    cluster.run(35.0)
+    assert_agree_within(cluster, 5.0, NAMES)
+    assert paused.identity.incarnation == incarnation + 1
+    assert removed_members(cluster) == {NAMES[3]}
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+def test_halves_of_a_partition_complete_their_views_and_merge_again(seed: int) -> None:
+    one, other = NAMES[:7], NAMES[7:]
+    cluster = converged_cluster(*both_ways(5.0, 30.0, one, other), seed=seed)
+    took_s = cluster.run_until(lambda: cluster.agree(one) and cluster.agree(other), 9.0)
+    assert took_s is not None
+    assert took_s <= 8.05
+    cluster.run(30.0)
+    removals = len(cluster.removals())
+    assert_agree_within(cluster, 10.0, NAMES)
+    cluster.run(45.0)
+    assert len(cluster.removals()) == removals  # merging removes none
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+def test_groups_in_a_circle_of_one_way_contact_complete_their_views_and_merge(seed: int) -> None:
+    """Each group receives from one of the other two and sends to the other one."""
+    a, b, c = NAMES[0::3], NAMES[1::3], NAMES[2::3]
+    cluster = converged_cluster(
+        Fault("cut", 5.0, 25.0, c, a), Fault("cut", 5.0, 25.0, a, b), Fault("cut", 5.0, 25.0, b, c), seed=seed
+    )
+    took_s = cluster.run_until(lambda: cluster.agree(a) and cluster.agree(b) and cluster.agree(c), 9.0)
+    assert took_s is not None
+    assert took_s <= 8.05
+    cluster.run(25.0)
+    assert_agree_within(cluster, 10.0, NAMES)
+
+
+def test_members_merge_after_a_series_of_partitions() -> None:
+    faults: list[Fault] = []
+    rng = random.Random(5)
+    for start in range(5, 45, 4):
+        names = list(NAMES)
+        rng.shuffle(names)
+        faults += both_ways(float(start), start + 4.0, tuple(names[:5]), tuple(names[5:]))
+    cluster = converged_cluster(*faults)
+    cluster.run(45.0)
+    assert_agree_within(cluster, 10.0, NAMES)
+
+
+@pytest.mark.parametrize("count", [1, 2, 3, 40])
+def test_members_that_start_together_agree_on_one_view(count: int) -> None:
+    cluster = SimulatedCluster(count, seed=4)
+    cluster.start_all(0.2)
+    assert cluster.run_until(cluster.agree, 10.0) is not None, cluster.views()
+    assert not [
+        one
+        for one in cluster.removals()
+        if isinstance(one.event, ViewChanged) and one.event.cause is ChangeCause.DECIDED
+    ]
+
+
+def test_known_members_rejoin_while_all_seeds_are_down() -> None:
+    cluster = converged_cluster()
+    for name in (NAMES[0], NAMES[1], NAMES[9]):  # both seeds, and one more
+        cluster.kill(name)
+    assert_agree_within(cluster, 5.0, without(NAMES[0], NAMES[1], NAMES[9]))
+    cluster.start(NAMES[9])  # observers still ping it
+    assert_agree_within(cluster, 5.0, without(NAMES[0], NAMES[1]))
+    cluster.start(NAMES[1])
+    cluster.start(NAMES[0])  # a seed joins too, and starts no second cluster
+    assert_agree_within(cluster, 5.0, NAMES)
+    assert not changes_by_cause(cluster, ChangeCause.BOOTSTRAPPED)
+
+
+def test_removed_member_is_forgotten_and_can_join_again() -> None:
+    options = ClusterOptions(timing=Timing(forget_delay_s=50.0))
+    cluster = SimulatedCluster(COUNT, seed=2, options=options)
+    cluster.start_converged()
+    cluster.run(5.0)
+    cluster.kill(NAMES[6])
+    cluster.run(65.0)
+    forgotten = {one.observer for one in cluster.events if isinstance(one.event, events.MemberForgotten)}
+    assert forgotten == set(without(NAMES[6]))
+    assert cluster.agree(without(NAMES[6]))
+    cluster.start(NAMES[6])
+    assert_agree_within(cluster, 5.0, NAMES)
+
+
+def test_gossip_is_not_sent_to_an_address_without_proven_contact() -> None:
+    """A replayed datagram with a forged source must not direct a larger answer to a third party."""
+    cluster = converged_cluster()
+    one, codec = member_of(cluster, NAMES[0]), Codec("sim", [KEY])
+    cluster.kill(NAMES[5])
+    cluster.run(8.0)
+    assert one._broadcasts  # there is gossip
+    stranger = MemberIdentity("stranger", "10.9.9.9", 1, "z", "r", 5)
+    ping = codec.encode(stranger, "", 1, Ping(1, 0, 0, []))
+    for _ in range(3):
+        ((address, data),) = one.receive(ping, ("10.9.9.9", 1), cluster.now)
+        assert address == ("10.9.9.9", 1)
+        assert len(data) < 2 * len(ping)
+        assert "stranger" not in one._state.peers
+    # A member at its known address gets gossip even before it echoes a token.
+    known = cluster.processes[NAMES[7]]
+    old = member_of(cluster, NAMES[7])
+    ping = codec.encode(old.identity, "", 10_000, Ping(1, 0, 0, []))
+    ((_, data),) = one.receive(ping, known.address, cluster.now)
+    assert len(data) > 2 * len(ping)
+
+
+def test_graceful_shutdown_is_announced_rather_than_detected() -> None:
+    cluster = converged_cluster()
+    cluster.leave(NAMES[4])
+    assert_agree_within(cluster, 2.0, without(NAMES[4]))
+    assert not [one for one in cluster.events if isinstance(one.event, events.OpinionChanged)]
+
+
+def test_newer_process_supersedes_older_one_of_the_same_name() -> None:
+    cluster = converged_cluster()
+    older = member_of(cluster, NAMES[2])
+    cluster.run(6.0)
+    cluster.start(NAMES[2])  # the address now belongs to the newer one
+    assert_agree_within(cluster, 5.0, NAMES)
+    newer = member_of(cluster, NAMES[2])
+    for _, data in newer.tick(cluster.now + 0.1):
+        older.receive(data, ("10.0.0.2", 7000), cluster.now + 0.1)
+    assert older.is_superseded
+    assert older.tick(cluster.now + 0.2) == []
+    assert len([one for one in cluster.events if isinstance(one.event, events.Superseded)]) == 1
+
+
+def test_process_restarted_under_a_stepped_wall_clock_joins_again() -> None:
+    missing = []
+    for down_s in (0.5, 12.0, 60.0):
+        for clock_offset_s in (-3600.0, -5.0, 3600.0):
+            cluster = converged_cluster()
+            cluster.kill(NAMES[5])
+            cluster.run(cluster.now + down_s)
+            cluster.start(NAMES[5], clock_offset_s)
+            cluster.run(cluster.now + 20.0)
+            if not cluster.agree(NAMES) or member_of(cluster, NAMES[5]).is_superseded:
+                missing.append((down_s, clock_offset_s))
+    assert not missing
+
+
+def test_isolated_member_removes_none() -> None:
+    cluster = converged_cluster(*both_ways(5.0, 40.0, NAMES[:1], NAMES[1:]))
+    cluster.run(40.0)
+    assert member_of(cluster, NAMES[0]).is_isolated
+    assert [one for one in cluster.removals() if one.observer == NAMES[0]] == []
+
+
+def test_replayed_or_misdirected_datagram_is_dropped() -> None:
+    cluster = converged_cluster()
+    other = member_of(cluster, NAMES[1])
+    recorded: list[bytes] = []
+    carry = cluster.links.carry
+
+    def record(now: float, source: str, target: str, data: bytes) -> Iterator[tuple[float, bytes]]:
+        if target == NAMES[1]:
+            recorded.append(data)
+        return carry(now, source, target, data)
+
+    cluster.links.carry = record  # type: ignore[method-assign]
+    cluster.run(8.0)
+    assert recorded
+    before = dict(other.dropped)
+    for data in recorded:
+        assert other.receive(data, ("10.9.9.9", 1), cluster.now) == []
+    assert other.dropped["replayed"] == before.get("replayed", 0) + len(recorded)
+    third = member_of(cluster, NAMES[2])
+    third.receive(recorded[0], ("10.9.9.9", 1), cluster.now)
+    assert third.dropped["misdirected"] == 1
+
+
+def test_idle_member_sends_at_most_2_kib_per_second() -> None:
+    cluster = converged_cluster(count=40)
+    before = {one.identity.name: one.sent_bytes for one in cluster.running_members()}
+    cluster.run(25.0)
+    max_sent_bytes = max(one.sent_bytes - before[one.identity.name] for one in cluster.running_members())
+    assert max_sent_bytes / 20.0 <= 2048.0
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -26,7 +26,8 @@
 from ironmill.distribution.keyspace import Keyspace
 from ironmill.distribution.revision import pack_entry, unpack_entries
 from ironmill.identity.keyring import KeyState, parse_ring
-from ironmill.membership import wire as membership
+from ironmill.membership import codec as membership_codec
+from ironmill.membership import messages as membership
 from ironmill.net.revision_store import SqliteStore
 from ironmill.protocol.client import Asked, ClientSide, Left, Malformed, Onward, Opened, SendingEnded, Shown
 from ironmill.protocol.discovery import Listed, parse_routing
@@ -49,9 +50,9 @@
 # Datagrams
 
 
-def codecs(newest: bytes = messages.KEY) -> tuple[membership.Codec, distribution.Codec]:
+def codecs(newest: bytes = messages.KEY) -> tuple[membership_codec.Codec, distribution.Codec]:
     keys = [newest, messages.OLDER_KEY]
-    return membership.Codec(messages.CLUSTER, keys), distribution.Codec(messages.CLUSTER, keys)
+    return membership_codec.Codec(messages.CLUSTER, keys), distribution.Codec(messages.CLUSTER, keys)
 
 
 @pytest.mark.parametrize("at", range(len(messages.MEMBERSHIP)))
@@ -79,13 +80,13 @@
     assert len(set(found["membership"].values()) | set(found["distribution"].values())) == 21
 
 
-def test_rumours_are_as_recorded() -> None:
-    rumours = {**messages.FACTS, **messages.OPINIONS}
+def test_gossip_updates_are_as_recorded() -> None:
+    updates = {**messages.RECORDS, **messages.OPINIONS}
     found = recorded("datagrams.json")["rumours"]
-    assert {kind: membership.pack(rumour).hex() for kind, rumour in rumours.items()} == found
-    assert {kind: membership.unpack(msgspec.Raw(bytes.fromhex(data))) for kind, data in found.items()} == (
-        rumours
-    )
+    assert {kind: membership_codec.encode_update(update).hex() for kind, update in updates.items()} == found
+    assert {
+        kind: membership_codec.decode_update(msgspec.Raw(bytes.fromhex(data))) for kind, data in found.items()
+    } == (updates)
 
 
 def test_a_datagram_under_the_older_key_is_read() -> None:
@@ -93,7 +94,7 @@
     codec, _ = codecs()
     ping = messages.MEMBERSHIP["ping"]
     assert codec.decode(data) == messages.envelope(ping, "n2", 3000)
-    older = membership.Codec(messages.CLUSTER, [messages.OLDER_KEY])
+    older = membership_codec.Codec(messages.CLUSTER, [messages.OLDER_KEY])
     assert older.encode(messages.SENDER, "n2", 3000, ping) == data
 
 
@@ -103,7 +104,7 @@
         "refused",
         "unreachable",
     )
-    assert (membership.ACCUSES, membership.NOTHING, membership.VOUCHES) == (-1, 0, 1)
+    assert (membership.SUSPECT, membership.NEUTRAL, membership.ALIVE) == (-1, 0, 1)
 
 
 # Entries and digests of the keyspace
--- a/tests/unit/testbed/test_capacity.py
+++ b/tests/unit/testbed/test_capacity.py
@@ -16,7 +16,7 @@
 from ironmill.distribution.revision import REVISION_CHANGES_MOST
 from ironmill.distribution.timing import POLL_EVERY
 from ironmill.distribution.timing import Timing as DistributionTiming
-from ironmill.membership.rings import RINGS
+from ironmill.membership.rings import RING_COUNT
 from ironmill.membership.timing import Timing as MembershipTiming
 from ironmill.requests import discovery_backoff
 from ironmill_testbed.__main__ import main
@@ -559,9 +559,9 @@
 
 def test_what_the_program_keeps_to_stands_in_the_plan() -> None:
     today = plan.load().today
-    assert today.gone_within_s == MembershipTiming().gone_within
-    assert today.ping_every_s == MembershipTiming().ping_every
-    assert today.observers == RINGS
+    assert today.gone_within_s == MembershipTiming().max_detection_s
+    assert today.ping_every_s == MembershipTiming().ping_interval_s
+    assert today.observers == RING_COUNT
     assert today.poll_every_s == POLL_EVERY
     assert today.catch_up_bytes_per_s == DistributionTiming().catch_up_rate
     assert today.serve_bytes_per_s == DistributionTiming().serve_rate
--- a/tests/unit/testbed/test_sweeps.py
+++ b/tests/unit/testbed/test_sweeps.py
@@ -10,12 +10,13 @@
 import pytest
 from msgspec import structs
 
+from ironmill.membership.member import Member
 from ironmill_testbed.capacity import data, sweep_core, sweep_membership, sweep_table, sweeps
 from ironmill_testbed.capacity.data import Measured, Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs, fill
+from ironmill_testbed.faults.interning import MemberInterner
 from ironmill_testbed.faults.schedule import Fault
-from ironmill_testbed.faults.shared import Shared
-from ironmill_testbed.faults.simulated_cluster import SimulatedCluster
+from ironmill_testbed.faults.simulated_cluster import ClusterOptions, SimulatedCluster
 
 SIZES = (10, 20, 30, 40, 50)
 
@@ -60,7 +61,7 @@
 
 def test_all_of_a_killed_zone_are_found_gone() -> None:
     costs = sweep_membership.zone(33, True, 1)
-    assert 2.0 < costs["membership_zone_gone"] < sweep_membership.WATCH
+    assert 2.0 < costs["membership_zone_gone"] < sweep_membership.ZONE_FAILURE_SPAN_S
     assert costs["membership_zone_bytes"] > 1000.0
     assert costs["membership_zone_span"] >= 0.0
     assert costs == sweep_membership.zone(33, True, 1), "by the seed alone"
@@ -151,52 +152,54 @@
     assert data.load(path) == merged
 
 
-def test_members_that_share_hold_one_object_of_each_fact() -> None:
-    world = SimulatedCluster(12, seed=3, make=Shared())
-    world.settle()
-    world.run(3.0)
-    world.kill("p00003")
-    world.run(15.0)
-    views = [{fact.card.name: fact for fact in member.view.facts.values()} for member in world.running()]
-    assert world.agree()
-    for name, fact in views[0].items():
-        assert all(view[name] is fact for view in views[1:])
-    places = [member.view.rings._places for member in world.running()]
-    assert all(place[name] is places[0][name] for place in places for name in places[0])
+def test_interned_members_share_one_object_of_each_record() -> None:
+    cluster = SimulatedCluster(12, seed=3, options=ClusterOptions(make_member=MemberInterner()))
+    cluster.start_converged()
+    cluster.run(3.0)
+    cluster.kill("p00003")
+    cluster.run(15.0)
+    members = [member for member in cluster.running_members() if isinstance(member, Member)]
+    assert len(members) == 11
+    views = [dict(member.view.records) for member in members]
+    assert cluster.agree()
+    for name, record in views[0].items():
+        assert all(view[name] is record for view in views[1:])
+    positions = [member.view.rings._positions for member in members]
+    assert all(one[name] is positions[0][name] for one in positions for name in positions[0])
 
 
 @pytest.mark.parametrize("seed", (1, 2))
-def test_sharing_alters_neither_a_view_nor_a_datagram(seed: int) -> None:
+def test_interning_alters_neither_a_view_nor_a_datagram(seed: int) -> None:
     faults = [
         Fault("loss", 2.0, 8.0, share=0.2),
         Fault("kill", 3.0, names=("p00004", "p00005")),
         Fault("pause", 4.0, 8.0, names=("p00007",)),
         Fault("start", 14.0, names=("p00004",)),
     ]
-    worlds = [SimulatedCluster(15, faults, seed), SimulatedCluster(15, faults, seed, make=Shared())]
-    for world in worlds:
-        world.settle()
+    plain = SimulatedCluster(15, faults, seed)
+    interned = SimulatedCluster(15, faults, seed, ClusterOptions(make_member=MemberInterner()))
+    for cluster in (plain, interned):
+        cluster.start_converged()
     for until in (2.5, 6.0, 10.0, 14.0, 20.0):
-        for world in worlds:
-            world.run(until)
-        alone, shared = worlds
-        assert shared.datagrams == alone.datagrams
-        assert shared.events == alone.events
-        for one, other in zip(alone.running(), shared.running(), strict=True):
+        for cluster in (plain, interned):
+            cluster.run(until)
+        assert interned.datagrams == plain.datagrams
+        assert interned.events == plain.events
+        for one, other in zip(plain.running_members(), interned.running_members(), strict=True):
             assert one.members() == other.members()
             assert one.sent_bytes == other.sent_bytes
 
 
-def test_what_is_shared_is_equal_and_the_newest() -> None:
-    shared = Shared()
-    world = SimulatedCluster(3)
-    world.settle()
-    fact = world.running()[0].members()[0]
-    copy = structs.replace(fact)
-    assert copy is not fact
-    assert shared.fact(fact) is fact
-    assert shared.fact(copy) is fact
-    newer = structs.replace(fact, flips=fact.flips + 1)
-    assert shared.fact(newer) is newer
-    assert shared.fact(fact) is fact, "one that lags keeps what it has"
-    assert shared.fact(structs.replace(newer)) is newer
+def test_interned_record_is_equal_and_the_newest() -> None:
+    interner = MemberInterner()
+    cluster = SimulatedCluster(3)
+    cluster.start_converged()
+    record = cluster.running_members()[0].members()[0]
+    copy = structs.replace(record)
+    assert copy is not record
+    assert interner.intern_record(record) is record
+    assert interner.intern_record(copy) is record
+    newer = structs.replace(record, transitions=record.transitions + 1)
+    assert interner.intern_record(newer) is newer
+    assert interner.intern_record(record) is record, "a member that lags keeps its own"
+    assert interner.intern_record(structs.replace(newer)) is newer
