--- a/ironmill/net/client.py
+++ b/ironmill/net/client.py
@@ -180,7 +180,7 @@
 
     def _busy(self, retry_after: float) -> bytes:
         """``BUSY``, with the time to come again where the settings allow one."""
-        return busy_line(retry_after if self._config.settings.retry_after_max > 0.0 else 0.0)
+        return busy_line(retry_after if self._config.settings.max_retry_after > 0.0 else 0.0)
 
     def _send_off(self, retry_after: float) -> None:
         """The last answer and the close, without a wait: its descriptor is needed."""
@@ -251,7 +251,7 @@
         match event:
             case Asked():
                 self._first_by = time.monotonic() + FIRST_LINE_WAIT
-                pong = self._gateway.lifecycle.policy.pong
+                pong = self._gateway.lifecycle.policy.answers_pong
                 self._stream.send(b"PONG\r\n" if pong else b"DRAINING\r\n", GENTLE)
             case Shown():
                 self._show(event.token)
@@ -302,7 +302,7 @@
             self._turn_away("a class that does not exist")
             return
         self._count = self._gateway.figures.take(first.fields["c"])
-        if not self._gateway.lifecycle.policy.opens:
+        if not self._gateway.lifecycle.policy.admits_requests:
             self._refuse(RETRY_DRAINED)
             return
         if self._guest is not None and not self._go_on(self._guest.ask(first.fields["c"])):
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -7,14 +7,16 @@
 import time
 from typing import Any
 
-from ironmill.administration.configuration_api import ConfigurationCalls
+from ironmill.administration.configuration_api import ConfigurationApi
 from ironmill.administration.routes import Routes
 from ironmill.configuration.distributed_keys import check_form
-from ironmill.configuration.operator_files import Operator
+from ironmill.configuration.operator_files import OperatorFiles
+from ironmill.distribution.changes import Changes
+from ironmill.distribution.errors import StoreError
 from ironmill.distribution.node import Origin
-from ironmill.distribution.revision import Changes, Entry, Position, StoreError
+from ironmill.distribution.revision import Position, RevisionMetadata, StoredRevision
 from ironmill.membership.identity import Address
-from ironmill.net.control import Control
+from ironmill.net.admin_server import AdminServer
 from ironmill.net.distribution import Distribution
 from ironmill.net.revision_store import SqliteStore
 from ironmill.net.signals import Signals
@@ -34,18 +36,11 @@
         self._distribution = distribution
 
     def push(
-        self,
-        changes: Changes,
-        at: float,
-        author: str,
-        note: str,
-        ticket: str,
-        now: float,
-        expect: Position | None = None,
+        self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
         """As ``Origin.push``."""
         try:
-            return self._origin.push(changes, at, author, note, ticket, now, expect)
+            return self._origin.push(changes, metadata, now, expect)
         finally:
             self._distribution.flush()
 
@@ -53,16 +48,16 @@
         """As ``Origin.undo``."""
         return self._origin.undo(number)
 
-    def history(self, most: int) -> list[Entry]:
+    def history(self, max_count: int) -> list[StoredRevision]:
         """As ``Origin.history``."""
-        return self._origin.history(most)
+        return self._origin.history(max_count)
 
 
 class ControlMachine:
     """Takes part once it is made and run, until it is told to end."""
 
     def __init__(
-        self, name: str, operator: Operator, staff: Address, signals: Signals, poller: str = "epoll"
+        self, name: str, operator: OperatorFiles, staff: Address, signals: Signals, poller: str = "epoll"
     ) -> None:
         """OSError where an address is not to be had, StoreError where the store is not fit for use."""
         settings = operator.settings.distribution
@@ -80,8 +75,8 @@
             reader = self.distribution.relay()
         routes = Routes()
         origins = [one.name for one in settings.controls if one.origin]
-        ConfigurationCalls(reader, writer, origins).add_to(routes)
-        self.control = Control(self.scheduler, staff, routes)
+        ConfigurationApi(reader, writer, origins).add_to(routes)
+        self.control = AdminServer(self.scheduler, staff, routes)
 
     def serve(self) -> None:
         """Run until SIGTERM or SIGINT."""
@@ -102,7 +97,7 @@
         self.scheduler.call_later(LAST_WORDS, self.scheduler.stop)
 
 
-def serve(name: str, operator: Operator, staff: Address) -> int:
+def serve(name: str, operator: OperatorFiles, staff: Address) -> int:
     """Run one control machine; the exit status. One line on standard error where it cannot begin."""
     import sys
 
--- a/ironmill/net/membership.py
+++ b/ironmill/net/membership.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ironmill.administration.messages import Answer, Call
+from ironmill.administration.messages import ApiRequest, ApiResponse
 from ironmill.configuration.settings.model import MembershipSettings
 from ironmill.membership import events
 from ironmill.membership.codec import Codec
@@ -72,7 +72,7 @@
         self._datagrams.send(self.member.leave(time.monotonic()))
         self._datagrams.close()
 
-    def shown(self, _: Call) -> Answer:
+    def shown(self, _: ApiRequest) -> ApiResponse:
         """Answers ``GET /admin/members`` with the view."""
         member = self.member
         removed = [record for _, record in sorted(member.view.records.items()) if not record.is_present]
@@ -90,7 +90,7 @@
             ],
             "dropped": member.dropped,
         }
-        return Answer(HTTPStatus.OK, msgspec.json.encode(body) + b"\n")
+        return ApiResponse(HTTPStatus.OK, msgspec.json.encode(body) + b"\n")
 
     def _describe(self, record: MemberRecord) -> dict[str, Any]:
         identity = record.identity
