--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -1,4 +1,4 @@
-"""Staff's second address: the calls, the table behind them, the driver beside callers that never finish."""
+"""The admin API of a proxy: its routes, its server beside incomplete calls, and drains."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Served:
-    """What the figures come from."""
+    """The source of the metrics."""
 
     def __init__(self, state: ProcessState = ProcessState.SERVING) -> None:
         self.lifecycle = Lifecycle(state)
@@ -41,30 +41,30 @@
         return 1
 
 
-def hear(data: bytes, step: int = 1 << 20) -> ApiRequest | ApiResponse | None:
-    side, heard = HttpExchange(), None
+def parse(data: bytes, step: int = 1 << 20) -> ApiRequest | ApiResponse | None:
+    side, parsed = HttpExchange(), None
     for at in range(0, len(data), step):
-        heard = side.receive(data[at : at + step])
-        if heard is not None:
+        parsed = side.receive(data[at : at + step])
+        if parsed is not None:
             break
-    return heard
+    return parsed
 
 
 @given(st.integers(1, 60))
-def test_a_call_is_whole_however_its_bytes_come(step: int) -> None:
-    assert hear(GET, step) == ApiRequest("GET", "/admin/health")
+def test_call_is_parsed_however_its_bytes_are_split(step: int) -> None:
+    assert parse(GET, step) == ApiRequest("GET", "/admin/health")
     post = b"POST /admin/quiesce?a=b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
-    assert hear(post, step) == ApiRequest("POST", "/admin/quiesce")
-    assert hear(post[:-1], step) is None
+    assert parse(post, step) == ApiRequest("POST", "/admin/quiesce")
+    assert parse(post[:-1], step) is None
 
 
 @given(st.binary(max_size=200))
-def test_rubbish_is_answered_or_waited_for_and_never_fails(data: bytes) -> None:
+def test_arbitrary_bytes_get_an_error_response_or_wait_for_more(data: bytes) -> None:
     side = HttpExchange()
-    heard = side.receive(data) if data else side.receive(b"")
-    if isinstance(heard, ApiResponse):
-        assert heard.status >= 400
-        assert side.encode(heard).startswith(b"HTTP/1.1 %d " % heard.status)
+    parsed = side.receive(data) if data else side.receive(b"")
+    if isinstance(parsed, ApiResponse):
+        assert parsed.status >= 400
+        assert side.encode(parsed).startswith(b"HTTP/1.1 %d " % parsed.status)
 
 
 @pytest.mark.parametrize(
@@ -79,32 +79,32 @@
         ),
     ],
 )
-def test_what_can_be_no_call_has_an_answer(data: bytes, status: int) -> None:
-    heard = hear(data, 4096)
-    assert isinstance(heard, ApiResponse)
-    assert heard.status == status
+def test_malformed_call_gets_an_error_status(data: bytes, status: int) -> None:
+    parsed = parse(data, 4096)
+    assert isinstance(parsed, ApiResponse)
+    assert parsed.status == status
 
 
-def test_the_table_of_calls() -> None:
+def test_routes_of_a_proxy() -> None:
     served = Served()
     api = ProxyApi(served)
 
-    def ask(method: str, path: str) -> tuple[int, Any]:
+    def call_server(method: str, path: str) -> tuple[int, Any]:
         answer = api.dispatch(ApiRequest(method, path))
         return int(answer.status), orjson.loads(answer.body) if answer.body else dict(answer.headers)
 
-    assert ask("GET", "/admin/health") == (200, {"state": "serving"})
-    assert ask("POST", "/admin/quiesce") == (200, {"state": "draining"})
-    assert ask("POST", "/admin/quiesce") == (200, {"state": "draining"})
-    assert ask("GET", "/admin/health")[0] == 503
-    assert ask("POST", "/admin/resume") == (200, {"state": "serving"})
-    assert ask("POST", "/admin/resume")[0] == 200
-    assert ask("GET", "/admin/nothing")[0] == 404
-    assert ask("GET", "/admin/quiesce") == (405, {"Allow": "POST"})
-    assert ask("DELETE", "/admin/stats") == (405, {"Allow": "GET"})
+    assert call_server("GET", "/admin/health") == (200, {"state": "serving"})
+    assert call_server("POST", "/admin/quiesce") == (200, {"state": "draining"})
+    assert call_server("POST", "/admin/quiesce") == (200, {"state": "draining"})
+    assert call_server("GET", "/admin/health")[0] == 503
+    assert call_server("POST", "/admin/resume") == (200, {"state": "serving"})
+    assert call_server("POST", "/admin/resume")[0] == 200
+    assert call_server("GET", "/admin/nothing")[0] == 404
+    assert call_server("GET", "/admin/quiesce") == (405, {"Allow": "POST"})
+    assert call_server("DELETE", "/admin/stats") == (405, {"Allow": "GET"})
     served.figures.take("read").passed()
     served.figures.take("read").dropped()
-    status, stats = ask("GET", "/admin/stats")
+    status, stats = call_server("GET", "/admin/stats")
     assert (status, stats["passed"], stats["dropped"], stats["bad_gateway"]) == (
         200,
         {"read": 1},
@@ -114,16 +114,16 @@
     assert (stats["in_progress"], stats["known_servers"], stats["skipped_servers"]) == (1, 4, 1)
     assert stats["upstream_tries"] == 0  # one number, as the platform reads it
     served.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
-    assert ask("GET", "/admin/health")[0] == 503
-    assert ask("POST", "/admin/quiesce")[0] == 200
-    assert ask("POST", "/admin/resume")[0] == 409
+    assert call_server("GET", "/admin/health")[0] == 503
+    assert call_server("POST", "/admin/quiesce")[0] == 200
+    assert call_server("POST", "/admin/resume")[0] == 409
 
 
 STEPS = ("passed", "dropped", "failed", "abandoned", "ended", "tried")
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(STEPS))))
-def test_each_request_is_counted_once_at_any_instant(steps: list[tuple[int, str]]) -> None:
+def test_each_request_is_counted_once_at_any_time(steps: list[tuple[int, str]]) -> None:
     figures = Figures(["read", "write"])
     counts = [figures.take("read" if at % 2 else "write") for at in range(10)]
     outcomes: dict[int, str] = {}
@@ -139,67 +139,67 @@
         for one in figures.classes.values():
             assert one.taken == 5
             assert one.pending >= 0
-        told = [sum(by.values()) for by in figures.by_outcome().values()][1:]
-        assert told == [list(outcomes.values()).count(name) for name in STEPS[:4]]
+        totals = [sum(by.values()) for by in figures.by_outcome().values()][1:]
+        assert totals == [list(outcomes.values()).count(name) for name in STEPS[:4]]
         assert figures.in_progress == 10 - len(over)
 
 
-class Called:
-    """A town whose staff's address answers."""
+class ProxyWithAdminApi:
+    """A proxy whose admin API answers."""
 
     def __init__(self, keeps: bool = False) -> None:
         self.town = Town()
-        self.control = AdminServer(self.town.scheduler, ("127.0.0.1", 0), ProxyApi(self.town.gateway))
-        self.control.start()
+        self.server = AdminServer(self.town.scheduler, ("127.0.0.1", 0), ProxyApi(self.town.gateway))
+        self.server.start()
         Drain(self.town.scheduler, self.town.gateway, keeps_established=keeps)
 
     def connect(self, data: bytes) -> Stream:
-        stream = Stream.connect(self.town.scheduler, self.control.address, 1.0)
+        stream = Stream.connect(self.town.scheduler, self.server.address, 1.0)
         stream.send(data)
         return stream
 
-    def ask(self, method: str, path: str) -> tuple[int, bytes]:
-        return call(self.town.scheduler, self.control.address, method, path)
+    def call_server(self, method: str, path: str) -> tuple[int, bytes]:
+        return call(self.town.scheduler, self.server.address, method, path)
 
-    def run(self, story: Callable[[], None]) -> None:
-        self.town.run(lambda _: story())
-        self.control.close()
+    def run(self, scenario: Callable[[], None]) -> None:
+        self.town.run(lambda _: scenario())
+        self.server.close()
 
 
-def test_half_calls_neither_hold_up_others_nor_stay(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_calls_neither_delay_others_nor_stay_open(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_server_module, "REQUEST_TIMEOUT_S", 0.3)
-    it = Called()
+    it = ProxyWithAdminApi()
 
-    def story() -> None:
-        half = [it.connect(GET[:20]) for _ in range(200)]
-        assert it.ask("GET", "/admin/health")[0] == 200
+    def scenario() -> None:
+        incomplete = [it.connect(GET[:20]) for _ in range(200)]
+        assert it.call_server("GET", "/admin/health")[0] == 200
         answers = []
-        for stream in half:
+        for stream in incomplete:
             data = b""
             while piece := stream.receive(5.0):
                 data += piece
             answers.append(data[:12])
             stream.close()
-        # The oldest made room; those that were left had their time.
+        # The oldest were closed; the others timed out.
         assert answers.count(b"") >= 200 - MAX_CONNECTIONS
         assert set(answers[-MAX_CONNECTIONS + 1 :]) == {b"HTTP/1.1 408"}
-        assert it.ask("GET", "/admin/health")[0] == 200
+        assert it.call_server("GET", "/admin/health")[0] == 200
 
-    it.run(story)
+    it.run(scenario)
 
 
-def test_a_caller_that_breaks_off_costs_nothing() -> None:
-    it = Called()
+def test_aborted_calls_leave_the_server_working() -> None:
+    it = ProxyWithAdminApi()
 
-    def story() -> None:
+    def scenario() -> None:
         for data in (b"", GET[:7], GET):
             it.connect(data).abort()
-        assert it.ask("GET", "/admin/health")[0] == 200
+        assert it.call_server("GET", "/admin/health")[0] == 200
 
-    it.run(story)
+    it.run(scenario)
 
 
-def test_a_drain_and_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_migrates_clients_and_resume_ends_it(monkeypatch: pytest.MonkeyPatch) -> None:
     for name, value in (
         ("FRONT_UPDATE_DELAY_S", 0.05),
         ("MIGRATION_DEADLINE_S", 0.4),
@@ -207,23 +207,23 @@
         ("LATE_MIGRATION_S", 0.1),
     ):
         monkeypatch.setattr(drain_module, name, value)
-    it = Called()
+    it = ProxyWithAdminApi()
     town = it.town
 
-    def story() -> None:
+    def scenario() -> None:
         client, attempt = town.pair()
-        asking = town.client(b"PING\r\n")
-        assert read_line(asking) == b"PONG\r\n"
-        assert it.ask("POST", "/admin/quiesce")[0] == 200
-        asking.send(b"PING\r\n")
-        assert read_line(asking) == b"DRAINING\r\n"
-        # Whom the front still sends is served, and then sent away like the others.
+        pinging = town.client(b"PING\r\n")
+        assert read_line(pinging) == b"PONG\r\n"
+        assert it.call_server("POST", "/admin/quiesce")[0] == 200
+        pinging.send(b"PING\r\n")
+        assert read_line(pinging) == b"DRAINING\r\n"
+        # A client that the front still sends is served, and then migrated like the others.
         late = town.client(OPEN.replace(b"1a", b"1b"))
         late_attempt = town.attempt()
         read_line(late_attempt)
         late_attempt.send(b"UP r2\r\n")
         assert read_line(late) == b"UP r2\r\n"
-        # Nothing comes for this one; it has its answer at the end of the drain.
+        # No server answers this one; it gets its final answer at the end of the drain.
         stuck = town.client(OPEN.replace(b"1a", b"1c"))
         stuck_attempt = town.attempt()
         assert [read_line(one) for one in (client, late)] == [b"MOVE\r\n"] * 2
@@ -232,21 +232,23 @@
             stream.close()
         assert read_line(town.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
         town.until(lambda: not town.gateway.busy())
-        assert it.ask("POST", "/admin/resume")[0] == 200
-        asking.send(b"PING\r\n")
-        assert read_line(asking) == b"PONG\r\n"
-        town.arrived.clear()  # what came for the one that was stuck
+        assert it.call_server("POST", "/admin/resume")[0] == 200
+        pinging.send(b"PING\r\n")
+        assert read_line(pinging) == b"PONG\r\n"
+        town.arrived.clear()  # the attempts of the stuck request
         town.pair()
         counted = town.gateway.figures.classes["read"]
         assert counted == ClassFigures(5, passed=3, dropped=2, upstream_tries=counted.upstream_tries)
         assert counted.upstream_tries >= 4
         assert town.gateway.figures.in_progress == 1
 
-    it.run(story)
+    it.run(scenario)
 
 
-def test_where_packets_pass_a_drain_leaves_what_stands(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each move is a connection set up anew, and two proxies drained in turn moved every client once."""
+def test_drain_keeps_established_connections_where_packets_pass_through(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A migration costs the client a reconnect, which nothing needs here."""
     for name, value in (
         ("FRONT_UPDATE_DELAY_S", 0.02),
         ("MIGRATION_DEADLINE_S", 0.1),
@@ -254,16 +256,16 @@
         ("LATE_MIGRATION_S", 0.1),
     ):
         monkeypatch.setattr(drain_module, name, value)
-    it = Called(keeps=True)
+    it = ProxyWithAdminApi(keeps=True)
     town = it.town
 
-    def story() -> None:
+    def scenario() -> None:
         client, attempt = town.pair()
         stuck = town.client(OPEN.replace(b"1a", b"1c"))
         stuck_attempt = town.attempt()
-        it.ask("POST", "/admin/quiesce")
-        assert read_line(stuck).startswith(b"BUSY ")  # what is owed is answered all the same
-        town.scheduler.sleep(0.15)  # past the last look
+        it.call_server("POST", "/admin/quiesce")
+        assert read_line(stuck).startswith(b"BUSY ")  # a pending request still gets its final answer
+        town.scheduler.sleep(0.15)  # past the late migration
         assert read_line(town.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
         client.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
@@ -274,15 +276,15 @@
         for stream in (client, attempt, stuck, stuck_attempt):
             stream.close()
 
-    it.run(story)
+    it.run(scenario)
 
 
-def test_a_drain_that_is_taken_back_half_way_keeps_the_rest(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_resume_during_a_drain_keeps_connections_not_yet_migrated(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(drain_module, "FRONT_UPDATE_DELAY_S", 0.0)
-    it = Called()
+    it = ProxyWithAdminApi()
     town = it.town
 
-    def story() -> None:
+    def scenario() -> None:
         pairs = []
         for at in range(12):
             client = town.client(OPEN.replace(b"1a", b"%x" % (at + 32)))
@@ -291,9 +293,9 @@
             attempt.send(b"UP r\r\n")
             read_line(client)
             pairs.append((client, attempt))
-        it.ask("POST", "/admin/quiesce")
+        it.call_server("POST", "/admin/quiesce")
         town.until(lambda: len(town.gateway.standing()) < 12)
-        it.ask("POST", "/admin/resume")
+        it.call_server("POST", "/admin/resume")
         left = len(town.gateway.standing())
         assert left > 0
         town.scheduler.sleep(0.3)
@@ -302,19 +304,19 @@
             client.close()
             attempt.close()
 
-    it.run(story)
+    it.run(scenario)
 
 
-def test_a_caller_that_makes_room_is_not_reset_over_what_it_has_just_sent() -> None:
-    it = Called()
+def test_closed_oldest_call_is_not_reset_by_unread_bytes() -> None:
+    it = ProxyWithAdminApi()
 
-    def story() -> None:
-        half = [it.connect(GET[:7]) for _ in range(MAX_CONNECTIONS)]
-        it.town.until(lambda: len(it.control._connections) == MAX_CONNECTIONS)
-        half[0].send_now(GET[7:20])  # not read yet when the next one comes
+    def scenario() -> None:
+        incomplete = [it.connect(GET[:7]) for _ in range(MAX_CONNECTIONS)]
+        it.town.until(lambda: len(it.server._connections) == MAX_CONNECTIONS)
+        incomplete[0].send_now(GET[7:20])  # unread when the next call arrives
         ours, theirs = socket.socketpair()
-        it.control._accepted(Stream(it.town.scheduler, ours))
+        it.server._accepted(Stream(it.town.scheduler, ours))
         theirs.close()
-        assert half[0].receive(5.0) == b""
+        assert incomplete[0].receive(5.0) == b""
 
-    it.run(story)
+    it.run(scenario)
--- a/tests/system/test_operation.py
+++ b/tests/system/test_operation.py
@@ -140,7 +140,7 @@
         assert it.churned > 100
 
 
-def test_a_new_process_that_is_killed_or_cannot_start_leaves_the_old_one_serving(tmp_path: Path) -> None:
+def test_killed_or_failed_successor_leaves_the_old_process_serving(tmp_path: Path) -> None:
     with site(tmp_path) as it:
         old = it.start()
         old.process.wait_ready()
@@ -161,7 +161,7 @@
         watched(it, story)
 
 
-def test_an_old_process_that_is_killed_loses_what_it_held_and_no_more(tmp_path: Path) -> None:
+def test_killed_predecessor_loses_only_its_own_connections(tmp_path: Path) -> None:
     with site(tmp_path) as it:
         old = it.start()
         old.process.wait_ready()
@@ -191,7 +191,7 @@
         play(it.scheduler, story, LIMIT)
 
 
-def test_a_drain_its_end_and_an_end_after_a_drain(tmp_path: Path) -> None:
+def test_drain_resume_and_shutdown_after_a_drain(tmp_path: Path) -> None:
     with site(tmp_path) as it:
         one = it.start()
         one.process.wait_ready()
@@ -218,7 +218,7 @@
         watched(it, story)
 
 
-def test_a_drain_where_packets_pass_moves_nobody_until_the_process_ends(tmp_path: Path) -> None:
+def test_drain_where_packets_pass_through_migrates_nobody_until_shutdown(tmp_path: Path) -> None:
     with site(tmp_path) as it:
         it.mode = "pass"
         one = it.start()
@@ -237,7 +237,7 @@
         watched(it, story)
 
 
-def test_the_figures_are_what_clients_and_servers_counted(tmp_path: Path) -> None:
+def test_metrics_match_the_counts_of_clients_and_servers(tmp_path: Path) -> None:
     with site(tmp_path) as it:
         one = it.start()
         one.process.wait_ready()
--- a/tests/system/test_system_calls.py
+++ b/tests/system/test_system_calls.py
@@ -98,7 +98,7 @@
     play(it.scheduler, story, LIMIT)
 
 
-def test_a_planned_end_answers_all_who_wait_though_accept_fails(tmp_path: Path) -> None:
+def test_shutdown_answers_queued_connections_although_accept_fails(tmp_path: Path) -> None:
     """PROTOCOL: new connections go on coming for 0.2 to 0.4 s after SIGTERM."""
     answers: list[str] = []
     for seed in range(4):
@@ -116,7 +116,7 @@
     assert set(answers) <= {"UP", "BUSY"}, answers
 
 
-def test_a_start_outlives_calls_that_fail_for_a_moment(tmp_path: Path) -> None:
+def test_start_retries_transient_errors_of_system_calls(tmp_path: Path) -> None:
     """STANDING: a refusal to start fails the day."""
     refused = []
     for failing in ("socket", "bind", "listen", "epoll", "open", "socketpair"):
@@ -130,7 +130,7 @@
     assert not refused
 
 
-def test_what_waits_is_accepted_in_its_time_though_accept_fails(tmp_path: Path) -> None:
+def test_queued_connections_are_accepted_although_accept_fails(tmp_path: Path) -> None:
     with site(tmp_path, Plan(part={"accept": 0.5}, after=1.0)) as it:
 
         def story() -> None:
@@ -141,7 +141,7 @@
         assert it.kinds() == {"UP"}, it.answers
 
 
-def test_what_is_accepted_last_is_answered_also_by_staff_s_address(
+def test_admin_server_answers_connections_accepted_at_its_close(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """DAYS: answers are due within 1 s, under any load; also for calls that wait when the process ends.
@@ -173,9 +173,7 @@
 
 
 @pytest.mark.parametrize("ahead", [0.0, 3600.0, -3600.0])
-def test_a_server_in_slow_start_gets_its_budget_whatever_the_wall_clock_says(
-    tmp_path: Path, ahead: float
-) -> None:
+def test_slow_start_budget_holds_whatever_the_wall_clock(tmp_path: Path, ahead: float) -> None:
     """The operators' notes: a machine's wall clock may be stepped by seconds or by an hour.
 
     Of four servers alike the new one would get a fourth of 400 without a budget. The budget of a window is
@@ -196,7 +194,7 @@
         assert taken["s-new"] <= 40
 
 
-def test_connects_that_fail_on_this_side_are_no_fault_of_servers(tmp_path: Path) -> None:
+def test_local_connect_errors_are_not_attributed_to_servers(tmp_path: Path) -> None:
     """The operators' notes: socket and connect may fail for a moment, and all rules hold."""
     with site(tmp_path, Plan(part={"connect": 0.5, "socket": 0.3}, after=1.0)) as it:
 
@@ -211,7 +209,7 @@
         assert sum(host["opened"] for host in told) == 600
 
 
-def test_a_wall_clock_that_is_stepped_while_it_serves_changes_nothing(tmp_path: Path) -> None:
+def test_step_of_the_wall_clock_while_serving_changes_nothing(tmp_path: Path) -> None:
     """The operators' notes: deadlines, windows, waits and graces are spans of real time."""
     for step in (-3600.0, 3600.0):
         folder = tmp_path / str(step)
@@ -226,7 +224,7 @@
             assert it.proxy.end() == 0
 
 
-def test_short_reads_and_writes_change_nothing(tmp_path: Path) -> None:
+def test_short_reads_and_writes_change_no_answer(tmp_path: Path) -> None:
     """The operators' notes: reads and writes may be short. Clients, servers, discovery, staff."""
     with site(tmp_path, Plan(short=True)) as it:
 
@@ -238,7 +236,7 @@
         assert it.kinds() == {"UP"}, it.answers
 
 
-def test_reads_and_writes_that_fail_for_a_moment_break_nothing(tmp_path: Path) -> None:
+def test_transient_read_and_write_errors_change_no_answer(tmp_path: Path) -> None:
     """recv(2) and send(2): ENOMEM, ENOBUFS. The connection is sound."""
     with site(tmp_path, Plan(part={"recv": 0.1, "send": 0.1}, after=1.0)) as it:
 
@@ -250,7 +248,7 @@
         assert it.kinds() == {"UP"}, it.answers
 
 
-def test_configurations_in_a_row_end_at_the_last_one(tmp_path: Path) -> None:
+def test_successive_reloads_end_at_the_last_configuration(tmp_path: Path) -> None:
     """STANDING: new configurations in quick succession. The file cannot be read at times."""
     other = tmp_path / "other"
     other.mkdir()
@@ -272,7 +270,7 @@
         assert sum(host["opened"] for host in last.ask("told")["hosts"]) >= 50
 
 
-def test_signals_in_series_end_it_once_and_lose_nobody(tmp_path: Path) -> None:
+def test_series_of_signals_shuts_down_once_without_lost_requests(tmp_path: Path) -> None:
     """The operators' notes: signals come in series."""
     with site(tmp_path, Plan()) as it:
 
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -1,4 +1,4 @@
-"""Staff's calls on configuration over a stub of an origin, and the commands that make them."""
+"""The admin API of distributed configuration over a stub of the origin, and the commands that call it."""
 
 from __future__ import annotations
 
@@ -54,21 +54,21 @@
 from ironmill_testbed.fleet import play
 
 
-class Stub:
-    """An origin whose store is real and whose fleet is made up."""
+class StubOrigin:
+    """An origin with a real store and a simulated status of the fleet."""
 
     def __init__(self, folder: Path) -> None:
         self.store = SqliteStore(str(folder / "store"))
-        self.fails: Exception | None = None
-        self.told: dict[str, Any] = {}
+        self.error: Exception | None = None
+        self.overrides: dict[str, Any] = {}
         self.pushed: list[tuple[float, float]] = []
 
     def push(
         self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
         self.pushed.append((metadata.at, now))
-        if self.fails is not None:
-            raise self.fails
+        if self.error is not None:
+            raise self.error
         known = self.store.committed(metadata.ticket)
         if known is not None:
             return known
@@ -104,21 +104,21 @@
             "more_laggards": 0,
             "entries": len(dict(self.store.entries())),
             "dropped": {},
-        } | self.told
+        } | self.overrides
 
 
 @pytest.fixture
-def stub(tmp_path: Path) -> Stub:
-    return Stub(tmp_path)
+def stub(tmp_path: Path) -> StubOrigin:
+    return StubOrigin(tmp_path)
 
 
-def routes_of(stub: Stub, writes: bool = True) -> Routes:
+def routes_of(stub: StubOrigin, writes: bool = True) -> Routes:
     routes = Routes()
     ConfigurationApi(stub, stub if writes else None, ["c1", "c9"], lambda: 50.0, lambda: 7.0).add_to(routes)
     return routes
 
 
-def ask(routes: Routes, method: str, path: str, body: object = None, query: str = "") -> tuple[int, Any]:
+def call_api(routes: Routes, method: str, path: str, body: object = None, query: str = "") -> tuple[int, Any]:
     data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
     answer = routes.dispatch(ApiRequest(method, path, query, data))
     assert answer.body.endswith(b"\n")
@@ -129,30 +129,30 @@
     return {"changes": {"a": "1"} if changes is None else changes, "author": "ann", "ticket": "t1"} | more
 
 
-def test_a_push_its_ticket_and_what_was_expected(stub: Stub) -> None:
+def test_push_is_idempotent_by_ticket_and_checks_the_expected_position(stub: StubOrigin) -> None:
     routes = routes_of(stub)
-    assert ask(routes, "POST", REVISIONS_PATH, body()) == (201, {"position": "1.1"})
-    assert ask(routes, "POST", REVISIONS_PATH, body()) == (201, {"position": "1.1"})  # kept once
+    assert call_api(routes, "POST", REVISIONS_PATH, body()) == (201, {"position": "1.1"})
+    assert call_api(routes, "POST", REVISIONS_PATH, body()) == (201, {"position": "1.1"})  # stored once
     assert stub.pushed == [(50.0, 7.0)] * 2
-    status, told = ask(routes, "POST", REVISIONS_PATH, body({"b": "2"}, ticket="t2", expect="1.0"))
-    assert (status, told) == (412, {"reason": "the newest revision is 1.1, not 1.0"})
+    status, content = call_api(routes, "POST", REVISIONS_PATH, body({"b": "2"}, ticket="t2", expect="1.0"))
+    assert (status, content) == (412, {"reason": "the newest revision is 1.1, not 1.0"})
     later = body({"ß": "straße", "a": None}, ticket="t2", expect="1.1")
-    assert ask(routes, "POST", REVISIONS_PATH, later)[0] == 201
+    assert call_api(routes, "POST", REVISIONS_PATH, later)[0] == 201
     assert dict(stub.store.entries()) == {"ß": "straße".encode()}
-    assert ask(routes, "GET", STATUS_PATH)[1]["held"] == "1.2"
+    assert call_api(routes, "GET", STATUS_PATH)[1]["held"] == "1.2"
 
 
-def test_what_is_refused_names_key_and_reason_and_keeps_nothing(stub: Stub) -> None:
+def test_rejected_push_names_key_and_reason_and_stores_nothing(stub: StubOrigin) -> None:
     routes = routes_of(stub)
-    told = ask(routes, "POST", REVISIONS_PATH, body({"a": "1", "bad/x": "1"}))
-    assert told == (409, {"key": "bad/x", "reason": "unknown key"})
+    content = call_api(routes, "POST", REVISIONS_PATH, body({"a": "1", "bad/x": "1"}))
+    assert content == (409, {"key": "bad/x", "reason": "unknown key"})
     for one, wrong in (
         (body({}), "a revision has one change at least"),
         (body({"": "x"}), "a key has 1 to 200 bytes"),
         (body({"a": "x" * 641}), "a: a value has 640 bytes at most"),
         (body({"a\n": "x"}), "a key has printable characters only"),
     ):
-        status, answer = ask(routes, "POST", REVISIONS_PATH, one)
+        status, answer = call_api(routes, "POST", REVISIONS_PATH, one)
         assert status == 400
         assert wrong in answer["reason"]
     assert stub.store.position == (0, 0)
@@ -184,17 +184,19 @@
         (REVERT_PATH, {"number": "1", "author": "a", "ticket": "t"}, "number"),
     ],
 )
-def test_a_body_that_is_not_right_says_so(path: str, sent: object, wrong: str, stub: Stub) -> None:
-    status, told = ask(routes_of(stub), "POST", path, sent)
+def test_invalid_body_is_rejected_with_the_reason(
+    path: str, sent: object, wrong: str, stub: StubOrigin
+) -> None:
+    status, content = call_api(routes_of(stub), "POST", path, sent)
     assert status == 400
-    assert wrong in told["reason"]
-    assert "\n" not in told["reason"]
+    assert wrong in content["reason"]
+    assert "\n" not in content["reason"]
     assert stub.store.position == (0, 0)
 
 
 @given(st.binary(max_size=200))
-def test_no_body_breaks_the_calls(data: bytes) -> None:
-    class Nobody:
+def test_arbitrary_bodies_get_an_error_response(data: bytes) -> None:
+    class FailingNode:
         def status(self, now: float) -> dict[str, Any]:
             return {}
 
@@ -208,79 +210,82 @@
             return []
 
     routes = Routes()
-    ConfigurationApi(Nobody(), Nobody(), []).add_to(routes)
+    ConfigurationApi(FailingNode(), FailingNode(), []).add_to(routes)
     for path in (REVISIONS_PATH, REVERT_PATH):
         assert routes.dispatch(ApiRequest("POST", path, "", data)).status in (400, 503)
     assert routes.dispatch(ApiRequest("GET", REVISIONS_PATH, data.decode("latin-1"))).status in (200, 400)
 
 
-def test_what_the_calls_let_pass_the_store_takes(stub: Stub) -> None:
+def test_limits_of_the_api_are_those_of_the_store(stub: StubOrigin) -> None:
     assert (MAX_AUTHOR_LENGTH, MAX_NOTE_LENGTH, MAX_TICKET_LENGTH) == (
         revision_store.MAX_AUTHOR_LENGTH,
         revision_store.MAX_NOTE_LENGTH,
         revision_store.MAX_TICKET_LENGTH,
     )
     longest = body(author="ß" * MAX_AUTHOR_LENGTH, note="ß" * MAX_NOTE_LENGTH, ticket="ß" * MAX_TICKET_LENGTH)
-    assert ask(routes_of(stub), "POST", REVISIONS_PATH, longest)[0] == 201
+    assert call_api(routes_of(stub), "POST", REVISIONS_PATH, longest)[0] == 201
 
 
-def test_who_is_no_origin_names_it(stub: Stub) -> None:
+def test_process_that_is_not_the_origin_names_the_origins(stub: StubOrigin) -> None:
     relay = routes_of(stub, writes=False)
     reason = "this process is no origin; the origin is c1 or c9"
-    told = (503, {"reason": reason, "origins": ["c1", "c9"]})
-    assert ask(relay, "POST", REVISIONS_PATH, body()) == told
-    assert ask(relay, "POST", REVERT_PATH, {}) == told
-    assert ask(relay, "GET", REVISIONS_PATH) == told
-    assert ask(relay, "GET", STATUS_PATH)[0] == 200
+    content = (503, {"reason": reason, "origins": ["c1", "c9"]})
+    assert call_api(relay, "POST", REVISIONS_PATH, body()) == content
+    assert call_api(relay, "POST", REVERT_PATH, {}) == content
+    assert call_api(relay, "GET", REVISIONS_PATH) == content
+    assert call_api(relay, "GET", STATUS_PATH)[0] == 200
     routes = routes_of(stub)
     for error in (NotOriginError("c1 is no origin any more"), FencedError("another process has opened")):
-        stub.fails = error
-        status, answer = ask(routes, "POST", REVISIONS_PATH, body())
+        stub.error = error
+        status, answer = call_api(routes, "POST", REVISIONS_PATH, body())
         assert (status, answer["reason"]) == (503, f"{error}; the origin is c1 or c9")
-    stub.fails = StoreError("no room")
-    assert ask(routes, "POST", REVISIONS_PATH, body()) == (503, {"reason": "no room"})
+    stub.error = StoreError("no room")
+    assert call_api(routes, "POST", REVISIONS_PATH, body()) == (503, {"reason": "no room"})
     stub.store.close()
-    assert ask(routes, "GET", REVISIONS_PATH)[0] == 503
-    assert ask(routes, "POST", REVERT_PATH, {"number": 0, "author": "a", "ticket": "t"})[0] == 503
+    assert call_api(routes, "GET", REVISIONS_PATH)[0] == 503
+    assert call_api(routes, "POST", REVERT_PATH, {"number": 0, "author": "a", "ticket": "t"})[0] == 503
 
 
-def test_history_and_its_bounds(stub: Stub, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_history_is_limited_by_count_and_size(stub: StubOrigin, monkeypatch: pytest.MonkeyPatch) -> None:
     routes = routes_of(stub)
     for at in range(30):
         stub.store.commit({"a": b"%d" % at, "b": None}, RevisionMetadata(float(at), "ann", "why", f"t{at}"))
     stub.store.commit({"raw": b"\xff\x00"}, RevisionMetadata(99.5, "bob", "", "raw"))
-    status, told = ask(routes, "GET", REVISIONS_PATH)
-    assert (status, len(told["revisions"]), told["cut"]) == (200, 20, False)
-    assert told["revisions"][:2] == [
+    status, content = call_api(routes, "GET", REVISIONS_PATH)
+    assert (status, len(content["revisions"]), content["cut"]) == (200, 20, False)
+    assert content["revisions"][:2] == [
         {"position": "1.31", "at": 99.5, "author": "bob", "note": "", "changes": {"raw": "\\xff\x00"}},
         {"position": "1.30", "at": 29.0, "author": "ann", "note": "why", "changes": {"a": "29", "b": None}},
     ]
-    assert len(ask(routes, "GET", REVISIONS_PATH, query="most=3&x=y")[1]["revisions"]) == 3
-    assert ask(routes, "GET", REVISIONS_PATH, query="most=0")[1]["revisions"] == []
-    for words in ("most=all", "most=-1", "most=1e3", "most=9999999", "most=\u0663"):
-        assert ask(routes, "GET", REVISIONS_PATH, query=words)[0] == 400
+    assert len(call_api(routes, "GET", REVISIONS_PATH, query="most=3&x=y")[1]["revisions"]) == 3
+    assert call_api(routes, "GET", REVISIONS_PATH, query="most=0")[1]["revisions"] == []
+    for arguments in ("most=all", "most=-1", "most=1e3", "most=9999999", "most=\u0663"):
+        assert call_api(routes, "GET", REVISIONS_PATH, query=arguments)[0] == 400
     asked: list[int] = []
     monkeypatch.setattr(stub, "history", lambda most: asked.append(most) or [])
-    ask(routes, "GET", REVISIONS_PATH, query="most=999999")
+    call_api(routes, "GET", REVISIONS_PATH, query="most=999999")
     assert asked == [MAX_HISTORY]
     monkeypatch.undo()
     monkeypatch.setattr(configuration_api, "MAX_HISTORY_BYTES", 10)
-    told = ask(routes, "GET", REVISIONS_PATH)[1]
-    assert (len(told["revisions"]), told["cut"]) == (2, True)
+    content = call_api(routes, "GET", REVISIONS_PATH)[1]
+    assert (len(content["revisions"]), content["cut"]) == (2, True)
 
 
-def test_a_revert_is_a_revision_of_its_own_and_has_a_ticket(stub: Stub) -> None:
+def test_revert_stores_a_new_revision_and_is_idempotent_by_ticket(stub: StubOrigin) -> None:
     routes = routes_of(stub)
     for at in range(4):
         stub.store.commit({"a": b"%d" % at, f"k{at}": b""}, RevisionMetadata(1.0, "ann", "", f"t{at}"))
     revert = {"number": 2, "author": "bob", "note": "wrong", "ticket": "r"}
-    assert ask(routes, "POST", REVERT_PATH, revert) == (201, {"position": "1.5"})
-    assert ask(routes, "POST", REVERT_PATH, revert) == (201, {"position": "1.5"})
+    assert call_api(routes, "POST", REVERT_PATH, revert) == (201, {"position": "1.5"})
+    assert call_api(routes, "POST", REVERT_PATH, revert) == (201, {"position": "1.5"})
     assert dict(stub.store.entries()) == {"a": b"1", "k0": b"", "k1": b""}
-    told = ask(routes, "POST", REVERT_PATH, revert | {"ticket": "other"})
-    assert told == (400, {"reason": "there is nothing to revert: all is as it was at 2"})
-    assert ask(routes, "POST", REVERT_PATH, revert | {"ticket": "x", "number": 1, "expect": "1.4"})[0] == 412
-    status, answer = ask(routes, "POST", REVERT_PATH, revert | {"ticket": "x", "number": 9})
+    content = call_api(routes, "POST", REVERT_PATH, revert | {"ticket": "other"})
+    assert content == (400, {"reason": "there is nothing to revert: all is as it was at 2"})
+    assert (
+        call_api(routes, "POST", REVERT_PATH, revert | {"ticket": "x", "number": 1, "expect": "1.4"})[0]
+        == 412
+    )
+    status, answer = call_api(routes, "POST", REVERT_PATH, revert | {"ticket": "x", "number": 9})
     assert (status, "there is no revision 9" in answer["reason"]) == (503, True)
     entry = stub.store.history(1)[0]
     assert (entry.author, entry.note, entry.position) == ("bob", "wrong", (1, 5))
@@ -289,11 +294,11 @@
 # The commands
 
 
-def test_changes_as_they_are_written(tmp_path: Path) -> None:
+def test_changes_are_read_from_command_line_and_file(tmp_path: Path) -> None:
     file = tmp_path / "more.json"
     file.write_text('{"b": "2", "c": null}')
-    words = ["deny/subject/a=b=c", "shard/x-", "y=", "z-=-"]
-    assert config.read_changes(words, str(file)) == {
+    arguments = ["deny/subject/a=b=c", "shard/x-", "y=", "z-=-"]
+    assert config.read_changes(arguments, str(file)) == {
         "b": "2",
         "c": None,
         "deny/subject/a": "b=c",
@@ -302,9 +307,9 @@
         "z-": "-",
     }
     twice = "'b' is changed twice"
-    for words, wrong in ((["a"], "'a' is no change"), (["b=3"], twice), (["q-", "q=1"], "twice")):
+    for arguments, wrong in ((["a"], "'a' is no change"), (["b=3"], twice), (["q-", "q=1"], "twice")):
         with pytest.raises(ConfigError, match=wrong):
-            config.read_changes(words, str(file))
+            config.read_changes(arguments, str(file))
     with pytest.raises(ConfigError, match="there is no change"):
         config.read_changes([], None)
     with pytest.raises(ConfigError, match="No such file"):
@@ -320,7 +325,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "there"),
+    ("content", "expected_verdict"),
     [
         ({"everywhere": True, "held": "2.9"}, True),
         ({"everywhere": True, "held": "2.8"}, False),
@@ -339,14 +344,16 @@
         ({"zones": [ZONE], "laggards": [LAGGING_NODE | {"why": "unreachable"}]}, False),  # a relay
     ],
 )
-def test_when_a_position_is_everywhere(told: dict[str, Any], there: bool) -> None:
+def test_position_is_applied_everywhere_only_if_no_node_may_lag(
+    content: dict[str, Any], expected_verdict: bool
+) -> None:
     usual = {"name": "c1", "role": "origin", "in_force": "2.12", "stale": False, "entries": 1}
     usual |= {"everywhere": False, "held": "2.12", "laggards": []}
-    assert NodeStatus.from_json(usual | told).is_applied_everywhere(Position(2, 9)) is there
+    assert NodeStatus.from_json(usual | content).is_applied_everywhere(Position(2, 9)) is expected_verdict
 
 
 @given(st.text(alphabet="0123456789.-+ x\u0663", max_size=45))
-def test_positions_are_read_or_refused(text: str) -> None:
+def test_position_is_parsed_or_rejected(text: str) -> None:
     try:
         position = read_position(text)
     except ValueError as error:
@@ -355,64 +362,67 @@
         assert tuple(map(int, text.split("."))) == position
 
 
-class Town:
-    """A stub behind a staff's address, and commands as processes."""
+class CommandRunner:
+    """The admin API over a stub, and commands run as processes."""
 
-    def __init__(self, stub: Stub, writes: bool = True) -> None:
+    def __init__(self, stub: StubOrigin, writes: bool = True) -> None:
         self.scheduler = Scheduler()
-        self.lose = 0  # answers that get lost
+        self.responses_to_lose = 0
         self.calls: list[ApiRequest] = []
         routes = routes_of(stub, writes)
         answer = routes.dispatch
 
-        def lossy(call: ApiRequest) -> ApiResponse:
+        def lose_responses(call: ApiRequest) -> ApiResponse:
             self.calls.append(call)
-            told = answer(call)
-            if self.lose:
-                self.lose -= 1
+            content = answer(call)
+            if self.responses_to_lose:
+                self.responses_to_lose -= 1
                 raise ConnectionResetError
-            return told
+            return content
 
-        routes.dispatch = lossy  # type: ignore[method-assign]
-        self.control = AdminServer(self.scheduler, ("127.0.0.1", 0), routes)
-        self.control.start()
+        routes.dispatch = lose_responses  # type: ignore[method-assign]
+        self.server = AdminServer(self.scheduler, ("127.0.0.1", 0), routes)
+        self.server.start()
 
-    def run(self, *words: str, meanwhile: Callable[[], object] | None = None) -> tuple[int, str, str]:
+    def run(self, *arguments: str, during: Callable[[], object] | None = None) -> tuple[int, str, str]:
         """The command's status, and what it wrote."""
-        host, port = self.control.address
-        words = tuple(f"{host}:{port}" if word == "CONTROL" else word for word in words)
+        host, port = self.server.address
+        arguments = tuple(f"{host}:{port}" if word == "CONTROL" else word for word in arguments)
         done: list[subprocess.Popen[str]] = []
 
-        def story() -> None:
+        def scenario() -> None:
             popen = subprocess.Popen(
-                [sys.executable, "-m", "ironmill", "config", *words],
+                [sys.executable, "-m", "ironmill", "config", *arguments],
                 text=True,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.PIPE,
             )
             done.append(popen)
-            if meanwhile is not None:
-                meanwhile()
+            if during is not None:
+                during()
             while popen.poll() is None:
                 self.scheduler.sleep(0.01)
 
-        play(self.scheduler, story, 60.0)
+        play(self.scheduler, scenario, 60.0)
         out, err = done[0].communicate()
         return done[0].returncode, out, err
 
 
-def test_the_commands_of_a_day(stub: Stub) -> None:
-    town = Town(stub)
+def test_push_history_revert_wait_and_status_commands(stub: StubOrigin) -> None:
+    runner = CommandRunner(stub)
     more = ["--author=ann", "--note=a day", "--wait"]
-    told = town.run("push", "CONTROL", "shard/a=r1", "log/level=debug", *more)
-    assert told == (0, "1.1 is kept\n1.1 is in force everywhere\n", "")
-    assert town.run("push", "CONTROL", "shard/a-", "--author=bob", "--expect=1.0")[::2] == (
+    content = runner.run("push", "CONTROL", "shard/a=r1", "log/level=debug", *more)
+    assert content == (0, "1.1 is kept\n1.1 is in force everywhere\n", "")
+    assert runner.run("push", "CONTROL", "shard/a-", "--author=bob", "--expect=1.0")[::2] == (
         2,
         "ironmill: not taken: the newest revision is 1.1, not 1.0\n",
     )
-    assert town.run("push", "CONTROL", "bad/x=1")[::2] == (2, "ironmill: refused: bad/x: unknown key\n")
-    assert town.run("push", "CONTROL", "shard/a-", "--author=bob", "--expect=1.1")[:2] == (0, "1.2 is kept\n")
-    status, out, _ = town.run("history", "CONTROL")
+    assert runner.run("push", "CONTROL", "bad/x=1")[::2] == (2, "ironmill: refused: bad/x: unknown key\n")
+    assert runner.run("push", "CONTROL", "shard/a-", "--author=bob", "--expect=1.1")[:2] == (
+        0,
+        "1.2 is kept\n",
+    )
+    status, out, _ = runner.run("history", "CONTROL")
     lines = out.splitlines()
     assert status == 0
     assert lines[0].startswith("1.2  1970-01-01T00:00:50Z  bob")
@@ -422,34 +432,34 @@
         "  log/level=debug",
         "  shard/a=r1",
     ]
-    assert town.run("history", "CONTROL", "--most=1")[1].count("\n") == 2
-    reverted = town.run("revert", "CONTROL", "1.1", "--wait")
+    assert runner.run("history", "CONTROL", "--most=1")[1].count("\n") == 2
+    reverted = runner.run("revert", "CONTROL", "1.1", "--wait")
     assert reverted == (0, "1.3 is kept\n1.3 is in force everywhere\n", "")
     assert dict(stub.store.entries()) == {"shard/a": b"r1", "log/level": b"debug"}
-    assert town.run("wait", "CONTROL", "1.3")[0] == 0
+    assert runner.run("wait", "CONTROL", "1.3")[0] == 0
     assert (
-        town.run("status", "CONTROL")[1] == "c1 is origin, holds 1.3, in force 1.3, heard of the origin "
+        runner.run("status", "CONTROL")[1] == "c1 is origin, holds 1.3, in force 1.3, heard of the origin "
         "0.0s ago, 2 keys\n"
     )
 
 
-def test_a_lost_answer_is_asked_for_again_and_done_once(stub: Stub) -> None:
-    town = Town(stub)
-    town.lose = 2
-    assert town.run("push", "CONTROL", "a=1")[:2] == (0, "1.1 is kept\n")
-    assert len({call.body for call in town.calls}) == 1
-    assert len(town.calls) == 3
-    town.lose = 2
-    assert town.run("revert", "CONTROL", "0")[:2] == (0, "1.2 is kept\n")
-    town.lose = 99
-    status, out, err = town.run("push", "CONTROL", "a=2")
+def test_lost_response_is_retried_and_stored_once(stub: StubOrigin) -> None:
+    runner = CommandRunner(stub)
+    runner.responses_to_lose = 2
+    assert runner.run("push", "CONTROL", "a=1")[:2] == (0, "1.1 is kept\n")
+    assert len({call.body for call in runner.calls}) == 1
+    assert len(runner.calls) == 3
+    runner.responses_to_lose = 2
+    assert runner.run("revert", "CONTROL", "0")[:2] == (0, "1.2 is kept\n")
+    runner.responses_to_lose = 99
+    status, out, err = runner.run("push", "CONTROL", "a=2")
     assert (status, out) == (2, "")
     assert "tried 5 times, and it is not known whether it was kept" in err
     assert stub.store.position == (1, 3)
 
 
-def test_a_wait_that_ends_without_all_names_those_that_are_not(stub: Stub) -> None:
-    town = Town(stub)
+def test_wait_that_times_out_names_the_lagging_nodes(stub: StubOrigin) -> None:
+    runner = CommandRunner(stub)
     stub.store.commit({"a": b"1"}, RevisionMetadata(1.0, "", "", "t"))
     zones = [ZONE | {"lowest": "1.1"}, ZONE | {"zone": "y", "lowest": "1.0", "refused": 1, "unreachable": 1}]
     laggards = [
@@ -457,47 +467,50 @@
         {"name": "p2", "zone": "y", "in_force": "1.0", "why": "unreachable", "key": "", "reason": ""},
         {"name": "p3", "zone": "z", "in_force": "0.0", "why": "behind", "key": "", "reason": ""},
     ]
-    stub.told = {"everywhere": False, "lowest": "1.0", "zones": zones}
-    stub.told |= {"laggards": laggards, "more_laggards": 4}
+    stub.overrides = {"everywhere": False, "lowest": "1.0", "zones": zones}
+    stub.overrides |= {"laggards": laggards, "more_laggards": 4}
     expected = (
         "1.1 is not in force everywhere after 0.5s; the lowest is 1.0\n"
         "p1 in zone y: refused, in force 1.0: a: un\\x1bknown\n"
         "p2 in zone y: unreachable, in force 1.0\np3 in zone z: behind, in force 0.0\nand 4 more\n"
     )
-    assert town.run("wait", "CONTROL", "1.1", "--within=500ms") == (1, expected, "")
-    status, out, _ = town.run("status", "CONTROL")
+    assert runner.run("wait", "CONTROL", "1.1", "--within=500ms") == (1, expected, "")
+    status, out, _ = runner.run("status", "CONTROL")
     assert status == 0
     assert "1.1 is not everywhere in force; the lowest is 1.0\n" in out
     assert "y     3        1.0     1        1\n" in out
-    # It comes into force while the command waits.
-    stub.told |= {"laggards": [], "zones": [ZONE]}
-
-    def meanwhile() -> None:
-        while not town.calls:
-            town.scheduler.sleep(0.01)
-        town.scheduler.sleep(0.3)
-        stub.told |= {"zones": [ZONE | {"lowest": "1.1"}]}
-
-    stub.told["zones"] = [ZONE | {"lowest": "1.0"}]
-    town.calls.clear()
-    told = town.run("wait", "CONTROL", "1.1", "--within=30s", meanwhile=meanwhile)
-    assert told == (0, "1.1 is in force everywhere\n", "")
+    # It is applied while the command waits.
+    stub.overrides |= {"laggards": [], "zones": [ZONE]}
+
+    def during() -> None:
+        while not runner.calls:
+            runner.scheduler.sleep(0.01)
+        runner.scheduler.sleep(0.3)
+        stub.overrides |= {"zones": [ZONE | {"lowest": "1.1"}]}
+
+    stub.overrides["zones"] = [ZONE | {"lowest": "1.0"}]
+    runner.calls.clear()
+    content = runner.run("wait", "CONTROL", "1.1", "--within=30s", during=during)
+    assert content == (0, "1.1 is in force everywhere\n", "")
     # Another store has taken over, and this revision is not in it.
-    stub.told = {"held": "5.1"}
-    assert town.run("wait", "CONTROL", "1.2")[:2] == (1, "1.2 is not in the history of c1, which is at 5.1\n")
+    stub.overrides = {"held": "5.1"}
+    assert runner.run("wait", "CONTROL", "1.2")[:2] == (
+        1,
+        "1.2 is not in the history of c1, which is at 5.1\n",
+    )
 
 
-def test_who_cannot_be_asked_is_status_2(stub: Stub) -> None:
-    town = Town(stub, writes=False)
-    stub.told = {"role": "relay"}
+def test_command_that_cannot_be_carried_out_exits_with_2(stub: StubOrigin) -> None:
+    runner = CommandRunner(stub, writes=False)
+    stub.overrides = {"role": "relay"}
     reason = "ironmill: not taken: this process is no origin; the origin is c1 or c9\n"
-    assert town.run("push", "CONTROL", "a=1") == (2, "", reason)
-    assert town.run("history", "CONTROL")[0] == 2
-    assert town.run("wait", "CONTROL", "1.1")[::2] == (
+    assert runner.run("push", "CONTROL", "a=1") == (2, "", reason)
+    assert runner.run("history", "CONTROL")[0] == 2
+    assert runner.run("wait", "CONTROL", "1.1")[::2] == (
         2,
         "ironmill: c1 is a relay; only the origin knows of all proxies\n",
     )
-    for words in (
+    for arguments in (
         ("wait", "CONTROL", "now"),
         ("wait", "CONTROL", "1.1", "--within=soon"),
         ("push", "CONTROL"),
@@ -505,32 +518,32 @@
         ("revert", "CONTROL", "x"),
         ("history", "CONTROL", "--most=all"),
     ):
-        status, out, err = town.run(*words)
-        assert (status, out, len(err.splitlines())) == (2, "", 1), words
-    town.control.close()
-    status, out, err = town.run("push", "CONTROL", "a=b")
+        status, out, err = runner.run(*arguments)
+        assert (status, out, len(err.splitlines())) == (2, "", 1), arguments
+    runner.server.close()
+    status, out, err = runner.run("push", "CONTROL", "a=b")
     assert (status, out) == (2, "")
     assert "tried 5 times, and nothing was kept" in err
     began = time.monotonic()
-    assert town.run("wait", "CONTROL", "1.1", "--within=300ms")[0] == 2
-    assert town.run("status", "CONTROL")[0] == 2
+    assert runner.run("wait", "CONTROL", "1.1", "--within=300ms")[0] == 2
+    assert runner.run("status", "CONTROL")[0] == 2
     assert time.monotonic() - began < 30.0
 
 
-def test_a_process_without_distribution_and_one_that_answers_otherwise(
+def test_command_reports_missing_distribution_and_malformed_responses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scheduler = Scheduler()
     routes = Routes()
     routes.add("/other", {})
-    town = Town.__new__(Town)
-    town.scheduler = scheduler
-    town.control = AdminServer(scheduler, ("127.0.0.1", 0), routes)
-    town.control.start()
-    assert "has no distribution in its settings" in town.run("status", "CONTROL")[2]
+    runner = CommandRunner.__new__(CommandRunner)
+    runner.scheduler = scheduler
+    runner.server = AdminServer(scheduler, ("127.0.0.1", 0), routes)
+    runner.server.start()
+    assert "has no distribution in its settings" in runner.run("status", "CONTROL")[2]
     routes.add(STATUS_PATH, {"GET": lambda _: ApiResponse(HTTPStatus.OK, b"<html>")})
-    assert "answers something else" in town.run("status", "CONTROL")[2]
+    assert "answers something else" in runner.run("status", "CONTROL")[2]
     fails = ApiResponse(HTTPStatus.BAD_GATEWAY, msgspec.json.encode({"reason": "x"}))
     routes.add(STATUS_PATH, {"GET": lambda _: fails})
-    assert "answers 502: x" in town.run("status", "CONTROL")[2]
-    town.control.close()
+    assert "answers 502: x" in runner.run("status", "CONTROL")[2]
+    runner.server.close()
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -96,7 +96,7 @@
         ("", b"", "unknown key"),
     ],
 )
-def test_the_form_of_keys_and_values(key: str, value: bytes, reason: str) -> None:
+def test_malformed_keys_and_values_are_rejected_with_the_reason(key: str, value: bytes, reason: str) -> None:
     refusal = check_form({"shard/good": b"r1", key: value})
     assert (refusal is None) is not bool(reason)
     if refusal is not None:
@@ -106,7 +106,7 @@
 
 
 @given(st.dictionaries(st.text(max_size=30), st.none() | st.binary(max_size=80), max_size=4))
-def test_any_changes_are_checked_and_what_passes_is_applied(changes: Changes) -> None:
+def test_arbitrary_changes_that_pass_the_check_are_applied(changes: Changes) -> None:
     for prefix in ("", "deny/subject/", "shard/", "log/level"):
         it = ConfigurationConsumer(None, no_level)
         prefixed = {prefix + key: value for key, value in changes.items()}
@@ -115,7 +115,7 @@
             assert it.applied.subjects == frozenset()
 
 
-def test_without_identity_nobody_can_be_denied_and_all_else_holds(level: logging.Logger) -> None:
+def test_without_identity_denials_are_rejected_and_other_keys_applied(level: logging.Logger) -> None:
     it = ConfigurationConsumer(None)
     for key in ("deny/subject/x", f"deny/fingerprint/{PRINT}"):
         refusal = it.check({"log/level": b"debug", key: b""})
@@ -125,7 +125,7 @@
     assert level.level == logging.DEBUG
 
 
-def test_a_check_changes_nothing(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_changes_nothing(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
     callers = callers_of(keys, FakeTimers(monkeypatch))
     it = ConfigurationConsumer(callers, lambda level: pytest.fail(level))
     before, gate = it.applied, callers.gate.identity
@@ -135,7 +135,9 @@
     assert callers.gate.identity is gate
 
 
-def test_too_many_denials_are_refused_by_name(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_denials_over_a_limit_are_rejected_with_their_key(
+    keys: Keys, monkeypatch: pytest.MonkeyPatch
+) -> None:
     for name in ("MAX_SUBJECTS", "MAX_PATTERNS", "MAX_FINGERPRINTS"):
         monkeypatch.setattr(distributed_keys, name, 2)
     it = ConfigurationConsumer(callers_of(keys, FakeTimers(monkeypatch)), no_level)
@@ -151,7 +153,7 @@
         assert it.check({names[1]: b"another note"}) is None
 
 
-def test_the_level_holds_over_a_reload_until_its_key_is_gone(level: logging.Logger) -> None:
+def test_level_override_survives_a_reload_until_its_key_is_deleted(level: logging.Logger) -> None:
     logs.set_up("p", LogSettings(level="warning"))
     it = ConfigurationConsumer(None)
     it.apply({"log/level": b"debug"})
@@ -166,7 +168,7 @@
     assert level.level == logging.INFO
 
 
-def test_who_stands_is_moved_when_denied_as_after_a_reload(
+def test_denied_callers_with_established_connections_are_migrated(
     keys: Keys, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     timers = FakeTimers(monkeypatch)
@@ -204,7 +206,7 @@
     assert moved() == [0, 1, 1, 1]
 
 
-def test_a_request_that_began_before_a_denial_is_looked_at_once_it_stands(
+def test_request_begun_before_a_denial_is_migrated_once_established(
     keys: Keys, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     timers = FakeTimers(monkeypatch)
@@ -220,7 +222,9 @@
     assert len(driver.moved) == 1
 
 
-def test_a_certificate_that_is_denied(keys: Keys, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_denied_certificate_is_rejected_and_its_connections_migrated(
+    keys: Keys, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
     who = CallerRule(rule_of().caller, (), 1, ("dns:*.farm.example",))
@@ -316,7 +320,7 @@
         assert self.level == self.pushed.get("log/level", b"").decode()
 
 
-def test_who_is_denied_is_whom_settings_or_keys_deny(keys: Keys) -> None:
+def test_denied_callers_are_those_of_settings_or_distributed_keys(keys: Keys) -> None:
     class Machine(DenialMachine):
         pass
 
@@ -335,11 +339,11 @@
 
 
 @given(st.text("ab*?.\n[", max_size=8), st.text("ab.\n[", max_size=10))
-def test_a_pattern_fits_as_it_always_did(pattern: str, text: str) -> None:
+def test_pattern_matches_like_the_reference(pattern: str, text: str) -> None:
     assert fits(pattern, text) is naive(pattern, text)
 
 
-def test_a_pattern_with_many_stars_costs_no_more_than_others() -> None:
+def test_pattern_with_many_wildcards_matches_in_bounded_time() -> None:
     began = time.process_time()
     for pattern in ("*a" * 90 + "*b", "a*" * 93, "*?" * 90 + "b"):
         assert not fits(pattern, "a" * 80 + "c")
@@ -347,7 +351,7 @@
     assert time.process_time() - began < 2.0
 
 
-def test_many_denials_cost_a_credential_no_more_than_a_few(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_whole_subjects_are_looked_up_not_scanned(monkeypatch: pytest.MonkeyPatch) -> None:
     """By count: whole subjects are looked up, and not gone through."""
     calls = 0
 
@@ -366,14 +370,14 @@
     assert not denials - denials
 
 
-def test_what_nothing_changes_in_is_not_copied() -> None:
+def test_unchanged_sets_are_not_copied() -> None:
     rng = random.Random(2)
     one = AppliedKeys().with_changes({f"deny/subject/s{rng.random()}": b"" for _ in range(100)})
     assert one.with_changes({"shard/a": b"r"}).subjects is one.subjects
     assert one.with_changes({"deny/subject/*": b""}).subjects is one.subjects
 
 
-def test_it_is_a_consumer_and_brings_no_identity_with_it() -> None:
+def test_consumer_does_not_import_identity() -> None:
     it: Consumer = ConfigurationConsumer(None, no_level)  # mypy says whether it is
     assert it.check({}) is None
     assert TokenMatch(ISSUER, AUDIENCE).subject == "*"
--- a/tests/unit/configuration/test_distribution_settings.py
+++ b/tests/unit/configuration/test_distribution_settings.py
@@ -30,7 +30,7 @@
     return str(path)
 
 
-def test_what_is_left_out_has_the_schemas_value(tmp_path: Path) -> None:
+def test_omitted_attributes_have_the_defaults_of_the_schema(tmp_path: Path) -> None:
     settings = load_settings(file(tmp_path), ()).distribution
     assert settings == DistributionSettings(
         "town",
@@ -45,7 +45,7 @@
     assert (settings.stale_after, settings.forget_after) == (4.0, 3600.0)
 
 
-def test_all_that_may_be_told(tmp_path: Path) -> None:
+def test_all_attributes_of_distribution_are_read(tmp_path: Path) -> None:
     attributes = (
         'zone="hall-b" region="north" role="origin" store="state/revisions" catch-up-rate="2MB/s" '
         'stale-after="2500ms" forget-after="1d"'
@@ -67,7 +67,7 @@
     ("text", "bytes_a_second"),
     [("4096B/s", 4096), ("128KB/s", 128_000), ("128KiB/s", 131_072), ("1.5MB/s", 1.5e6), ("2MiB/s", 2 << 20)],
 )
-def test_rates_of_bytes(text: str, bytes_a_second: float, tmp_path: Path) -> None:
+def test_byte_rates_are_parsed_with_their_units(text: str, bytes_a_second: float, tmp_path: Path) -> None:
     assert size_rate(text) == bytes_a_second
     settings = load_settings(file(tmp_path, f'catch-up-rate="{text}"'), ()).distribution
     assert settings is not None
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize(("attributes", "controls", "wrong", "line"), WRONG)
-def test_a_wrong_file_is_one_line(
+def test_invalid_settings_are_one_line_that_names_the_place(
     attributes: str, controls: str, wrong: str, line: int, tmp_path: Path
 ) -> None:
     path = file(tmp_path, attributes, controls)
@@ -127,7 +127,7 @@
     assert "urn:ironmill" not in told
 
 
-def test_at_a_wrong_listen_the_line_is_named(tmp_path: Path) -> None:
+def test_invalid_listen_address_is_rejected(tmp_path: Path) -> None:
     path = Path(file(tmp_path))
     for listen, wrong in (("10.0.0.9:0", "there is no port 0"), ("*:7500", "an address is HOST:PORT")):
         path.write_text(path.read_text().replace("10.0.0.9:7500", listen, 1))
@@ -136,7 +136,7 @@
         path.write_text(path.read_text().replace(listen, "10.0.0.9:7500", 1))
 
 
-def test_a_control_machine_is_no_proxy(tmp_path: Path) -> None:
+def test_settings_of_a_control_machine_reject_elements_for_proxies(tmp_path: Path) -> None:
     """What a proxy alone can make use of is refused, not passed over."""
     for more in (
         RINGS,
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "0f", "xy" * 32, f"{KEYS}\n" * 3])
-def test_keys_that_are_not_fit_for_use(
+def test_invalid_key_file_is_one_line(
     text: str, tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("PROXY_CONFIG", raising=False)
@@ -164,7 +164,7 @@
     assert "k: the distribution's keys cannot be read: No such file" in capsys.readouterr().err
 
 
-def test_keys_are_read_with_the_settings(tmp_path: Path) -> None:
+def test_distribution_keys_are_read_with_the_settings(tmp_path: Path) -> None:
     path = file(tmp_path)
     (tmp_path / "k").write_text(f"{KEYS}\n{'a1' * 16}\n")
     operator = read_operator_files(path, ())
@@ -172,7 +172,7 @@
     assert operator.member_keys == ()
 
 
-def test_check_config_of_a_proxy_and_of_a_control_machine(
+def test_check_config_accepts_settings_of_proxies_and_control_machines(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("PROXY_CONFIG", raising=False)
--- a/tests/unit/configuration/test_proxy_config.py
+++ b/tests/unit/configuration/test_proxy_config.py
@@ -41,7 +41,7 @@
     return str(file)
 
 
-def test_variables_win_over_the_file(tmp_path: Path) -> None:
+def test_environment_takes_precedence_over_the_file(tmp_path: Path) -> None:
     config = load({"PROXY_CONFIG": written(tmp_path), "PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.5:77"})
     assert (config.name, config.listen, config.discovery) == ("n9", ("127.0.0.5", 77), ("127.0.0.1", 8500))
     assert (config.seed, config.sockets, config.known.revision) == (0x8C1F30D27A5BE964, 4096, 41)
@@ -66,7 +66,7 @@
         (("name", None), "name"),
     ],
 )
-def test_a_bad_configuration_is_one_line_that_names_the_key(
+def test_invalid_configuration_is_one_line_that_names_the_key(
     change: tuple[str, object], named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     for command in ("serve", "check-config"):
@@ -76,7 +76,7 @@
         assert f"configuration: {named} " in err
 
 
-def test_files_that_are_missing_or_not_json(
+def test_missing_file_and_malformed_json_name_the_variable(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("PROXY_CONFIG", raising=False)
@@ -86,14 +86,14 @@
         assert "PROXY_CONFIG" in capsys.readouterr().err
 
 
-def test_the_other_sub_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_version_and_check_config_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["version"]) == 0
     assert main(["check-config", "--config", written(tmp_path)]) == 0
     expected = f"ironmill {__version__}\nironmill: the configuration of n3 is fit for use\n"
     assert capsys.readouterr().out == expected
 
 
-def test_the_second_address_is_told_by_file_or_variable(tmp_path: Path) -> None:
+def test_admin_address_is_read_from_file_or_environment(tmp_path: Path) -> None:
     assert load({"PROXY_CONFIG": written(tmp_path)}).admin_address is None
     told = written(tmp_path, ("control", "127.0.0.1:9000"))
     assert load({"PROXY_CONFIG": told}).admin_address == ("127.0.0.1", 9000)
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("text", ["[" * 100_000, '{"name": 1e999}', '{"name": "\\ud800"}', "{", ""])
-def test_what_is_not_json_is_one_line(tmp_path: Path, text: str) -> None:
+def test_malformed_json_raises_one_line(tmp_path: Path, text: str) -> None:
     """Guards the watch as well: discovery's answers are read by the same function."""
     file = tmp_path / "config.json"
     file.write_text(text)
@@ -109,14 +109,14 @@
         load({"PROXY_CONFIG": str(file)})
 
 
-def test_a_number_beyond_any_is_no_number(tmp_path: Path) -> None:
+def test_number_out_of_range_is_rejected(tmp_path: Path) -> None:
     text = Path(written(tmp_path)).read_text().replace('"sockets":4096', '"sockets":' + "9" * 400)
     (tmp_path / "config.json").write_text(text)
     with pytest.raises(MalformedError, match="sockets is not a number within range"):
         load({"PROXY_CONFIG": str(tmp_path / "config.json")})
 
 
-def test_the_start_imports_only_what_it_needs() -> None:
+def test_start_imports_no_optional_modules() -> None:
     """Guards the start: ten proxies that are started at once share the cores, and clients wait for them."""
     left_out = ["dataclasses", "orjson", "docopt", "h11", "pathlib", "json"]
     code = "import sys, ironmill.cli; print([n for n in sys.argv[1:] if n in sys.modules])"
@@ -129,6 +129,6 @@
     assert found.stdout.strip() == "[]"
 
 
-def test_the_platforms_command_means_what_the_usage_says() -> None:
+def test_serve_without_arguments_equals_its_parsed_usage() -> None:
     words = docopt(cli.__doc__, argv=["serve"])
     assert (words["--config"], words["--settings"], words["--poller"]) == (None, None, cli.DEFAULT_POLLER)
--- a/tests/unit/runtime/test_lifecycle.py
+++ b/tests/unit/runtime/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The table of states, against random steps."""
+"""The table of transitions, against random events."""
 
 from __future__ import annotations
 
@@ -15,46 +15,47 @@
 )
 
 
-def test_every_state_has_a_policy_and_is_reached() -> None:
+def test_every_state_has_a_policy_and_is_reachable() -> None:
     assert set(POLICIES) == set(ProcessState)
     assert set(TRANSITIONS.values()) == set(ProcessState)
 
 
 @given(st.lists(st.sampled_from(LifecycleEvent)))
-def test_what_holds_after_any_steps(steps: list[LifecycleEvent]) -> None:
+def test_invariants_after_any_events(events: list[LifecycleEvent]) -> None:
     lifecycle = Lifecycle()
-    seen: list[ProcessState] = []
-    lifecycle.add_listener(seen.append)
-    quiesced = opened = ended = settled = False
-    for step in steps:
-        if not ended:
-            quiesced = {LifecycleEvent.DRAIN_REQUESTED: True, LifecycleEvent.RESUME_REQUESTED: False}.get(
-                step, quiesced
-            )
-        opened = opened or (step is LifecycleEvent.STARTED and not ended)
-        settled = settled or (ended and step is LifecycleEvent.GRACE_PERIOD_ENDED)
-        ended = ended or step is LifecycleEvent.SHUTDOWN_REQUESTED
-        lifecycle.handle(step)
+    notified: list[ProcessState] = []
+    lifecycle.add_listener(notified.append)
+    drain_requested = started = shutting_down = finalizing = False
+    for event in events:
+        if not shutting_down:
+            drain_requested = {
+                LifecycleEvent.DRAIN_REQUESTED: True,
+                LifecycleEvent.RESUME_REQUESTED: False,
+            }.get(event, drain_requested)
+        started = started or (event is LifecycleEvent.STARTED and not shutting_down)
+        finalizing = finalizing or (shutting_down and event is LifecycleEvent.GRACE_PERIOD_ENDED)
+        shutting_down = shutting_down or event is LifecycleEvent.SHUTDOWN_REQUESTED
+        lifecycle.handle(event)
         policy = lifecycle.policy
-        assert (lifecycle.state in TERMINAL_STATES) == ended
-        assert policy.answers_pong is not quiesced  # whatever came before it, and also while it ends
-        assert policy.ready == (opened and not quiesced and not ended)
-        # Nobody is refused who was not sent away, but for the last moment, in which everybody is.
-        assert policy.admits_requests or quiesced or settled
-        assert not (settled and policy.admits_requests)
-        assert policy.migrates_clients == (quiesced and opened and not ended)
-    assert seen == [
+        assert (lifecycle.state in TERMINAL_STATES) == shutting_down
+        assert policy.answers_pong is not drain_requested  # also during a shutdown
+        assert policy.ready == (started and not drain_requested and not shutting_down)
+        # Requests are rejected only where clients are migrated, and in the final phase.
+        assert policy.admits_requests or drain_requested or finalizing
+        assert not (finalizing and policy.admits_requests)
+        assert policy.migrates_clients == (drain_requested and started and not shutting_down)
+    assert notified == [
         state
-        for state, before in zip(seen, [ProcessState.STARTING, *seen], strict=False)
+        for state, before in zip(notified, [ProcessState.STARTING, *notified], strict=False)
         if state is not before
     ]
 
 
-def test_what_comes_twice_is_told_once() -> None:
+def test_repeated_events_notify_once() -> None:
     lifecycle = Lifecycle(ProcessState.SERVING)
-    seen: list[ProcessState] = []
-    lifecycle.add_listener(seen.append)
-    steps = (
+    notified: list[ProcessState] = []
+    lifecycle.add_listener(notified.append)
+    events = (
         LifecycleEvent.DRAIN_REQUESTED,
         LifecycleEvent.DRAIN_REQUESTED,
         LifecycleEvent.DRAIN_PROPAGATED,
@@ -63,6 +64,6 @@
         LifecycleEvent.RESUME_REQUESTED,
         LifecycleEvent.DRAIN_PROPAGATED,
     )
-    for step in steps:
-        lifecycle.handle(step)
-    assert seen == [ProcessState.DRAINING, ProcessState.DRAINED, ProcessState.SERVING]
+    for event in events:
+        lifecycle.handle(event)
+    assert notified == [ProcessState.DRAINING, ProcessState.DRAINED, ProcessState.SERVING]
--- a/tests/unit/runtime/test_timers.py
+++ b/tests/unit/runtime/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers: what is withdrawn never fires, what is not fires once and in order, and empty entries are swept."""
+"""Timers: a cancelled one never fires, others fire once and in order, and cancelled entries are swept."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TimerModel(RuleBasedStateMachine):
-    """Random settings, withdrawals and steps of the clock against a list that is searched."""
+    """Random timers, cancellations and steps of the clock against a list that is searched."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,7 +32,7 @@
         self.expected.append((self.now + delay, number))
 
     @rule(pick=st.integers(0, 60))
-    def withdraw(self, pick: int) -> None:
+    def cancel(self, pick: int) -> None:
         number = pick % max(1, len(self.timers))
         self.queue.cancel(self.timers.get(number))
         self.expected = [entry for entry in self.expected if entry[1] != number]
@@ -46,7 +46,7 @@
         assert self.fired == [number for _, number in due]
         self.expected = [entry for entry in self.expected if entry not in due]
         if self.expected:
-            # An empty entry may come sooner; nothing that waits may be slept through.
+            # A cancelled entry may be due sooner; no pending one may be missed.
             assert left is not None
             assert self.now + left <= min(self.expected)[0]
 
@@ -58,17 +58,17 @@
 TestTimerModel = TimerModel.TestCase
 
 
-def test_a_failing_action_ends_alone(caplog: pytest.LogCaptureFixture) -> None:
+def test_failing_action_is_logged_and_others_run(caplog: pytest.LogCaptureFixture) -> None:
     queue = TimerQueue()
-    seen: list[int] = []
+    fired: list[int] = []
     queue.call_later(0.0, lambda: 1 // 0)
-    queue.call_later(0.0, seen.append, 1)
+    queue.call_later(0.0, fired.append, 1)
     queue.run()
-    assert (seen, len(queue), caplog.records[0].getMessage()) == ([1], 0, "a timer failed")
+    assert (fired, len(queue), caplog.records[0].getMessage()) == ([1], 0, "a timer failed")
 
 
-def test_long_timers_that_are_withdrawn_at_once_do_not_pile_up() -> None:
-    """Guards memory: a mass reconnect sets and withdraws one deadline a request."""
+def test_long_timers_cancelled_at_once_are_swept() -> None:
+    """Bounds memory: a mass reconnect sets and cancels one deadline per request."""
     queue = TimerQueue()
     for _ in range(10 * module.MIN_CANCELLED_TO_SWEEP):
         queue.cancel(queue.call_later(3600.0, print))
