--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -114,7 +114,7 @@
 
     def skipped_servers(self) -> int:
         """Returns how many listed servers get no new connections, because they drain or are ejected."""
-        ejected = self._balancer.left_out()
+        ejected = self._balancer.ejected()
         return sum(
             1
             for server in self._servers.listed()
