--- a/ironmill/net/clients/attempts.py
+++ b/ironmill/net/clients/attempts.py
@@ -43,7 +43,7 @@
         plan = AttemptPlan(
             line.with_deadline(max(1, int(attempt.timeout_s * 1000.0))),
             attempt.server.address,
-            self._service.config.connect_timeout,
+            self._service.config.connect_timeout_s,
             attempt.timeout_s,
         )
         connection.attempt_driver = AttemptDriver(self._service.dial, plan)
@@ -180,7 +180,9 @@
             server = self._service.gateway.server(server_uid)
             if server is not None:
                 timeout_s = deadline - time.monotonic()
-                plan = AttemptPlan(line.raw, server.address, self._service.config.connect_timeout, timeout_s)
+                plan = AttemptPlan(
+                    line.raw, server.address, self._service.config.connect_timeout_s, timeout_s
+                )
                 driver = AttemptDriver(self._service.dial, plan)
                 connection.attempt_driver = driver
                 driver.run(self)
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -19,7 +19,7 @@
 from ironmill.net.health_check import HealthCheckDriver
 from ironmill.net.listener import Listener
 from ironmill.net.reload import Reload, no_operator_files
-from ironmill.net.shutdown import Shutdown
+from ironmill.net.shutdown import Shutdown, ShutdownContext
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import Stream
 from ironmill.requests.admission import Admission
@@ -88,7 +88,7 @@
     def _build_gateway(self) -> Gateway:
         gateway = Gateway(self._config, self.scheduler, self.lifecycle)
         checker = HealthCheckDriver(
-            self.scheduler, self._config.connect_timeout, gateway.on_health_check, self._connect
+            self.scheduler, self._config.connect_timeout_s, gateway.on_health_check, self._connect
         )
         gateway.use_health_checker(checker)
         return gateway
@@ -136,7 +136,7 @@
         return reload
 
     def _build_admin_server(self) -> AdminServer | None:
-        if self._config.control is None:
+        if self._config.admin_address is None:
             return None
         from ironmill.administration.proxy_api import ProxyApi
         from ironmill.net.admin_server import AdminServer
@@ -144,7 +144,7 @@
         api = ProxyApi(self.gateway)
         if self._features is not None:
             self._features.add_routes(api)
-        return AdminServer(self.scheduler, self._config.control, api)
+        return AdminServer(self.scheduler, self._config.admin_address, api)
 
     def _build_listeners(self) -> list[Listener]:
         tls_listener = None if self._features is None else self._features.tls_listener
@@ -154,7 +154,7 @@
 
     def serve(self) -> None:
         """Runs until SIGTERM or SIGINT has been handled."""
-        Drain(self.scheduler, self.gateway, keeps_established=self._config.packets_pass)
+        Drain(self.scheduler, self.gateway, keeps_established=self._config.packets_pass_through)
         if self.admin_server is not None:
             self.admin_server.start()
             log.info("admin API at %s:%d", *self.admin_server.address)
@@ -168,9 +168,10 @@
         self.scheduler.run()
 
     def _handle_signals(self) -> None:
-        shutdown = Shutdown(
+        context = ShutdownContext(
             self.scheduler, self.gateway, self, self._config, self.admission, self.admin_server
         )
+        shutdown = Shutdown(context)
         self._signals.on(signal.SIGHUP, self.reload.run)
         self._signals.on(signal.SIGTERM, shutdown.run)
         self._signals.on(signal.SIGINT, shutdown.run)
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -57,7 +57,7 @@
         """Starts with the endpoint list of the configuration."""
         self._config = config
         self.lifecycle = lifecycle or Lifecycle(ProcessState.SERVING)
-        self.metrics = RequestMetrics(config.wait_limits)
+        self.metrics = RequestMetrics(config.default_deadlines_s)
         self.counts = EventCounts()
         self.resuming: set[RequestHandler] = set()  # of connections that are not established again yet
         # Unix time as it was at the start, from then on as steady as the monotonic clock.
@@ -127,7 +127,7 @@
 
     def has_class(self, class_name: str) -> bool:
         """Returns True if the settings define the class."""
-        return class_name in self._config.wait_limits
+        return class_name in self._config.default_deadlines_s
 
     def may_start(self, attempt: Attempt) -> bool:
         """Returns False if it is too late for an attempt's first byte.
@@ -137,7 +137,7 @@
         if self.now() >= attempt.start_by:
             return False
         since = attempt.server.leaving_since
-        return since is None or self.now() - since < self._config.drain_grace - DRAIN_LEAD_S
+        return since is None or self.now() - since < self._config.drain_grace_s - DRAIN_LEAD_S
 
     def use_health_checker(self, checker: HealthChecker) -> None:
         """Sets the driver of health checks; without one they are skipped."""
@@ -158,7 +158,7 @@
         class_name = incoming.class_name
         deadline_s = incoming.deadline_s
         if deadline_s is None:
-            deadline_s = self._config.wait_limits.get(class_name, DEFAULT_DEADLINE_S)
+            deadline_s = self._config.default_deadlines_s.get(class_name, DEFAULT_DEADLINE_S)
         give_up_at = incoming.received_at + deadline_s - ANSWER_LEAD_S
         counter = incoming.counter or self.metrics.start(class_name)
         request = self.requests.add(handler, give_up_at, counter)
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -23,7 +23,7 @@
 from ironmill.net.clients.service import ClientDependencies, ClientService
 from ironmill.net.discovery import Discovery
 from ironmill.net.listener import Listener
-from ironmill.net.shutdown import Shutdown, ShutdownSchedule
+from ironmill.net.shutdown import Shutdown, ShutdownContext, ShutdownSchedule
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer
@@ -678,8 +678,10 @@
     Town(3).run(story)
 
 
-@pytest.mark.parametrize("packets_pass", [True, False])
-def test_a_planned_end_answers_what_is_owed(monkeypatch: pytest.MonkeyPatch, packets_pass: bool) -> None:
+@pytest.mark.parametrize("packets_pass_through", [True, False])
+def test_a_planned_end_answers_what_is_owed(
+    monkeypatch: pytest.MonkeyPatch, packets_pass_through: bool
+) -> None:
     monkeypatch.setattr(shutdown_module, "ACCEPT_PERIOD_S", 0.05)
     monkeypatch.setattr(shutdown_module, "MAX_DEADLINE_S", 0.9)
     monkeypatch.setattr(shutdown_module, "MIGRATION_DELAY_S", 0.6)
@@ -691,7 +693,9 @@
         standing, held_by = town.pair()
         signals.on(
             signal.SIGTERM,
-            Shutdown(town.scheduler, town.gateway, town.listener, town.config, town.admission).run,
+            Shutdown(
+                ShutdownContext(town.scheduler, town.gateway, town.listener, town.config, town.admission)
+            ).run,
         )
         signals.on(signal.SIGHUP, lambda: hung_up.append(True))
         signals.start(town.scheduler)
@@ -711,7 +715,7 @@
         out["standing"] = standing.receive(5.0)
 
     try:
-        town = Town(packets_pass=packets_pass)
+        town = Town(packets_pass_through=packets_pass_through)
         town.run(story)
     finally:
         signals.close()
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -39,7 +39,7 @@
 from ironmill.net.health_check import MAX_CONNECTIONS, HealthCheckDriver
 from ironmill.net.listener import Listener
 from ironmill.net.migration import Migration
-from ironmill.net.shutdown import Shutdown
+from ironmill.net.shutdown import Shutdown, ShutdownContext
 from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
 from ironmill.protocol.discovery import EndpointUpdate
 from ironmill.requests import discovery_backoff
@@ -147,7 +147,7 @@
         assert town.gateway.counts["attempts"] == 1
         assert "overdue" not in town.gateway.counts
 
-    Town(wait_limits=LIMITS).run(story)
+    Town(default_deadlines_s=LIMITS).run(story)
 
 
 def test_a_waiting_request_is_answered_at_the_end() -> None:
@@ -157,13 +157,13 @@
         town.gateway.resolve_all()
         assert read_line(client).startswith(b"BUSY ")
 
-    Town(0, wait_limits=LIMITS).run(story)
+    Town(0, default_deadlines_s=LIMITS).run(story)
 
 
 def end_of(town: Town, monkeypatch: pytest.MonkeyPatch) -> Shutdown:
     for name, value in {"ACCEPT_PERIOD_S": 0.02, "MAX_DEADLINE_S": 0.05, "KILL_GRACE_S": 0.6}.items():
         monkeypatch.setattr(shutdown_module, name, value)
-    return Shutdown(town.scheduler, town.gateway, town.listener, town.config, town.admission)
+    return Shutdown(ShutdownContext(town.scheduler, town.gateway, town.listener, town.config, town.admission))
 
 
 def test_resting_connections_are_told_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -300,7 +300,7 @@
         assert read_line(client).split()[0] == answer
         assert town.gateway.counts == {"attempts": 2, "attempt RESET": 1, "attempt NOT_SENT": 1}
 
-    Town(2, settings=settings, wait_limits=LIMITS).run(story)
+    Town(2, settings=settings, default_deadlines_s=LIMITS).run(story)
 
 
 def test_without_leave_to_name_a_time_a_refusal_names_none() -> None:
