--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,13 +7,16 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 from hypothesis import settings
 
 from tests.known_red import KnownRedError, missing, parse
 
+if TYPE_CHECKING:
+    from tests.support.requests import FakeTimers
+
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
@@ -63,3 +66,11 @@
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
     for name, reason in config.stash[KNOWN_RED].items():
         terminalreporter.write_line(f"known red: {name}: {reason}")
+
+
+@pytest.fixture
+def timers(monkeypatch: pytest.MonkeyPatch) -> FakeTimers:
+    """Timers on a clock that only the test advances, in place of the monotonic clock."""
+    from tests.support.requests import FakeTimers
+
+    return FakeTimers(monkeypatch)
--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -22,7 +22,7 @@
 from ironmill.requests.metrics import ClassMetrics, RequestMetrics
 from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent, ProcessState
 from ironmill_testbed.staff import call
-from tests.system.test_net import OPEN, Town, read_line
+from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 GET = b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -145,24 +145,24 @@
 
 
 class Called:
-    """A town whose staff's address answers."""
+    """A proxy whose staff's address answers."""
 
     def __init__(self, keeps: bool = False) -> None:
-        self.town = Town()
-        self.control = AdminServer(self.town.scheduler, ("127.0.0.1", 0), ProxyApi(self.town.gateway))
+        self.proxy = ProxyUnderTest()
+        self.control = AdminServer(self.proxy.scheduler, ("127.0.0.1", 0), ProxyApi(self.proxy.gateway))
         self.control.start()
-        Drain(self.town.scheduler, self.town.gateway, keeps_established=keeps)
+        Drain(self.proxy.scheduler, self.proxy.gateway, keeps_established=keeps)
 
     def connect(self, data: bytes) -> Stream:
-        stream = Stream.connect(self.town.scheduler, self.control.address, 1.0)
+        stream = Stream.connect(self.proxy.scheduler, self.control.address, 1.0)
         stream.send(data)
         return stream
 
     def ask(self, method: str, path: str) -> tuple[int, bytes]:
-        return call(self.town.scheduler, self.control.address, method, path)
+        return call(self.proxy.scheduler, self.control.address, method, path)
 
-    def run(self, story: Callable[[], None]) -> None:
-        self.town.run(lambda _: story())
+    def run(self, scenario: Callable[[], None]) -> None:
+        self.proxy.run(lambda _: scenario())
         self.control.close()
 
 
@@ -170,7 +170,7 @@
     monkeypatch.setattr(admin_server_module, "REQUEST_TIMEOUT_S", 0.3)
     it = Called()
 
-    def story() -> None:
+    def scenario() -> None:
         half = [it.connect(GET[:20]) for _ in range(200)]
         assert it.ask("GET", "/admin/health")[0] == 200
         answers = []
@@ -185,18 +185,18 @@
         assert set(answers[-MAX_CONNECTIONS + 1 :]) == {b"HTTP/1.1 408"}
         assert it.ask("GET", "/admin/health")[0] == 200
 
-    it.run(story)
+    it.run(scenario)
 
 
 def test_a_caller_that_breaks_off_costs_nothing() -> None:
     it = Called()
 
-    def story() -> None:
+    def scenario() -> None:
         for data in (b"", GET[:7], GET):
             it.connect(data).abort()
         assert it.ask("GET", "/admin/health")[0] == 200
 
-    it.run(story)
+    it.run(scenario)
 
 
 def test_a_drain_and_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -208,41 +208,41 @@
     ):
         monkeypatch.setattr(drain_module, name, value)
     it = Called()
-    town = it.town
+    proxy = it.proxy
 
-    def story() -> None:
-        client, attempt = town.pair()
-        asking = town.client(b"PING\r\n")
+    def scenario() -> None:
+        client, attempt = proxy.established_pair()
+        asking = proxy.client(b"PING\r\n")
         assert read_line(asking) == b"PONG\r\n"
         assert it.ask("POST", "/admin/quiesce")[0] == 200
         asking.send(b"PING\r\n")
         assert read_line(asking) == b"DRAINING\r\n"
         # Whom the front still sends is served, and then sent away like the others.
-        late = town.client(OPEN.replace(b"1a", b"1b"))
-        late_attempt = town.attempt()
+        late = proxy.client(OPEN.replace(b"1a", b"1b"))
+        late_attempt = proxy.next_attempt()
         read_line(late_attempt)
         late_attempt.send(b"UP r2\r\n")
         assert read_line(late) == b"UP r2\r\n"
         # Nothing comes for this one; it has its answer at the end of the drain.
-        stuck = town.client(OPEN.replace(b"1a", b"1c"))
-        stuck_attempt = town.attempt()
+        stuck = proxy.client(OPEN.replace(b"1a", b"1c"))
+        stuck_attempt = proxy.next_attempt()
         assert [read_line(one) for one in (client, late)] == [b"MOVE\r\n"] * 2
         assert read_line(stuck).startswith(b"BUSY ")
         for stream in (client, late, stuck, attempt, late_attempt, stuck_attempt):
             stream.close()
-        assert read_line(town.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
-        town.until(lambda: not town.gateway.request_count())
+        assert read_line(proxy.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
+        proxy.wait_until(lambda: not proxy.gateway.request_count())
         assert it.ask("POST", "/admin/resume")[0] == 200
         asking.send(b"PING\r\n")
         assert read_line(asking) == b"PONG\r\n"
-        town.arrived.clear()  # what came for the one that was stuck
-        town.pair()
-        counted = town.gateway.metrics.classes["read"]
+        proxy.arrived.clear()  # what came for the one that was stuck
+        proxy.established_pair()
+        counted = proxy.gateway.metrics.classes["read"]
         assert counted == ClassMetrics(5, established=3, rejected=2, attempts=counted.attempts)
         assert counted.attempts >= 4
-        assert town.gateway.metrics.in_progress == 1
+        assert proxy.gateway.metrics.in_progress == 1
 
-    it.run(story)
+    it.run(scenario)
 
 
 def test_where_packets_pass_a_drain_leaves_what_stands(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -255,66 +255,66 @@
     ):
         monkeypatch.setattr(drain_module, name, value)
     it = Called(keeps=True)
-    town = it.town
+    proxy = it.proxy
 
-    def story() -> None:
-        client, attempt = town.pair()
-        stuck = town.client(OPEN.replace(b"1a", b"1c"))
-        stuck_attempt = town.attempt()
+    def scenario() -> None:
+        client, attempt = proxy.established_pair()
+        stuck = proxy.client(OPEN.replace(b"1a", b"1c"))
+        stuck_attempt = proxy.next_attempt()
         it.ask("POST", "/admin/quiesce")
         assert read_line(stuck).startswith(b"BUSY ")  # what is owed is answered all the same
-        town.scheduler.sleep(0.15)  # past the last look
-        assert read_line(town.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
+        proxy.scheduler.sleep(0.15)  # past the last look
+        assert read_line(proxy.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
         client.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
         attempt.send(b"you\r\n")
         assert read_line(client) == b"you\r\n"
-        assert "migrated" not in town.gateway.counts
-        assert len(town.gateway.established()) == 1
+        assert "migrated" not in proxy.gateway.counts
+        assert len(proxy.gateway.established()) == 1
         for stream in (client, attempt, stuck, stuck_attempt):
             stream.close()
 
-    it.run(story)
+    it.run(scenario)
 
 
 def test_a_drain_that_is_taken_back_half_way_keeps_the_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(drain_module, "FRONT_UPDATE_DELAY_S", 0.0)
     it = Called()
-    town = it.town
+    proxy = it.proxy
 
-    def story() -> None:
+    def scenario() -> None:
         pairs = []
         for at in range(12):
-            client = town.client(OPEN.replace(b"1a", b"%x" % (at + 32)))
-            attempt = town.attempt()
+            client = proxy.client(OPEN.replace(b"1a", b"%x" % (at + 32)))
+            attempt = proxy.next_attempt()
             read_line(attempt)
             attempt.send(b"UP r\r\n")
             read_line(client)
             pairs.append((client, attempt))
         it.ask("POST", "/admin/quiesce")
-        town.until(lambda: len(town.gateway.established()) < 12)
+        proxy.wait_until(lambda: len(proxy.gateway.established()) < 12)
         it.ask("POST", "/admin/resume")
-        left = len(town.gateway.established())
+        left = len(proxy.gateway.established())
         assert left > 0
-        town.scheduler.sleep(0.3)
-        assert len(town.gateway.established()) == left
+        proxy.scheduler.sleep(0.3)
+        assert len(proxy.gateway.established()) == left
         for client, attempt in pairs:
             client.close()
             attempt.close()
 
-    it.run(story)
+    it.run(scenario)
 
 
 def test_a_caller_that_makes_room_is_not_reset_over_what_it_has_just_sent() -> None:
     it = Called()
 
-    def story() -> None:
+    def scenario() -> None:
         half = [it.connect(GET[:7]) for _ in range(MAX_CONNECTIONS)]
-        it.town.until(lambda: len(it.control._connections) == MAX_CONNECTIONS)
+        it.proxy.wait_until(lambda: len(it.control._connections) == MAX_CONNECTIONS)
         half[0].send_nowait(GET[7:20])  # not read yet when the next one comes
         ours, theirs = socket.socketpair()
-        it.control._accepted(Stream(it.town.scheduler, ours))
+        it.control._accepted(Stream(it.proxy.scheduler, ours))
         theirs.close()
         assert half[0].receive(5.0) == b""
 
-    it.run(story)
+    it.run(scenario)
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -28,9 +28,9 @@
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from tests.support.identity import AUDIENCE, ISSUER, Keys, forged, identity, rule
-from tests.system.test_net import OPEN, Town, read_line
+from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
+from tests.support.requests import FakeTimers
 from tests.unit.identity.test_identity import hostile
-from tests.unit.requests.test_gateway import FakeTimers
 
 
 @pytest.fixture(scope="module")
@@ -38,26 +38,26 @@
     return Keys(tmp_path_factory.mktemp("keys"))
 
 
-def town_of(it: Identity, ring: KeyRing) -> Town:
-    town = Town()
-    town.callers = Callers(it, ring, town.scheduler)
-    return town
+def town_of(it: Identity, ring: KeyRing) -> ProxyUnderTest:
+    proxy = ProxyUnderTest()
+    proxy.callers = Callers(it, ring, proxy.scheduler)
+    return proxy
 
 
 def auth(token: bytes) -> bytes:
     return b"AUTH " + token + b"\r\n"
 
 
-def answer(town: Town, *pieces: bytes) -> bytes:
-    client = town.client(*pieces)
+def answer(proxy: ProxyUnderTest, *pieces: bytes) -> bytes:
+    client = proxy.client(*pieces)
     line = read_line(client)
     client.close()
     return line
 
 
-def stand(town: Town, token: bytes) -> tuple[Stream, Stream]:
-    client = town.client(auth(token) + OPEN.replace(b"1a", b"%x" % random.getrandbits(60)))
-    attempt = town.attempt()
+def stand(proxy: ProxyUnderTest, token: bytes) -> tuple[Stream, Stream]:
+    client = proxy.client(auth(token) + OPEN.replace(b"1a", b"%x" % random.getrandbits(60)))
+    attempt = proxy.next_attempt()
     first = read_line(attempt)
     assert first.startswith(b"OPEN ")  # the credential goes no further
     attempt.send(b"UP r1\r\n")
@@ -66,94 +66,94 @@
 
 
 def test_a_token_in_segments_of_one_byte_is_served_and_goes_no_further(keys: Keys) -> None:
-    def story(town: Town) -> None:
-        client = town.client(b"PING\r\n")
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
         for at in range(len(line := auth(keys.token()) + OPEN)):
             client.send(line[at : at + 1])
-        attempt = town.attempt()
+        attempt = proxy.next_attempt()
         assert read_line(attempt).startswith(b"OPEN 1a 2b c=read,")
         attempt.send(b"UP r1\r\nhey\r\n")
         client.close()
-        town.until(lambda: not town.gateway.request_count())
-        assert town.callers is not None
-        assert town.callers._usage.connections("farms") == 0
+        proxy.wait_until(lambda: not proxy.gateway.request_count())
+        assert proxy.callers is not None
+        assert proxy.callers._usage.connections("farms") == 0
 
-    town_of(identity(), keys.ring()).run(story)
+    town_of(identity(), keys.ring()).run(scenario)
 
 
 def test_who_is_not_known_gets_one_answer_and_no_attempt(keys: Keys) -> None:
-    def story(town: Town) -> None:
-        assert town.callers is not None
-        assert answer(town, OPEN) == b"ERR\r\n"
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert proxy.callers is not None
+        assert answer(proxy, OPEN) == b"ERR\r\n"
         for name, token in hostile(keys).items():
             if len(token) < 4000:
-                assert answer(town, auth(token) + OPEN) == b"ERR\r\n", name
-        assert answer(town, auth(keys.token(exp=1)), OPEN) == b"ERR\r\n"
-        assert answer(town, auth(keys.token()) + auth(keys.token()) + OPEN) == b"ERR\r\n"
-        assert answer(town, b"AUTH \r\n" + OPEN) == b"ERR\r\n"
-        assert answer(town, b"AUTH " + b"x" * 5000) == b"ERR\r\n"
-        assert town.arrived == []
-        assert town.gateway.counts.get("attempts", 0) == 0
-        counts = town.callers.counts()
+                assert answer(proxy, auth(token) + OPEN) == b"ERR\r\n", name
+        assert answer(proxy, auth(keys.token(exp=1)), OPEN) == b"ERR\r\n"
+        assert answer(proxy, auth(keys.token()) + auth(keys.token()) + OPEN) == b"ERR\r\n"
+        assert answer(proxy, b"AUTH \r\n" + OPEN) == b"ERR\r\n"
+        assert answer(proxy, b"AUTH " + b"x" * 5000) == b"ERR\r\n"
+        assert proxy.arrived == []
+        assert proxy.gateway.counts.get("attempts", 0) == 0
+        counts = proxy.callers.counts()
         assert counts["refused missing"] == 1
         assert counts["refused expired"] == 1
         assert counts["refused signature"] >= 2
 
-    town_of(identity(suspect_checks=1000.0), keys.ring()).run(story)
+    town_of(identity(suspect_checks=1000.0), keys.ring()).run(scenario)
 
 
 def test_a_stranger_has_a_tenant_and_rights_of_its_own(keys: Keys) -> None:
     stranger = Caller("stranger", "strangers", Rights(frozenset({"read"}), connections=1))
     seen: list[Any] = []
 
-    def story(town: Town) -> None:
-        inner = town.gateway._balancer.handle
-        town.gateway._balancer.handle = lambda event, now: (seen.append(event), inner(event, now))[1]
-        first = town.client(OPEN)
-        attempt = town.attempt()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        inner = proxy.gateway._balancer.handle
+        proxy.gateway._balancer.handle = lambda event, now: (seen.append(event), inner(event, now))[1]
+        first = proxy.client(OPEN)
+        attempt = proxy.next_attempt()
         read_line(attempt)
         attempt.send(b"UP r1\r\n")
         assert read_line(first) == b"UP r1\r\n"
-        assert answer(town, OPEN.replace(b"1a", b"1b")).startswith(b"BUSY 1000")
+        assert answer(proxy, OPEN.replace(b"1a", b"1b")).startswith(b"BUSY 1000")
         first.close()
         assert attempt.receive(5.0) == b""
-        town.until(lambda: not town.gateway.request_count())
-        client, _ = stand(town, keys.token())
+        proxy.wait_until(lambda: not proxy.gateway.request_count())
+        client, _ = stand(proxy, keys.token())
         client.close()
         tenants = [event.tenant for event in seen if type(event).__name__ == "Request"]
         assert tenants == ["strangers", "tenant-farms"]
 
-    town_of(identity(stranger=stranger), keys.ring()).run(story)
+    town_of(identity(stranger=stranger), keys.ring()).run(scenario)
 
 
 def test_a_class_that_the_caller_may_not_have(keys: Keys) -> None:
-    def story(town: Town) -> None:
-        assert town.callers is not None
-        assert answer(town, auth(keys.token()) + OPEN) == b"ERR\r\n"
-        assert town.callers.counts()["refused class not allowed"] == 1
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert proxy.callers is not None
+        assert answer(proxy, auth(keys.token()) + OPEN) == b"ERR\r\n"
+        assert proxy.callers.counts()["refused class not allowed"] == 1
 
-    town_of(identity(rule(classes=frozenset({"write"}))), keys.ring()).run(story)
+    town_of(identity(rule(classes=frozenset({"write"}))), keys.ring()).run(scenario)
 
 
 @pytest.mark.parametrize("within", [None, 0.05])
 def test_what_stands_when_its_key_retires_is_kept_or_moved(keys: Keys, within: float | None) -> None:
-    def story(town: Town) -> None:
-        assert town.callers is not None
-        stood = [stand(town, keys.token(kid)) for kid in "aabab"]
-        town.callers.replace(identity(move_within=within), keys.ring().retired("a", time.time() - 1.0))
-        assert answer(town, auth(keys.token("a")) + OPEN) == b"ERR\r\n"
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert proxy.callers is not None
+        stood = [stand(proxy, keys.token(kid)) for kid in "aabab"]
+        proxy.callers.replace(identity(move_within=within), keys.ring().retired("a", time.time() - 1.0))
+        assert answer(proxy, auth(keys.token("a")) + OPEN) == b"ERR\r\n"
         if within is not None:
             for at in (0, 1, 3):
                 assert read_line(stood[at][0]) == b"MOVE\r\n"
-            town.until(lambda: len(town.gateway.established()) == 2)
-        town.scheduler.sleep(0.1)
+            proxy.wait_until(lambda: len(proxy.gateway.established()) == 2)
+        proxy.scheduler.sleep(0.1)
         for at in range(5) if within is None else (2, 4):
             client, attempt = stood[at]
             client.send(b"hey\r\n")
             assert read_line(attempt) == b"hey\r\n"
 
-    town_of(identity(move_within=within), keys.ring()).run(story)
+    town_of(identity(move_within=within), keys.ring()).run(scenario)
 
 
 class Stands:
@@ -317,7 +317,7 @@
                     token = keys.token(kid, sub=f"farm-{at}") if kind == "good" else more[kind](kid)
                     it.scheduler.spawn(it.ask, kind, token, 0.2 + 1.2 * rng.random())
 
-            def story() -> None:
+            def scenario() -> None:
                 crowd(160, "ab", bad)
                 it.scheduler.sleep(0.7)
                 keys.write(keys.ring().promoted("b", time.time(), 3600.0))
@@ -330,7 +330,7 @@
                 while sum(n for (kind, _), n in it.answers.items() if kind != "probe") < 320:
                     it.scheduler.sleep(0.02)
 
-            play(it.scheduler, story, 90.0)
+            play(it.scheduler, scenario, 90.0)
             assert it.proxy.end() == 0
         log = it.proxy.log.read_text()
     answers = {kind: {word for (of, word) in it.answers if of == kind} for kind, _ in it.answers}
@@ -348,30 +348,30 @@
     """Hard case 4: the flood is checked within its budget, and no valid caller is refused or kept waiting."""
     words: Counter[tuple[str, str]] = Counter()
 
-    def story(town: Town) -> None:
-        assert town.callers is not None
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert proxy.callers is not None
         forgeries = [forged(keys.token(sub=f"farm-{at}")) for at in range(200)]
 
         def flood() -> None:
             for token in forgeries:
-                client = Stream.connect(town.scheduler, town.listener.address, 5.0, "127.0.0.9")
+                client = Stream.connect(proxy.scheduler, proxy.listener.address, 5.0, "127.0.0.9")
                 client.send(auth(token) + OPEN)
                 words["forged", read_line(client)[:4].decode().strip()] += 1
                 client.close()
 
-        town.scheduler.spawn(flood)
+        proxy.scheduler.spawn(flood)
         for at in range(30):
-            client, attempt = stand(town, keys.token(sub=f"farm-{at}"))
+            client, attempt = stand(proxy, keys.token(sub=f"farm-{at}"))
             words["good", "UP"] += 1
             client.close()
             attempt.close()
-        town.until(lambda: sum(words.values()) == 230)
+        proxy.wait_until(lambda: sum(words.values()) == 230)
         # The valid ones cost a signature each; of the flood only what its budget allows was looked at.
         allowed = SUSPECT_AFTER + BURST + 1
-        assert 30 < town.callers.gate.verified <= 30 + allowed
-        assert words["forged", "BUSY"] == town.callers.counts()["postponed"] >= 200 - allowed
+        assert 30 < proxy.callers.gate.verified <= 30 + allowed
+        assert words["forged", "BUSY"] == proxy.callers.counts()["postponed"] >= 200 - allowed
 
-    town_of(identity(suspect_checks=0.001), keys.ring()).run(story)
+    town_of(identity(suspect_checks=0.001), keys.ring()).run(scenario)
     assert {word for kind, word in words if kind == "forged"} == {"ERR", "BUSY"}
 
 
@@ -383,7 +383,7 @@
         with it.proxy:
             it.proxy.wait_ready()
 
-            def story() -> None:
+            def scenario() -> None:
                 ending = False
 
                 def load() -> None:
@@ -408,7 +408,7 @@
                         it.scheduler.sleep(0.02)
                 ending = True
 
-            play(it.scheduler, story, 60.0)
+            play(it.scheduler, scenario, 60.0)
             assert it.proxy.end() == 0
         log = it.proxy.log.read_text()
     assert {word for kind, word in it.answers if kind == "load"} == {"UP"}
--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -18,7 +18,7 @@
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from ironmill_testbed.staff import call
-from tests.system.test_net import OPEN, Town, read_line
+from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 SOCKETS = 96
 LIMIT = 60.0
@@ -70,21 +70,21 @@
 def test_an_attempt_that_finds_no_descriptor_costs_itself_alone() -> None:
     """The next one is made, and served."""
 
-    def story(town: Town) -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
         failed: list[bool] = []
 
         def dial(to: tuple[str, int], timeout: float) -> Stream:
             if not failed:
                 failed.append(True)
                 raise OSError(errno.EMFILE, "too many")
-            return Stream.connect(town.scheduler, to, timeout)
+            return Stream.connect(proxy.scheduler, to, timeout)
 
-        town.dial = dial
-        client = town.client(OPEN)
-        server = town.attempt()
+        proxy.dial = dial
+        client = proxy.client(OPEN)
+        server = proxy.next_attempt()
         read_line(server)
         server.send(b"UP r1\r\n")
         assert read_line(client) == b"UP r1\r\n"
         assert failed
 
-    Town(2).run(story)
+    ProxyUnderTest(2).run(scenario)
--- a/tests/system/test_garbage_collection.py
+++ b/tests/system/test_garbage_collection.py
@@ -11,7 +11,7 @@
 from ironmill.runtime import gc_schedule
 from ironmill.runtime.gc_schedule import GcSchedule
 from ironmill.runtime.timers import TimerQueue
-from tests.system.test_net import OPEN, Town, read_line
+from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 
 def test_the_collector_is_on_once_the_proxy_serves(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -23,8 +23,8 @@
     assert called == ["freeze", "enable", "set_threshold"]
 
 
-def served(town: Town) -> None:
-    client, attempt = town.pair()
+def served(proxy: ProxyUnderTest) -> None:
+    client, attempt = proxy.established_pair()
     client.send(b"hey\r\n")
     assert read_line(attempt) == b"hey\r\n"
     client.close()
@@ -32,52 +32,52 @@
     attempt.close()
 
 
-def ended_by_the_server(town: Town) -> None:
-    client, attempt = town.pair()
+def ended_by_the_server(proxy: ProxyUnderTest) -> None:
+    client, attempt = proxy.established_pair()
     attempt.send(b"BYE\r\n")
     attempt.close_gracefully(1.0)
     assert read_line(client) == b"BYE\r\n"
     client.close()
 
 
-def moved(town: Town) -> None:
-    client, attempt = town.pair()
-    town.gateway.established()[0].handler.migrate()
+def moved(proxy: ProxyUnderTest) -> None:
+    client, attempt = proxy.established_pair()
+    proxy.gateway.established()[0].handler.migrate()
     assert read_line(client) == b"MOVE\r\n"
     client.close()
     attempt.close()
 
 
-def broken(town: Town) -> None:
-    client, attempt = town.pair()
+def broken(proxy: ProxyUnderTest) -> None:
+    client, attempt = proxy.established_pair()
     attempt.abort()
     with pytest.raises(ConnectionError):
         client.receive(5.0)
     client.close()
 
 
-def turned_away(town: Town) -> None:
-    client = town.client(b"nonsense\r\n")
+def turned_away(proxy: ProxyUnderTest) -> None:
+    client = proxy.client(b"nonsense\r\n")
     assert read_line(client) == b"ERR\r\n"
     client.close()
 
 
-def refused(town: Town) -> None:
-    client = town.client(OPEN)
+def refused(proxy: ProxyUnderTest) -> None:
+    client = proxy.client(OPEN)
     for _ in range(3):
-        attempt: Stream = town.attempt()
+        attempt: Stream = proxy.next_attempt()
         read_line(attempt)
         attempt.send(b"BUSY\r\n")
         attempt.close_gracefully(1.0)
-        if town.gateway.pending_count() == 0:
+        if proxy.gateway.pending_count() == 0:
             break
     assert read_line(client).startswith(b"BUSY")
     client.close()
 
 
-def left(town: Town) -> None:
-    client = town.client(OPEN)
-    attempt = town.attempt()
+def left(proxy: ProxyUnderTest) -> None:
+    client = proxy.client(OPEN)
+    attempt = proxy.next_attempt()
     read_line(attempt)
     client.abort()
     with pytest.raises(ConnectionError):
@@ -85,20 +85,20 @@
     attempt.close()
 
 
-@pytest.mark.parametrize("story", [served, ended_by_the_server, moved, broken, turned_away, refused, left])
-def test_a_connection_leaves_no_cycle_behind(story: Callable[[Town], None]) -> None:
+@pytest.mark.parametrize("scenario", [served, ended_by_the_server, moved, broken, turned_away, refused, left])
+def test_a_connection_leaves_no_cycle_behind(scenario: Callable[[ProxyUnderTest], None]) -> None:
     seen: set[str] = set()
 
-    def run(town: Town) -> None:
-        story(town)
-        town.until(lambda: not town.gateway.request_count() and town.admission.used() == 0)
+    def run(proxy: ProxyUnderTest) -> None:
+        scenario(proxy)
+        proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.admission.used() == 0)
         gc.collect()
         gc.set_debug(gc.DEBUG_SAVEALL)
         try:
             for _ in range(3):
-                story(town)
-                town.until(lambda: not town.gateway.request_count() and town.admission.used() == 0)
-            town.scheduler.sleep(0.01)
+                scenario(proxy)
+                proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.admission.used() == 0)
+            proxy.scheduler.sleep(0.01)
             gc.collect()
             seen.update(
                 type(found).__qualname__
@@ -111,7 +111,7 @@
 
     gc.disable()
     try:
-        Town().run(run)
+        ProxyUnderTest().run(run)
     finally:
         gc.enable()
     assert seen == set()
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -4,140 +4,37 @@
 
 import errno
 import os
-import random
 import signal
 import socket
-from collections.abc import Callable
 from typing import Any
 
 import pytest
 
 from ironmill.balancing.interface import Stage
-from ironmill.identity.callers import Callers
 from ironmill.net import discovery as discovery_module
 from ironmill.net import shutdown as shutdown_module
-from ironmill.net.attempt import Dial
 from ironmill.net.clients import intake as intake_module
 from ironmill.net.clients import migration as migration_module
 from ironmill.net.clients import reading as reading_module
-from ironmill.net.clients.service import ClientDependencies, ClientService
 from ironmill.net.discovery import Discovery
-from ironmill.net.listener import Listener
 from ironmill.net.shutdown import Shutdown, ShutdownContext, ShutdownSchedule
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.requests import discovery_backoff
-from ironmill.requests.admission import Admission
-from ironmill.requests.discovery_backoff import CallPace
-from ironmill.requests.gateway import Gateway
 from ironmill.requests.metrics import ClassMetrics
 from ironmill.requests.response_delay import DelayMeter
 from ironmill.runtime.scheduler import READ, Scheduler
-from tests.unit.requests.test_gateway import config
-
-OPEN = b"OPEN 1a 2b c=read,d=1500,g=3c\r\n"
-
-
-class Town:
-    """One proxy with servers that the test plays. Waits end the test after some seconds."""
-
-    def __init__(self, hosts: int = 1, **changes: Any) -> None:
-        self.scheduler = Scheduler()
-        self.arrived: list[Stream] = []
-        self.listeners = [
-            Listener(self.scheduler, ("127.0.0.1", 0), self.arrived.append) for _ in range(hosts)
-        ]
-        listed = tuple(
-            ListedServer(f"s-{at}", *listener.address, Stage.READY, "a", 0, 1.0, 0.0)
-            for at, listener in enumerate(self.listeners)
-        )
-        self.config = config(EndpointUpdate(1, True, listed), **changes)
-        self.gateway = Gateway(self.config, self.scheduler)
-        self.admission = Admission(self.config.sockets)
-        self.callers: Callers | None = None
-        self.dial: Dial | None = None
-        self.listener = Listener(self.scheduler, ("127.0.0.1", 0), self._take)
-
-    def _take(self, stream: Stream) -> None:
-        ClientService(
-            ClientDependencies(
-                self.scheduler, self.gateway, self.config, self.admission, self.callers, self.dial
-            )
-        ).serve(stream)
-
-    def run(self, story: Callable[[Town], None]) -> None:
-        failed: list[BaseException] = []
-
-        def told() -> None:
-            try:
-                story(self)
-            except Exception as error:
-                failed.append(error)
-            self.scheduler.stop()
-
-        def hung() -> None:
-            failed.append(AssertionError("the story hangs"))
-            self.scheduler.stop()
-
-        self.scheduler.spawn(told)
-        self.scheduler.call_later(60.0, hung)
-        self.scheduler.run()
-        for listener in [*self.listeners, self.listener]:
-            listener.close()
-        if failed:
-            raise failed[0]
-
-    def client(self, *first: bytes) -> Stream:
-        stream = Stream.connect(self.scheduler, self.listener.address, 1.0)
-        for piece in first:
-            stream.send(piece)
-            self.scheduler.sleep(0.001)
-        return stream
-
-    def attempt(self) -> Stream:
-        """The next connection that comes to a server."""
-        self.until(lambda: bool(self.arrived))
-        return self.arrived.pop(0)
-
-    def until(self, true: Callable[[], bool]) -> None:
-        for _ in range(3000):
-            if true():
-                return
-            self.scheduler.sleep(0.002)
-        raise AssertionError("it did not come to pass")
-
-    def pair(self) -> tuple[Stream, Stream]:
-        """A client whose connection stands, and its server's end."""
-        client = self.client(OPEN)
-        attempt = self.attempt()
-        read_line(attempt)
-        attempt.send(b"UP r1\r\n")
-        assert read_line(client) == b"UP r1\r\n"
-        return client, attempt
-
-
-def pace() -> CallPace:
-    return CallPace(4, random.Random(1))
-
-
-def read_line(stream: Stream) -> bytes:
-    data = b""
-    while not data.endswith(b"\r\n"):
-        piece = stream.receive(5.0)
-        if not piece:
-            break
-        data += piece
-    return data
+from tests.support.proxy_under_test import ONE, OPEN, ProxyUnderTest, answer_discovery, pace, read_line
 
 
 def test_a_connection_is_served_and_bytes_go_on_unchanged() -> None:
-    def story(town: Town) -> None:
-        client = town.client(b"PING\r\n")
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
         client.send(OPEN[:9])
         client.send(OPEN[9:])
-        attempt = town.attempt()
+        attempt = proxy.next_attempt()
         first = read_line(attempt)
         head, _, tail = first.partition(b"d=")
         assert (head, tail.partition(b",")[2]) == (b"OPEN 1a 2b c=read,", b"g=3c\r\n")
@@ -153,9 +50,9 @@
             data += piece
         assert data == b"UP r1\r\nmore\r\nhalf\r\nBYE\r\n"
         client.close()
-        town.until(lambda: town.gateway.counts.get("established OK") == 1)
+        proxy.wait_until(lambda: proxy.gateway.counts.get("established OK") == 1)
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -174,90 +71,90 @@
     ],
 )
 def test_a_bad_first_line_gets_one_answer_and_an_end(data: bytes) -> None:
-    def story(town: Town) -> None:
-        client = town.client(data)
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(data)
         assert read_line(client) == b"ERR\r\n"
         assert client.receive(5.0) == b""
         client.close()
-        assert not town.arrived  # nothing of it goes on
-        assert not town.gateway.pending_count()
+        assert not proxy.arrived  # nothing of it goes on
+        assert not proxy.gateway.pending_count()
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_more_than_a_line_before_the_answer_ends_the_attempt() -> None:
     """Guards against being served for hundreds of commands at once."""
 
-    def story(town: Town) -> None:
-        client = town.client(OPEN)
-        attempt = town.attempt()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(OPEN)
+        attempt = proxy.next_attempt()
         read_line(attempt)
         client.send(OPEN)
         assert read_line(client) == b"ERR\r\n"
         assert attempt.receive(5.0) == b""
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_an_id_that_is_open_belongs_to_the_first() -> None:
-    def story(town: Town) -> None:
-        client, attempt = town.pair()
-        assert read_line(town.client(OPEN)) == b"ERR\r\n"
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, attempt = proxy.established_pair()
+        assert read_line(proxy.client(OPEN)) == b"ERR\r\n"
         client.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
         client.close()
         assert attempt.receive(5.0) == b""
-        town.until(lambda: not town.admission.used())
-        assert town.pair()  # the id is free again
+        proxy.wait_until(lambda: not proxy.admission.used())
+        assert proxy.established_pair()  # the id is free again
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_dripping_client_has_no_more_time_than_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.1)
 
-    def story(town: Town) -> None:
-        silent, dripping = town.client(), town.client()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        silent, dripping = proxy.client(), proxy.client()
 
         def drip() -> None:
             while True:
                 dripping.send(b"O")
-                town.scheduler.sleep(0.02)
+                proxy.scheduler.sleep(0.02)
 
-        dripper = town.scheduler.spawn(drip)
+        dripper = proxy.scheduler.spawn(drip)
         assert read_line(dripping) == b"ERR\r\n"
         assert read_line(silent) == b"BUSY 500\r\n"  # nothing of it is malformed, nor has run
-        town.scheduler.kill(dripper)
+        proxy.scheduler.kill(dripper)
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_silent_clients_make_room_for_those_that_speak() -> None:
-    def story(town: Town) -> None:
-        most = town.admission.max_silent
-        silent = [town.client() for _ in range(most + 2)]
+    def scenario(proxy: ProxyUnderTest) -> None:
+        most = proxy.admission.max_silent
+        silent = [proxy.client() for _ in range(most + 2)]
         assert read_line(silent[0]) == read_line(silent[1]) == b"BUSY 500\r\n"
-        assert town.pair()
-        assert town.admission.used() <= town.admission.max_descriptors
+        assert proxy.established_pair()
+        assert proxy.admission.used() <= proxy.admission.max_descriptors
 
-    Town(sockets=64).run(story)
+    ProxyUnderTest(sockets=64).run(scenario)
 
 
 def test_where_nothing_gives_way_a_client_is_refused_at_once() -> None:
-    def story(town: Town) -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
         pairs = []
-        for at in range(town.admission.max_descriptors // 2):
-            pairs.append(town.client(OPEN.replace(b"1a", b"%x" % at)))
-            attempt = town.attempt()
+        for at in range(proxy.admission.max_descriptors // 2):
+            pairs.append(proxy.client(OPEN.replace(b"1a", b"%x" % at)))
+            attempt = proxy.next_attempt()
             read_line(attempt)
             attempt.send(b"UP r1\r\n")
-        late = town.client(OPEN.replace(b"1a", b"ffff"))
+        late = proxy.client(OPEN.replace(b"1a", b"ffff"))
         assert read_line(late).startswith(b"BUSY ")
         pairs[0].close()
-        town.until(lambda: town.admission.used() <= town.admission.max_descriptors - 2)
-        assert town.pair()
+        proxy.wait_until(lambda: proxy.admission.used() <= proxy.admission.max_descriptors - 2)
+        assert proxy.established_pair()
 
-    Town(sockets=64).run(story)
+    ProxyUnderTest(sockets=64).run(scenario)
 
 
 def test_a_sender_at_full_speed_is_not_read_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -274,73 +171,73 @@
     monkeypatch.setattr(Stream, "receive", counted)
     read_by_test: list[Stream] = []
 
-    def story(town: Town) -> None:
-        client = town.client()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client()
         read_by_test.append(client)
         with pytest.raises(OSError):
             client.send(b"x" * 60_000_000)
         assert sum(read) < 200_000
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_refused_connection_is_tried_elsewhere_and_refused_in_the_end() -> None:
-    def story(town: Town) -> None:
-        for listener in town.listeners:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        for listener in proxy.listeners:
             listener.close()
-        client = town.client(OPEN)
+        client = proxy.client(OPEN)
         answer = read_line(client)
         assert answer.startswith(b"BUSY ")
         assert int(answer.split()[1]) > 0
-        assert town.gateway.counts["attempt CONNECT_FAILED"] >= 2
-        town.listeners = []
+        assert proxy.gateway.counts["attempt CONNECT_FAILED"] >= 2
+        proxy.listeners = []
 
-    Town(2).run(story)
+    ProxyUnderTest(2).run(scenario)
 
 
 def test_an_answer_other_than_up_brings_the_next_attempt_when_the_first_is_closed() -> None:
-    def story(town: Town) -> None:
-        client = town.client(OPEN)
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(OPEN)
         for answer in (b"BUSY\r\n", b"ERR\r\n"):
-            attempt = town.attempt()
+            attempt = proxy.next_attempt()
             read_line(attempt)
             attempt.send(answer)
             assert attempt.receive(5.0) == b""  # closed, and only then does the next one come
             attempt.close()
-        attempt = town.attempt()
+        attempt = proxy.next_attempt()
         read_line(attempt)
         attempt.send(b"UP r2\r\n")
         assert read_line(client) == b"UP r2\r\n"
 
-    Town(3).run(story)
+    ProxyUnderTest(3).run(scenario)
 
 
 def test_a_client_that_leaves_before_up_takes_its_attempt_along() -> None:
-    def story(town: Town) -> None:
-        client = town.client(OPEN)
-        attempt = town.attempt()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(OPEN)
+        attempt = proxy.next_attempt()
         read_line(attempt)
         client.close()
         assert attempt.receive(5.0) == b""
-        assert town.gateway.counts == {"attempts": 1, "attempt CANCELLED": 1}
+        assert proxy.gateway.counts == {"attempts": 1, "attempt CANCELLED": 1}
         counted = ClassMetrics(received=1, abandoned=1, attempts=1)
-        assert town.gateway.metrics.classes["read"] == counted
+        assert proxy.gateway.metrics.classes["read"] == counted
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_each_side_ends_the_other_in_the_same_way() -> None:
-    def story(town: Town) -> None:
-        client, attempt = town.pair()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, attempt = proxy.established_pair()
         attempt.abort()
         with pytest.raises(ConnectionResetError):
             client.receive(5.0)
-        client, attempt = town.pair()
+        client, attempt = proxy.established_pair()
         client.abort()
         with pytest.raises(ConnectionResetError):
             while attempt.receive(5.0):
                 pass
-        client, attempt = town.pair()
+        client, attempt = proxy.established_pair()
         client.send(b"last\r\n")
         client.shutdown_write()
         assert read_line(attempt) == b"last\r\n"
@@ -349,21 +246,21 @@
         assert read_line(client) == b"BYE\r\n"
         attempt.close()
         assert client.receive(5.0) == b""
-        town.until(lambda: town.gateway.counts.get("established OK") == 1)
-        assert town.gateway.counts["established RESET"] == 1
-        assert town.gateway.counts["established CANCELLED"] == 1
+        proxy.wait_until(lambda: proxy.gateway.counts.get("established OK") == 1)
+        assert proxy.gateway.counts["established RESET"] == 1
+        assert proxy.gateway.counts["established CANCELLED"] == 1
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_move_waits_for_the_line_under_way() -> None:
-    def story(town: Town) -> None:
-        client, attempt = town.pair()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, attempt = proxy.established_pair()
         attempt.send(b"ha")
         assert client.receive(5.0) == b"ha"
-        (request,) = town.gateway.established()
+        (request,) = proxy.gateway.established()
         request.handler.migrate()
-        town.scheduler.sleep(0.02)
+        proxy.scheduler.sleep(0.02)
         attempt.send(b"lf\r\n")
         data = b""
         while piece := client.receive(5.0):
@@ -372,44 +269,44 @@
         client.close()
         assert attempt.receive(5.0) == b""
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_line_that_never_ends_does_not_hold_a_move_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(migration_module, "MIGRATION_TIMEOUT_S", 0.05)
 
-    def story(town: Town) -> None:
-        client, attempt = town.pair()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, attempt = proxy.established_pair()
         attempt.send(b"ha")
         assert client.receive(5.0) == b"ha"
-        (request,) = town.gateway.established()
+        (request,) = proxy.gateway.established()
         request.handler.migrate()
         assert client.receive(5.0) == b""
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_silent_server_is_given_up_and_its_client_moved(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against machines that vanish: no end ever comes from them."""
     monkeypatch.setattr("ironmill.requests.response_delay.SILENT_AFTER", 0.2)
 
-    def story(town: Town) -> None:
-        client, _ = town.pair()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, _ = proxy.established_pair()
         client.send(b"hey\r\n")
         assert read_line(client) == b"MOVE\r\n"
         assert client.receive(5.0) == b""
-        town.until(lambda: town.gateway.counts.get("established RESET") == 1)
-        assert town.gateway.counts["unresponsive"] == 1
+        proxy.wait_until(lambda: proxy.gateway.counts.get("established RESET") == 1)
+        assert proxy.gateway.counts["unresponsive"] == 1
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_slow_reader_holds_the_sender_back_and_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     seen: list[int] = []
     monkeypatch.setattr(DelayMeter, "lines_answered", lambda self, id_, count: seen.append(count))
 
-    def story(town: Town) -> None:
-        client, attempt = town.pair()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, attempt = proxy.established_pair()
         total = 40_000_000
         sent = [0]
 
@@ -419,15 +316,15 @@
                 sent[0] += READ_BYTES
             attempt.close_gracefully(5.0)
 
-        town.scheduler.spawn(pour)
-        town.scheduler.sleep(0.3)
+        proxy.scheduler.spawn(pour)
+        proxy.scheduler.sleep(0.3)
         assert sent[0] < total  # the buffers on the way are full; the proxy reads no further
         got = 0
         while piece := client.receive(5.0):
             got += len(piece)
         assert got == sent[0] >= total
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_client_that_does_not_read_is_not_taken_for_a_silent_server(
@@ -435,54 +332,54 @@
 ) -> None:
     monkeypatch.setattr("ironmill.requests.response_delay.SILENT_AFTER", 0.6)
 
-    def story(town: Town) -> None:
-        client, attempt = town.pair()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, attempt = proxy.established_pair()
         client.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
-        poured = town.scheduler.spawn(attempt.send, b"z" * 40_000_000 + b"\r\n")
-        town.scheduler.sleep(1.0)
-        assert "unresponsive" not in town.gateway.counts
+        poured = proxy.scheduler.spawn(attempt.send, b"z" * 40_000_000 + b"\r\n")
+        proxy.scheduler.sleep(1.0)
+        assert "unresponsive" not in proxy.gateway.counts
         while not client.receive(5.0).endswith(b"\r\n"):
             pass
         client.send(b"you\r\n")  # measured again from here on
         assert read_line(attempt) == b"you\r\n"
-        town.until(lambda: town.gateway.counts.get("unresponsive") == 1)
-        town.scheduler.kill(poured)
+        proxy.wait_until(lambda: proxy.gateway.counts.get("unresponsive") == 1)
+        proxy.scheduler.kill(poured)
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_attempt_ordered_in_time_but_late_to_connect_sends_nothing() -> None:
     """Guards the drain rule: what counts is the first byte."""
 
-    def story(town: Town) -> None:
-        gone = ListedServer("s-0", *town.listeners[0].address, Stage.DRAINING, "a", 0, 1.0, 0.0)
-        town.gateway.may_start = lambda attempt: False  # type: ignore[method-assign]
-        client = town.client(OPEN)
-        attempt = town.attempt()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        gone = ListedServer("s-0", *proxy.listeners[0].address, Stage.DRAINING, "a", 0, 1.0, 0.0)
+        proxy.gateway.may_start = lambda attempt: False  # type: ignore[method-assign]
+        client = proxy.client(OPEN)
+        attempt = proxy.next_attempt()
         assert attempt.receive(5.0) == b""
-        town.gateway.on_endpoints(EndpointUpdate(2, False, (gone,)))
+        proxy.gateway.on_endpoints(EndpointUpdate(2, False, (gone,)))
         assert read_line(client).startswith(b"BUSY")
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_connection_open_before_the_run_goes_back_to_its_server() -> None:
-    def story(town: Town) -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
         at = b"OPEN 1a 2b c=read,d=900,at=s-1\r\n"
-        client = town.client(at)
+        client = proxy.client(at)
         for answer in (b"BUSY\r\n", b"UP r9\r\n"):  # it is tried again until it is up
-            attempt = town.attempt()
+            attempt = proxy.next_attempt()
             assert read_line(attempt) == at
             attempt.send(answer)
         assert read_line(client) == b"UP r9\r\n"
-        (request,) = town.gateway.established()
+        (request,) = proxy.gateway.established()
         assert request.attempt is not None
         assert request.attempt.server.uid == "s-1"
         client.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
 
-    Town(2).run(story)
+    ProxyUnderTest(2).run(scenario)
 
 
 def test_an_exception_ends_its_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -491,13 +388,13 @@
         intake_module, "request_attributes", lambda line: 1 / int(line.key, 16) and parse(line)
     )
 
-    def story(town: Town) -> None:
-        broken = town.client(OPEN.replace(b"2b", b"00"))
+    def scenario(proxy: ProxyUnderTest) -> None:
+        broken = proxy.client(OPEN.replace(b"2b", b"00"))
         assert read_line(broken) == b"ERR\r\n"
         assert broken.receive(5.0) == b""
-        assert town.pair()
+        assert proxy.established_pair()
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_discovery_takes_the_whole_list_then_changes_and_comes_back(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -505,63 +402,59 @@
     empty = b'{"rev":%d,"all":%s,"targets":[]}'
     told: list[EndpointUpdate] = []
 
-    def story(town: Town) -> None:
-        Discovery(town.scheduler, town.listeners[0].address, told.append, pace).start()
-        agent = town.attempt()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(proxy.scheduler, proxy.listeners[0].address, told.append, pace).start()
+        agent = proxy.next_attempt()
         asked = []
         for body in (empty % (41, b"true"), empty % (43, b"false"), b"{"):
             asked.append(read_line(agent).split(b" ")[1])
             agent.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        agent = town.attempt()  # after nonsense it calls anew, from where it was
+        agent = proxy.next_attempt()  # after nonsense it calls anew, from where it was
         asked.append(read_line(agent).split(b" ")[1])
         agent.close()
-        asked.append(read_line(town.attempt()).split(b" ")[1])
+        asked.append(read_line(proxy.next_attempt()).split(b" ")[1])
         watch, again = b"/api/targets?after=%d&wait_ms=1000", b"/api/targets?after=43&wait_ms=0"
         assert asked == [b"/api/targets", watch % 41, watch % 43, again, again]
 
-    town = Town()
-    town.run(story)
+    proxy = ProxyUnderTest()
+    proxy.run(scenario)
     assert [(routing.revision, routing.full) for routing in told] == [(41, True), (43, False)]
 
 
-def answer(agent: Stream, revision: int, targets: bytes = b"") -> None:
-    """Play the agent: a whole list."""
-    body = b'{"rev":%d,"all":true,"targets":[%b]}' % (revision, targets)
-    agent.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-
-
-ONE = b'{"uid":"s-0","endpoint":"127.0.0.1:9","state":"up"}'
-
-
 @pytest.mark.parametrize("again", ["named", "empty", "partly", "silent", "broken"])
 def test_a_list_that_names_nobody_is_asked_for_once_more(again: str) -> None:
     """Guards the clients against a fault of discovery: an empty list retired all servers at once."""
     told: list[EndpointUpdate] = []
 
-    def story(town: Town) -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
-            town.scheduler, town.listeners[0].address, told.append, pace, 15, held=town.gateway.known_servers
+            proxy.scheduler,
+            proxy.listeners[0].address,
+            told.append,
+            pace,
+            15,
+            held=proxy.gateway.known_servers,
         ).start()
-        agent = town.attempt()
+        agent = proxy.next_attempt()
         asked = [read_line(agent).split(b" ")[1]]
-        answer(agent, 16)
+        answer_discovery(agent, 16)
         asked.append(read_line(agent).split(b" ")[1])
         assert not told
         if again == "named":
-            answer(agent, 17, ONE)
+            answer_discovery(agent, 17, ONE)
         elif again == "empty":
-            answer(agent, 17)
+            answer_discovery(agent, 17)
         elif again == "partly":
             agent.send(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
         elif again == "broken":
             agent.close()
-        town.until(lambda: bool(told))
+        proxy.wait_until(lambda: bool(told))
         assert asked == [b"/api/targets?after=15&wait_ms=1000", b"/api/targets"]
         if again in ("partly", "silent", "broken"):
-            agent = town.attempt()  # it goes on from there
+            agent = proxy.next_attempt()  # it goes on from there
         assert read_line(agent).split(b" ")[1] == b"/api/targets?after=%d&wait_ms=1000" % told[0].revision
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
     (routing,) = told
     assert (routing.revision, len(routing.servers)) == ((17, 1) if again == "named" else (16, 0))
     assert (routing.age > 0.0) is (again != "named")
@@ -570,12 +463,12 @@
 def test_where_nobody_was_known_an_empty_list_is_taken_as_it_is() -> None:
     told: list[EndpointUpdate] = []
 
-    def story(town: Town) -> None:
-        Discovery(town.scheduler, town.listeners[0].address, told.append, pace, 15).start()
-        answer(town.attempt(), 16)
-        town.until(lambda: bool(told))
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(proxy.scheduler, proxy.listeners[0].address, told.append, pace, 15).start()
+        answer_discovery(proxy.next_attempt(), 16)
+        proxy.wait_until(lambda: bool(told))
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
     assert told == [EndpointUpdate(16, True, ())]
 
 
@@ -600,20 +493,20 @@
         if ended[1] > ended[0] * 2 - 1:  # a silent call behind each answered one
             monkeypatch.setattr(discovery_module, "ANSWER_WAIT", 30.0)
 
-    def story(town: Town) -> None:
-        address = town.listeners[0].address
-        Discovery(town.scheduler, address, take, pace, called=called).start()
-        agent = town.attempt()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        address = proxy.listeners[0].address
+        Discovery(proxy.scheduler, address, take, pace, called=called).start()
+        agent = proxy.next_attempt()
         read_line(agent)
         for revision in (41, 42):
-            answer(agent, revision)
-            town.until(lambda: revisions[-1:] == [revision])  # noqa: B023
+            answer_discovery(agent, revision)
+            proxy.wait_until(lambda: revisions[-1:] == [revision])  # noqa: B023
             asked = agent
-            agent = town.attempt()  # on a connection of its own, for the last one brings nothing
+            agent = proxy.next_attempt()  # on a connection of its own, for the last one brings nothing
             assert b"after=%d&" % revision in read_line(agent)
             assert b"after=%d&" % revision in read_line(asked)
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_proxy_with_a_list_watches_from_it_and_a_refused_call_is_one_line_in_the_log(
@@ -624,8 +517,8 @@
     told: list[EndpointUpdate] = []
     seen: list[Stream] = []
 
-    def story(town: Town) -> None:
-        Discovery(town.scheduler, town.listeners[0].address, told.append, pace, 15).start()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(proxy.scheduler, proxy.listeners[0].address, told.append, pace, 15).start()
         for answer in (
             b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
             b"HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy",
@@ -634,15 +527,15 @@
             b'HTTP/1.1 200 OK\r\nContent-Length: 36\r\n\r\n{"rev":16,"all":false,"targets":[4]}',
             b'HTTP/1.1 200 OK\r\nContent-Length: 35\r\n\r\n{"rev":17,"all":false,"targets":[]}',
         ):
-            agent = town.attempt()
+            agent = proxy.next_attempt()
             wait, seen[:] = (0 if seen else 1000), [agent]  # the first waits for news, the next ask at once
             assert read_line(agent).split(b" ")[1] == b"/api/targets?after=15&wait_ms=%d" % wait
             agent.send(answer)
             if b"17" not in answer:
                 agent.close()
-        town.until(lambda: bool(told))
+        proxy.wait_until(lambda: bool(told))
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
     assert [routing.revision for routing in told] == [17]
     assert [record.getMessage() for record in caplog.records if record.name == "ironmill.discovery"] == [
         "discovery: HttpError status 503"
@@ -652,30 +545,30 @@
 def test_discovery_changes_its_address_whole_list_first() -> None:
     told: list[int] = []
 
-    def story(town: Town) -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
         discovery = Discovery(
-            town.scheduler, town.listeners[0].address, lambda routing: told.append(routing.revision), pace
+            proxy.scheduler, proxy.listeners[0].address, lambda routing: told.append(routing.revision), pace
         )
         discovery.start()
-        old = town.attempt()
+        old = proxy.next_attempt()
         read_line(old)
-        answer(old, 41)
+        answer_discovery(old, 41)
         read_line(old)
-        discovery.watch_at(town.listeners[1].address)
-        town.attempt()
-        discovery.watch_at(town.listeners[2].address)  # before the one in between has answered
-        new = town.attempt()
+        discovery.watch_at(proxy.listeners[1].address)
+        proxy.next_attempt()
+        discovery.watch_at(proxy.listeners[2].address)  # before the one in between has answered
+        new = proxy.next_attempt()
         assert read_line(new).startswith(b"GET /api/targets HTTP")
-        answer(old, 42)  # still heard, for the new one has said nothing yet
-        town.until(lambda: told == [41, 42])
-        answer(new, 7)
-        town.until(lambda: told == [41, 42, 7])
+        answer_discovery(old, 42)  # still heard, for the new one has said nothing yet
+        proxy.wait_until(lambda: told == [41, 42])
+        answer_discovery(new, 7)
+        proxy.wait_until(lambda: told == [41, 42, 7])
         data = b""
         while piece := old.receive(5.0):
             data += piece
         assert data.count(b"GET") <= 1
 
-    Town(3).run(story)
+    ProxyUnderTest(3).run(scenario)
 
 
 @pytest.mark.parametrize("packets_pass_through", [True, False])
@@ -689,25 +582,25 @@
     hung_up: list[bool] = []
     out: dict[str, bytes] = {}
 
-    def story(town: Town) -> None:
-        standing, held_by = town.pair()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        standing, held_by = proxy.established_pair()
         signals.on(
             signal.SIGTERM,
             Shutdown(
-                ShutdownContext(town.scheduler, town.gateway, town.listener, town.config, town.admission)
+                ShutdownContext(proxy.scheduler, proxy.gateway, proxy.listener, proxy.config, proxy.admission)
             ).run,
         )
         signals.on(signal.SIGHUP, lambda: hung_up.append(True))
-        signals.start(town.scheduler)
-        town.scheduler.sleep(0.01)
+        signals.start(proxy.scheduler)
+        proxy.scheduler.sleep(0.01)
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGHUP)
-        town.scheduler.sleep(0.01)
-        late = town.client(OPEN.replace(b"1a", b"1b"))  # still accepted
-        attempt = town.attempt()
+        proxy.scheduler.sleep(0.01)
+        late = proxy.client(OPEN.replace(b"1a", b"1b"))  # still accepted
+        attempt = proxy.next_attempt()
         read_line(attempt)
-        town.scheduler.sleep(0.2)
+        proxy.scheduler.sleep(0.2)
         attempt.send(b"UP r5\r\n")
         out["late"] = read_line(late)
         standing.send(b"hey\r\n")  # served meanwhile
@@ -715,8 +608,8 @@
         out["standing"] = standing.receive(5.0)
 
     try:
-        town = Town(packets_pass_through=packets_pass_through)
-        town.run(story)
+        proxy = ProxyUnderTest(packets_pass_through=packets_pass_through)
+        proxy.run(scenario)
     finally:
         signals.close()
     assert hung_up
@@ -726,16 +619,16 @@
 
 
 def test_at_the_end_what_is_still_owed_is_refused() -> None:
-    def story(town: Town) -> None:
-        client = town.client(OPEN)
-        attempt = town.attempt()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(OPEN)
+        attempt = proxy.next_attempt()
         read_line(attempt)
-        town.gateway.resolve_all()
+        proxy.gateway.resolve_all()
         assert read_line(client).startswith(b"BUSY ")
         assert attempt.receive(5.0) == b""
-        assert not town.gateway.pending_count()
+        assert not proxy.gateway.pending_count()
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_descriptors_that_run_out_do_not_end_the_listener(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -754,13 +647,13 @@
         def __getattr__(self, name: str) -> Any:
             return getattr(self._sock, name)
 
-    def story(town: Town) -> None:
-        full = Full(town.listener._sock)
-        town.listener._sock = full  # type: ignore[assignment]
-        assert town.pair()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        full = Full(proxy.listener._sock)
+        proxy.listener._sock = full  # type: ignore[assignment]
+        assert proxy.established_pair()
         assert full.left == 0
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_scheduler_waits_wakes_and_outlives_failures() -> None:
@@ -768,7 +661,7 @@
     left, right = socket.socketpair()
     seen: list[object] = []
 
-    def story() -> None:
+    def scenario() -> None:
         seen.append(scheduler.wait(left.fileno(), READ, 0.01))
         right.send(b"x")
         seen.append(scheduler.wait(left.fileno(), READ, 1.0))
@@ -786,7 +679,7 @@
         seen.append("end")
         scheduler.stop()
 
-    scheduler.spawn(story)
+    scheduler.spawn(scenario)
     scheduler.run()
     left.close()
     right.close()
@@ -796,17 +689,17 @@
 
 
 def test_a_stream_that_nobody_closed_does_not_spoil_the_next_one_of_its_number() -> None:
-    def story(town: Town) -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
         for _ in range(20):
-            client = town.client(b"PING\r\n")
+            client = proxy.client(b"PING\r\n")
             assert read_line(client) == b"PONG\r\n"
             del client
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 def test_a_connection_that_never_comes_up_times_out() -> None:
-    def story(town: Town) -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
         full = socket.socket()
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -814,12 +707,12 @@
         held = []
         with pytest.raises(TimedOutError):
             for _ in range(9):
-                held.append(Stream.connect(town.scheduler, address, 0.05))
+                held.append(Stream.connect(proxy.scheduler, address, 0.05))
         for stream in held:
             stream.close()
         full.close()
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
 
 
 @pytest.mark.parametrize("longest", [0.05, 0.3, 0.6, 1.0, 2.0, 3.2, 60.0])
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -30,10 +30,8 @@
 from ironmill.requests.tracked_request import IncomingRequest
 from ironmill.simulator.host import PARSERS, format_action
 from tests.support.balancing import SimulatedProxy, sends
-from tests.system.test_net import Town, read_line
-from tests.unit.requests.test_gateway import FakeTimers, RecordingHandler, config, timers
-
-__all__ = ["timers"]
+from tests.support.proxy_under_test import ProxyUnderTest, read_line
+from tests.support.requests import FakeTimers, RecordingHandler, config
 
 
 def asked(proxy: SimulatedProxy, span: float) -> list[int]:
@@ -233,11 +231,11 @@
 def test_one_connection_serves_question_after_question_and_is_made_anew_when_it_broke() -> None:
     told: list[tuple[Outcome, LoadReport]] = []
 
-    def story(town: Town) -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
         driver = HealthCheckDriver(
-            town.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report))
+            proxy.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report))
         )
-        host = town.gateway.server("s-0")
+        host = proxy.gateway.server("s-0")
         assert host is not None
 
         def ask() -> None:
@@ -245,19 +243,19 @@
             driver.check(host)  # one question at a time
 
         ask()
-        attempt: Stream = town.attempt()
+        attempt: Stream = proxy.next_attempt()
         for at in range(2):
             assert read_line(attempt) == b"STATS\r\n"
             attempt.send(b"PONG x0=%d\r\n" % at)
-            town.until(lambda: len(told) == at + 1)  # noqa: B023
+            proxy.wait_until(lambda: len(told) == at + 1)  # noqa: B023
             ask()
         assert read_line(attempt) == b"STATS\r\n"
         attempt.close()
-        town.until(lambda: len(told) == 3)
+        proxy.wait_until(lambda: len(told) == 3)
         ask()
-        assert read_line(town.attempt()) == b"STATS\r\n"
+        assert read_line(proxy.next_attempt()) == b"STATS\r\n"
 
-    Town().run(story)
+    ProxyUnderTest().run(scenario)
     assert told == [(Outcome.OK, (("x0", 0.0),)), (Outcome.OK, (("x0", 1.0),)), (Outcome.RESET, ())]
 
 
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -16,7 +16,7 @@
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.runtime.scheduler import READ
-from tests.unit.requests.test_gateway import config
+from tests.support.requests import config
 
 
 class Quiet:
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -34,7 +34,7 @@
 from ironmill_testbed.fleet import Client, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from tests.system.test_net import OPEN, Town, read_line
+from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 
 @pytest.fixture(autouse=True)
@@ -61,8 +61,8 @@
     return TlsSettings(**(fields | changes))
 
 
-class TlsTown(Town):
-    """A town whose proxy speaks TLS to its clients."""
+class TlsProxyUnderTest(ProxyUnderTest):
+    """A proxy that speaks TLS to its clients."""
 
     def __init__(self, authority: Authority, callers: Identity | None = None, **changes: Any) -> None:
         super().__init__()
@@ -89,51 +89,51 @@
     def stand(self, *shown: str) -> tuple[TlsStream, Stream]:
         client = self.secure(*shown)
         client.send(OPEN.replace(b"1a", b"%x" % random.getrandbits(60)))
-        attempt = self.attempt()
+        attempt = self.next_attempt()
         assert read_line(attempt).startswith(b"OPEN ")
         attempt.send(b"UP r1\r\n")
         assert read_line(client) == b"UP r1\r\n"
         return client, attempt
 
 
-def crosses(town: Town, data: bytes, client: Stream, attempt: Stream) -> None:
+def crosses(proxy: ProxyUnderTest, data: bytes, client: Stream, attempt: Stream) -> None:
     """The data goes on unchanged, first to the server and then to the client."""
     for source, to in ((client, attempt), (attempt, client)):
-        town.scheduler.spawn(source.send, data)
+        proxy.scheduler.spawn(source.send, data)
         came = b""
         while len(came) < len(data):
             came += to.receive(5.0)
         assert came == data
 
 
-def until_gone(town: Town) -> None:
-    town.until(lambda: not town.gateway.request_count() and town.admission.used() == 0)
+def until_gone(proxy: ProxyUnderTest) -> None:
+    proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.admission.used() == 0)
 
 
 def test_bytes_go_on_unchanged_both_ways_and_the_servers_end_comes_through(authority: Authority) -> None:
     data = random.Random(3).randbytes(700_000).replace(b"\r\n", b"--") + b"\r\n"
 
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
-        client, attempt = town.stand()
-        crosses(town, data, client, attempt)
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
+        client, attempt = proxy.stand()
+        crosses(proxy, data, client, attempt)
         attempt.send(b"BYE\r\n")
         attempt.close_gracefully(1.0)
         assert read_line(client) == b"BYE\r\n"
         assert client.receive(5.0) == b""  # said, and not cut off
         client.close()
-        until_gone(town)
-        assert town.gateway.counts["established OK"] == 1
+        until_gone(proxy)
+        assert proxy.gateway.counts["established OK"] == 1
 
-    TlsTown(authority).run(story)
+    TlsProxyUnderTest(authority).run(scenario)
 
 
 def test_a_client_that_does_not_read_holds_its_server_back(authority: Authority) -> None:
     """The rule on bounded buffers holds through TLS."""
 
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
-        client, attempt = town.stand()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
+        client, attempt = proxy.stand()
         sent = 0
         with pytest.raises(TimedOutError):
             while sent < 1 << 28:
@@ -143,9 +143,9 @@
         while came < sent:
             came += len(client.receive(5.0))
         client.close()
-        until_gone(town)
+        until_gone(proxy)
 
-    TlsTown(authority).run(story)
+    TlsProxyUnderTest(authority).run(scenario)
 
 
 def end_with_close_notify(client: TlsStream) -> None:
@@ -170,43 +170,43 @@
 def test_however_a_client_ends_its_attempt_ends_and_nothing_is_left(
     authority: Authority, end: Callable[[TlsStream], None]
 ) -> None:
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
-        client, attempt = town.stand()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
+        client, attempt = proxy.stand()
         end(client)
         with contextlib.suppress(ConnectionResetError):
             assert attempt.receive(5.0) == b""
         attempt.close()
-        until_gone(town)
-        assert town.gateway.counts["established CANCELLED"] == 1
+        until_gone(proxy)
+        assert proxy.gateway.counts["established CANCELLED"] == 1
 
-    TlsTown(authority).run(story)
+    TlsProxyUnderTest(authority).run(scenario)
 
 
 def test_a_half_closed_client_still_gets_what_comes(authority: Authority) -> None:
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
-        client, attempt = town.stand()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
+        client, attempt = proxy.stand()
         client.shutdown_write()
         assert attempt.receive(5.0) == b""
         attempt.send(b"late\r\n")
         assert read_line(client) == b"late\r\n"
         attempt.close()
-        until_gone(town)
+        until_gone(proxy)
 
-    TlsTown(authority).run(story)
+    TlsProxyUnderTest(authority).run(scenario)
 
 
 def test_a_server_that_breaks_breaks_the_client(authority: Authority) -> None:
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
-        client, attempt = town.stand()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
+        client, attempt = proxy.stand()
         attempt.abort()
         with pytest.raises(ConnectionError):
             client.receive(5.0)
-        until_gone(town)
+        until_gone(proxy)
 
-    TlsTown(authority).run(story)
+    TlsProxyUnderTest(authority).run(scenario)
 
 
 def hello(authority: Authority) -> bytes:
@@ -232,9 +232,9 @@
     monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.5)
     pieces = HOSTILE[name](hello(authority))
 
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
-        bad = Stream.connect(town.scheduler, town.listener.address, 1.0)
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
+        bad = Stream.connect(proxy.scheduler, proxy.listener.address, 1.0)
 
         def flood() -> None:
             try:
@@ -243,19 +243,19 @@
             except (OSError, TimedOutError):
                 pass
 
-        town.scheduler.spawn(flood)
-        client, _ = town.stand()
+        proxy.scheduler.spawn(flood)
+        client, _ = proxy.stand()
         client.close()
         try:
             while bad.receive(5.0):
                 pass
         except ConnectionError:
             pass
-        town.scheduler.sleep(0.01)
+        proxy.scheduler.sleep(0.01)
         bad.close()
-        until_gone(town)
+        until_gone(proxy)
 
-    TlsTown(authority).run(story)
+    TlsProxyUnderTest(authority).run(scenario)
 
 
 def test_a_handshake_that_drips_has_the_time_of_a_first_line(
@@ -264,17 +264,17 @@
     monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.3)
     ended: list[bool] = []
 
-    def story(town: Town) -> None:
-        bad = Stream.connect(town.scheduler, town.listener.address, 1.0)
+    def scenario(proxy: ProxyUnderTest) -> None:
+        bad = Stream.connect(proxy.scheduler, proxy.listener.address, 1.0)
         with pytest.raises(OSError):
             for at in range(10_000):
                 bad.send(hello(authority)[at : at + 1] or b"x")
-                town.scheduler.sleep(0.005)
+                proxy.scheduler.sleep(0.005)
         ended.append(True)
         bad.close()
-        until_gone(town)
+        until_gone(proxy)
 
-    TlsTown(authority).run(story)
+    TlsProxyUnderTest(authority).run(scenario)
     assert ended
 
 
@@ -282,15 +282,15 @@
     old = authority.client()
     old.maximum_version = ssl.TLSVersion.TLSv1_2
 
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
         for context in (old, Authority(tmp_path, "other").client()):
             with pytest.raises(OSError):
-                town.secure(context=context)
-        until_gone(town)
-        assert town.gateway.counts.get("attempts", 0) == 0
+                proxy.secure(context=context)
+        until_gone(proxy)
+        assert proxy.gateway.counts.get("attempts", 0) == 0
 
-    TlsTown(authority, minimum="1.3").run(story)
+    TlsProxyUnderTest(authority, minimum="1.3").run(scenario)
 
 
 RULES = (
@@ -313,14 +313,14 @@
     }
 
 
-def answers(town: TlsTown, pair: tuple[str, str]) -> str:
+def answers(proxy: TlsProxyUnderTest, pair: tuple[str, str]) -> str:
     try:
-        client = town.secure(*pair)
+        client = proxy.secure(*pair)
         client.send(OPEN.replace(b"1a", b"%x" % random.getrandbits(60)))
-        if not town.arrived:
-            town.scheduler.sleep(0.05)
-        if town.arrived:
-            attempt = town.attempt()
+        if not proxy.arrived:
+            proxy.scheduler.sleep(0.05)
+        if proxy.arrived:
+            attempt = proxy.next_attempt()
             attempt.send(b"UP r1\r\n")
         line = read_line(client)
         client.close()
@@ -333,22 +333,22 @@
     identity = Identity("", RULES, denied_certificates=frozenset({fingerprint(shown["denied"][0])}))
     told: dict[str, str] = {}
 
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
-        assert town.callers is not None
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
+        assert proxy.callers is not None
         for name, pair in shown.items():
-            told[name] = answers(town, pair)
-        counts = town.callers.counts()
+            told[name] = answers(proxy, pair)
+        counts = proxy.callers.counts()
         assert [counts[f"refused {it}"] for it in ("denied", "no caller", "malformed")] == [1, 1, 1]
-        until_gone(town)
+        until_gone(proxy)
 
-    TlsTown(
+    TlsProxyUnderTest(
         authority,
         identity,
         clients="required",
         authorities=str(authority.path),
         crl=authority.revocations("revoked"),
-    ).run(story)
+    ).run(scenario)
     assert told == {
         "good": "UP r1",
         "expired": "closed",
@@ -365,31 +365,31 @@
 ) -> None:
     identity = Identity("", RULES, move_within=0.05)
 
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
-        assert town.callers is not None
-        denied, _ = town.stand(*shown["denied"])
-        good, attempt = town.stand(*shown["good"])
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
+        assert proxy.callers is not None
+        denied, _ = proxy.stand(*shown["denied"])
+        good, attempt = proxy.stand(*shown["good"])
         without = Identity(
             "", RULES, move_within=0.05, denied_certificates=frozenset({fingerprint(shown["denied"][0])})
         )
-        town.callers.replace(without, KeyRing())
+        proxy.callers.replace(without, KeyRing())
         assert read_line(denied) == b"MOVE\r\n"
         good.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
-        assert town.callers._usage.connections("farms") >= 1
+        assert proxy.callers._usage.connections("farms") >= 1
 
-    TlsTown(authority, identity, clients="optional", authorities=str(authority.path)).run(story)
+    TlsProxyUnderTest(authority, identity, clients="optional", authorities=str(authority.path)).run(scenario)
 
 
 def test_a_session_is_resumed_and_after_another_certificate_it_is_not(authority: Authority) -> None:
     context = authority.client()
     context.maximum_version = ssl.TLSVersion.TLSv1_2  # where the session is there once the handshake is
 
-    def again(town: TlsTown, session: ssl.SSLSession | None) -> tuple[bool, ssl.SSLSession | None]:
-        sock = socket.create_connection(town.listener.address)
+    def again(proxy: TlsProxyUnderTest, session: ssl.SSLSession | None) -> tuple[bool, ssl.SSLSession | None]:
+        sock = socket.create_connection(proxy.listener.address)
         stream = TlsStream(
-            town.scheduler, sock, context, is_server=False, server_name="localhost", session=session
+            proxy.scheduler, sock, context, is_server=False, server_name="localhost", session=session
         )
         stream.handshake(time.monotonic() + 5.0)
         stream.send(b"PING\r\n")
@@ -398,16 +398,16 @@
         stream.close()
         return found
 
-    def story(town: Town) -> None:
-        assert isinstance(town, TlsTown)
-        first, session = again(town, None)
-        second, session = again(town, session)
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, TlsProxyUnderTest)
+        first, session = again(proxy, None)
+        second, session = again(proxy, session)
         authority.certificate("server", "localhost")
-        town.context = server_tls(settings(authority)).context
-        third, _ = again(town, session)
+        proxy.context = server_tls(settings(authority)).context
+        third, _ = again(proxy, session)
         assert (first, second, third) == (False, True, False)
 
-    TlsTown(authority).run(story)
+    TlsProxyUnderTest(authority).run(scenario)
 
 
 def test_files_that_will_not_do_for_tls(authority: Authority, tmp_path: Path) -> None:
@@ -430,8 +430,8 @@
             server_tls(settings(authority, **changes))
 
 
-class SecureHosts(Town):
-    """A town whose servers speak TLS, and whose proxy checks that they are ``name``."""
+class SecureHosts(ProxyUnderTest):
+    """A proxy whose servers speak TLS, and whose proxy checks that they are ``name``."""
 
     def __init__(self, authority: Authority, name: str) -> None:
         super().__init__()
@@ -452,60 +452,60 @@
 def test_servers_that_speak_tls(authority: Authority) -> None:
     data = bytes(range(256)) * 1000 + b"\r\n"
 
-    def story(town: Town) -> None:
-        client = town.client(OPEN)
-        attempt = town.attempt()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(OPEN)
+        attempt = proxy.next_attempt()
         attempt.handshake(time.monotonic() + 5.0)
         assert read_line(attempt).startswith(b"OPEN 1a 2b c=read,")
         attempt.send(b"UP r1\r\n")
         assert read_line(client) == b"UP r1\r\n"
-        crosses(town, data, client, attempt)
+        crosses(proxy, data, client, attempt)
         attempt.send(b"BYE\r\n")
         attempt.close_gracefully(1.0)
         assert read_line(client) == b"BYE\r\n"
         client.close()
-        until_gone(town)
-        assert town.gateway.counts["established OK"] == 1
+        until_gone(proxy)
+        assert proxy.gateway.counts["established OK"] == 1
 
-    SecureHosts(authority, "localhost").run(story)
+    SecureHosts(authority, "localhost").run(scenario)
 
 
 def test_a_server_that_is_another_gets_no_line(authority: Authority) -> None:
-    def story(town: Town) -> None:
-        assert isinstance(town, SecureHosts)
-        client = town.client(OPEN)
-        attempt = town.attempt()
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, SecureHosts)
+        client = proxy.client(OPEN)
+        attempt = proxy.next_attempt()
         with pytest.raises(OSError):
             attempt.handshake(time.monotonic() + 5.0)
             attempt.receive(5.0)
-        assert town.gateway.counts["attempt CONNECT_FAILED"] >= 1
+        assert proxy.gateway.counts["attempt CONNECT_FAILED"] >= 1
         client.close()
 
-    SecureHosts(authority, "other.example").run(story)
+    SecureHosts(authority, "other.example").run(scenario)
 
 
 def test_no_handshake_begins_at_a_server_that_is_leaving(authority: Authority) -> None:
     """The rule on drains counts an attempt's first byte, and with TLS that is the handshake's."""
 
-    def story(town: Town) -> None:
-        assert isinstance(town, SecureHosts)
-        host = town.gateway.server("s-0")
+    def scenario(proxy: ProxyUnderTest) -> None:
+        assert isinstance(proxy, SecureHosts)
+        host = proxy.gateway.server("s-0")
         assert host is not None
-        inner = town.dial
+        inner = proxy.dial
         assert inner is not None
 
         def told_meanwhile(address: tuple[str, int], timeout: float) -> Stream:
             stream = inner(address, timeout)
-            host.leaving_since = town.gateway.now() - 10.0
+            host.leaving_since = proxy.gateway.now() - 10.0
             return stream
 
-        town.dial = told_meanwhile
-        client = town.client(OPEN)
-        attempt = town.attempt()
+        proxy.dial = told_meanwhile
+        client = proxy.client(OPEN)
+        attempt = proxy.next_attempt()
         assert Stream.receive(attempt, 5.0) == b""
         client.close()
 
-    SecureHosts(authority, "localhost").run(story)
+    SecureHosts(authority, "localhost").run(scenario)
 
 
 SETTINGS = """<ironmill xmlns="urn:ironmill:settings:1">
@@ -535,7 +535,7 @@
         stream.handshake(time.monotonic() + 5.0)
         return stream
 
-    def story(proxy: ProxyProcess) -> None:
+    def scenario(proxy: ProxyProcess) -> None:
         client = Client(scheduler, proxy.address)
         client.stream = stands = connect()
         client.open()
@@ -564,7 +564,7 @@
         more = [f"--settings={tmp_path / 'settings.xml'}"]
         with ProxyProcess(write_config(tmp_path, config), tmp_path, more=more) as proxy:
             proxy.wait_ready()
-            play(scheduler, lambda: story(proxy), 30.0)
+            play(scheduler, lambda: scenario(proxy), 30.0)
             word = (f"127.0.0.1:{port}", "", "index-sync", str(tmp_path / "authority.pem"))
             assert call.run(*word, str(tmp_path / "farm")) == 0
             assert call.run(*word, "") == 1
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -33,8 +33,8 @@
 from ironmill_testbed.certificates import Authority, fingerprint
 from tests.support.identity import AUDIENCE, ISSUER, Keys, identity
 from tests.support.identity import rule as rule_of
+from tests.support.requests import FakeTimers
 from tests.system.test_callers import Stands
-from tests.unit.requests.test_gateway import FakeTimers
 
 PRINT = "ab" * 32
 
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import itertools
-import math
-import time
 from typing import Any
 
 import pytest
@@ -13,8 +11,7 @@
 
 from ironmill.balancing.balancer import Balancer
 from ironmill.balancing.interface import Abandoned, Ended, Event, Outcome, Resumed, Stage, WatchEventKind
-from ironmill.configuration.proxy_config import Config
-from ironmill.protocol.discovery import EndpointUpdate, ListedServer, parse_endpoint_update
+from ironmill.protocol.discovery import EndpointUpdate, parse_endpoint_update
 from ironmill.protocol.json_object import JsonObject, MalformedError
 from ironmill.protocol.request import RequestAttributes
 from ironmill.requests.gateway import Gateway
@@ -22,80 +19,8 @@
 from ironmill.requests.response_delay import SILENT_AFTER, DelayMeter
 from ironmill.requests.routing_table import RoutingTable
 from ironmill.requests.tracked_request import Attempt, IncomingRequest
-from ironmill.runtime.timers import TimerQueue
 from tests.support.balancing import SETTINGS
-
-
-class FakeTimers:
-    """The library's timers on a clock that stands until it is moved; also the process's clock."""
-
-    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.now = 1000.0
-        self._timers = TimerQueue(lambda: self.now)
-        self.call_later, self.cancel = self._timers.call_later, self._timers.cancel
-        monkeypatch.setattr(time, "monotonic", lambda: self.now)
-
-    def run(self, span: float) -> None:
-        end = self.now + span
-        while (left := self._timers.run()) is not None and self.now + left <= end:
-            self.now = max(math.nextafter(self.now, math.inf), self.now + left)
-        self.now = end
-
-
-def listed(uid: str, stage: Stage = Stage.READY, boot: float = 0.0) -> ListedServer:
-    return ListedServer(uid, "127.0.0.1", 9, stage, "a", 0, 1.0, boot)
-
-
-KNOWN = EndpointUpdate(1, True, (listed("s-1"), listed("s-2"), listed("s-3")))
-
-
-def config(known: EndpointUpdate = KNOWN, **changes: Any) -> Config:
-    fields: dict[str, Any] = {
-        "name": "n0",
-        "listen": ("127.0.0.1", 0),
-        "discovery": ("127.0.0.1", 9),
-        "seed": 1,
-        "sockets": 1024,
-        "known": known,
-        "settings": SETTINGS,
-        "connect_timeout_s": 0.2,
-        "drain_grace_s": 0.25,
-        "packets_pass_through": True,
-        "default_deadlines_s": {"read": 2.0},
-        "shortest_latency_objective_s": 0.15,
-        "raw_values": {},
-    }
-    return Config(**(fields | changes))
-
-
-class RecordingHandler:
-    """A request handler that records the gateway's orders."""
-
-    def __init__(self) -> None:
-        self.attempts: list[Attempt] = []
-        self.answers: list[str] = []
-        self.migrations = 0
-
-    def start_attempt(self, attempt: Attempt) -> None:
-        assert all(before.ended for before in self.attempts), "attempts overlap"
-        self.attempts.append(attempt)
-
-    def cancel_attempt(self) -> bool:
-        raise AssertionError("no attempt is cancelled here")
-
-    def reject(self, retry_after_s: float) -> None:
-        self.answers.append(f"BUSY {retry_after_s:.3f}")
-
-    def fail(self) -> None:
-        self.answers.append("ERR")
-
-    def migrate(self) -> None:
-        self.migrations += 1
-
-
-@pytest.fixture
-def timers(monkeypatch: pytest.MonkeyPatch) -> FakeTimers:
-    return FakeTimers(monkeypatch)
+from tests.support.requests import FakeTimers, RecordingHandler, config, listed
 
 
 class GatewayMachine(RuleBasedStateMachine):
