--- a/ironmill/net/clients/attempts.py
+++ b/ironmill/net/clients/attempts.py
@@ -180,9 +180,8 @@
             server = self._service.gateway.server(server_uid)
             if server is not None:
                 timeout_s = deadline - time.monotonic()
-                plan = AttemptPlan(
-                    line.raw, server.address, self._service.config.connect_timeout_s, timeout_s
-                )
+                connect_timeout_s = self._service.config.connect_timeout_s
+                plan = AttemptPlan(line.raw, server.address, connect_timeout_s, timeout_s)
                 driver = AttemptDriver(self._service.dial, plan)
                 connection.attempt_driver = driver
                 driver.run(self)
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -31,7 +31,6 @@
 
 if TYPE_CHECKING:  # what is off is not imported
     from ironmill.configuration.operator_files import OperatorFiles
-    from ironmill.identity.callers import Callers
     from ironmill.net.admin_server import AdminServer
     from ironmill.net.operator_features import OperatorFeatures
 
@@ -75,7 +74,6 @@
         self.discovery = self._build_discovery()
         self.admission = Admission(config.sockets)
         self._features = self._build_features(options)
-        self._callers: Callers | None = None if self._features is None else self._features.callers
         self._clients = self._build_clients()
         self.reload = self._build_reload(options)
         self.admin_server = self._build_admin_server()
@@ -87,10 +85,11 @@
 
     def _build_gateway(self) -> Gateway:
         gateway = Gateway(self._config, self.scheduler, self.lifecycle)
-        checker = HealthCheckDriver(
-            self.scheduler, self._config.connect_timeout_s, gateway.on_health_check, self._connect
+        gateway.use_health_checker(
+            HealthCheckDriver(
+                self.scheduler, self._config.connect_timeout_s, gateway.on_health_check, self._connect
+            )
         )
-        gateway.use_health_checker(checker)
         return gateway
 
     def _build_discovery(self) -> Discovery:
@@ -120,9 +119,10 @@
         return OperatorFeatures(self.scheduler, self._config.name, options.files)
 
     def _build_clients(self) -> ClientService:
+        callers = None if self._features is None else self._features.callers
         return ClientService(
             ClientDependencies(
-                self.scheduler, self.gateway, self._config, self.admission, self._callers, self._connect
+                self.scheduler, self.gateway, self._config, self.admission, callers, self._connect
             )
         )
 
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -44,7 +44,7 @@
 from ironmill.protocol.discovery import EndpointUpdate
 from ironmill.requests import discovery_backoff
 from ironmill.runtime.lifecycle import LifecycleEvent, ProcessState
-from tests.support.balancing import KEYED, SAFE, SETTINGS, UNSAFE
+from tests.support.balancing import IDEMPOTENT, NOT_IDEMPOTENT, SETTINGS, WITH_KEY
 from tests.support.proxy_under_test import ONE, OPEN, ProxyUnderTest, answer_discovery, pace, read_line
 
 LIMITS = {"read": 2.0, "write": 2.0, "order": 2.0}
@@ -277,8 +277,8 @@
 ) -> None:
     """Repeats are dropped within the window alone: what begins later could take effect a second time."""
     window = 10.0
-    keyed = structs.replace(KEYED, deduplication_scope=scope, deduplication_window=window)
-    settings = structs.replace(SETTINGS, classes=(SAFE, keyed, UNSAFE))
+    keyed = structs.replace(WITH_KEY, deduplication_scope=scope, deduplication_window=window)
+    settings = structs.replace(SETTINGS, classes=(IDEMPOTENT, keyed, NOT_IDEMPOTENT))
 
     def scenario(proxy: ProxyUnderTest) -> None:
         dial, now = Stream.connect, proxy.gateway.now
