--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -22,7 +22,7 @@
 from ironmill.requests.metrics import ClassMetrics, RequestMetrics
 from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent, ProcessState
 from ironmill_testbed.staff import call
-from tests.system.test_net import OPEN, Town, read_line
+from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 GET = b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -148,21 +148,21 @@
     """A proxy whose admin API answers."""
 
     def __init__(self, keeps: bool = False) -> None:
-        self.town = Town()
-        self.server = AdminServer(self.town.scheduler, ("127.0.0.1", 0), ProxyApi(self.town.gateway))
+        self.proxy = ProxyUnderTest()
+        self.server = AdminServer(self.proxy.scheduler, ("127.0.0.1", 0), ProxyApi(self.proxy.gateway))
         self.server.start()
-        Drain(self.town.scheduler, self.town.gateway, keeps_established=keeps)
+        Drain(self.proxy.scheduler, self.proxy.gateway, keeps_established=keeps)
 
     def connect(self, data: bytes) -> Stream:
-        stream = Stream.connect(self.town.scheduler, self.server.address, 1.0)
+        stream = Stream.connect(self.proxy.scheduler, self.server.address, 1.0)
         stream.send(data)
         return stream
 
     def call_server(self, method: str, path: str) -> tuple[int, bytes]:
-        return call(self.town.scheduler, self.server.address, method, path)
+        return call(self.proxy.scheduler, self.server.address, method, path)
 
     def run(self, scenario: Callable[[], None]) -> None:
-        self.town.run(lambda _: scenario())
+        self.proxy.run(lambda _: scenario())
         self.server.close()
 
 
@@ -208,39 +208,39 @@
     ):
         monkeypatch.setattr(drain_module, name, value)
     it = ProxyWithAdminApi()
-    town = it.town
+    proxy = it.proxy
 
     def scenario() -> None:
-        client, attempt = town.pair()
-        pinging = town.client(b"PING\r\n")
+        client, attempt = proxy.established_pair()
+        pinging = proxy.client(b"PING\r\n")
         assert read_line(pinging) == b"PONG\r\n"
         assert it.call_server("POST", "/admin/quiesce")[0] == 200
         pinging.send(b"PING\r\n")
         assert read_line(pinging) == b"DRAINING\r\n"
         # A client that the front still sends is served, and then migrated like the others.
-        late = town.client(OPEN.replace(b"1a", b"1b"))
-        late_attempt = town.attempt()
+        late = proxy.client(OPEN.replace(b"1a", b"1b"))
+        late_attempt = proxy.next_attempt()
         read_line(late_attempt)
         late_attempt.send(b"UP r2\r\n")
         assert read_line(late) == b"UP r2\r\n"
         # No server answers this one; it gets its final answer at the end of the drain.
-        stuck = town.client(OPEN.replace(b"1a", b"1c"))
-        stuck_attempt = town.attempt()
+        stuck = proxy.client(OPEN.replace(b"1a", b"1c"))
+        stuck_attempt = proxy.next_attempt()
         assert [read_line(one) for one in (client, late)] == [b"MOVE\r\n"] * 2
         assert read_line(stuck).startswith(b"BUSY ")
         for stream in (client, late, stuck, attempt, late_attempt, stuck_attempt):
             stream.close()
-        assert read_line(town.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
-        town.until(lambda: not town.gateway.request_count())
+        assert read_line(proxy.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
+        proxy.wait_until(lambda: not proxy.gateway.request_count())
         assert it.call_server("POST", "/admin/resume")[0] == 200
         pinging.send(b"PING\r\n")
         assert read_line(pinging) == b"PONG\r\n"
-        town.arrived.clear()  # the attempts of the stuck request
-        town.pair()
-        counted = town.gateway.metrics.classes["read"]
+        proxy.arrived.clear()  # the attempts of the stuck request
+        proxy.established_pair()
+        counted = proxy.gateway.metrics.classes["read"]
         assert counted == ClassMetrics(5, established=3, rejected=2, attempts=counted.attempts)
         assert counted.attempts >= 4
-        assert town.gateway.metrics.in_progress == 1
+        assert proxy.gateway.metrics.in_progress == 1
 
     it.run(scenario)
 
@@ -257,22 +257,22 @@
     ):
         monkeypatch.setattr(drain_module, name, value)
     it = ProxyWithAdminApi(keeps=True)
-    town = it.town
+    proxy = it.proxy
 
     def scenario() -> None:
-        client, attempt = town.pair()
-        stuck = town.client(OPEN.replace(b"1a", b"1c"))
-        stuck_attempt = town.attempt()
+        client, attempt = proxy.established_pair()
+        stuck = proxy.client(OPEN.replace(b"1a", b"1c"))
+        stuck_attempt = proxy.next_attempt()
         it.call_server("POST", "/admin/quiesce")
         assert read_line(stuck).startswith(b"BUSY ")  # a pending request still gets its final answer
-        town.scheduler.sleep(0.15)  # past the late migration
-        assert read_line(town.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
+        proxy.scheduler.sleep(0.15)  # past the late migration
+        assert read_line(proxy.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
         client.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
         attempt.send(b"you\r\n")
         assert read_line(client) == b"you\r\n"
-        assert "migrated" not in town.gateway.counts
-        assert len(town.gateway.established()) == 1
+        assert "migrated" not in proxy.gateway.counts
+        assert len(proxy.gateway.established()) == 1
         for stream in (client, attempt, stuck, stuck_attempt):
             stream.close()
 
@@ -282,24 +282,24 @@
 def test_resume_during_a_drain_keeps_connections_not_yet_migrated(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(drain_module, "FRONT_UPDATE_DELAY_S", 0.0)
     it = ProxyWithAdminApi()
-    town = it.town
+    proxy = it.proxy
 
     def scenario() -> None:
         pairs = []
         for at in range(12):
-            client = town.client(OPEN.replace(b"1a", b"%x" % (at + 32)))
-            attempt = town.attempt()
+            client = proxy.client(OPEN.replace(b"1a", b"%x" % (at + 32)))
+            attempt = proxy.next_attempt()
             read_line(attempt)
             attempt.send(b"UP r\r\n")
             read_line(client)
             pairs.append((client, attempt))
         it.call_server("POST", "/admin/quiesce")
-        town.until(lambda: len(town.gateway.established()) < 12)
+        proxy.wait_until(lambda: len(proxy.gateway.established()) < 12)
         it.call_server("POST", "/admin/resume")
-        left = len(town.gateway.established())
+        left = len(proxy.gateway.established())
         assert left > 0
-        town.scheduler.sleep(0.3)
-        assert len(town.gateway.established()) == left
+        proxy.scheduler.sleep(0.3)
+        assert len(proxy.gateway.established()) == left
         for client, attempt in pairs:
             client.close()
             attempt.close()
@@ -312,10 +312,10 @@
 
     def scenario() -> None:
         incomplete = [it.connect(GET[:7]) for _ in range(MAX_CONNECTIONS)]
-        it.town.until(lambda: len(it.server._connections) == MAX_CONNECTIONS)
+        it.proxy.wait_until(lambda: len(it.server._connections) == MAX_CONNECTIONS)
         incomplete[0].send_nowait(GET[7:20])  # unread when the next call arrives
         ours, theirs = socket.socketpair()
-        it.server._accepted(Stream(it.town.scheduler, ours))
+        it.server._accepted(Stream(it.proxy.scheduler, ours))
         theirs.close()
         assert incomplete[0].receive(5.0) == b""
 
