--- a/ironmill/__main__.py
+++ b/ironmill/__main__.py
@@ -1,10 +1,10 @@
-"""``python -m ironmill`` is the command line."""
+"""Entry point of ``python -m ironmill``."""
 
 import gc
 import sys
 
-# What modules make stays: to look through it again and again is a tenth of the start. ``GcSchedule`` turns
-# the collector on.
+# The objects of modules are permanent, and collections during the import are a tenth of the start.
+# ``GcSchedule`` enables the collector.
 gc.disable()
 
 from ironmill.cli import main  # noqa: E402
--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -28,7 +28,7 @@
 
 
 class StateBody(Struct, kw_only=True):
-    """Body of the responses that tell the state. ``configuration`` is there if distribution is on."""
+    """Body of the responses with the state. ``configuration`` is there if distribution is on."""
 
     state: str
     configuration: Mapping[str, object] | UnsetType = UNSET
--- a/ironmill/net/key_ring_watcher.py
+++ b/ironmill/net/key_ring_watcher.py
@@ -19,7 +19,7 @@
 
 
 class FileVersion(Struct, frozen=True):
-    """What tells two versions of a file apart without reading it."""
+    """Metadata by which two versions of a file are distinguished."""
 
     modified_ns: int
     size: int
--- a/ironmill/runtime/lifecycle.py
+++ b/ironmill/runtime/lifecycle.py
@@ -13,7 +13,7 @@
 
 
 class ProcessState(Enum):
-    """State of the process. The values are the words of ``/admin/health``."""
+    """State of the process. The values are those of ``state`` in ``/admin/health``."""
 
     STARTING = "starting"  # discovery has not answered yet
     DRAIN_PENDING = "held"  # not started yet, and a drain was requested meanwhile
--- a/ironmill/runtime/logs.py
+++ b/ironmill/runtime/logs.py
@@ -50,7 +50,7 @@
         self._log.info(event, extra={_FIELDS_ATTRIBUTE: fields})
 
     def warning(self, event: str, **fields: object) -> None:
-        """Logs an event that an operator may want to look into."""
+        """Logs an event that an operator may want to investigate."""
         self._log.warning(event, extra={_FIELDS_ATTRIBUTE: fields})
 
     def error(self, event: str, **fields: object) -> None:
--- a/ironmill/runtime/scheduler.py
+++ b/ironmill/runtime/scheduler.py
@@ -7,8 +7,8 @@
 costs no system calls. Events are level-triggered. An event without a waiting task is unregistered when it
 first occurs; a later wait registers it again and still finds it.
 
-A task is killed by raising ``GreenletExit`` at its wait. It releases what it holds in ``finally`` blocks and
-context managers, and must not park in them.
+A task is killed by raising ``GreenletExit`` at its wait. It releases its resources in ``finally`` blocks
+and context managers, and must not park in them.
 """
 
 from __future__ import annotations
