--- a/tests/system/test_operation.py
+++ b/tests/system/test_operation.py
@@ -1,4 +1,4 @@
-"""Days of operation, played by processes: upgrades, kills, drains, figures; clients come, go and stay."""
+"""Operation of processes under load: upgrades, kills, drains and metrics."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Site:
-    """Emulated neighbours, one proxy address, and as many processes there as the story starts."""
+    """Emulated dependencies, one proxy address, and the processes that the scenario starts there."""
 
     def __init__(self, folder: Path, stack: ExitStack) -> None:
         self.folder, self.stack = folder, stack
@@ -34,10 +34,10 @@
         self.ending = False
 
     def start(self) -> Running:
-        """One more process at the address, with a second address of its own."""
+        """Starts another process at the address, with its own admin API."""
         settings = platform_settings()
         for category in settings["categories"]:
-            category["hardLimitS"] = 0.6  # the longest deadline says how long a planned end takes
+            category["hardLimitS"] = 0.6  # the longest deadline determines the time of a shutdown
         settings["familyInfo"]["mode"] = self.mode
         self.started += 1
         value = proxy_config(f"p{self.started}", self.address, self.neighbours.discovery, 4096, settings)
@@ -47,7 +47,7 @@
         return Running(self, self.stack.enter_context(process), control)
 
     def churn(self) -> None:
-        """Open, say a line and go, over and over; whoever meets no answer at all ends the story."""
+        """Opens, sends a line and closes, repeatedly; a request without an answer fails the scenario."""
         while not self.ending:
             client = Client(self.scheduler, self.address)
             try:
@@ -65,13 +65,13 @@
 
 
 class Running:
-    """One process and its second address."""
+    """One process and the address of its admin API."""
 
     def __init__(self, site: Site, process: ProxyProcess, control: tuple[str, int]) -> None:
         self.site, self.process, self.control = site, process, control
 
-    def ask(self, method: str, path: str) -> tuple[int, Any]:
-        """The status and the JSON of the answer; 0 where nobody answers."""
+    def call_api(self, method: str, path: str) -> tuple[int, Any]:
+        """Returns status and JSON of the response; status 0 without a response."""
         try:
             status, body = call(self.site.scheduler, self.control, method, f"/admin/{path}")
         except (OSError, TimedOutError):
@@ -80,7 +80,7 @@
 
     def serves(self) -> bool:
         assert self.process.popen.poll() is None, self.process.log.read_text()[-800:]
-        return self.ask("GET", "health")[0] == 200
+        return self.call_api("GET", "health")[0] == 200
 
     def over(self) -> bool:
         return self.process.popen.poll() is not None
@@ -92,8 +92,8 @@
         yield Site(folder, stack)
 
 
-def watched(it: Site, story: Callable[[Fleet], None]) -> Fleet:
-    """The story beside a fleet that stays and clients that come and go; nothing of it may be lost."""
+def run_beside_clients(it: Site, scenario: Callable[[Fleet], None]) -> Fleet:
+    """Runs the scenario beside clients that stay and others that come and go; none may be lost."""
     failed: list[BaseException] = []
 
     def churn() -> None:
@@ -102,18 +102,18 @@
         except BaseException as error:
             failed.append(error)
 
-    def told() -> Fleet:
+    def run() -> Fleet:
         fleet = Fleet(it.scheduler, [it.address], 30, pause=0.2)
         for _ in range(2):
             it.scheduler.spawn(churn)
         it.until(lambda: len(fleet.standing) == 30)
-        story(fleet)
+        scenario(fleet)
         fleet.end()
         it.ending = True
         it.scheduler.sleep(0.5)
         return fleet
 
-    fleet: Fleet = play(it.scheduler, told, LIMIT)
+    fleet: Fleet = play(it.scheduler, run, LIMIT)
     assert not failed, failed
     counts = fleet.counts
     assert (counts.lost, counts.unanswered, counts.failed, counts.unreached) == (0, 0, 0, 0), counts
@@ -125,7 +125,7 @@
         running = it.start()
         running.process.wait_ready()
 
-        def story(fleet: Fleet) -> None:
+        def scenario(fleet: Fleet) -> None:
             nonlocal running
             for _ in range(20):
                 old, running = running, it.start()
@@ -135,8 +135,8 @@
                 it.until(old.over)
                 assert old.process.popen.returncode == 0
 
-        fleet = watched(it, story)
-        assert fleet.counts.moved >= 20 * 20  # who came meanwhile is at the new one already
+        fleet = run_beside_clients(it, scenario)
+        assert fleet.counts.moved >= 20 * 20  # later clients are at the new process already
         assert it.churned > 100
 
 
@@ -145,11 +145,11 @@
         old = it.start()
         old.process.wait_ready()
 
-        def story(fleet: Fleet) -> None:
+        def scenario(fleet: Fleet) -> None:
             for wait in (0.0, 0.02, 0.05, 0.08, 0.12):
                 new = it.start()
                 it.scheduler.sleep(wait)  # before it listens
-                if not new.ask("GET", "health")[0]:
+                if not new.call_api("GET", "health")[0]:
                     new.process.popen.kill()
                     it.until(new.over)
                 else:
@@ -158,7 +158,7 @@
             it.until(lambda: len(fleet.standing) == 30)
             assert old.serves()
 
-        watched(it, story)
+        run_beside_clients(it, scenario)
 
 
 def test_killed_predecessor_loses_only_its_own_connections(tmp_path: Path) -> None:
@@ -167,7 +167,7 @@
         old.process.wait_ready()
         new: Running | None = None
 
-        def story() -> None:
+        def scenario() -> None:
             nonlocal new
             fleet = Fleet(it.scheduler, [it.address], 30, pause=0.2)
             it.until(lambda: len(fleet.standing) == 30)
@@ -175,11 +175,11 @@
             it.until(new.serves)
             old.process.popen.kill()
             it.until(old.over)
-            # All stood there, and each finds out at its next line; until then it is counted as standing.
+            # Each client detects the loss at its next line; until then it is counted as established.
             it.until(lambda: fleet.counts.lost >= 30)
             it.until(lambda: len(fleet.standing) == 30)
             assert fleet.counts.lost <= 30
-            third = it.start()  # and the one that is left can be followed as any other
+            third = it.start()  # the remaining process can be succeeded as any other
             it.until(third.serves)
             lost = fleet.counts.lost
             new.process.popen.send_signal(signal.SIGTERM)
@@ -188,7 +188,7 @@
             assert (fleet.counts.lost, fleet.counts.unanswered) == (lost, 0)
             fleet.end()
 
-        play(it.scheduler, story, LIMIT)
+        play(it.scheduler, scenario, LIMIT)
 
 
 def test_drain_resume_and_shutdown_after_a_drain(tmp_path: Path) -> None:
@@ -196,26 +196,26 @@
         one = it.start()
         one.process.wait_ready()
 
-        def story(fleet: Fleet) -> None:
-            assert one.ask("POST", "quiesce")[0] == 200
-            one.process.popen.send_signal(signal.SIGHUP)  # changes nothing of it
+        def scenario(fleet: Fleet) -> None:
+            assert one.call_api("POST", "quiesce")[0] == 200
+            one.process.popen.send_signal(signal.SIGHUP)  # does not affect the drain
             it.until(lambda: not fleet.standing)
-            it.until(lambda: one.ask("GET", "stats")[1]["in_progress"] == 0)
-            assert one.ask("GET", "health") == (503, {"state": "drained"})
+            it.until(lambda: one.call_api("GET", "stats")[1]["in_progress"] == 0)
+            assert one.call_api("GET", "health") == (503, {"state": "drained"})
             assert not fleet.standing
-            assert one.ask("POST", "resume")[0] == 200
+            assert one.call_api("POST", "resume")[0] == 200
             it.until(lambda: len(fleet.standing) == 30)
             # A new version takes over while the old one drains.
-            one.ask("POST", "quiesce")
+            one.call_api("POST", "quiesce")
             two = it.start()
             it.until(two.serves)
             one.process.popen.send_signal(signal.SIGTERM)
             it.until(one.over)
             assert one.process.popen.returncode == 0
             it.until(lambda: len(fleet.standing) == 30)
-            assert two.ask("GET", "stats")[1]["in_progress"] >= 30
+            assert two.call_api("GET", "stats")[1]["in_progress"] >= 30
 
-        watched(it, story)
+        run_beside_clients(it, scenario)
 
 
 def test_drain_where_packets_pass_through_migrates_nobody_until_shutdown(tmp_path: Path) -> None:
@@ -224,8 +224,8 @@
         one = it.start()
         one.process.wait_ready()
 
-        def story(fleet: Fleet) -> None:
-            one.ask("POST", "quiesce")
+        def scenario(fleet: Fleet) -> None:
+            one.call_api("POST", "quiesce")
             it.until(lambda: "drained: 30 established" in one.process.log.read_text())
             assert (len(fleet.standing), fleet.counts.moved) == (30, 0)
             two = it.start()
@@ -234,7 +234,7 @@
             it.until(one.over)
             it.until(lambda: len(fleet.standing) == 30)
 
-        watched(it, story)
+        run_beside_clients(it, scenario)
 
 
 def test_metrics_match_the_counts_of_clients_and_servers(tmp_path: Path) -> None:
@@ -243,18 +243,18 @@
         one.process.wait_ready()
         stats: dict[str, Any] = {}
 
-        def story(fleet: Fleet) -> None:
+        def scenario(fleet: Fleet) -> None:
             it.scheduler.sleep(1.0)
             it.ending = True
-            it.scheduler.sleep(0.3)  # until those that come and go have gone
-            stats.update(one.ask("GET", "stats")[1])
+            it.scheduler.sleep(0.3)  # until the churning clients have closed
+            stats.update(one.call_api("GET", "stats")[1])
             assert stats["in_progress"] == len(fleet.standing) == 30
 
-        fleet = watched(it, story)
-        told = it.neighbours.ask("told")["hosts"]
+        fleet = run_beside_clients(it, scenario)
+        totals = it.neighbours.ask("told")["hosts"]
         passed = stats["passed"]
         assert sum(passed.values()) == fleet.counts.served + it.churned
-        assert stats["upstream_tries"] == sum(host["opened"] for host in told)
+        assert stats["upstream_tries"] == sum(host["opened"] for host in totals)
         assert sum(stats["dropped"].values()) == fleet.counts.refused
         assert (stats["known_servers"], stats["skipped_servers"]) == (3, 0)
         taken = sum(stats["taken"].values())
--- a/tests/system/test_system_calls.py
+++ b/tests/system/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls of a real process that fail for a moment, as Linux documents them."""
+"""Transient errors of system calls in a real process, as Linux documents them."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass
 class Site:
-    """One proxy with faults, its neighbours, and what became of each request."""
+    """One proxy with faults, its dependencies, and the outcome of each request."""
 
     scheduler: Scheduler
     neighbours: Neighbours
@@ -44,7 +44,7 @@
     answers: list[str] = field(default_factory=list)
 
     def ask(self, wait: float = 2.0, fields: Mapping[str, object] = MORE) -> None:
-        """One request; its answer's first word, or what came instead, is kept."""
+        """Sends one request and records the first word of its answer, or what happened instead."""
         client = Client(self.scheduler, self.proxy.address)
         try:
             client.open(wait, fields)
@@ -58,7 +58,7 @@
         client.close()
 
     def crowd(self, count: int, over: float, seed: int = 1) -> None:
-        """So many requests, at random moments within so many seconds; returns once all are answered."""
+        """Sends ``count`` requests at random moments within ``over`` seconds and waits for all outcomes."""
         rng, before = random.Random(seed), len(self.answers)
         for _ in range(count):
             self.scheduler.call_later(over * rng.random(), self.scheduler.spawn, self.ask)
@@ -66,18 +66,18 @@
             self.scheduler.sleep(0.01)
 
     def reload(self, discovery: tuple[str, int]) -> None:
-        """Another address of discovery in the file, and the signal."""
+        """Writes another address of discovery to the file and sends SIGHUP."""
         self.value["discovery"] = f"{discovery[0]}:{discovery[1]}"
         write_config(self.config.parent, self.value)
         self.proxy.popen.send_signal(signal.SIGHUP)
 
     def stats(self) -> dict[str, Any]:
-        """What staff are told."""
+        """Returns the metrics of the admin API."""
         found: dict[str, Any] = orjson.loads(call(self.scheduler, self.control, "GET", "/admin/stats")[1])
         return found
 
     def kinds(self) -> set[str]:
-        """All that was answered."""
+        """Returns the distinct outcomes."""
         return set(self.answers)
 
 
@@ -94,8 +94,8 @@
             yield Site(Scheduler(), neighbours, proxy, control, config, value)
 
 
-def played(it: Site, story: Callable[[], None]) -> None:
-    play(it.scheduler, story, LIMIT)
+def run(it: Site, scenario: Callable[[], None]) -> None:
+    play(it.scheduler, scenario, LIMIT)
 
 
 def test_shutdown_answers_queued_connections_although_accept_fails(tmp_path: Path) -> None:
@@ -106,11 +106,11 @@
         folder.mkdir()
         with site(folder, Plan(seed, part={"accept": 0.5})) as it:
 
-            def story(it: Site = it) -> None:
+            def scenario(it: Site = it) -> None:
                 it.scheduler.call_later(0.2, it.proxy.popen.send_signal, signal.SIGTERM)
                 it.crowd(300, 0.6)
 
-            played(it, story)
+            run(it, scenario)
             assert it.proxy.popen.wait(10.0) == 0
             answers += it.answers
     assert set(answers) <= {"UP", "BUSY"}, answers
@@ -133,11 +133,11 @@
 def test_queued_connections_are_accepted_although_accept_fails(tmp_path: Path) -> None:
     with site(tmp_path, Plan(part={"accept": 0.5}, after=1.0)) as it:
 
-        def story() -> None:
+        def scenario() -> None:
             it.scheduler.sleep(1.0)
             it.crowd(400, 0.1)
 
-        played(it, story)
+        run(it, scenario)
         assert it.kinds() == {"UP"}, it.answers
 
 
@@ -155,7 +155,7 @@
     control = AdminServer(scheduler, ("127.0.0.1", 0), Routes())
     answers: list[bytes] = []
 
-    def story() -> None:
+    def scenario() -> None:
         callers = [socket.create_connection(control.address) for _ in range(8)]
         for caller in callers:
             caller.sendall(b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -165,7 +165,7 @@
             answers.append(caller.recv(12))
             caller.close()
 
-    play(scheduler, story, LIMIT)
+    play(scheduler, scenario, LIMIT)
     assert answers == [b"HTTP/1.1 404"] * 8
 
 
@@ -181,14 +181,14 @@
     """
     with site(tmp_path, Plan(wall_clock=ahead), {"rules": dict(SLOW_START)}) as it:
 
-        def story() -> None:
+        def scenario() -> None:
             it.crowd(800, 4.0, seed=1)  # the ordinary rate
             it.neighbours.ask("add", "s-new", time.time())
             it.scheduler.sleep(0.5)
             it.answers.clear()
             it.crowd(400, 2.0, seed=2)
 
-        played(it, story)
+        run(it, scenario)
         assert it.kinds() == {"UP"}
         taken = {host["uid"]: host["opened"] for host in it.neighbours.ask("told")["hosts"]}
         assert taken["s-new"] <= 40
@@ -198,15 +198,15 @@
     """The operators' notes: socket and connect may fail for a moment, and all rules hold."""
     with site(tmp_path, Plan(part={"connect": 0.5, "socket": 0.3}, after=1.0)) as it:
 
-        def story() -> None:
+        def scenario() -> None:
             it.scheduler.sleep(1.0)
             it.crowd(600, 3.0)
             assert it.stats()["skipped_servers"] == 0
 
-        played(it, story)
+        run(it, scenario)
         assert it.kinds() == {"UP"}
-        told = it.neighbours.ask("told")["hosts"]
-        assert sum(host["opened"] for host in told) == 600
+        totals = it.neighbours.ask("told")["hosts"]
+        assert sum(host["opened"] for host in totals) == 600
 
 
 def test_step_of_the_wall_clock_while_serving_changes_nothing(tmp_path: Path) -> None:
@@ -216,10 +216,10 @@
         folder.mkdir()
         with site(folder, Plan(wall_clock=step, after=1.5)) as it:
 
-            def story(it: Site = it) -> None:
-                it.crowd(300, 3.0)  # before the step, in its instant and after it
+            def scenario(it: Site = it) -> None:
+                it.crowd(300, 3.0)  # before, during and after the step
 
-            played(it, story)
+            run(it, scenario)
             assert it.kinds() == {"UP"}, it.answers
             assert it.proxy.end() == 0
 
@@ -228,11 +228,11 @@
     """The operators' notes: reads and writes may be short. Clients, servers, discovery, staff."""
     with site(tmp_path, Plan(short=True)) as it:
 
-        def story() -> None:
+        def scenario() -> None:
             it.crowd(150, 2.0)
             assert it.stats()["known_servers"] == SERVERS
 
-        played(it, story)
+        run(it, scenario)
         assert it.kinds() == {"UP"}, it.answers
 
 
@@ -240,11 +240,11 @@
     """recv(2) and send(2): ENOMEM, ENOBUFS. The connection is sound."""
     with site(tmp_path, Plan(part={"recv": 0.1, "send": 0.1}, after=1.0)) as it:
 
-        def story() -> None:
+        def scenario() -> None:
             it.scheduler.sleep(1.0)
             it.crowd(200, 2.0)
 
-        played(it, story)
+        run(it, scenario)
         assert it.kinds() == {"UP"}, it.answers
 
 
@@ -254,18 +254,18 @@
     other.mkdir()
     with site(tmp_path, Plan(part={"open": 0.5}, after=1.0)) as it, Neighbours(other, 5) as last:
 
-        def story() -> None:
+        def scenario() -> None:
             it.scheduler.sleep(1.0)
             for address in (("127.0.0.1", free_port()), last.discovery, ("127.0.0.1", free_port())) * 2:
                 it.reload(address)
                 it.scheduler.sleep(0.03)
-            it.crowd(50, 0.3)  # the old list serves meanwhile
+            it.crowd(50, 0.3)  # served with the old list
             it.reload(last.discovery)
             while it.stats()["known_servers"] != 5:
                 it.scheduler.sleep(0.02)
             it.crowd(50, 0.3)
 
-        played(it, story)
+        run(it, scenario)
         assert it.kinds() == {"UP"}, it.answers
         assert sum(host["opened"] for host in last.ask("told")["hosts"]) >= 50
 
@@ -274,12 +274,12 @@
     """The operators' notes: signals come in series."""
     with site(tmp_path, Plan()) as it:
 
-        def story() -> None:
+        def scenario() -> None:
             series = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
             for at, number in enumerate(series):
                 it.scheduler.call_later(0.2 + 0.02 * at, it.proxy.popen.send_signal, number)
             it.crowd(150, 0.5)
 
-        played(it, story)
+        run(it, scenario)
         assert it.proxy.popen.wait(10.0) == 0
         assert it.kinds() <= {"UP", "BUSY"}, it.answers
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -1,4 +1,4 @@
-"""What distributed keys mean to a proxy: who is denied, how much is logged, and what is refused."""
+"""Distributed keys in a proxy: denials, the log level, and what is rejected."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def level() -> Iterator[logging.Logger]:
-    """The root logger, as it was before afterwards."""
+    """The root logger, restored afterwards."""
     root = logging.getLogger()
     before, handlers = root.level, root.handlers[:]
     yield root
@@ -55,7 +55,7 @@
     root.setLevel(before)
 
 
-def no_level(_: str) -> None:
+def ignore_level(_: str) -> None:
     pass
 
 
@@ -97,41 +97,41 @@
     ],
 )
 def test_malformed_keys_and_values_are_rejected_with_the_reason(key: str, value: bytes, reason: str) -> None:
-    refusal = check_form({"shard/good": b"r1", key: value})
-    assert (refusal is None) is not bool(reason)
-    if refusal is not None:
-        assert refusal.key == key
-        assert reason in refusal.reason
-    assert check_form({key: None}) is None  # mends what was refused
+    rejection = check_form({"shard/good": b"r1", key: value})
+    assert (rejection is None) is not bool(reason)
+    if rejection is not None:
+        assert rejection.key == key
+        assert reason in rejection.reason
+    assert check_form({key: None}) is None  # a deletion repairs a rejected revision
 
 
 @given(st.dictionaries(st.text(max_size=30), st.none() | st.binary(max_size=80), max_size=4))
 def test_arbitrary_changes_that_pass_the_check_are_applied(changes: Changes) -> None:
     for prefix in ("", "deny/subject/", "shard/", "log/level"):
-        it = ConfigurationConsumer(None, no_level)
+        consumer = ConfigurationConsumer(None, ignore_level)
         prefixed = {prefix + key: value for key, value in changes.items()}
-        if it.check(prefixed) is None:
-            it.apply(prefixed)
-            assert it.applied.subjects == frozenset()
+        if consumer.check(prefixed) is None:
+            consumer.apply(prefixed)
+            assert consumer.applied.subjects == frozenset()
 
 
 def test_without_identity_denials_are_rejected_and_other_keys_applied(level: logging.Logger) -> None:
-    it = ConfigurationConsumer(None)
+    consumer = ConfigurationConsumer(None)
     for key in ("deny/subject/x", f"deny/fingerprint/{PRINT}"):
-        refusal = it.check({"log/level": b"debug", key: b""})
-        assert refusal == Rejection(key, "this proxy's settings hold no identity, so nobody can be denied")
-        assert it.check({key: None, "log/level": b"debug", "shard/a": b"r"}) is None
-    it.apply({"log/level": b"debug", "deny/subject/x": None, "shard/a": b"r"})
+        rejection = consumer.check({"log/level": b"debug", key: b""})
+        assert rejection == Rejection(key, "this proxy's settings hold no identity, so nobody can be denied")
+        assert consumer.check({key: None, "log/level": b"debug", "shard/a": b"r"}) is None
+    consumer.apply({"log/level": b"debug", "deny/subject/x": None, "shard/a": b"r"})
     assert level.level == logging.DEBUG
 
 
 def test_check_changes_nothing(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
     callers = callers_of(keys, FakeTimers(monkeypatch))
-    it = ConfigurationConsumer(callers, lambda level: pytest.fail(level))
-    before, gate = it.applied, callers.gate.identity
-    assert it.check({"deny/subject/a": b"", "log/level": b"debug"}) is None
-    assert it.check({"deny/subject/a": b"", "other": b""}) == Rejection("other", "unknown key")
-    assert it.applied is before
+    consumer = ConfigurationConsumer(callers, lambda level: pytest.fail(level))
+    before, gate = consumer.applied, callers.gate.identity
+    assert consumer.check({"deny/subject/a": b"", "log/level": b"debug"}) is None
+    assert consumer.check({"deny/subject/a": b"", "other": b""}) == Rejection("other", "unknown key")
+    assert consumer.applied is before
     assert callers.gate.identity is gate
 
 
@@ -140,29 +140,29 @@
 ) -> None:
     for name in ("MAX_SUBJECTS", "MAX_PATTERNS", "MAX_FINGERPRINTS"):
         monkeypatch.setattr(distributed_keys, name, 2)
-    it = ConfigurationConsumer(callers_of(keys, FakeTimers(monkeypatch)), no_level)
+    consumer = ConfigurationConsumer(callers_of(keys, FakeTimers(monkeypatch)), ignore_level)
     for what, names in (
         ("subjects", ["deny/subject/a", "deny/subject/b", "deny/subject/c"]),
         ("subjects with wildcards", ["deny/subject/*a", "deny/subject/b?", "deny/subject/*"]),
         ("fingerprints", [f"deny/fingerprint/{letter * 64}" for letter in "abc"]),
     ):
-        it.apply(dict.fromkeys(names[:2], b""))
+        consumer.apply(dict.fromkeys(names[:2], b""))
         reason = f"3 {what} would be denied; a proxy takes 2 at most"
-        assert it.check({"shard/x": b"r", names[2]: b""}) == Rejection(names[2], reason)
-        assert it.check({names[0]: None, names[2]: b""}) is None  # one goes, one comes
-        assert it.check({names[1]: b"another note"}) is None
+        assert consumer.check({"shard/x": b"r", names[2]: b""}) == Rejection(names[2], reason)
+        assert consumer.check({names[0]: None, names[2]: b""}) is None  # one is deleted, one is set
+        assert consumer.check({names[1]: b"another note"}) is None
 
 
 def test_level_override_survives_a_reload_until_its_key_is_deleted(level: logging.Logger) -> None:
     logs.set_up("p", LogSettings(level="warning"))
-    it = ConfigurationConsumer(None)
-    it.apply({"log/level": b"debug"})
+    consumer = ConfigurationConsumer(None)
+    consumer.apply({"log/level": b"debug"})
     assert level.level == logging.DEBUG
     logs.set_up("p", LogSettings(level="error"))  # as at SIGHUP
     assert level.level == logging.DEBUG
-    it.apply({"shard/x": b"r"})
+    consumer.apply({"shard/x": b"r"})
     assert level.level == logging.DEBUG
-    it.apply({"log/level": None})
+    consumer.apply({"log/level": None})
     assert level.level == logging.ERROR
     logs.set_up("p", None)
     assert level.level == logging.INFO
@@ -174,7 +174,7 @@
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
     callers = callers_of(keys, timers, lambda: timers.now + offset, move_within=1.0)
-    it = ConfigurationConsumer(callers, no_level)
+    consumer = ConfigurationConsumer(callers, ignore_level)
     drivers = [Stands() for _ in range(4)]
     for at, driver in enumerate(drivers):
         verdict = callers.present(keys.token(sub=f"farm-{at}"), "x")
@@ -186,23 +186,23 @@
         timers.run(2.0)
         return [len(driver.moved) for driver in drivers]
 
-    it.apply({"deny/subject/farm-1": b"", "deny/subject/farm-9": b""})
+    consumer.apply({"deny/subject/farm-1": b"", "deny/subject/farm-9": b""})
     assert moved() == [0, 1, 0, 0]
-    it.apply({"deny/subject/?arm-3": b""})
+    consumer.apply({"deny/subject/?arm-3": b""})
     assert moved() == [0, 1, 0, 1]
-    # At SIGHUP and with another ring both hold, and nobody is moved twice.
+    # Both survive a reload and another ring, and nobody is migrated twice.
     callers.replace(identity(move_within=1.0, denied=("farm-2",)), keys.ring())
     assert moved() == [0, 1, 1, 1]
     callers.replace(identity(move_within=1.0), keys.ring())
-    callers.replace(callers.gate.identity, keys.ring())  # as the watch on the ring does
+    callers.replace(callers.gate.identity, keys.ring())  # as the key ring watcher does
     assert moved() == [0, 1, 1, 1]
     verdicts = [callers.present(keys.token(sub=f"farm-{at}"), "x") for at in range(4)]
     assert [isinstance(verdict, Admitted) for verdict in verdicts] == [True, False, True, False]
-    it.apply({"deny/subject/farm-1": None, "deny/subject/?arm-3": None, "deny/subject/farm-9": None})
+    consumer.apply({"deny/subject/farm-1": None, "deny/subject/?arm-3": None, "deny/subject/farm-9": None})
     assert isinstance(callers.present(keys.token(sub="farm-3"), "x"), Admitted)
-    # Where what stands is kept, it is kept here too.
+    # Where the settings keep established connections, a denial keeps them too.
     callers.replace(identity(move_within=None), keys.ring())
-    it.apply({"deny/subject/farm-0": b""})
+    consumer.apply({"deny/subject/farm-0": b""})
     assert moved() == [0, 1, 1, 1]
 
 
@@ -215,8 +215,8 @@
     driver = Stands()
     guest = callers.guest(driver, "x")
     assert guest.show(keys.token()) is None
-    ConfigurationConsumer(callers, no_level).apply({"deny/subject/farm-1": b""})
-    assert guest.ask("read") is None  # it keeps what was in force when it began
+    ConfigurationConsumer(callers, ignore_level).apply({"deny/subject/farm-1": b""})
+    assert guest.ask("read") is None  # it is judged by the rules as of its beginning
     guest.stands()
     timers.run(2.0)
     assert len(driver.moved) == 1
@@ -228,26 +228,26 @@
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
     who = CallerRule(rule_of().caller, (), 1, ("dns:*.farm.example",))
-    it = Callers(identity(who, move_within=0.5), keys.ring(), timers, lambda: timers.now + offset)
+    callers = Callers(identity(who, move_within=0.5), keys.ring(), timers, lambda: timers.now + offset)
     shown, _ = Authority(tmp_path).certificate("x", "x.farm.example")
     der = ssl.PEM_cert_to_DER_cert(Path(shown).read_text())
-    verdict = it.certificate(der, "x")
+    verdict = callers.certificate(der, "x")
     assert isinstance(verdict, Admitted)
     assert verdict.certificate is not None
     driver = Stands()
-    it.open(verdict)
-    it.stands(verdict, driver)
+    callers.open(verdict)
+    callers.stands(verdict, driver)
     key = f"deny/fingerprint/{fingerprint(shown)}"
-    consumer = ConfigurationConsumer(it, no_level)
+    consumer = ConfigurationConsumer(callers, ignore_level)
     assert consumer.check({key: b"lost"}) is None
     consumer.apply({key: b"lost"})
-    refused = it.certificate(der, "x")
+    refused = callers.certificate(der, "x")
     assert isinstance(refused, Refused)
     assert refused.refusal is Why.DENIED
     timers.run(1.0)
     assert len(driver.moved) == 1
     consumer.apply({key: None})
-    assert isinstance(it.certificate(der, "x"), Admitted)
+    assert isinstance(callers.certificate(der, "x"), Admitted)
 
 
 SUBJECTS = ["farm-1", "farm-2", "farm-22", "farm-x", "farm-"]
@@ -255,7 +255,7 @@
 
 
 class DenialMachine(RuleBasedStateMachine):
-    """Revisions, reloads and other rings in any order: who is denied is whom either of them denies."""
+    """Revisions, reloads and other rings in any order: settings and keys both deny."""
 
     keys: Keys
     tokens: dict[str, bytes]  # by subject
@@ -264,13 +264,13 @@
         super().__init__()
         self.timers = TimerQueue(time.monotonic)
         self.callers = callers_of(self.keys, self.timers)
-        self.it = ConfigurationConsumer(self.callers, self.take_level)
+        self.consumer = ConfigurationConsumer(self.callers, self.record_level)
         self.pushed: dict[str, bytes] = {}
         self.own: tuple[str, ...] = ()
         self.level = ""
 
-    def take_level(self, level: str) -> None:
-        assert level != self.level  # nothing is told twice
+    def record_level(self, level: str) -> None:
+        assert level != self.level  # no level is set twice
         self.level = level
 
     @rule(
@@ -283,19 +283,19 @@
         )
     )
     def revision(self, changes: Changes) -> None:
-        before, level = self.it.applied, self.level
-        refusal = self.it.check(changes)
+        before, level = self.consumer.applied, self.level
+        rejection = self.consumer.check(changes)
         wrong = {
             key
             for key, value in changes.items()
             if value is not None and (key == "other" or (value == b"" and key in ("log/level", "shard/a")))
         }
-        assert (refusal is not None) is bool(wrong)
-        assert (self.it.applied, self.level) == (before, level)
-        if refusal is not None:
-            assert refusal.key in wrong
+        assert (rejection is not None) is bool(wrong)
+        assert (self.consumer.applied, self.level) == (before, level)
+        if rejection is not None:
+            assert rejection.key in wrong
             return
-        self.it.apply(changes)
+        self.consumer.apply(changes)
         merged = self.pushed | changes
         self.pushed = {key: value for key, value in merged.items() if value is not None}
 
@@ -313,7 +313,7 @@
         denied = [key.removeprefix("deny/subject/") for key in self.pushed if key.startswith("deny/subject/")]
         for subject, token in self.tokens.items():
             verdict = self.callers.gate.present(token, "x", time.time())
-            expected = any(naive(pattern, subject) for pattern in (*self.own, *denied))
+            expected = any(reference_match(pattern, subject) for pattern in (*self.own, *denied))
             assert isinstance(verdict, Refused) is expected, (subject, self.own, denied)
             if isinstance(verdict, Refused):
                 assert verdict.refusal is Why.DENIED
@@ -329,18 +329,18 @@
     run_state_machine_as_test(Machine, settings=settings(max_examples=40, stateful_step_count=20))
 
 
-def naive(pattern: str, text: str) -> bool:
-    """Whether it fits, the slow and plain way."""
+def reference_match(pattern: str, text: str) -> bool:
+    """Reference implementation of the match."""
     if not pattern:
         return not text
     if pattern[0] == "*":
-        return any(naive(pattern[1:], text[at:]) for at in range(len(text) + 1))
-    return bool(text) and pattern[0] in ("?", text[0]) and naive(pattern[1:], text[1:])
+        return any(reference_match(pattern[1:], text[at:]) for at in range(len(text) + 1))
+    return bool(text) and pattern[0] in ("?", text[0]) and reference_match(pattern[1:], text[1:])
 
 
 @given(st.text("ab*?.\n[", max_size=8), st.text("ab.\n[", max_size=10))
 def test_pattern_matches_like_the_reference(pattern: str, text: str) -> None:
-    assert fits(pattern, text) is naive(pattern, text)
+    assert fits(pattern, text) is reference_match(pattern, text)
 
 
 def test_pattern_with_many_wildcards_matches_in_bounded_time() -> None:
@@ -352,7 +352,7 @@
 
 
 def test_whole_subjects_are_looked_up_not_scanned(monkeypatch: pytest.MonkeyPatch) -> None:
-    """By count: whole subjects are looked up, and not gone through."""
+    """Counts the matches: subjects without wildcards need none."""
     calls = 0
 
     def counted(pattern: str, text: str) -> bool:
@@ -378,8 +378,8 @@
 
 
 def test_consumer_does_not_import_identity() -> None:
-    it: Consumer = ConfigurationConsumer(None, no_level)  # mypy says whether it is
-    assert it.check({}) is None
+    consumer: Consumer = ConfigurationConsumer(None, ignore_level)  # checked by mypy
+    assert consumer.check({}) is None
     assert TokenMatch(ISSUER, AUDIENCE).subject == "*"
     code = (
         "import sys, ironmill.configuration.distributed_keys\n"
--- a/tests/unit/configuration/test_distribution_settings.py
+++ b/tests/unit/configuration/test_distribution_settings.py
@@ -1,4 +1,4 @@
-"""Settings of distribution: defaults, what a schema cannot say, and what check-config makes of them."""
+"""Settings of distribution: defaults, checks beyond the schema, and check-config."""
 
 from __future__ import annotations
 
@@ -120,11 +120,11 @@
     path = file(tmp_path, attributes, controls)
     with pytest.raises(SettingsError) as caught:
         load_settings(path, ())
-    told = str(caught.value)
-    assert told.startswith(f"{path}:{line}: "), told
-    assert wrong in told
-    assert "\n" not in told
-    assert "urn:ironmill" not in told
+    message = str(caught.value)
+    assert message.startswith(f"{path}:{line}: "), message
+    assert wrong in message
+    assert "\n" not in message
+    assert "urn:ironmill" not in message
 
 
 def test_invalid_listen_address_is_rejected(tmp_path: Path) -> None:
@@ -137,7 +137,7 @@
 
 
 def test_settings_of_a_control_machine_reject_elements_for_proxies(tmp_path: Path) -> None:
-    """What a proxy alone can make use of is refused, not passed over."""
+    """Elements that only a proxy can use are rejected, not ignored."""
     for more in (
         RINGS,
         '<tls listen="127.0.0.1:1" certificate="a" key="b"/>',
@@ -180,7 +180,7 @@
     path = file(tmp_path)
     assert main(["check-config", "--settings", path, "--config", config]) == 0
     assert f"the settings in {path} are fit for use" in capsys.readouterr().out
-    # A proxy is nothing without its configuration; a control machine has none.
+    # A proxy needs its configuration; a control machine has none.
     assert main(["check-config", "--settings", path]) == 2
     assert "PROXY_CONFIG is not set" in capsys.readouterr().err
     for attributes in ('role="relay"', 'role="origin" store="s"'):
@@ -189,7 +189,7 @@
         assert capsys.readouterr().out == f"ironmill: the settings in {path} are fit for use\n"
     for words in (["check-config"], ["serve"]):
         assert main([*words, "--settings", path, "--config", config]) == 2
-        told = capsys.readouterr().err
-        assert "role is 'origin', which is a control machine's; a proxy is a subscriber" in told
-        assert len(told.splitlines()) == 1
-    assert not (tmp_path / "s").exists()  # to check settings makes no store
+        message = capsys.readouterr().err
+        assert "role is 'origin', which is a control machine's; a proxy is a subscriber" in message
+        assert len(message.splitlines()) == 1
+    assert not (tmp_path / "s").exists()  # the check creates no store
--- a/tests/unit/configuration/test_proxy_config.py
+++ b/tests/unit/configuration/test_proxy_config.py
@@ -1,4 +1,4 @@
-"""The command line and the configuration: what is wrong is said in one line that names the key."""
+"""The command line and the configuration: errors are one line that names the key."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 def written(path: Path, *changes: tuple[str, object]) -> str:
     value = orjson.loads(orjson.dumps(CONFIG))
     for key, new in changes:
-        place = value
+        node = value
         *steps, last = key.split(".")
         for step in steps:
-            place = place[step]
-        place[last] = new
+            node = node[step]
+        node[last] = new
     file = path / "config.json"
     file.write_bytes(orjson.dumps(value))
     return str(file)
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "expected_key"),
     [
         (("listen", "here"), "listen"),
         (("discovery", "127.0.0.1:99999"), "discovery"),
@@ -67,13 +67,13 @@
     ],
 )
 def test_invalid_configuration_is_one_line_that_names_the_key(
-    change: tuple[str, object], named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    change: tuple[str, object], expected_key: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     for command in ("serve", "check-config"):
         assert main([command, "--config", written(tmp_path, change)]) == 2
         out, err = capsys.readouterr()
         assert (out, err.count("\n")) == ("", 1)
-        assert f"configuration: {named} " in err
+        assert f"configuration: {expected_key} " in err
 
 
 def test_missing_file_and_malformed_json_name_the_variable(
@@ -95,14 +95,14 @@
 
 def test_admin_address_is_read_from_file_or_environment(tmp_path: Path) -> None:
     assert load({"PROXY_CONFIG": written(tmp_path)}).admin_address is None
-    told = written(tmp_path, ("control", "127.0.0.1:9000"))
-    assert load({"PROXY_CONFIG": told}).admin_address == ("127.0.0.1", 9000)
-    assert load({"PROXY_CONFIG": told, "PROXY_CONTROL": "127.0.0.2:1"}).admin_address == ("127.0.0.2", 1)
+    path = written(tmp_path, ("control", "127.0.0.1:9000"))
+    assert load({"PROXY_CONFIG": path}).admin_address == ("127.0.0.1", 9000)
+    assert load({"PROXY_CONFIG": path, "PROXY_CONTROL": "127.0.0.2:1"}).admin_address == ("127.0.0.2", 1)
 
 
 @pytest.mark.parametrize("text", ["[" * 100_000, '{"name": 1e999}', '{"name": "\\ud800"}', "{", ""])
 def test_malformed_json_raises_one_line(tmp_path: Path, text: str) -> None:
-    """Guards the watch as well: discovery's answers are read by the same function."""
+    """Discovery's responses are parsed by the same function."""
     file = tmp_path / "config.json"
     file.write_text(text)
     with pytest.raises(MalformedError, match="is not JSON"):
@@ -117,11 +117,11 @@
 
 
 def test_start_imports_no_optional_modules() -> None:
-    """Guards the start: ten proxies that are started at once share the cores, and clients wait for them."""
-    left_out = ["dataclasses", "orjson", "docopt", "h11", "pathlib", "json"]
+    """Proxies that start at once share the cores, and clients wait for them."""
+    optional = ["dataclasses", "orjson", "docopt", "h11", "pathlib", "json"]
     code = "import sys, ironmill.cli; print([n for n in sys.argv[1:] if n in sys.modules])"
     found = subprocess.run(
-        [sys.executable, "-S", "-c", f"import sys; sys.path[:] = {sys.path!r}; {code}", *left_out],
+        [sys.executable, "-S", "-c", f"import sys; sys.path[:] = {sys.path!r}; {code}", *optional],
         check=True,
         capture_output=True,
         text=True,
