--- a/ironmill/configuration/proxy_config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -8,8 +8,8 @@
 
 from ironmill.balancing.interface import Settings
 from ironmill.configuration.site_settings import settings_from
-from ironmill.protocol.discovery import Routing, parse_routing
-from ironmill.protocol.json_object import MalformedError, Tree, from_json
+from ironmill.protocol.discovery import EndpointUpdate, parse_endpoint_update
+from ironmill.protocol.json_object import JsonObject, MalformedError, parse_json
 from ironmill.runtime.system_calls import TRANSIENT_START_ERRNOS, TransientError
 
 Address = tuple[str, int]
@@ -30,7 +30,7 @@
     discovery: Address
     seed: int
     sockets: int  # descriptors that the process may open
-    known: Routing  # the endpoint list as of the start
+    known: EndpointUpdate  # the endpoint list as of the start
     settings: Settings
     connect_timeout_s: float
     drain_grace_s: float
@@ -69,9 +69,9 @@
     if not path:
         raise MalformedError("configuration: PROXY_CONFIG is not set, and no --config is given")
     value = _read_json(path)
-    root = Tree(value, "", "configuration")
+    root = JsonObject(value, "", "configuration")
     seed = _parse_seed(root.text("seed", "0"))
-    settings_tree = root.tree("settings")
+    settings_tree = root.nested("settings")
     # Lines on established connections return at once whatever the latency of their server's messages, so the
     # balancer must not rely on them as reports of overload.
     settings = structs.replace(settings_from(settings_tree), reports_delay=False)
@@ -84,14 +84,14 @@
         discovery=parse_address(environment.get("PROXY_DISCOVERY") or root.text("discovery"), "discovery"),
         seed=seed,
         sockets=sockets,
-        known=parse_routing(root.tree("known", {"rev": 0, "all": True, "targets": []})),
+        known=parse_endpoint_update(root.nested("known", {"rev": 0, "all": True, "targets": []})),
         settings=settings,
-        connect_timeout_s=settings_tree.tree("ceilings").number("connectTimeoutS", 1.0),
-        drain_grace_s=settings_tree.tree("rules").number("drainGraceS", 0.25),
-        packets_pass_through=settings_tree.tree("familyInfo", {}).text("mode", "proxy") == "pass",
+        connect_timeout_s=settings_tree.nested("ceilings").number("connectTimeoutS", 1.0),
+        drain_grace_s=settings_tree.nested("rules").number("drainGraceS", 0.25),
+        packets_pass_through=settings_tree.nested("familyInfo", {}).text("mode", "proxy") == "pass",
         default_deadlines_s={
             category.text("name"): category.number("hardLimitS", 10.0)
-            for category in settings_tree.trees("categories")
+            for category in settings_tree.nested_list("categories")
         },
         shortest_latency_objective_s=min(objectives, default=0.1),
         raw_values=flatten(value),
@@ -102,7 +102,7 @@
 def _read_json(path: str) -> object:
     try:
         with open(path, "rb") as file:
-            return from_json(file.read(), f"configuration: PROXY_CONFIG: {path} is")
+            return parse_json(file.read(), f"configuration: PROXY_CONFIG: {path} is")
     except OSError as error:
         is_transient = error.errno in TRANSIENT_START_ERRNOS
         kind = UnreadableNowError if is_transient else MalformedError
@@ -116,8 +116,8 @@
         raise MalformedError(f"configuration: seed is not a hexadecimal number: {text!r}") from None
 
 
-def _parse_sockets(root: Tree) -> int:
-    sockets = root.tree("limits", {}).number("sockets", 1024)
+def _parse_sockets(root: JsonObject) -> int:
+    sockets = root.nested("limits", {}).number("sockets", 1024)
     if not MIN_SOCKETS <= sockets <= MAX_SOCKETS:
         raise MalformedError(f"configuration: limits.sockets is not from {MIN_SOCKETS} to {MAX_SOCKETS}")
     return int(sockets)
--- a/ironmill/net/operator_features.py
+++ b/ironmill/net/operator_features.py
@@ -122,7 +122,7 @@
             return stream
         from ironmill.net.tls import TlsStream
 
-        return TlsStream.over(self._scheduler, stream, self._files.upstream, settings.name or address[0])
+        return TlsStream.wrap(self._scheduler, stream, self._files.upstream, settings.name or address[0])
 
     # Reload
 
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from ironmill.configuration.proxy_config import Config
-from ironmill.net.client import REFUSED_WAIT
+from ironmill.net.clients.closing import REJECTED_CLOSE_TIMEOUT_S
 from ironmill.net.migration import Migration
 from ironmill.requests.admission import Admission
 from ironmill.requests.gateway import Gateway
@@ -28,7 +28,7 @@
 KILL_GRACE_S = 0.7
 EXIT_MARGIN_S = 0.25  # from the exit to the earliest SIGKILL
 # Before the exit: final answers are written and peers close, since the exit resets what has unread bytes.
-FINAL_FLUSH_S = REFUSED_WAIT + 0.05
+FINAL_FLUSH_S = REJECTED_CLOSE_TIMEOUT_S + 0.05
 MAX_ACCEPT_RETRY_S = 1.0  # for accepts that fail while the queue of the listener is emptied
 # Minima where all deadlines are short:
 MIN_LAST_PLACEMENT_S = 0.05  # for the client accepted last to be placed
@@ -95,13 +95,13 @@
         if self._gateway.lifecycle.state in TERMINAL_STATES:
             return
         self._gateway.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
-        pending, established = self._gateway.pending(), len(self._gateway.standing())
+        pending, established = self._gateway.pending_count(), len(self._gateway.established())
         log.info("shutting down: %d pending, %d established", pending, established)
         longest_deadline_s = max(self._config.default_deadlines_s.values(), default=MAX_DEADLINE_S)
         self._empty_gracefully(ShutdownSchedule.for_deadline(longest_deadline_s))
         self._finalize()
-        metrics, counts = self._gateway.figures, self._gateway.counts
-        log.info("shut down: %s, %d attempts, %s", metrics.by_outcome(), metrics.upstream_tries, counts)
+        metrics, counts = self._gateway.metrics, self._gateway.counts
+        log.info("shut down: %s, %d attempts, %s", metrics.by_outcome(), metrics.attempts, counts)
         self._scheduler.stop()
 
     def _empty_gracefully(self, schedule: ShutdownSchedule) -> None:
@@ -119,10 +119,10 @@
         """Answers everything that is still open, and lets the answers leave. Nothing begins any more."""
         finalized_at = time.monotonic()
         self._gateway.lifecycle.handle(LifecycleEvent.GRACE_PERIOD_ENDED)
-        self._gateway.settle_all()
-        for request in self._gateway.standing():
-            request.holder.move()  # also those established since the migration
-        self._admission.end_silent()
+        self._gateway.resolve_all()
+        for request in self._gateway.established():
+            request.handler.migrate()  # also those established since the migration
+        self._admission.evict_silent()
         if self._admin_server is not None:  # the exit would reset the calls in its queue
             self._admin_server.close(FINAL_FLUSH_S / 2.0)
         self._scheduler.sleep(max(0.0, finalized_at + FINAL_FLUSH_S - time.monotonic()))
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -14,7 +14,7 @@
 from ironmill.net import proxy as proxy_module
 from ironmill.net.proxy import Proxy, ProxyOptions
 from ironmill.net.sockets import Stream, TimedOutError
-from ironmill.protocol.discovery import Listed, Routing
+from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.runtime.scheduler import READ
 from tests.unit.requests.test_gateway import config
 
@@ -54,7 +54,7 @@
     """Until then the known list may lack the draining of a server."""
     monkeypatch.setattr(proxy_module, "FIRST_POLL_TIMEOUT_S", 60.0)
     monkeypatch.setattr(proxy_module, "GcSchedule", Quiet)
-    known = Routing(15, True, (Listed("s-0", "127.0.0.1", 1, Stage.READY, "a", 0, 1.0, 0.0),))
+    known = EndpointUpdate(15, True, (ListedServer("s-0", "127.0.0.1", 1, Stage.READY, "a", 0, 1.0, 0.0),))
     received: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as agent:
         config_ = structs.replace(config(known), listen=("127.0.0.1", 0), discovery=agent.getsockname())
@@ -89,7 +89,7 @@
     monkeypatch.setattr(proxy_module, "GcSchedule", Quiet)
     received: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as agent:
-        known = config(Routing(15, True, ()))
+        known = config(EndpointUpdate(15, True, ()))
         settings = structs.replace(known.settings, subscribes_to_discovery=asks, proxies=1000)
         config_ = structs.replace(
             known, listen=("127.0.0.1", 0), discovery=agent.getsockname(), settings=settings
