--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -186,7 +186,10 @@
 
     try:
         host, port = address(words["CONTROL"], "CONTROL")
-        lines = members.watch(host, port) if words["--watch"] else members.table(members.ask(host, port))
+        if words["--watch"]:
+            lines = members.watch_view(host, port)
+        else:
+            lines = members.format_view(members.fetch_view(host, port))
         for line in lines:
             print(line, flush=True)
     except (members.MembersError, MalformedError) as error:
--- a/ironmill/commands/members.py
+++ b/ironmill/commands/members.py
@@ -1,70 +1,110 @@
-"""``ironmill members``: the view of a running process, asked for at its staff's address."""
+"""``ironmill members``: prints the membership view of a running process, fetched from its admin API."""
 
 from __future__ import annotations
 
 import http.client
 import time
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Iterator, Sequence
+from http import HTTPStatus
 
 import msgspec
+from msgspec import Struct
 
-CALL_WAIT = 2.0  # seconds; the process answers within one
-LOOK = 1.0  # between two looks of --watch
+from ironmill.errors import IronmillError
 
+RESPONSE_TIMEOUT_S = 2.0
+WATCH_INTERVAL_S = 1.0
+COLUMNS = ("name", "address", "zone", "region", "incarnation", "state")
 
-class MembersError(Exception):
-    """The view is not to be had; one line."""
 
+class MembersError(IronmillError):
+    """Raised if the view cannot be fetched; the message is one line."""
 
-def ask(host: str, port: int) -> dict[str, Any]:
-    """What the process tells."""
-    call = http.client.HTTPConnection(host, port, timeout=CALL_WAIT)
+
+class MemberEntry(Struct):
+    """One member; a member that is out of the view has only a name and a state."""
+
+    name: str
+    state: str
+    address: str = ""
+    zone: str = ""
+    region: str = ""
+    incarnation: int | None = None
+
+    @property
+    def cells(self) -> list[str]:
+        """The texts of the table's columns."""
+        incarnation = "" if self.incarnation is None else str(self.incarnation)
+        return [self.name, self.address, self.zone, self.region, incarnation, self.state]
+
+
+class ViewReport(Struct):
+    """The answer of ``GET /admin/members``."""
+
+    name: str
+    cluster: str
+    view: str
+    joined: bool
+    is_isolated: bool = msgspec.field(name="cut_off")
+    superseded: bool
+    members: list[MemberEntry]
+    removed: list[MemberEntry] = msgspec.field(name="out")
+    dropped: dict[str, int]
+
+    @property
+    def state(self) -> str:
+        """The state of the process that answered."""
+        if self.superseded:
+            return "superseded"
+        if self.is_isolated:
+            return "cut off"
+        return "a member" if self.joined else "joining"
+
+
+def fetch_view(host: str, port: int) -> ViewReport:
+    """Returns the view of a process; raises ``MembersError`` if it cannot be fetched."""
+    connection = http.client.HTTPConnection(host, port, timeout=RESPONSE_TIMEOUT_S)
     try:
-        call.request("GET", "/admin/members")
-        answer = call.getresponse()
-        body = answer.read()
+        connection.request("GET", "/admin/members")
+        response = connection.getresponse()
+        body = response.read()
     except (OSError, http.client.HTTPException) as error:
         raise MembersError(f"{host}:{port} does not answer: {error}") from None
     finally:
-        call.close()
-    if answer.status == 404:
+        connection.close()
+    if response.status == HTTPStatus.NOT_FOUND:
         raise MembersError(f"the process at {host}:{port} has no membership in its settings")
-    if answer.status != 200:
-        raise MembersError(f"{host}:{port} answers {answer.status}")
+    if response.status != HTTPStatus.OK:
+        raise MembersError(f"{host}:{port} answers {response.status}")
     try:
-        return msgspec.json.decode(body, type=dict[str, Any])
+        return msgspec.json.decode(body, type=ViewReport)
     except msgspec.DecodeError as error:
         raise MembersError(f"{host}:{port} answers something else: {error}") from None
 
 
-def table(told: dict[str, Any]) -> Iterator[str]:
-    """The view as lines of text."""
-    state = (
-        "superseded"
-        if told["superseded"]
-        else "cut off"
-        if told["cut_off"]
-        else ("a member" if told["joined"] else "joining")
-    )
-    count = len(told["members"])
-    yield f"{told['name']} is {state} of {told['cluster']}, view {told['view']}, {count} in it"
-    columns = ("name", "address", "zone", "region", "incarnation", "state")
-    rows = [[name.upper() for name in columns]]
-    rows += [[str(one.get(name, "")) for name in columns] for one in [*told["members"], *told["out"]]]
-    widths = [max(len(row[at]) for row in rows) for at in range(len(columns))]
-    for row in rows:
-        yield "  ".join(text.ljust(width) for text, width in zip(row, widths, strict=True)).rstrip()
-    if told["dropped"]:
-        yield "dropped: " + ", ".join(f"{count} {why}" for why, count in sorted(told["dropped"].items()))
+def format_view(report: ViewReport) -> Iterator[str]:
+    """Yields the view as lines of text."""
+    count = len(report.members)
+    yield f"{report.name} is {report.state} of {report.cluster}, view {report.view}, {count} in it"
+    yield from _format_table([*report.members, *report.removed])
+    if report.dropped:
+        counts = (f"{count} {reason}" for reason, count in sorted(report.dropped.items()))
+        yield "dropped: " + ", ".join(counts)
 
 
-def watch(host: str, port: int) -> Iterator[str]:
-    """The table, and again each time that the view is another one. Ends when the process does."""
-    seen = ""
+def watch_view(host: str, port: int) -> Iterator[str]:
+    """Yields the view as lines, and again whenever it has changed; raises like ``fetch_view``."""
+    last_view = ""
     while True:
-        told = ask(host, port)
-        if told["view"] != seen:
-            seen = told["view"]
-            yield from table(told)
-        time.sleep(LOOK)
+        report = fetch_view(host, port)
+        if report.view != last_view:
+            last_view = report.view
+            yield from format_view(report)
+        time.sleep(WATCH_INTERVAL_S)
+
+
+def _format_table(entries: Sequence[MemberEntry]) -> Iterator[str]:
+    rows = [[name.upper() for name in COLUMNS], *(entry.cells for entry in entries)]
+    widths = [max(len(row[at]) for row in rows) for at in range(len(COLUMNS))]
+    for row in rows:
+        yield "  ".join(text.ljust(width) for text, width in zip(row, widths, strict=True)).rstrip()
--- a/ironmill/net/membership.py
+++ b/ironmill/net/membership.py
@@ -72,7 +72,7 @@
         self._datagrams.send(self.member.leave(time.monotonic()))
         self._datagrams.close()
 
-    def shown(self, _: ApiRequest) -> ApiResponse:
+    def answer_members_request(self, _: ApiRequest) -> ApiResponse:
         """Answers ``GET /admin/members`` with the view."""
         member = self.member
         removed = [record for _, record in sorted(member.view.records.items()) if not record.is_present]
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -132,7 +132,7 @@
 
             staff = ProxyApi(self.gateway)
             if self.membership is not None:
-                staff.add("/admin/members", {"GET": self.membership.shown})
+                staff.add("/admin/members", {"GET": self.membership.answer_members_request})
             if self.distribution is not None:
                 from ironmill.administration.configuration_api import ConfigurationApi
 
--- a/ironmill_testbed/capacity/stories.py
+++ b/ironmill_testbed/capacity/stories.py
@@ -154,9 +154,9 @@
     """A tenth of all datagrams is lost, a twentieth doubled, a twentieth up to 0.3 s late."""
     end = BEGIN + length
     return [
-        Fault("loss", BEGIN, end, share=0.1),
-        Fault("duplicate", BEGIN, end, share=0.05, most=0.3),
-        Fault("delay", BEGIN, end, share=0.05, most=0.3),
+        Fault("loss", BEGIN, end, fraction=0.1),
+        Fault("duplicate", BEGIN, end, fraction=0.05, max_delay_s=0.3),
+        Fault("delay", BEGIN, end, fraction=0.05, max_delay_s=0.3),
     ]
 
 
--- a/ironmill_testbed/faults/control_town.py
+++ b/ironmill_testbed/faults/control_town.py
@@ -49,10 +49,10 @@
         lines = [
             '<ironmill xmlns="urn:ironmill:settings:1">',
             '<log form="json"/>',
-            f'<distribution cluster="town" listen="{format_address(self._homes[name])}" keys="members.keys" '
-            f'zone="{self.zone(name)}" region="r" role="{role}"{store} stale-after="4s">',
+            f'<distribution cluster="town" listen="{format_address(self.member_addresses[name])}" '
+            f'keys="members.keys" zone="{self.zone(name)}" region="r" role="{role}"{store} stale-after="4s">',
             *(
-                f'<control name="{one}" address="{format_address(self.switch.door(name, one))}" '
+                f'<control name="{one}" address="{format_address(self.switch.address_for(name, one))}" '
                 f'zone="{self.zone(one)}" region="r"{self._origin(one)}/>'
                 for one in known
             ),
@@ -76,7 +76,7 @@
             "control",
             name,
             settings,
-            f"--staff={format_address(self.controls[name])}",
+            f"--staff={format_address(self.admin_addresses[name])}",
         ]
         return Process(words, self.folder, name)
 
@@ -84,7 +84,7 @@
 
     def call(self, name: str, method: str, path: str, body: object = None) -> tuple[int, Any]:
         """Status and answer of a staff call; 0 where nobody answers."""
-        call = http.client.HTTPConnection(*self.controls[name], timeout=CALL_WAIT)
+        call = http.client.HTTPConnection(*self.admin_addresses[name], timeout=CALL_WAIT)
         try:
             data = None if body is None else orjson.dumps(body)
             call.request(method, path, data)
@@ -118,10 +118,10 @@
         """True if that, or something newer, is in force at all of these, by default all proxies."""
         return all(self.in_force(name) >= position for name in names or self.proxies)
 
-    def seen(self) -> list[LoggedEvent]:
+    def logged_events(self) -> list[LoggedEvent]:
         """What all have logged of distribution."""
         return read_logs(self.folder, self.names, "distribution")
 
     def addresses(self) -> list[Address]:
         """Where clients find the proxies."""
-        return [self.clients[name] for name in self.proxies]
+        return [self.client_addresses[name] for name in self.proxies]
--- a/ironmill_testbed/faults/fleet_watch.py
+++ b/ironmill_testbed/faults/fleet_watch.py
@@ -163,7 +163,7 @@
 
     def _ways(self, one: str, other: str) -> bool:
         now, links = self._world.now, self._world.links
-        return not links.cut(now, one, other) and not links.cut(now, other, one)
+        return not links.is_cut(now, one, other) and not links.is_cut(now, other, one)
 
     def _judge_stale(self, process: Process, node: Node, since: float) -> None:
         if process.node is node and self.seen[process.name].cut_since == since:
--- a/ironmill_testbed/faults/fleet_world.py
+++ b/ironmill_testbed/faults/fleet_world.py
@@ -101,7 +101,7 @@
             least, most = base, base * (1.0 + JITTER)
         return least + (most - least) * self._chance.random()
 
-    def hits(self, fault: Fault, now: float, source: str, target: str) -> bool:
+    def is_active(self, fault: Fault, now: float, source: str, target: str) -> bool:
         """As that of the fault, with groups."""
         return (
             fault.start <= now < fault.end
@@ -335,7 +335,7 @@
             target = self._by_address.get(address)
             if target is None:
                 continue
-            for delay, copy in self.links.carry(self.now, process.name, target.name, data):
+            for delay, copy in self.links.deliver(self.now, process.name, target.name, data):
                 self.at(self.now + delay, self._arrive, target, copy, process.address)
 
     def _arrive(self, process: Process, data: bytes, source: Address) -> None:
--- a/ironmill_testbed/faults/process_cluster.py
+++ b/ironmill_testbed/faults/process_cluster.py
@@ -9,7 +9,7 @@
 from contextlib import ExitStack
 from pathlib import Path
 from types import TracebackType
-from typing import Any, Self
+from typing import Self
 
 from ironmill.commands import members
 from ironmill.membership.identity import Address, format_address
@@ -19,29 +19,33 @@
 from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
-SEEDS = 2
-LOOK = 0.05
+SEED_MEMBERS = 2
+ZONES = 3
+POLL_INTERVAL_S = 0.05
+DEFAULT_WAIT_LIMIT_S = 60.0
 KEY = "0f" * 32
 
 
 class ProcessCluster:
-    """The processes, by name. Their logs are the story."""
+    """The processes by name; they are evaluated by their logs."""
 
     def __init__(
         self,
         folder: Path,
         count: int,
         hosts: int = 2,
+        *,
         membership: bool = True,
         names: Sequence[str] | None = None,
     ) -> None:
+        """``names`` replaces the names that ``count`` gives; the files of the cluster go to ``folder``."""
         self.folder = folder
         self.names = [f"m{at:02d}" for at in range(count)] if names is None else list(names)
         self.switch = Switch(self.names)
         self.processes: dict[str, Process] = {}
-        self.controls: dict[str, Address] = {}
-        self.clients: dict[str, Address] = {}
-        self._homes = {name: ("127.0.0.1", free_port()) for name in self.names}
+        self.admin_addresses: dict[str, Address] = {}
+        self.client_addresses: dict[str, Address] = {}
+        self.member_addresses = {name: ("127.0.0.1", free_port()) for name in self.names}
         self._stack = ExitStack()
         self._hosts = hosts
         self._membership = membership
@@ -49,11 +53,12 @@
         (folder / "members.keys").write_text(KEY + "\n")
 
     def __enter__(self) -> Self:
+        """Starts the processes' dependencies and the switch, and writes the settings."""
         self.neighbours = self._stack.enter_context(Neighbours(self.folder, self._hosts))
         for name in self.names:
-            self.switch.home(name, self._homes[name])
-            self.controls[name] = ("127.0.0.1", free_port())
-            self.clients[name] = ("127.0.0.1", free_port())
+            self.switch.set_address(name, self.member_addresses[name])
+            self.admin_addresses[name] = ("127.0.0.1", free_port())
+            self.client_addresses[name] = ("127.0.0.1", free_port())
             self._write(name)
         self.switch.start()
         return self
@@ -61,6 +66,7 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
+        """Ends all processes."""
         for name in list(self._paused):
             self.resume(name)
         self._stack.close()
@@ -68,41 +74,47 @@
 
     def _write_config(self, name: str, proxies: int) -> None:
         settings = platform_settings(proxies)
-        value = proxy_config(name, self.clients[name], self.neighbours.discovery, 1024, settings)
-        value["control"] = format_address(self.controls[name])
+        address = self.client_addresses[name]
+        value = proxy_config(name, address, self.neighbours.discovery, 1024, settings)
+        value["control"] = format_address(self.admin_addresses[name])
         write_config(self.folder, value)
 
     def _write(self, name: str) -> None:
         self._write_config(name, len(self.names))
-        seeds = [
-            self._homes[seed] if seed == name else self.switch.door(name, seed) for seed in self.names[:SEEDS]
-        ]
-        zone = f"z{self.names.index(name) % 3}"
         lines = ['<ironmill xmlns="urn:ironmill:settings:1">', '<log form="json"/>']
         if self._membership:
-            lines += [
-                f'<membership cluster="town" listen="{format_address(self._homes[name])}" keys="members.keys"'
-                f' zone="{zone}" region="r">',
-                *(f'<seed address="{format_address(seed)}"/>' for seed in seeds),
-                *(
-                    f'<peer name="{other}" address="{format_address(self.switch.door(name, other))}"/>'
-                    for other in self.names
-                    if other != name
-                ),
-                "</membership>",
-            ]
+            lines += self._membership_element(name)
         (self.folder / f"{name}.xml").write_text("\n".join([*lines, "</ironmill>"]))
 
+    def _membership_element(self, name: str) -> list[str]:
+        own_address = self.member_addresses[name]
+        seeds = [
+            own_address if seed == name else self.switch.address_for(name, seed)
+            for seed in self.names[:SEED_MEMBERS]
+        ]
+        zone = f"z{self.names.index(name) % ZONES}"
+        return [
+            f'<membership cluster="town" listen="{format_address(own_address)}" keys="members.keys"'
+            f' zone="{zone}" region="r">',
+            *(f'<seed address="{format_address(seed)}"/>' for seed in seeds),
+            *(
+                f'<peer name="{other}" address="{format_address(self.switch.address_for(name, other))}"/>'
+                for other in self.names
+                if other != name
+            ),
+            "</membership>",
+        ]
+
     # Processes
 
     def proxy(self, name: str) -> ProxyProcess:
-        """One that serves clients."""
+        """Returns a process that serves clients."""
         process = self.processes[name]
         assert isinstance(process, ProxyProcess)
         return process
 
     def start(self, *names: str) -> None:
-        """Start these, or all."""
+        """Starts some processes, by default all."""
         for name in names or self.names:
             self.processes[name] = self._stack.enter_context(self._process(name))
 
@@ -111,64 +123,64 @@
         return ProxyProcess(self.folder / f"{name}.json", self.folder, more=more)
 
     def kill(self, *names: str) -> float:
-        """End these without a word; when."""
+        """Ends processes by SIGKILL; returns the time before."""
         at = time.monotonic()
         for name in names:
             self.processes[name].popen.kill()
             self.processes.pop(name).popen.wait()
         return at
 
-    def end(self, name: str) -> int:
-        """End it in an orderly way; its exit status."""
+    def shut_down(self, name: str) -> int:
+        """Shuts a process down gracefully; returns its exit status."""
         return self.processes.pop(name).end()
 
     def pause(self, name: str) -> float:
-        """SIGSTOP; when."""
+        """Sends SIGSTOP; returns the time after it."""
         self._paused.add(name)
         os.kill(self.processes[name].popen.pid, signal.SIGSTOP)
         return time.monotonic()
 
     def resume(self, name: str) -> float:
-        """SIGCONT; when."""
+        """Sends SIGCONT; returns the time after it."""
         self._paused.discard(name)
         if name in self.processes:
             os.kill(self.processes[name].popen.pid, signal.SIGCONT)
         return time.monotonic()
 
-    def play(self, faults: Sequence[Fault], seed: int = 1) -> float:
-        """These faults of links, from now on; when."""
-        self.switch.play(Links(list(faults), seed))
-        return self.switch.began
+    def inject(self, faults: Sequence[Fault], seed: int = 1) -> float:
+        """Replaces the faults of links; returns the time from which they count."""
+        self.switch.inject(Links(list(faults), seed))
+        return self.switch.schedule_start
 
-    # What is seen
+    # Observations
 
-    def ask(self, name: str) -> dict[str, Any] | None:
-        """What the process tells of its view; None if it does not answer."""
+    def fetch_view(self, name: str) -> members.ViewReport | None:
+        """Returns the view of a process; None if it cannot be fetched."""
         try:
-            return members.ask(*self.controls[name])
+            return members.fetch_view(*self.admin_addresses[name])
         except members.MembersError:
             return None
 
-    def view(self, name: str) -> tuple[str, ...]:
-        """Whom it sees."""
-        told = self.ask(name)
-        return () if told is None else tuple(one["name"] for one in told["members"])
+    def member_names(self, name: str) -> tuple[str, ...]:
+        """Returns the names of the members in the view of a process."""
+        report = self.fetch_view(name)
+        return () if report is None else tuple(member.name for member in report.members)
 
     def agree(self, names: Sequence[str], on: Sequence[str] | None = None) -> bool:
-        """True if these all see exactly those, by default themselves."""
-        wanted = tuple(sorted(names if on is None else on))
-        return all(self.view(name) == wanted for name in names)
-
-    def until(self, true: Callable[[], bool], limit: float = 60.0) -> float:
-        """Wait until it is true; the seconds that took. RuntimeError if it does not come true in time."""
-        began = time.monotonic()
-        while not true():
-            if time.monotonic() - began > limit:
-                views = {name: self.view(name) for name in self.processes}
-                raise RuntimeError(f"it does not come true; views: {views}")
-            time.sleep(LOOK)
-        return time.monotonic() - began
-
-    def seen(self) -> list[LoggedEvent]:
-        """What all have logged so far."""
+        """Returns whether the views of some processes are exactly ``on``, by default themselves."""
+        expected = tuple(sorted(names if on is None else on))
+        return all(self.member_names(name) == expected for name in names)
+
+    def wait_until(self, condition: Callable[[], bool], limit_s: float = DEFAULT_WAIT_LIMIT_S) -> float:
+        """Waits for a condition; returns the seconds that took. Raises ``RuntimeError`` after ``limit_s``."""
+        start = time.monotonic()
+        while not condition():
+            if time.monotonic() - start > limit_s:
+                views = {name: self.member_names(name) for name in self.processes}
+                raise RuntimeError(f"the condition is not true after {limit_s:g} s; views: {views}")
+            time.sleep(POLL_INTERVAL_S)
+        return time.monotonic() - start
+
+    def logged_events(self) -> list[LoggedEvent]:
+        """Returns the events that the processes have logged so far."""
         return read_logs(self.folder, self.names)
--- a/ironmill_testbed/faults/schedule.py
+++ b/ironmill_testbed/faults/schedule.py
@@ -1,7 +1,7 @@
-"""What goes wrong, when, and between whom. A schedule and a seed give the same faults again.
+"""Schedules of faults: what goes wrong, when, and between whom. A schedule and a seed reproduce a run.
 
-A schedule is JSON: a list of faults, each with its ``kind``, ``start`` and ``end`` in seconds, and what it
-says of links (``sources`` and ``targets``: names, or none for all) or of processes (``names``).
+A schedule file is JSON: a list of faults, each with its ``kind``, its ``start`` and ``end`` in seconds, and
+the links (``sources`` and ``targets``: names, or none for all) or processes (``names``) that it concerns.
 """
 
 from __future__ import annotations
@@ -13,26 +13,27 @@
 from typing import Literal
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
-LINK_KINDS = ("loss", "delay", "duplicate", "corrupt", "cut")
+LINK_FAULTS = ("loss", "delay", "duplicate", "corrupt", "cut")
+MIN_LINK_DELAY_S, MAX_LINK_DELAY_S = 0.0002, 0.001  # without a fault
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """One thing that goes wrong from ``start`` until before ``end``, in seconds of the story."""
+    """One fault, from ``start`` until before ``end``, in seconds of the scenario."""
 
     kind: Literal["loss", "delay", "duplicate", "corrupt", "cut", "pause", "kill", "start"]
     start: float
     end: float = math.inf
-    sources: tuple[str, ...] = ()  # links: from these, or from all
-    targets: tuple[str, ...] = ()  # to these, or to all
-    share: float = 1.0  # of the datagrams that it hits
-    least: float = 0.0  # a delay, in seconds, drawn evenly
-    most: float = 0.0
-    names: tuple[str, ...] = ()  # processes
-
-    def hits(self, now: float, source: str, target: str) -> bool:
-        """True if it is on for this link now."""
+    sources: tuple[str, ...] = ()  # of links; empty for all
+    targets: tuple[str, ...] = ()  # of links; empty for all
+    fraction: float = field(default=1.0, name="share")  # of the datagrams
+    min_delay_s: float = field(default=0.0, name="least")  # delays are uniformly distributed
+    max_delay_s: float = field(default=0.0, name="most")
+    names: tuple[str, ...] = ()  # of processes
+
+    def is_active(self, now: float, source: str, target: str) -> bool:
+        """Returns whether the fault concerns a link at a time."""
         return (
             self.start <= now < self.end
             and (not self.sources or source in self.sources)
@@ -41,55 +42,59 @@
 
 
 def load(path: Path) -> list[Fault]:
-    """The schedule in a file; ``msgspec.ValidationError`` says what is wrong with it."""
+    """Returns the schedule in a file; raises ``msgspec.ValidationError`` if it is invalid."""
     return msgspec.json.decode(path.read_bytes(), type=list[Fault])
 
 
 def both_ways(start: float, end: float, one: tuple[str, ...], other: tuple[str, ...]) -> list[Fault]:
-    """Two sets that cannot reach each other."""
+    """Returns a partition: two sets of processes that cannot reach each other."""
     return [Fault("cut", start, end, one, other), Fault("cut", start, end, other, one)]
 
 
 class Links:
-    """What becomes of each datagram, by the schedule and chance."""
+    """Delivers datagrams between processes, subject to the faults of a schedule."""
 
-    def __init__(self, faults: list[Fault], seed: int, least: float = 0.0002, most: float = 0.001) -> None:
-        self._faults = [fault for fault in faults if fault.kind in LINK_KINDS]
+    def __init__(self, faults: list[Fault], seed: int) -> None:
+        self._faults = [fault for fault in faults if fault.kind in LINK_FAULTS]
         self._rng = random.Random(seed)
-        self._least, self._most = least, most
 
-    def carry(self, now: float, source: str, target: str, data: bytes) -> Iterator[tuple[float, bytes]]:
-        """The copies that arrive, each after so many seconds."""
+    def deliver(self, now: float, source: str, target: str, data: bytes) -> Iterator[tuple[float, bytes]]:
+        """Yields the copies of a datagram that arrive, each with its delay in seconds."""
         rng = self._rng
-        delay = self.delay(source, target)
-        copies = [delay]
+        base_delay_s = self.delay(source, target)
+        delays_s = [base_delay_s]
         for fault in self._faults:
-            if not self.hits(fault, now, source, target):
+            if not self.is_active(fault, now, source, target):
                 continue
             if fault.kind == "cut":
                 return
-            if rng.random() >= fault.share:
+            if rng.random() >= fault.fraction:
                 continue
             if fault.kind == "loss":
                 return
             if fault.kind == "delay":
-                copies = [one + fault.least + (fault.most - fault.least) * rng.random() for one in copies]
+                range_s = fault.max_delay_s - fault.min_delay_s
+                delays_s = [delay_s + fault.min_delay_s + range_s * rng.random() for delay_s in delays_s]
             elif fault.kind == "duplicate":
-                copies = [*copies, delay + fault.most * rng.random()]
+                delays_s.append(base_delay_s + fault.max_delay_s * rng.random())
             elif fault.kind == "corrupt" and data:
-                at = int(rng.random() * len(data))
-                data = data[:at] + bytes([data[at] ^ (1 << int(rng.random() * 8))]) + data[at + 1 :]
-        for one in copies:
-            yield one, data
+                data = self._flip_bit(data)
+        for delay_s in delays_s:
+            yield delay_s, data
 
     def delay(self, source: str, target: str) -> float:
-        """Seconds on the way between these two, where nothing is wrong."""
-        return self._least + (self._most - self._least) * self._rng.random()
+        """Returns the delay in seconds between two processes without a fault."""
+        return MIN_LINK_DELAY_S + (MAX_LINK_DELAY_S - MIN_LINK_DELAY_S) * self._rng.random()
 
-    def hits(self, fault: Fault, now: float, source: str, target: str) -> bool:
-        """True if the fault is on for this link now."""
-        return fault.hits(now, source, target)
+    def is_active(self, fault: Fault, now: float, source: str, target: str) -> bool:
+        """Returns whether a fault concerns a link at a time."""
+        return fault.is_active(now, source, target)
 
-    def cut(self, now: float, source: str, target: str) -> bool:
-        """True if nothing gets from the one to the other now."""
-        return any(fault.kind == "cut" and self.hits(fault, now, source, target) for fault in self._faults)
+    def is_cut(self, now: float, source: str, target: str) -> bool:
+        """Returns whether no datagram passes from one process to the other at a time."""
+        cuts = (fault for fault in self._faults if fault.kind == "cut")
+        return any(self.is_active(fault, now, source, target) for fault in cuts)
+
+    def _flip_bit(self, data: bytes) -> bytes:
+        at = int(self._rng.random() * len(data))
+        return data[:at] + bytes([data[at] ^ (1 << int(self._rng.random() * 8))]) + data[at + 1 :]
--- a/ironmill_testbed/faults/simulated_cluster.py
+++ b/ironmill_testbed/faults/simulated_cluster.py
@@ -247,7 +247,7 @@
             target = self._by_address.get(address)
             if target is None:
                 continue
-            for delay, copy in self.links.carry(self.now, process.name, target.name, data):
+            for delay, copy in self.links.deliver(self.now, process.name, target.name, data):
                 self.schedule(self.now + delay, self._arrive, target, copy, process.address)
 
     def _arrive(self, process: SimulatedProcess, data: bytes, source: Address) -> None:
--- a/ironmill_testbed/faults/switch.py
+++ b/ironmill_testbed/faults/switch.py
@@ -1,7 +1,7 @@
-"""All datagrams between real members pass through here, and meet the schedule's faults on their way.
+"""Forwards all datagrams between real processes and applies the schedule's faults to them.
 
-Each member is told where it finds each other one: at a socket of the switch, which passes on what comes to it
-and sends as the other one what the other one says. No member's datagram goes anywhere else.
+Each process is configured with a socket of the switch as the address of each other process. The switch
+forwards what arrives there from the socket that represents the sender, so no datagram takes another way.
 """
 
 from __future__ import annotations
@@ -18,89 +18,94 @@
 from ironmill_testbed.faults.schedule import Links
 
 HOST = "127.0.0.1"
-LOOK = 0.05  # seconds without a datagram after which it looks whether it is to end
-BUFFER = 1 << 20
+STOP_CHECK_INTERVAL_S = 0.05  # between two checks for the end while no datagram arrives
+RECEIVE_BUFFER_BYTES = 1 << 20
+MAX_RECEIVE_BYTES = 2048
 
 
 class Switch:
-    """Runs in a thread of its own from ``start`` until ``stop``."""
+    """Runs in a thread from ``start`` until ``stop``."""
 
     def __init__(self, names: Sequence[str]) -> None:
         self.links = Links([], 0)
-        self.began = time.monotonic()  # the schedule's zero
-        self.carried = 0
-        self.bytes = 0
-        self._homes: dict[str, Address] = {}
-        self._doors: dict[tuple[str, str], socket.socket] = {}  # by who sees it there, and whom
+        self.schedule_start = time.monotonic()  # from which the schedule's times count
+        self.forwarded = 0
+        self.forwarded_bytes = 0
+        self._addresses: dict[str, Address] = {}
+        self._sockets: dict[tuple[str, str], socket.socket] = {}  # by the sender and the target
         self._selector = selectors.DefaultSelector()
-        for seer in names:
-            for seen in names:
-                if seer != seen:
-                    door = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-                    door.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
-                    door.bind((HOST, 0))
-                    door.setblocking(False)
-                    self._doors[seer, seen] = door
-                    self._selector.register(door, selectors.EVENT_READ, (seer, seen))
-        self._waiting: list[tuple[float, int, str, str, bytes]] = []
-        self._serial = 0
-        self._ending = False
+        for source in names:
+            for target in names:
+                if source != target:
+                    self._sockets[source, target] = self._open_socket(source, target)
+        self._delayed: list[tuple[float, int, str, str, bytes]] = []
+        self._last_datagram = 0
+        self._is_stopping = False
         self._thread = threading.Thread(target=self._run, daemon=True)
 
-    def home(self, name: str, address: Address) -> None:
-        """Where the member itself listens."""
-        self._homes[name] = address
+    def set_address(self, name: str, address: Address) -> None:
+        """Sets the address on which a process listens."""
+        self._addresses[name] = address
 
-    def door(self, seer: str, seen: str) -> Address:
-        """Where one member finds the other."""
-        host, port = self._doors[seer, seen].getsockname()
+    def address_for(self, source: str, target: str) -> Address:
+        """Returns the address under which one process reaches another."""
+        host, port = self._sockets[source, target].getsockname()
         return host, port
 
     def start(self) -> None:
-        """Pass datagrams on from now on."""
+        """Starts to forward datagrams."""
         self._thread.start()
 
-    def play(self, links: Links) -> None:
-        """From now on these faults, their times counted from now."""
-        self.began = time.monotonic()
+    def inject(self, links: Links) -> None:
+        """Replaces the faults; their times count from now."""
+        self.schedule_start = time.monotonic()
         self.links = links
 
     def stop(self) -> None:
-        """End, and close all sockets."""
-        self._ending = True
+        """Ends the thread and closes all sockets."""
+        self._is_stopping = True
         if self._thread.is_alive():
             self._thread.join()
-        for door in self._doors.values():
-            door.close()
+        for sock in self._sockets.values():
+            sock.close()
         self._selector.close()
 
+    def _open_socket(self, source: str, target: str) -> socket.socket:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        sock.bind((HOST, 0))
+        sock.setblocking(False)
+        self._selector.register(sock, selectors.EVENT_READ, (source, target))
+        return sock
+
     def _run(self) -> None:
-        while not self._ending:
+        while not self._is_stopping:
             now = time.monotonic()
-            while self._waiting and self._waiting[0][0] <= now:
-                _, _, source, target, data = heapq.heappop(self._waiting)
-                self._pass_on(source, target, data)
-            wait = LOOK if not self._waiting else min(LOOK, max(0.0, self._waiting[0][0] - now))
-            for key, _ in self._selector.select(wait):
+            while self._delayed and self._delayed[0][0] <= now:
+                _, _, source, target, data = heapq.heappop(self._delayed)
+                self._forward(source, target, data)
+            timeout_s = STOP_CHECK_INTERVAL_S
+            if self._delayed:
+                timeout_s = min(timeout_s, max(0.0, self._delayed[0][0] - now))
+            for key, _ in self._selector.select(timeout_s):
                 source, target = key.data
-                self._read(key.fileobj, source, target)  # type: ignore[arg-type]
+                self._receive(key.fileobj, source, target)  # type: ignore[arg-type]
 
-    def _read(self, door: socket.socket, source: str, target: str) -> None:
-        """What the source has sent to where it sees the target."""
+    def _receive(self, sock: socket.socket, source: str, target: str) -> None:
         while True:
             try:
-                data = door.recv(2048)
+                data = sock.recv(MAX_RECEIVE_BYTES)
             except OSError:
                 return
             now = time.monotonic()
-            self.carried += 1
-            self.bytes += len(data)
-            for delay, copy in self.links.carry(now - self.began, source, target, data):
-                self._serial += 1
-                heapq.heappush(self._waiting, (now + delay, self._serial, source, target, copy))
-
-    def _pass_on(self, source: str, target: str, data: bytes) -> None:
-        home = self._homes.get(target)
-        if home is not None:
-            with contextlib.suppress(OSError):  # it is down: what is sent there is lost
-                self._doors[target, source].sendto(data, home)
+            self.forwarded += 1
+            self.forwarded_bytes += len(data)
+            for delay_s, copy in self.links.deliver(now - self.schedule_start, source, target, data):
+                self._last_datagram += 1
+                heapq.heappush(self._delayed, (now + delay_s, self._last_datagram, source, target, copy))
+
+    def _forward(self, source: str, target: str, data: bytes) -> None:
+        address = self._addresses.get(target)
+        if address is not None:
+            with contextlib.suppress(OSError):  # the target is down, so the datagram is lost
+                self._sockets[target, source].sendto(data, address)
--- a/ironmill_testbed/measures/membership.py
+++ b/ironmill_testbed/measures/membership.py
@@ -100,7 +100,7 @@
 
 
 def _loss(share: float, span: float) -> Fault:
-    return Fault("loss", SETTLED, SETTLED + span, share=share)
+    return Fault("loss", SETTLED, SETTLED + span, fraction=share)
 
 
 def _schedules(size: int, span: float) -> dict[str, list[Fault]]:
@@ -113,8 +113,8 @@
     ]
     return {
         "delay": [
-            Fault("delay", SETTLED, end, most=1.0),
-            Fault("duplicate", SETTLED, end, share=0.2, most=1.0),
+            Fault("delay", SETTLED, end, max_delay_s=1.0),
+            Fault("duplicate", SETTLED, end, fraction=0.2, max_delay_s=1.0),
         ],
         "pauses": pauses,
         "one link": [Fault("cut", SETTLED, end, (names[1],), (names[2],))],
@@ -179,41 +179,43 @@
 def _processes(count: int) -> dict[str, Any]:
     """Real ones: kills, a deaf one, a sleeper, two halves, loss; judged by their logs."""
     found: dict[str, Any] = {"processes": count}
-    with tempfile.TemporaryDirectory() as name, ProcessCluster(Path(name), count) as town:
-        names = town.names
-        town.start()
-        town.until(lambda: town.agree(names))
-        began, cpu = time.monotonic(), [process.usage().cpu for process in town.processes.values()]
+    with tempfile.TemporaryDirectory() as name, ProcessCluster(Path(name), count) as cluster:
+        names = cluster.names
+        cluster.start()
+        cluster.wait_until(lambda: cluster.agree(names))
+        began, cpu = time.monotonic(), [process.usage().cpu for process in cluster.processes.values()]
         time.sleep(5.0)
-        spent = [process.usage().cpu - was for process, was in zip(town.processes.values(), cpu, strict=True)]
+        spent = [
+            process.usage().cpu - was for process, was in zip(cluster.processes.values(), cpu, strict=True)
+        ]
         found["cpu_percent"] = 100.0 * max(spent) / (time.monotonic() - began)
-        load = Load([town.clients[one] for one in names[:3]])  # which stay well
+        load = Load([cluster.client_addresses[one] for one in names[:3]])  # which stay well
         dead = names[-count // 4 :]
         rest = [one for one in names if one not in dead]
-        at = town.kill(*dead)
-        town.until(lambda: town.agree(rest))
-        seen = town.seen()
-        found["real_detect_s"] = max(max(checker.gone_after(seen, rest, one, at)) for one in dead)
-        town.start(*dead)
-        found["real_back_s"] = town.until(lambda: town.agree(names))
-        at = town.play([Fault("loss", 0.0, 6.0, share=0.3)])
+        at = cluster.kill(*dead)
+        cluster.wait_until(lambda: cluster.agree(rest))
+        seen = cluster.logged_events()
+        found["real_detect_s"] = max(max(checker.detection_delays(seen, rest, one, at)) for one in dead)
+        cluster.start(*dead)
+        found["real_back_s"] = cluster.wait_until(lambda: cluster.agree(names))
+        at = cluster.inject([Fault("loss", 0.0, 6.0, fraction=0.3)])
         time.sleep(6.0)
-        found["real_false_removals"] = len(checker.removals(town.seen(), at))
+        found["real_false_removals"] = len(checker.removals(cluster.logged_events(), at))
         deaf, rest = names[3], [one for one in names if one != names[3]]
-        at = town.play([Fault("cut", 0.0, 8.0, (), (deaf,))])
-        town.until(lambda: town.agree(rest))
+        at = cluster.inject([Fault("cut", 0.0, 8.0, (), (deaf,))])
+        cluster.wait_until(lambda: cluster.agree(rest))
         time.sleep(max(0.0, at + 8.0 - time.monotonic()))
-        found["real_one_sided_back_s"] = town.until(lambda: town.agree(names))
-        seen = town.seen()
-        found["real_one_sided_gone_s"] = max(checker.gone_after(seen, rest, deaf, at))
-        found["real_flaps"] = checker.flaps(seen, at, at + 8.0)
+        found["real_one_sided_back_s"] = cluster.wait_until(lambda: cluster.agree(names))
+        seen = cluster.logged_events()
+        found["real_one_sided_gone_s"] = max(checker.detection_delays(seen, rest, deaf, at))
+        found["real_flaps"] = checker.count_flaps(seen, at, at + 8.0)
         one, other = names[: count // 2], names[count // 2 :]
-        town.play(both_ways(0.0, 1e9, tuple(one), tuple(other)))
-        found["real_whole_s"] = town.until(lambda: town.agree(one) and town.agree(other))
-        town.play([])
+        cluster.inject(both_ways(0.0, 1e9, tuple(one), tuple(other)))
+        found["real_whole_s"] = cluster.wait_until(lambda: cluster.agree(one) and cluster.agree(other))
+        cluster.inject([])
         at = time.monotonic()
-        found["real_heal_s"] = town.until(lambda: town.agree(names))
-        found["sequences"] = checker.sequences(town.seen(), names, at)
+        found["real_heal_s"] = cluster.wait_until(lambda: cluster.agree(names))
+        found["sequences"] = checker.count_view_sequences(cluster.logged_events(), names, at)
         found["clients_lost"], found["clients_lines"] = load.stop()
     return found
 
@@ -252,13 +254,16 @@
     """Milliseconds from the connect to UP at the 99th percentile, with membership and without, in turns."""
     took: dict[bool, list[float]] = {True: [], False: []}
     for on in (True, False, True, False):
-        with tempfile.TemporaryDirectory() as name, ProcessCluster(Path(name), count, membership=on) as town:
-            town.start()
-            for one in town.names:
-                town.proxy(one).wait_ready()
+        with (
+            tempfile.TemporaryDirectory() as name,
+            ProcessCluster(Path(name), count, membership=on) as cluster,
+        ):
+            cluster.start()
+            for one in cluster.names:
+                cluster.proxy(one).wait_ready()
             if on:
-                town.until(lambda: town.agree(town.names))
-            took[on] += _setups(list(town.clients.values()), setups // 2)
+                cluster.wait_until(lambda: cluster.agree(cluster.names))
+            took[on] += _setups(list(cluster.client_addresses.values()), setups // 2)
     cuts = {on: statistics.quantiles(took[on], n=100)[98] for on in took}
     return {
         "setup_p99_ms": cuts[True],
--- a/tests/system/test_distribution_processes.py
+++ b/tests/system/test_distribution_processes.py
@@ -28,7 +28,7 @@
 def town(tmp_path: Path) -> Iterator[ControlPlaneCluster]:
     with ControlPlaneCluster(tmp_path) as it:
         it.start()
-        it.until(lambda: bool(it.status(ORIGIN).get("settled")) and _counted(it) == len(it.proxies))
+        it.wait_until(lambda: bool(it.status(ORIGIN).get("settled")) and _counted(it) == len(it.proxies))
         yield it
 
 
@@ -65,45 +65,47 @@
 
 def test_faults_between_and_under_them_and_clients_lose_nothing(town: ControlPlaneCluster) -> None:
     proxies = town.proxies
-    load = Load([town.clients[name] for name in proxies[:3]])  # which stay up
+    load = Load([town.client_addresses[name] for name in proxies[:3]])  # which stay up
 
     first = town.push({"shard/a": "s-1", "shard/b": "s-2"})
-    town.until(lambda: _everywhere(town, first))
+    town.wait_until(lambda: _everywhere(town, first))
     assert town.all_at(first)
     assert all(town.status(name)["entries"] == 2 for name in proxies)
 
     # A tenth of all datagrams is lost, some come twice, late or spoilt, and a relay is killed meanwhile.
-    town.play(
+    town.inject(
         [
-            Fault("loss", 0.0, 1e9, share=0.1),
-            Fault("duplicate", 0.0, 1e9, share=0.1, most=0.3),
-            Fault("corrupt", 0.0, 1e9, share=0.03),
-            Fault("delay", 0.0, 1e9, share=0.2, most=0.1),
+            Fault("loss", 0.0, 1e9, fraction=0.1),
+            Fault("duplicate", 0.0, 1e9, fraction=0.1, max_delay_s=0.3),
+            Fault("corrupt", 0.0, 1e9, fraction=0.03),
+            Fault("delay", 0.0, 1e9, fraction=0.2, max_delay_s=0.1),
         ]
     )
     for at in range(10):
         latest = town.push({f"shard/{at}": f"s-{at}", "shard/a": f"s-{at}"})
         if at == 4:
             town.kill("c01")
-    town.until(lambda: town.all_at(latest))
-    town.until(lambda: "c01" in _laggards(town))
+    town.wait_until(lambda: town.all_at(latest))
+    town.wait_until(lambda: "c01" in _laggards(town))
     assert not town.status(ORIGIN)["everywhere"]  # who was behind it is not known from there
     town.start("c01")
-    town.until(lambda: _everywhere(town, latest))
-    town.play([])
+    town.wait_until(lambda: _everywhere(town, latest))
+    town.inject([])
 
     # A proxy is killed in the midst of a revision of many parts, and another one pauses.
     paused = town.pause("p05")
     many = {f"shard/many-{at:04d}": "x" * 60 for at in range(400)}
     whole = town.push(many)
     town.kill("p06")
-    town.until(lambda: town.all_at(whole, [n for n in proxies if n not in ("p05", "p06")]))
-    town.until(lambda: _laggards(town) == {"p05": "unreachable", "p06": "unreachable"})
-    town.until(lambda: time.monotonic() > paused + STALE_AFTER)
+    town.wait_until(lambda: town.all_at(whole, [n for n in proxies if n not in ("p05", "p06")]))
+    town.wait_until(lambda: _laggards(town) == {"p05": "unreachable", "p06": "unreachable"})
+    town.wait_until(lambda: time.monotonic() > paused + STALE_AFTER)
     town.resume("p05")
     town.start("p06")
-    town.until(lambda: _everywhere(town, whole))
-    assert [one for one in town.seen() if one.name == "p05" and one.what == "stale" and one.at > paused]
+    town.wait_until(lambda: _everywhere(town, whole))
+    assert [
+        one for one in town.logged_events() if one.name == "p05" and one.what == "stale" and one.at > paused
+    ]
 
     # Cut off from all control machines, both ways, then only one way: stale, and goes on with what it has.
     machines = tuple(town.machines)
@@ -113,13 +115,13 @@
         # What is pushed within the lease of its last poll still reaches it.
         ([Fault("cut", 0.0, 1e9, ("p07",), machines)], True),
     ):
-        began = town.play(faults)
+        began = town.inject(faults)
         later = town.push({"shard/cut": str(began)})
-        town.until(
+        town.wait_until(
             lambda since=began: bool(
                 [  # type: ignore[misc]
                     one
-                    for one in town.seen()
+                    for one in town.logged_events()
                     if one.name == "p07" and one.what == "stale" and one.at >= since
                 ]
             )
@@ -128,36 +130,36 @@
         assert health["configuration"]["stale"] is True
         assert hears or health["configuration"]["in_force"] != f"{later[0]}.{later[1]}"
         assert town.all_at(later, proxies[:-1])
-        town.play([])
-        town.until(lambda at=later: _everywhere(town, at))  # type: ignore[misc]
+        town.inject([])
+        town.wait_until(lambda at=later: _everywhere(town, at))  # type: ignore[misc]
 
     # The origin is killed and started again: another epoch, the same history.
     town.kill(ORIGIN)
     town.start(ORIGIN)
-    town.until(lambda: bool(town.status(ORIGIN)))
+    town.wait_until(lambda: bool(town.status(ORIGIN)))
     after = town.push({"shard/after": "s-9"})
     assert after[0] == later[0] + 1
     assert after[1] == later[1] + 1
-    town.until(lambda: _everywhere(town, after))
+    town.wait_until(lambda: _everywhere(town, after))
 
     lost, lines = load.stop()
     assert lost == 0
     assert lines > 100
-    _check_order(town.seen(), proxies)
+    _check_order(town.logged_events(), proxies)
 
 
 def test_a_slow_relay_and_a_proxy_that_ends_in_an_orderly_way(town: ControlPlaneCluster) -> None:
     town.pause("c02")
     latest = town.push({"shard/a": "s-1"})
-    town.until(lambda: town.all_at(latest))  # its children have found another parent
+    town.wait_until(lambda: town.all_at(latest))  # its children have found another parent
     town.resume("c02")
-    town.until(lambda: _everywhere(town, latest))
-    assert town.end("p07") == 0
-    town.until(lambda: _counted(town) == len(town.proxies) - 1)
+    town.wait_until(lambda: _everywhere(town, latest))
+    assert town.shut_down("p07") == 0
+    town.wait_until(lambda: _counted(town) == len(town.proxies) - 1)
     last = town.push({"shard/a": "s-2"})
-    town.until(lambda: _everywhere(town, last))  # it has told that it goes: nobody waits for it
+    town.wait_until(lambda: _everywhere(town, last))  # it has told that it goes: nobody waits for it
     assert "p07" not in _laggards(town)
-    _check_order(town.seen(), town.proxies)
+    _check_order(town.logged_events(), town.proxies)
 
 
 def test_keys_replaced_and_a_stranger(town: ControlPlaneCluster) -> None:
@@ -165,13 +167,13 @@
     keys.write_text("0f" * 32 + "\n" + "a1" * 32 + "\n")
     town.processes["p00"].popen.send_signal(signal.SIGHUP)
     latest = town.push({"shard/a": "s-1"})
-    town.until(lambda: _everywhere(town, latest))
+    town.wait_until(lambda: _everywhere(town, latest))
     keys.write_text("b2" * 32 + "\n")
     town.kill("p01")
     town.start("p01")
     relays = [name for name in town.machines if name != ORIGIN]
-    town.until(lambda: all(town.status(name)["dropped"].get("forged") for name in relays))
-    town.until(lambda: town.call("p01", "GET", "/admin/health")[0] == 200)
+    town.wait_until(lambda: all(town.status(name)["dropped"].get("forged") for name in relays))
+    town.wait_until(lambda: town.call("p01", "GET", "/admin/health")[0] == 200)
     told = town.call("p01", "GET", "/admin/health")[1]["configuration"]
     # It serves clients, and says that it knows nothing.
     assert (told["stale"], told["in_force"]) == (True, "0.0")
@@ -184,7 +186,7 @@
 
 
 def test_what_staff_see_and_do(town: ControlPlaneCluster) -> None:
-    at = format_address(town.controls[ORIGIN])
+    at = format_address(town.admin_addresses[ORIGIN])
     pushed = _run("config", "push", at, "shard/a=s-1", "log/level=debug", "--author=ann", "--wait")
     assert (pushed.returncode, pushed.stderr) == (0, "")
     refused = _run("config", "push", at, "no/such=1", "--author=ann")
@@ -205,7 +207,7 @@
         assert set(_laggards(town).values()) == {"refused"}
         return len(told["laggards"]) + int(told["more_laggards"]) == len(town.proxies)
 
-    town.until(all_refuse)
+    town.wait_until(all_refuse)
     assert {town.status(name)["in_force"] for name in town.proxies} == {"1.1"}
     back = _run("config", "revert", at, "1", "--author=ann", "--wait")
     assert (back.returncode, back.stderr) == (0, "")
@@ -214,7 +216,9 @@
     history = _run("config", "history", at)
     assert history.returncode == 0
     assert "ann" in history.stdout
-    elsewhere = _run("config", "push", format_address(town.controls["c01"]), "shard/a=1", "--author=ann")
+    elsewhere = _run(
+        "config", "push", format_address(town.admin_addresses["c01"]), "shard/a=1", "--author=ann"
+    )
     assert elsewhere.returncode == 2
     assert ORIGIN in elsewhere.stderr
 
--- a/tests/unit/distribution/test_random_schedules.py
+++ b/tests/unit/distribution/test_random_schedules.py
@@ -194,10 +194,10 @@
         elif kind == "lossy":
             length, share, doubled = what
             end = min(END, at + length)
-            faults.append(Fault("loss", at, end, share=share))
+            faults.append(Fault("loss", at, end, fraction=share))
             if doubled:
-                faults.append(Fault("duplicate", at, end, share=share, most=0.5))
-                faults.append(Fault("delay", at, end, share=share, most=0.5))
+                faults.append(Fault("duplicate", at, end, fraction=share, max_delay_s=0.5))
+                faults.append(Fault("delay", at, end, fraction=share, max_delay_s=0.5))
     return faults
 
 
--- a/tests/unit/membership/test_member.py
+++ b/tests/unit/membership/test_member.py
@@ -81,11 +81,14 @@
 @pytest.mark.parametrize(
     "faults",
     [
-        [Fault("loss", 5.0, 65.0, share=0.3)],
-        [Fault("delay", 5.0, 35.0, most=1.0), Fault("duplicate", 5.0, 35.0, share=0.2, most=1.0)],
+        [Fault("loss", 5.0, 65.0, fraction=0.3)],
+        [
+            Fault("delay", 5.0, 35.0, max_delay_s=1.0),
+            Fault("duplicate", 5.0, 35.0, fraction=0.2, max_delay_s=1.0),
+        ],
         [Fault("cut", 5.0, 35.0, NAMES[1:2], NAMES[2:3])],
         [Fault("cut", 5.0, 35.0, NAMES[1:2], NAMES[2:6])],  # a third does not receive from it
-        [Fault("corrupt", 5.0, 35.0, share=0.2)],
+        [Fault("corrupt", 5.0, 35.0, fraction=0.2)],
         "pauses",
     ],
     ids=["loss", "delay", "one-link", "a-third", "corrupt", "pauses"],
@@ -275,14 +278,14 @@
     cluster = converged_cluster()
     other = member_of(cluster, NAMES[1])
     recorded: list[bytes] = []
-    carry = cluster.links.carry
+    deliver = cluster.links.deliver
 
     def record(now: float, source: str, target: str, data: bytes) -> Iterator[tuple[float, bytes]]:
         if target == NAMES[1]:
             recorded.append(data)
-        return carry(now, source, target, data)
+        return deliver(now, source, target, data)
 
-    cluster.links.carry = record  # type: ignore[method-assign]
+    cluster.links.deliver = record  # type: ignore[method-assign]
     cluster.run(8.0)
     assert recorded
     before = dict(other.dropped)
--- a/tests/unit/testbed/test_sweeps.py
+++ b/tests/unit/testbed/test_sweeps.py
@@ -171,7 +171,7 @@
 @pytest.mark.parametrize("seed", (1, 2))
 def test_interning_alters_neither_a_view_nor_a_datagram(seed: int) -> None:
     faults = [
-        Fault("loss", 2.0, 8.0, share=0.2),
+        Fault("loss", 2.0, 8.0, fraction=0.2),
         Fault("kill", 3.0, names=("p00004", "p00005")),
         Fault("pause", 4.0, 8.0, names=("p00007",)),
         Fault("start", 14.0, names=("p00004",)),
