--- a/ironmill/configuration/site_settings.py
+++ b/ironmill/configuration/site_settings.py
@@ -12,7 +12,7 @@
     Settings,
     Tenant,
 )
-from ironmill.protocol.json_object import Tree, from_json
+from ironmill.protocol.json_object import JsonObject, parse_json
 
 log = logging.getLogger("ironmill.configuration.site_settings")
 
@@ -20,7 +20,7 @@
 SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
-def _effect_and_scope(item: Tree) -> tuple[Idempotency, DeduplicationScope]:
+def _effect_and_scope(item: JsonObject) -> tuple[Idempotency, DeduplicationScope]:
     """How safe it is to run a request of the class again.
 
     An effect, or a group that drops repeats, that this program does not know is taken as the worst: nothing
@@ -41,16 +41,16 @@
 
 def parse_settings(text: str) -> Settings:
     """The settings from the start message's JSON text."""
-    return settings_from(Tree(from_json(text, "settings:")))
+    return settings_from(JsonObject(parse_json(text, "settings:")))
 
 
-def settings_from(root: Tree) -> Settings:
+def settings_from(root: JsonObject) -> Settings:
     """The settings from the parsed object."""
-    family = root.tree("familyInfo", {})
-    ceilings, rules, prices = root.tree("ceilings"), root.tree("rules"), root.tree("prices", {})
+    family = root.nested("familyInfo", {})
+    ceilings, rules, prices = root.nested("ceilings"), root.nested("rules"), root.nested("prices", {})
     aims, quotas = family.numbers("messageAimS"), family.numbers("tenantQuotaConnections")
     classes = []
-    for at, item in enumerate(root.trees("categories")):
+    for at, item in enumerate(root.nested_list("categories")):
         aim = item.number("aimS")
         effect, scope = _effect_and_scope(item)
         classes.append(
@@ -66,7 +66,7 @@
         )
     tenants = [
         Tenant(item.text("name"), item.number("quotaRps", 0.0), quotas[at] if at < len(quotas) else 0.0)
-        for at, item in enumerate(root.trees("projects", []))
+        for at, item in enumerate(root.nested_list("projects", []))
     ]
     return Settings(
         proxies=int(root.number("balancers")),
@@ -80,10 +80,12 @@
         slow_start_rate_multiple=rules.number("fallMultiple"),
         slow_start_window=rules.number("tipAfterS"),
         max_attempts=int(ceilings.number("sendCap")),
-        max_retry_after=ceilings.number("maxRetryAfterS", 0.0) if ceilings.flag("retryAfter", False) else 0.0,
+        max_retry_after=ceilings.number("maxRetryAfterS", 0.0)
+        if ceilings.flag("retryAfter", default=False)
+        else 0.0,
         keepalive_timeout=ceilings.number("keepaliveS", 0.0),
         min_round_interval=root.number("roundS", 0.001),
-        health_checks=ceilings.flag("probes", False),
-        reports_delay=family.flag("tellsDelay", True),
+        health_checks=ceilings.flag("probes", default=False),
+        reports_delay=family.flag("tellsDelay", default=True),
         live_weights=root.text("weightSource", "off") == "live",
     )
--- a/tests/system/test_membership_processes.py
+++ b/tests/system/test_membership_processes.py
@@ -1,4 +1,4 @@
-"""Members as real processes, with faults of links and processes. Waits end a test; durations are not judged."""
+"""Members as real processes, with faults of links and processes. Waits have limits; no time is judged."""
 
 from __future__ import annotations
 
