--- /dev/null
+++ b/ironmill/distribution/children.py
@@ -0,0 +1,172 @@
+"""A parent's registry of children: who polls, whose lease has expired, and who has moved elsewhere."""
+
+from __future__ import annotations
+
+import math
+
+from msgspec import Struct
+
+from ironmill.distribution.events import ChildAdded, ChildReachable, ChildUnreachable
+from ironmill.distribution.link import Link
+from ironmill.distribution.messages import (
+    AGE_UNKNOWN,
+    ChildMoved,
+    FleetSummary,
+    Message,
+    Poll,
+)
+from ironmill.distribution.replica import Replica
+from ironmill.distribution.revision import START, Position, Rejection
+from ironmill.distribution.timing import CHILD_LEASE_S, MIN_FIND_CHILD_INTERVAL_S, Timing
+from ironmill.membership.envelope import Address, DroppedError, Envelope
+
+MAX_CHILDREN = 4096  # a multiple of what a machine has while others are down
+MOVED_CHILD_TTL_S = 10.0  # longer than any datagram is under way
+
+
+class Child(Struct):
+    """A process that polls this one."""
+
+    name: str
+    incarnation: int
+    address: Address
+    zone: str
+    poll_count: int = -1  # of the last poll; one that is not higher is a replay
+    token: int = 0  # to be echoed to the child
+    received_position: Position = START
+    applied_position: Position = START
+    rejection: Rejection | None = None
+    summary: FleetSummary | None = None  # a relay's
+    is_stale: bool = False
+    attach_count: int = 0
+    attached_at: float = 0.0
+    polled_at: float = 0.0
+    at_latest_at: float = 0.0  # when it was last known to have applied the latest position
+    pushed_position: Position | None = None  # target of the delta that is not acknowledged yet
+    pushed_at: float = -math.inf
+    is_reachable: bool = True
+    search_at: float = 0.0  # while it is unreachable: when to ask the other control machines next
+    search_interval: float = MIN_FIND_CHILD_INTERVAL_S
+
+
+class _MovedChild(Struct, frozen=True):
+    """A child that another relay has reported as its own."""
+
+    version: tuple[int, int]  # incarnation and attach count
+    reported_at: float
+
+
+class ChildRegistry:
+    """The children of one parent, by name."""
+
+    def __init__(self, link: Link, replica: Replica, timing: Timing) -> None:
+        """Makes an empty registry for the parent that has ``replica``."""
+        self._link = link
+        self._replica = replica
+        self._timing = timing
+        self._moved: dict[str, _MovedChild] = {}  # the oldest report first
+        self.children: dict[str, Child] = {}
+
+    def find(self, envelope: Envelope[Message], poll: Poll) -> Child | None:
+        """Returns the child that a poll is from; None if the process is not a child yet.
+
+        Raises ``DroppedError`` for a poll that is older than what is known of the child.
+        """
+        child = self.children.get(envelope.sender)
+        moved = self._moved.get(envelope.sender)
+        if moved is not None and (envelope.incarnation, poll.attach_count) < moved.version:
+            raise DroppedError("moved")
+        if child is None:
+            return None
+        if envelope.incarnation < child.incarnation and child.is_reachable:
+            # A lower incarnation of an unreachable child is accepted: the wall clock, which incarnations are
+            # taken from, may have been stepped back before a restart. The echo proves that it runs now.
+            raise DroppedError("stale")
+        if envelope.incarnation != child.incarnation:
+            return None
+        if envelope.count <= child.poll_count:
+            raise DroppedError("replayed")
+        return child
+
+    def add(self, envelope: Envelope[Message], poll: Poll, source: Address) -> Child:
+        """Adds the sender of a poll, in place of an earlier process of its name.
+
+        Raises ``DroppedError`` if there are ``MAX_CHILDREN`` reachable children.
+        """
+        name = envelope.sender
+        if name not in self.children and len(self.children) >= MAX_CHILDREN:
+            unreachable = next((one.name for one in self.children.values() if not one.is_reachable), None)
+            if unreachable is None:
+                raise DroppedError("full")
+            del self.children[unreachable]
+        child = Child(name, envelope.incarnation, source, poll.zone, at_latest_at=self._link.now)
+        self.children[name] = child
+        self._link.notify(ChildAdded(name, poll.received_position))
+        return child
+
+    def update(self, child: Child, envelope: Envelope[Message], poll: Poll, source: Address) -> None:
+        """Takes what a child's poll reports, and renews its lease."""
+        now = self._link.now
+        child.poll_count = envelope.count
+        child.address = source
+        child.token = poll.token
+        child.zone = poll.zone
+        child.polled_at = now
+        child.received_position = poll.received_position
+        child.applied_position = poll.applied_position
+        child.rejection = poll.rejection
+        child.is_stale = (
+            poll.origin_age_ms == AGE_UNKNOWN or poll.origin_age_ms > 1000.0 * self._timing.stale_after_s
+        )
+        child.summary = poll.summary
+        child.attach_count = poll.attach_count
+        if not child.is_reachable:
+            child.is_reachable = True
+            self._link.notify(ChildReachable(child.name))
+        self._note_latest(child)
+
+    def extend_leases(self, pause_s: float) -> None:
+        """Extends all leases by the time in which this process did not run and could not read polls."""
+        for child in self.children.values():
+            child.polled_at += pause_s
+
+    def expire_leases(self) -> list[Child]:
+        """Marks children without a poll for a lease as unreachable and returns them.
+
+        Children that have been unreachable for long are removed.
+        """
+        now = self._link.now
+        expired: list[Child] = []
+        for child in list(self.children.values()):
+            silent_s = now - child.polled_at
+            if child.is_reachable and silent_s > CHILD_LEASE_S:
+                child.is_reachable = False
+                child.search_at = now
+                child.search_interval = MIN_FIND_CHILD_INTERVAL_S
+                child.pushed_position = None
+                expired.append(child)
+                self._link.notify(ChildUnreachable(child.name, child.applied_position))
+            elif not child.is_reachable and silent_s > self._timing.forget_after_s:
+                del self.children[child.name]
+            self._note_latest(child)
+        while self._moved and now - next(iter(self._moved.values())).reported_at > MOVED_CHILD_TTL_S:
+            del self._moved[next(iter(self._moved))]
+        return expired
+
+    def record_moved(self, moved: ChildMoved) -> bool:
+        """Records that a child has another parent; returns True if it is to be removed here."""
+        version = moved.incarnation, moved.attach_count
+        self._moved.pop(moved.name, None)
+        self._moved[moved.name] = _MovedChild(version, self._link.now)
+        if len(self._moved) > MAX_CHILDREN:
+            del self._moved[next(iter(self._moved))]
+        child = self.children.get(moved.name)
+        return child is not None and (child.incarnation, child.attach_count) < version
+
+    def remove(self, name: str) -> None:
+        """Removes a child."""
+        del self.children[name]
+
+    def _note_latest(self, child: Child) -> None:
+        if child.applied_position >= self._replica.received_position:
+            child.at_latest_at = self._link.now
--- a/ironmill/distribution/errors.py
+++ b/ironmill/distribution/errors.py
@@ -18,6 +18,7 @@
     """A consumer cannot apply the changes. Nothing was stored."""
 
     def __init__(self, rejection: Rejection) -> None:
+        """``rejection`` is what the consumer's check has returned."""
         super().__init__(f"{rejection.key}: {rejection.reason}")
         self.rejection = rejection
 
--- /dev/null
+++ b/ironmill/distribution/events.py
@@ -0,0 +1,130 @@
+"""What happens in a node, as typed events for its owner: to log, to count, to test."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from msgspec import Struct
+
+from ironmill.distribution.revision import Position, Rejection
+
+
+class RevisionApplied(Struct, frozen=True):
+    """A revision, or several as one step, is in force in this process."""
+
+    position: Position
+    changes: int  # how many keys
+    digest: int  # of the whole keyspace
+
+
+class RevisionRejected(Struct, frozen=True):
+    """A received revision cannot be applied here; the previous configuration stays in force."""
+
+    position: Position
+    rejection: Rejection
+
+
+class BecameStale(Struct, frozen=True):
+    """The origin has not been heard from for too long: what is in force may be old."""
+
+    origin_age_s: float | None  # None if the origin was never heard from
+    received_position: Position
+
+
+class BecameFresh(Struct, frozen=True):
+    """The origin has been heard from again."""
+
+    origin_age_s: float | None
+    received_position: Position
+
+
+class ParentChanged(Struct, frozen=True):
+    """This process has a parent, or another one than before."""
+
+    parent: str
+    previous: str  # empty if there was none
+
+
+class ParentLost(Struct, frozen=True):
+    """The parent does not answer."""
+
+    parent: str
+
+
+class CatchUpStarted(Struct, frozen=True):
+    """The parent's log does not lead here from there: the keyspaces are compared by ranges."""
+
+    received_position: Position
+
+
+class CatchUpFinished(Struct, frozen=True):
+    """The whole keyspace has been fetched and proven."""
+
+    fetched_bytes: int
+    position: Position
+
+
+class ChildAdded(Struct, frozen=True):
+    """A process has become a child of this one."""
+
+    child: str
+    received_position: Position
+
+
+class ChildReachable(Struct, frozen=True):
+    """An unreachable child polls again."""
+
+    child: str
+
+
+class ChildUnreachable(Struct, frozen=True):
+    """A child's lease has expired."""
+
+    child: str
+    applied_position: Position
+
+
+class WriterSuperseded(Struct, frozen=True):
+    """Another process has opened the store: this one is no longer the origin."""
+
+    epoch: int
+
+
+class FleetAhead(Struct, frozen=True):
+    """A child has a later position than the store, as after the restore of an old backup."""
+
+    fleet_position: Position
+    store_position: Position
+
+
+class StoreFailing(Struct, frozen=True):
+    """The store cannot be read or written."""
+
+    reason: str
+
+
+class RevisionFullyApplied(Struct, frozen=True):
+    """Every proxy there is has applied a revision."""
+
+    position: Position
+    elapsed_s: float  # since it was pushed
+
+
+Event = (
+    RevisionApplied
+    | RevisionRejected
+    | BecameStale
+    | BecameFresh
+    | ParentChanged
+    | ParentLost
+    | CatchUpStarted
+    | CatchUpFinished
+    | ChildAdded
+    | ChildReachable
+    | ChildUnreachable
+    | WriterSuperseded
+    | FleetAhead
+    | StoreFailing
+    | RevisionFullyApplied
+)
+EventListener = Callable[[Event], object]
--- a/ironmill/distribution/keyspace.py
+++ b/ironmill/distribution/keyspace.py
@@ -1,8 +1,9 @@
-"""All keys and values, held compactly, with digests of ranges that tell two keyspaces' differences.
+"""All keys and values of one position, in compact form, with digests of ranges that find differences.
 
-A key belongs to one of 65,536 leaves by its hash. A leaf is one string of packed entries in the order of
-their keys, so 640,000 entries are 65,536 objects and not 1,280,000. A range's digest is the sum of its
-entries' hashes, so a change costs the same however much is held, and a range that is empty costs nothing.
+A key's hash assigns it to one of 65,536 leaves. A leaf is one byte string of packed entries in the order of
+their keys, so that the number of objects does not grow with the number of entries. The digest of a range is
+the sum of its entries' hashes modulo 2**64: a change costs the same whatever the size of the keyspace, and an
+empty range needs no memory.
 """
 
 from __future__ import annotations
@@ -12,41 +13,41 @@
 
 from ironmill.distribution.changes import pack_entry, unpack_entries
 
-# Ranges by level: 64 of the whole, 64 of each of those, 16 leaves of each. One answer has 64 digests.
+# Hash bits of a range's prefix, by level: 64 ranges of the whole, 64 of each of those, 16 leaves of each.
 LEVEL_BITS = (6, 12, 16)
 LEAVES = 1 << LEVEL_BITS[-1]
 _MASK = (1 << 64) - 1
 
 
 def leaf_of(name: bytes) -> int:
-    """The leaf of the key with these bytes."""
+    """Returns the leaf of a key, given in UTF-8."""
     return int.from_bytes(hashlib.blake2b(name, digest_size=2).digest())
 
 
-def hash_of(entry: bytes) -> int:
-    """What a packed entry adds to the digests."""
+def entry_hash(entry: bytes) -> int:
+    """Returns what a packed entry adds to the digests of its ranges."""
     return int.from_bytes(hashlib.blake2b(entry, digest_size=8).digest())
 
 
-def leaf_sum(blob: bytes) -> int:
-    """The digest of a leaf's entries."""
-    return sum(hash_of(blob[start:stop]) for start, stop in _spans(blob)) & _MASK
+def leaf_digest(blob: bytes) -> int:
+    """Returns the digest of a leaf's entries."""
+    return sum(entry_hash(blob[start:stop]) for start, stop in _spans(blob)) & _MASK
 
 
 def children_of(level: int, prefix: int) -> range:
-    """The prefixes one level further down."""
+    """Returns the prefixes of a range's parts, one level down."""
     bits = LEVEL_BITS[level + 1] - LEVEL_BITS[level]
     return range(prefix << bits, (prefix + 1) << bits)
 
 
 def leaves_of(level: int, prefix: int) -> range:
-    """The leaves of a range."""
+    """Returns the leaves of a range."""
     bits = LEVEL_BITS[-1] - LEVEL_BITS[level]
     return range(prefix << bits, (prefix + 1) << bits)
 
 
 def _spans(blob: bytes) -> Iterator[tuple[int, int]]:
-    """Where each entry of a leaf begins and stops."""
+    """Yields where each entry of a leaf begins and ends."""
     at, end = 0, len(blob)
     while at < end:
         size = at + 1 + blob[at]
@@ -56,7 +57,7 @@
 
 
 def _find(blob: bytes, name: bytes) -> tuple[int, int]:
-    """Where the entry of this key is, or an empty span where it belongs."""
+    """Returns where a key's entry begins and ends; an empty span, where it belongs, if there is none."""
     for start, stop in _spans(blob):
         other = blob[start + 1 : start + 1 + blob[start]]
         if other >= name:
@@ -65,34 +66,35 @@
 
 
 class Keyspace:
-    """Keys and values as of one position."""
+    """Keys and values, with digests of their ranges."""
 
-    __slots__ = ("_leaves", "_sums", "count", "digest", "size")
+    __slots__ = ("_digests", "_leaves", "count", "digest", "size")
 
     def __init__(self) -> None:
+        """Makes an empty keyspace."""
         self._leaves: dict[int, bytes] = {}
-        self._sums: tuple[dict[int, int], ...] = tuple({} for _ in LEVEL_BITS)
+        self._digests: tuple[dict[int, int], ...] = tuple({} for _ in LEVEL_BITS)
         self.digest = 0
         self.count = 0
-        self.size = 0  # bytes, packed
+        self.size = 0  # bytes, in packed form
 
     def copy(self) -> Keyspace:
-        """The same keys and values; what changes in one does not change in the other."""
+        """Returns an independent copy."""
         other = Keyspace()
         other._leaves = dict(self._leaves)
-        other._sums = tuple(dict(sums) for sums in self._sums)
+        other._digests = tuple(dict(digests) for digests in self._digests)
         other.digest, other.count, other.size = self.digest, self.count, self.size
         return other
 
     def get(self, key: str) -> bytes | None:
-        """The key's value; None if it has none."""
+        """Returns a key's value, or None if it has none."""
         name = key.encode()
         blob = self._leaves.get(leaf_of(name), b"")
         start, stop = _find(blob, name)
         return blob[start + 3 + len(name) : stop] if stop > start else None
 
     def put(self, key: str, value: bytes | None) -> None:
-        """Give the key a value, or none."""
+        """Sets a key's value; None deletes the key."""
         name = key.encode()
         leaf = leaf_of(name)
         blob = self._leaves.get(leaf, b"")
@@ -100,69 +102,69 @@
         entry = b"" if value is None else pack_entry(key, value)
         if blob[start:stop] == entry:
             return
-        change = (hash_of(entry) if entry else 0) - (hash_of(blob[start:stop]) if stop > start else 0)
+        change = (entry_hash(entry) if entry else 0) - (entry_hash(blob[start:stop]) if stop > start else 0)
         self.count += bool(entry) - (stop > start)
         self._set(leaf, blob[:start] + entry + blob[stop:], change)
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
-        """Put all of these."""
+        """Makes all of the changes."""
         for key, value in changes.items():
             self.put(key, value)
 
     def digest_after(self, changes: Mapping[str, bytes | None]) -> int:
-        """What the digest would be with these changes."""
+        """Returns what the digest would be after the changes."""
         digest = self.digest
         for key, value in changes.items():
             old = self.get(key)
             if old is not None:
-                digest -= hash_of(pack_entry(key, old))
+                digest -= entry_hash(pack_entry(key, old))
             if value is not None:
-                digest += hash_of(pack_entry(key, value))
+                digest += entry_hash(pack_entry(key, value))
         return digest & _MASK
 
     def leaf(self, index: int) -> bytes:
-        """The packed entries of a leaf."""
+        """Returns the packed entries of a leaf."""
         return self._leaves.get(index, b"")
 
     def replace(self, index: int, blob: bytes) -> None:
-        """Put another leaf in a leaf's place. Its entries are in order and belong there."""
+        """Replaces a leaf. The entries must belong to it and be in the order of their keys."""
         old = self._leaves.get(index, b"")
         if blob == old:
             return
         self.count += sum(1 for _ in _spans(blob)) - sum(1 for _ in _spans(old))
-        self._set(index, blob, leaf_sum(blob) - leaf_sum(old))
+        self._set(index, blob, leaf_digest(blob) - leaf_digest(old))
 
-    def sum(self, level: int, prefix: int) -> int:
-        """The digest of one range; 0 where it is empty."""
-        return self._sums[level].get(prefix, 0)
+    def range_digest(self, level: int, prefix: int) -> int:
+        """Returns the digest of one range; 0 if it is empty."""
+        return self._digests[level].get(prefix, 0)
 
     def entries(self) -> Iterator[tuple[str, bytes]]:
-        """All keys that have a value."""
+        """Yields all keys and values."""
         for blob in self._leaves.values():
             for key, value in unpack_entries(blob):
                 if value is not None:
                     yield key, value
 
-    def page(self, leaf: int, after: str, until: int, room: int) -> tuple[bytes, int, str]:
-        """Entries from there on, as many as fit, and where the next page begins.
+    def page(self, leaf: int, after: str, end_leaf: int, max_bytes: int) -> tuple[bytes, int, str]:
+        """Returns as many packed entries as fit, from ``leaf`` to before ``end_leaf``, and where to go on.
 
-        ``after`` is a key of the leaf ``leaf`` that was told already, empty for its beginning. A page that
-        reaches ``until`` ends there.
+        ``after`` is the last key of ``leaf`` that an earlier page has; empty to begin with its first. The
+        result ends with the leaf and the key after which the next page begins.
         """
         found = bytearray()
         name = after.encode()
-        while leaf < until:
+        while leaf < end_leaf:
             blob = self._leaves.get(leaf, b"")
             for start, stop in _spans(blob):
                 key = blob[start + 1 : start + 1 + blob[start]]
                 if key <= name:
                     continue
-                if len(found) + stop - start > room:
+                if len(found) + stop - start > max_bytes:
                     return bytes(found), leaf, name.decode()
                 found += blob[start:stop]
                 name = key
             leaf, name = leaf + 1, b""
-        return bytes(found), until, ""
+        return bytes(found), end_leaf, ""
 
     def _set(self, leaf: int, blob: bytes, change: int) -> None:
         self.size += len(blob) - len(self._leaves.get(leaf, b""))
@@ -171,9 +173,9 @@
         else:
             self._leaves.pop(leaf, None)
         self.digest = (self.digest + change) & _MASK
-        for bits, sums in zip(LEVEL_BITS, self._sums, strict=True):
+        for bits, digests in zip(LEVEL_BITS, self._digests, strict=True):
             prefix = leaf >> (LEVEL_BITS[-1] - bits)
-            if total := (sums.get(prefix, 0) + change) & _MASK:
-                sums[prefix] = total
+            if digest := (digests.get(prefix, 0) + change) & _MASK:
+                digests[prefix] = digest
             else:
-                sums.pop(prefix, None)
+                digests.pop(prefix, None)
--- a/ironmill/distribution/link.py
+++ b/ironmill/distribution/link.py
@@ -1,47 +1,66 @@
-"""What every process of distribution has: a card, counted datagrams, tokens that prove both ways."""
+"""What every node needs to send: its identity, a codec, a count of datagrams, and tokens of its peers."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
 
-from ironmill.distribution.wire import Codec, Message
+from msgspec import Struct
+
+from ironmill.distribution.codec import Codec
+from ironmill.distribution.events import Event, EventListener
+from ironmill.distribution.messages import Message
+from ironmill.distribution.timing import Timing
 from ironmill.membership.envelope import Address, Card, Datagram, Tokens
 
-OnEvent = Callable[[str, dict[str, Any]], object]
+TOKEN_SECRET_BYTES = 16
+
+
+class NodeContext(Struct, frozen=True):
+    """What the owner of a node gives it, whatever its role."""
+
+    identity: Card
+    codec: Codec
+    timing: Timing
+    rng: random.Random
+    now: float  # seconds of the monotonic clock, at the node's start
+    on_event: EventListener
 
 
 class Link:
-    """Writes datagrams; what is to be sent waits in ``out`` until the driver takes it."""
-
-    def __init__(self, card: Card, codec: Codec, rng: random.Random, now: float, told: OnEvent) -> None:
-        self.card = card
-        self.codec = codec
-        self.rng = rng
-        self.told = told
-        self.now = now
-        self.tokens = Tokens(rng.randbytes(16))
-        self.out: list[Datagram] = []
-        self.dropped: dict[str, int] = {}
+    """Encodes messages into datagrams, which wait until the driver takes them with ``flush``."""
+
+    def __init__(self, context: NodeContext) -> None:
+        """Draws the secret of the tokens from the context's generator."""
+        self.identity = context.identity
+        self.codec = context.codec
+        self.rng = context.rng
+        self.now = context.now  # as of the current tick or datagram
+        self.tokens = Tokens(context.rng.randbytes(TOKEN_SECRET_BYTES))
+        self.dropped: dict[str, int] = {}  # datagrams by reason
         self.sent_bytes = 0
         self.sent_datagrams = 0
+        self._on_event = context.on_event
+        self._outgoing: list[Datagram] = []
         self._count = 0
 
-    def send(self, to: str, address: Address, message: Message) -> int:
-        """Put a message on its way; its count."""
+    def send(self, recipient: str, address: Address, message: Message) -> int:
+        """Queues a message and returns the count of its datagram."""
         self._count += 1
-        data = self.codec.write(self.card, to, self._count, message)
+        data = self.codec.write(self.identity, recipient, self._count, message)
         self.sent_bytes += len(data)
         self.sent_datagrams += 1
-        self.out.append((address, data))
+        self._outgoing.append((address, data))
         return self._count
 
     def flush(self) -> list[Datagram]:
-        """What is to be sent now."""
-        out, self.out = self.out, []
-        return out
+        """Returns the queued datagrams and empties the queue."""
+        outgoing, self._outgoing = self._outgoing, []
+        return outgoing
+
+    def drop(self, reason: str) -> None:
+        """Counts a datagram that was not accepted."""
+        self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
-    def drop(self, why: str) -> None:
-        """Count a datagram that was not taken."""
-        self.dropped[why] = self.dropped.get(why, 0) + 1
+    def notify(self, event: Event) -> None:
+        """Reports an event to the node's owner."""
+        self._on_event(event)
--- /dev/null
+++ b/ironmill/distribution/range_server.py
@@ -0,0 +1,87 @@
+"""Answers a child that catches up by ranges, within a rate shared by all children."""
+
+from __future__ import annotations
+
+from ironmill.distribution.keyspace import LEVEL_BITS, children_of
+from ironmill.distribution.link import Link
+from ironmill.distribution.messages import (
+    MAX_BODY_BYTES,
+    DigestRequest,
+    DigestResponse,
+    EntriesRequest,
+    EntriesResponse,
+    Message,
+)
+from ironmill.distribution.replica import Replica
+from ironmill.membership.envelope import DATAGRAM_MOST, Address, DroppedError, Envelope
+
+BURST_S = 0.25  # of the rate, that may be sent at once
+
+
+class RangeServer:
+    """Digests and entries of one replica."""
+
+    def __init__(self, link: Link, replica: Replica, bytes_per_s: float) -> None:
+        """``bytes_per_s`` limits the answers to all children together."""
+        self._link = link
+        self._replica = replica
+        self._bytes_per_s = bytes_per_s
+        self._credit = bytes_per_s * BURST_S
+        self._credit_at = link.now
+
+    def on_digest_request(self, envelope: Envelope[Message], request: DigestRequest, source: Address) -> None:
+        """Answers with the digests of a range's parts. Raises ``DroppedError`` as ``_admit`` does."""
+        self._admit(envelope, request.echo)
+        replica, keyspace = self._replica, self._replica.keyspace
+        level = request.level + 1
+        prefixes = children_of(request.level, request.prefix) if level else range(1 << LEVEL_BITS[0])
+        response = DigestResponse(
+            echo=request.token,
+            lineage=replica.lineage,
+            position=replica.received_position,
+            root_digest=keyspace.digest,
+            level=request.level,
+            prefix=request.prefix,
+            digests=[keyspace.range_digest(level, prefix) for prefix in prefixes],
+        )
+        self._send(envelope, source, response)
+
+    def on_entries_request(
+        self, envelope: Envelope[Message], request: EntriesRequest, source: Address
+    ) -> None:
+        """Answers with entries of leaves. Raises ``DroppedError`` as ``_admit`` does."""
+        self._admit(envelope, request.echo)
+        replica = self._replica
+        body, next_leaf, after_key = replica.keyspace.page(
+            request.leaf, request.after_key, request.end_leaf, MAX_BODY_BYTES
+        )
+        response = EntriesResponse(
+            echo=request.token,
+            lineage=replica.lineage,
+            number=request.number,
+            position=replica.received_position,
+            next_leaf=next_leaf,
+            is_partial=after_key != "",
+            body=body,
+        )
+        self._send(envelope, source, response)
+
+    def _send(
+        self, envelope: Envelope[Message], source: Address, response: DigestResponse | EntriesResponse
+    ) -> None:
+        sent_before = self._link.sent_bytes
+        self._link.send(envelope.sender, source, response)
+        self._credit -= self._link.sent_bytes - sent_before
+
+    def _admit(self, envelope: Envelope[Message], echo: int) -> None:
+        """Raises ``DroppedError`` if the sender's address is not proven, or the rate is used up.
+
+        The child repeats its request.
+        """
+        now, rate = self._link.now, self._bytes_per_s
+        if not self._link.tokens.proves(envelope.sender, envelope.incarnation, echo, now):
+            raise DroppedError("unproven")
+        self._credit = min(rate * BURST_S, self._credit + (now - self._credit_at) * rate)
+        self._credit_at = now
+        if self._credit < DATAGRAM_MOST:
+            raise DroppedError("busy")
--- a/ironmill/distribution/revision.py
+++ b/ironmill/distribution/revision.py
@@ -21,6 +21,7 @@
     number: int  # of the revision; counts on across epochs
 
     def __str__(self) -> str:
+        """Spells the position as EPOCH.NUMBER."""
         return f"{self.epoch}.{self.number}"
 
 
--- a/ironmill/distribution/timing.py
+++ b/ironmill/distribution/timing.py
@@ -1,37 +1,52 @@
-"""The times of distribution, seconds: a change is in force within 3 s through two lost datagrams."""
+"""Intervals, timeouts and rates of distribution. Times are in seconds.
+
+A change is applied everywhere within 3 s even if two datagrams in a row are lost.
+"""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-TICK = 0.1
-POLL_EVERY = 0.4  # with the tries below: a dead parent is left after 1 s at the most
-# A poll that is not answered is sent again after this. Not between two ticks: 0.15 s came to 0.2 s, and where
-# a third of 27 relays was killed the last of their children had another parent after 1.3 s.
-RETRY = 0.1
-TRIES = 4  # polls without an answer before another parent is looked for
-ACK_EVERY = 0.05  # polls that acknowledge come so far apart at the least
-RESEND = 0.15  # a poll that comes this long after a push and does not hold it: the push is sent again
-LEASE = 1.5  # a child that is silent for so long is unreachable
-PROBE_EVERY = 0.3  # while there is no parent
-PROBES = 3  # candidates asked at once
-SETTLE_FOR = 2.0  # without a good parent for so long: the best there is will do
-PARENT_STALE = 2.5  # a parent that has not heard the origin for so long: another is looked for
-OVERTAKEN = 0.5  # a word that tells of less than was pushed so shortly before was on its way already
-HOME_EVERY = 20.0  # who is not at the parent it prefers tries that again, this far apart on average
-FAILED_FOR, FAILED_MOST = 1.0, 16.0  # a parent that did not answer is passed over, longer each time
-BEHIND_AFTER = 1.0  # who is not at the newest revision for so long is named
-SETTLED_AFTER = 3.0  # a process that has just started cannot know its children yet
-PAUSED = 0.6  # a tick that comes this much late: this process did not run
-MOVED_EVERY, MOVED_TRIES = 0.5, 60  # telling another relay that its child is here now
-SEEK_EVERY, SEEK_MOST = 1.0, 8.0  # asking the others for a child that does not answer, less often each time
-STORE_CHECK = 1.0  # between two looks whether another writer has opened the store
+TICK_INTERVAL_S = 0.1
+PAUSE_THRESHOLD_S = 0.6  # a tick this late: the process did not run, and what was sent to it is still unread
+
+# Polls of a child to its parent. A dead parent is given up after a second.
+POLL_INTERVAL_S = 0.4
+POLL_RETRY_DELAY_S = 0.1  # one tick: an unanswered poll is repeated with the next
+MAX_UNANSWERED_POLLS = 4
+MIN_ACK_INTERVAL_S = 0.05  # between polls that acknowledge a delta
+
+# Selection of a parent.
+PROBE_INTERVAL_S = 0.3  # while there is no usable parent
+MAX_PROBES = 3  # candidates probed at once
+ACCEPT_ANY_PARENT_DELAY_S = 2.0  # without a usable candidate for so long, any that answers is accepted
+MAX_PARENT_AGE_S = 2.5  # a parent that has not heard from the origin for longer is not usable
+REORDERING_S = 0.5  # a response may be older than a delta that arrived up to so long before it
+PREFERRED_PARENT_INTERVAL_S = 20.0  # mean time between attempts to return to a preferred parent
+MIN_FAILURE_BACKOFF_S = 1.0  # doubled with each failure in a row
+MAX_FAILURE_BACKOFF_S = 16.0
+
+# A parent's view of its children.
+CHILD_LEASE_S = 1.5  # a child that has not polled for longer is unreachable
+DELTA_RESEND_DELAY_S = 0.15  # from a delta to a poll that does not acknowledge it
+LAGGING_DELAY_S = 1.0  # a child that is not at the latest position for longer is reported as lagging
+CONVERGENCE_DELAY_S = 3.0  # from the start until the children have found this process
+
+# Between control machines, about children that have changed their parent.
+CHILD_MOVED_RETRY_INTERVAL_S = 0.5
+MAX_CHILD_MOVED_ATTEMPTS = 60
+MIN_FIND_CHILD_INTERVAL_S = 1.0  # doubled with each request
+MAX_FIND_CHILD_INTERVAL_S = 8.0
+
+STORE_CHECK_INTERVAL_S = 1.0  # between checks for another writer
 
 
 class Timing(Struct, frozen=True):
-    """What settings say."""
+    """What the operator's settings choose."""
 
-    stale_after: float = 4.0  # without the origin's word for so long: what is in force may be old
-    forget_after: float = 3600.0  # an unreachable child is named for so long
-    catch_up_rate: float = 128 * 1024.0  # bytes a second that one subscriber asks for while it catches up
-    serve_rate: float = 4 * 1024.0 * 1024.0  # bytes a second that one parent answers with, all together
+    stale_after_s: float = 4.0  # without contact to the origin
+    forget_after_s: float = 3600.0  # until an unreachable child is no longer reported
+    catch_up_bytes_per_s: float = 128 * 1024.0  # that one subscriber requests
+    serve_bytes_per_s: float = (
+        4 * 1024.0 * 1024.0
+    )  # that one parent sends in answers, to all children together
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -13,7 +13,7 @@
 from ironmill.configuration.operator_files import Operator
 from ironmill.distribution.changes import Changes
 from ironmill.distribution.errors import StoreError
-from ironmill.distribution.node import Origin
+from ironmill.distribution.origin import Origin
 from ironmill.distribution.revision import Position, RevisionMetadata, StoredRevision
 from ironmill.membership.envelope import Address
 from ironmill.net.control import Control
@@ -68,11 +68,11 @@
         self.distribution = Distribution(self.scheduler, name, settings, operator.distribution_keys)
         writer = None
         if self._store is not None:
-            origin = self.distribution.origin(self._store, check_form)
+            origin = self.distribution.use_origin(self._store, check_form)
             writer = Writer(origin, self.distribution)
             reader: Any = origin
         else:
-            reader = self.distribution.relay()
+            reader = self.distribution.use_relay()
         routes = Routes()
         origins = [one.name for one in settings.controls if one.origin]
         ConfigurationCalls(reader, writer, origins).add_to(routes)
--- a/ironmill/net/distribution.py
+++ b/ironmill/net/distribution.py
@@ -1,143 +1,127 @@
-"""The driver of distribution, in a proxy and in a control machine: datagrams, the log, what staff see."""
+"""The driver of distribution in a proxy and in a control machine: its socket, its clock and its log."""
 
 from __future__ import annotations
 
 import random
 import time
 from collections.abc import Sequence
-from typing import TYPE_CHECKING, Any
 
 from ironmill.configuration.settings.model import DistributionSettings
-from ironmill.distribution.node import Leaf, Node, Origin, Relay
-from ironmill.distribution.timing import TICK, Timing
-from ironmill.distribution.wire import Codec, Place
+from ironmill.distribution.codec import Codec
+from ironmill.distribution.events import Event
+from ironmill.distribution.interfaces import ChangeCheck, Consumer, RevisionStore
+from ironmill.distribution.link import NodeContext
+from ironmill.distribution.messages import Endpoint
+from ironmill.distribution.node import Node
+from ironmill.distribution.origin import Origin
+from ironmill.distribution.proxy_node import ProxyNode
+from ironmill.distribution.relay import Relay
+from ironmill.distribution.status import ConfigurationHealth, SubscriberStatus
+from ironmill.distribution.timing import TICK_INTERVAL_S, Timing
 from ironmill.membership.envelope import Address, Card, spelled
 from ironmill.net.datagrams import Datagrams
+from ironmill.net.distribution_log import log_line
 from ironmill.runtime.logs import EventLog
 from ironmill.runtime.scheduler import Scheduler
 
-if TYPE_CHECKING:  # what a role has no use for is not imported
-    from ironmill.distribution.interfaces import ChangeCheck, Consumer, RevisionStore
-
-# What an operator may want to look at, the rest is the course of things.
-_LOUD = {"stale", "refused", "superseded", "fleet-ahead", "child-unreachable", "parent-lost"}
-
 log = EventLog("ironmill.distribution")
 
 
 class Distribution:
-    """One process of the distribution, on its socket."""
+    """One process's node on its UDP socket."""
 
     def __init__(
-        self,
-        scheduler: Scheduler,
-        name: str,
-        settings: DistributionSettings,
-        keys: Sequence[bytes],
+        self, scheduler: Scheduler, name: str, settings: DistributionSettings, keys: Sequence[bytes]
     ) -> None:
-        """OSError where the address is not to be had. ``leaf``, ``relay`` or ``origin`` has to follow."""
+        """Binds the socket. Raises ``OSError`` if the address is not available.
+
+        One of ``use_proxy_node``, ``use_relay`` and ``use_origin`` must be called before ``start``.
+        """
         self.settings = settings
         self.codec = Codec(settings.cluster, keys)
         self.node: Node | None = None
         self._datagrams = Datagrams(scheduler, settings.listen)
-        self._card = Card(
-            name, *settings.listen, settings.zone, settings.region, max(1, int(time.time() * 1000.0))
-        )
-        self._timing = Timing(settings.stale_after, settings.forget_after, settings.catch_up_rate)
-        self._controls = [
-            (Place(one.name, one.address, one.zone, one.region), one.origin) for one in settings.controls
+        incarnation = max(1, int(time.time() * 1000.0))
+        self._identity = Card(name, *settings.listen, settings.zone, settings.region, incarnation)
+        endpoints = [
+            (Endpoint(control.name, control.address, control.zone, control.region), control.origin)
+            for control in settings.controls
         ]
+        self._origins = [endpoint for endpoint, is_origin in endpoints if is_origin]
+        self._relays = [endpoint for endpoint, is_origin in endpoints if not is_origin]
+        self._controls = [endpoint for endpoint, _ in endpoints]
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address of the socket."""
         return self._datagrams.address
 
-    def leaf(self, consumer: Consumer) -> Leaf:
-        """Be a proxy's side: revisions are put into force by the consumer."""
-        relays = [place for place, origin in self._controls if not origin]
-        parents = relays or [place for place, _ in self._controls]
-        node = Leaf(
-            self._card,
-            self.codec,
-            self._timing,
-            parents,
-            consumer,
-            random.Random(),
-            time.monotonic(),
-            self._told,
-        )
+    @property
+    def origins(self) -> list[str]:
+        """Names of the control machines that may be the origin."""
+        return [endpoint.name for endpoint in self._origins]
+
+    def use_proxy_node(self, consumer: Consumer) -> ProxyNode:
+        """Makes this process a proxy's node; the consumer applies what it receives."""
+        node = ProxyNode(self._context(), self._relays or self._controls, consumer)
         self.node = node
         return node
 
-    def relay(self) -> Relay:
-        """Be a relay."""
-        name = self._card.name
-        origins = [place for place, origin in self._controls if origin and place.name != name]
-        peers = [place for place, _ in self._controls if place.name != name]
-        node = Relay(
-            self._card,
-            self.codec,
-            self._timing,
-            origins,
-            peers,
-            random.Random(),
-            time.monotonic(),
-            self._told,
-        )
+    def use_relay(self) -> Relay:
+        """Makes this process a relay."""
+        node = Relay(self._context(), self._others(self._origins), self._others(self._controls))
         self.node = node
         return node
 
-    def origin(self, store: RevisionStore, check: ChangeCheck) -> Origin:
-        """Be the origin: the order of changes is the store's. StoreError where it cannot be read."""
-        relays = [place for place, origin in self._controls if not origin and place.name != self._card.name]
-        node = Origin(
-            self._card,
-            self.codec,
-            self._timing,
-            store,
-            relays,
-            check,
-            random.Random(),
-            time.monotonic(),
-            self._told,
-        )
+    def use_origin(self, store: RevisionStore, check: ChangeCheck) -> Origin:
+        """Makes this process the origin. Raises ``StoreError`` if the store cannot be read."""
+        node = Origin(self._context(), store, self._others(self._relays), check)
         self.node = node
         return node
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Begins to exchange datagrams."""
         assert self.node is not None
         log.info(
             "distribution", address=spelled(self.address), cluster=self.settings.cluster, role=self.node.role
         )
-        self._datagrams.start(self.node, TICK)
-
-    @property
-    def origins(self) -> list[str]:
-        """The control machines that may hold the order of changes, by name."""
-        return [place.name for place, origin in self._controls if origin]
+        self._datagrams.start(self.node, TICK_INTERVAL_S)
 
-    def health(self) -> dict[str, Any]:
-        """What belongs into the answer on health: what is in force, and whether it may be old."""
+    def health(self) -> dict[str, ConfigurationHealth]:
+        """Returns what a proxy's health check reports of distributed configuration."""
         assert self.node is not None
-        told = self.node.status(time.monotonic())
-        keys = ("in_force", "stale", "age_s", "refused", "catching_up")
-        return {"configuration": {key: told[key] for key in keys}}
+        status = self.node.status(time.monotonic())
+        assert isinstance(status, SubscriberStatus)
+        return {"configuration": ConfigurationHealth.of(status)}
 
     def flush(self) -> None:
-        """Send at once what a call has made to be sent."""
+        """Sends at once what a call to the node has queued."""
         if self.node is not None and not self._datagrams.closed:
             self._datagrams.send(self.node.flush())
 
     def leave(self) -> None:
-        """Tell that this process ends."""
+        """Sends the node's last messages and closes the socket. A second call has no effect."""
         if self._datagrams.closed:
-            return  # a second time changes nothing
+            return
         if self.node is not None:
             self._datagrams.send(self.node.leave(time.monotonic()))
         self._datagrams.close()
 
-    def _told(self, what: str, fields: dict[str, Any]) -> None:
-        write = log.warning if what in _LOUD else log.info
-        write(f"distribution {what}", at=round(time.monotonic(), 4), **fields)
+    def _context(self) -> NodeContext:
+        settings = self.settings
+        return NodeContext(
+            identity=self._identity,
+            codec=self.codec,
+            timing=Timing(settings.stale_after, settings.forget_after, settings.catch_up_rate),
+            rng=random.Random(),
+            now=time.monotonic(),
+            on_event=self._on_event,
+        )
+
+    def _others(self, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
+        return [endpoint for endpoint in endpoints if endpoint.name != self._identity.name]
+
+    def _on_event(self, event: Event) -> None:
+        line = log_line(event)
+        write = log.warning if line.is_warning else log.info
+        write(f"distribution {line.name}", at=round(time.monotonic(), 4), **line.fields(event))
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -245,7 +245,7 @@
             self.scheduler, self._config.name, settings, operator.distribution_keys
         )
         self.configuration = Configuration(self.callers)
-        self.distribution.leaf(self.configuration)
+        self.distribution.use_proxy_node(self.configuration)
 
     def _take_distribution(self, operator: Operator) -> None:
         """Keys are replaced at once; where configuration comes from takes a restart."""
--- a/ironmill_testbed/capacity/stories.py
+++ b/ironmill_testbed/capacity/stories.py
@@ -19,7 +19,7 @@
 
 from ironmill.distribution.changes import Changes
 from ironmill.distribution.errors import NotOriginError, StoreError
-from ironmill.distribution.node import Origin
+from ironmill.distribution.origin import Origin
 from ironmill_testbed.faults.fleet_watch import BUDGET, Second
 from ironmill_testbed.faults.fleet_world import FleetWorld, Plan
 from ironmill_testbed.faults.schedule import Fault, both_ways
--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -18,11 +18,17 @@
 from typing import Any, TypeVar
 
 from ironmill.distribution.changes import Changes
+from ironmill.distribution.codec import Codec
+from ironmill.distribution.events import Event
 from ironmill.distribution.keyspace import Keyspace
-from ironmill.distribution.node import Leaf, Node, Origin, Relay
+from ironmill.distribution.link import NodeContext
+from ironmill.distribution.messages import Endpoint, Poll
+from ironmill.distribution.node import Node
+from ironmill.distribution.origin import Origin
+from ironmill.distribution.proxy_node import ProxyNode
+from ironmill.distribution.relay import Relay
 from ironmill.distribution.revision import START, RevisionMetadata
-from ironmill.distribution.timing import TICK, Timing
-from ironmill.distribution.wire import Codec, Place, Poll
+from ironmill.distribution.timing import TICK_INTERVAL_S, Timing
 from ironmill.membership.envelope import Address, Card, Datagram
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
@@ -95,13 +101,13 @@
 
     def put(self, node: Node) -> None:
         """One more."""
-        self._nodes[node.card.address] = node
-        self.took[node.card.name] = 0.0
-        self.received[node.card.name] = 0
+        self._nodes[node.identity.address] = node
+        self.took[node.identity.name] = 0.0
+        self.received[node.identity.name] = 0
 
     def send(self, node: Node, datagrams: list[Datagram]) -> None:
         """Put these on their way."""
-        self._queue.extend((datagram, node.card.address) for datagram in datagrams)
+        self._queue.extend((datagram, node.identity.address) for datagram in datagrams)
 
     def drain(self) -> None:
         """Until nothing is on its way."""
@@ -109,12 +115,12 @@
             (address, data), source = self._queue.popleft()
             node = self._nodes.get(address)
             if node is not None:
-                self.received[node.card.name] += len(data)
+                self.received[node.identity.name] += len(data)
                 self.send(node, self._count(node, partial(node.receive, data, source, self.now)))
 
     def tick(self) -> None:
         """A tenth of a second."""
-        self.now += TICK
+        self.now += TICK_INTERVAL_S
         for node in self._nodes.values():
             self.send(node, self._count(node, partial(node.tick, self.now)))
             self.drain()
@@ -122,54 +128,48 @@
     def _count(self, node: Node, call: Callable[[], Result]) -> Result:
         start = time.process_time()
         result = call()
-        self.took[node.card.name] += time.process_time() - start
+        self.took[node.identity.name] += time.process_time() - start
         return result
 
 
-def _nothing(what: str, fields: dict[str, Any]) -> None:
+def _ignore(_: Event) -> None:
     """Events are of no interest here."""
 
 
+def _context(identity: Card, timing: Timing, codec: Codec, seed: int) -> NodeContext:
+    return NodeContext(
+        identity=identity,
+        codec=codec,
+        timing=timing,
+        rng=random.Random(seed),
+        now=0.0,
+        on_event=_ignore,
+    )
+
+
 def _card(name: str, at: int) -> Card:
     return Card(name, f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}", 7100, "z0", "r0", 1000)
 
 
-def _origin(card: Card, size: int, timing: Timing, relays: list[Place]) -> Origin:
+def _origin(card: Card, size: int, timing: Timing, relays: list[Endpoint]) -> Origin:
     disk = Disk()
     disk.fill(keys_of(size))
-    return Origin(
-        card,
-        Codec("sim", [KEY]),
-        timing,
-        disk.open(),
-        relays,
-        lambda changes: None,
-        random.Random(1),
-        0.0,
-        _nothing,
-    )
+    context = _context(card, timing, Codec("sim", [KEY]), 1)
+    return Origin(context, disk.open(), relays, lambda changes: None)
 
 
 def catch_up(size: int, quick: bool, seed: int) -> dict[str, float]:
     """Bytes both ways and CPU of a proxy that starts with nothing, at a parent beside it, without a rate."""
     del quick
-    timing = Timing(catch_up_rate=NO_LIMIT, serve_rate=NO_LIMIT)
+    timing = Timing(catch_up_bytes_per_s=NO_LIMIT, serve_bytes_per_s=NO_LIMIT)
     rig = Rig()
     origin = _origin(_card("origin", 1), size, timing, [])
-    place = Place("origin", origin.card.address, "z0", "r0")
-    leaf = Leaf(
-        _card("p", 2),
-        Codec("sim", [KEY]),
-        timing,
-        [place],
-        HollowConsumer(),
-        random.Random(seed),
-        0.0,
-        _nothing,
-    )
+    place = Endpoint("origin", origin.identity.address, "z0", "r0")
+    context = _context(_card("p", 2), timing, Codec("sim", [KEY]), seed)
+    leaf = ProxyNode(context, [place], HollowConsumer())
     rig.put(origin)
     rig.put(leaf)
-    while leaf.replica.in_force == START:
+    while leaf.replica.applied_position == START:
         rig.tick()
         if rig.now > 600.0:
             raise TimeoutError(f"{size} entries: no end after {rig.now} s")
@@ -184,24 +184,17 @@
 
     def __init__(self, children: int, seed: int) -> None:
         super().__init__()
-        places = [Place(name, _card(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))]
+        places = [Endpoint(name, _card(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))]
         timing, codec = Timing(), Codec("sim", [KEY])
         self.origin = _origin(_card("o", 0), 300, timing, places[1:])
-        self.relay = Relay(
-            _card("r", 1), codec, timing, places[:1], places, random.Random(seed), 0.0, _nothing
-        )
+        self.relay = Relay(_context(_card("r", 1), timing, codec, seed), places[:1], places)
         self.put(self.origin)
         self.put(self.relay)
         self.children = [
-            Leaf(
-                _card(f"p{at:05d}", at + 2),
-                codec,
-                timing,
+            ProxyNode(
+                _context(_card(f"p{at:05d}", at + 2), timing, codec, seed * 10_000 + at),
                 places[1:],
                 HollowConsumer(),
-                random.Random(seed * 10_000 + at),
-                0.0,
-                _nothing,
             )
             for at in range(children)
         ]
@@ -215,7 +208,9 @@
     @property
     def level(self) -> bool:
         """True if all have the newest."""
-        return all(child.replica.in_force == self.origin.replica.held for child in self.children)
+        return all(
+            child.replica.applied_position == self.origin.replica.received_position for child in self.children
+        )
 
     def push(self, changes: Changes, at: int) -> None:
         """One revision; what follows from it at once, without a tick."""
@@ -232,7 +227,7 @@
     rest, pushes = [], []
     for _ in range(REST_QUICK if quick else REST):
         before = star.took["r"]
-        for _ in range(round(1.0 / TICK)):
+        for _ in range(round(1.0 / TICK_INTERVAL_S)):
             star.tick()
         rest.append(star.took["r"] - before)
     for at in range(REVISIONS_QUICK if quick else REVISIONS):
@@ -249,9 +244,9 @@
 def relay_memory(size: int, quick: bool, seed: int) -> dict[str, float]:
     """Bytes that a relay holds for so many children that poll it."""
     del quick
-    places = [Place(name, _card(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))]
+    places = [Endpoint(name, _card(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))]
     codec = Codec("sim", [KEY])
-    node = Relay(_card("r", 1), codec, Timing(), places[:1], places, random.Random(seed), 0.0, _nothing)
+    node = Relay(_context(_card("r", 1), Timing(), codec, seed), places[:1], places)
     node.tick(1.0)
     polls = []
     for at in range(size):
--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -19,11 +19,20 @@
 
 from ironmill.configuration.operator_files import read_operator
 from ironmill.configuration.settings.model import DistributionSettings
+from ironmill.distribution.events import (
+    BecameFresh,
+    BecameStale,
+    Event,
+    ParentChanged,
+    ParentLost,
+    RevisionApplied,
+)
 from ironmill.distribution.revision import START, Position, Rejection
-from ironmill.distribution.timing import TICK
+from ironmill.distribution.timing import TICK_INTERVAL_S
 from ironmill.membership.envelope import Address, Datagram
 from ironmill.net.datagrams import Machine
 from ironmill.net.distribution import Distribution
+from ironmill.net.distribution_log import log_line
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.emulate import answer_commands
 
@@ -61,23 +70,24 @@
         self._moves: deque[tuple[float, str]] = deque(maxlen=MOVES_MOST)  # when, and from whom
         self._left: dict[str, str] = {}
 
-    def told(self, name: str, what: str, fields: Mapping[str, Any], now: float) -> None:
-        """An event of a proxy."""
-        self.events[what] += 1
-        if what == "in-force":
-            self._in_force(name, Position(fields["epoch"], fields["number"]), fields["digest"], now)
-        elif what == "stale":
-            self.stale.add(name)
-            self.stale_at[name] = now
-        elif what == "fresh":
-            self.stale.discard(name)
-        elif what == "parent-lost":
-            self._left[name] = fields["parent"]
-            self.parents.pop(name, None)
-        elif what == "parent":
-            before = fields["was"] or self._left.pop(name, "")
-            self._moves.append((now, before))
-            self.parents[name] = fields["parent"]
+    def on_event(self, name: str, event: Event, now: float) -> None:
+        """Takes an event of a proxy."""
+        self.events[log_line(event).name] += 1
+        match event:
+            case RevisionApplied():
+                self._in_force(name, event.position, f"{event.digest:x}", now)
+            case BecameStale():
+                self.stale.add(name)
+                self.stale_at[name] = now
+            case BecameFresh():
+                self.stale.discard(name)
+            case ParentLost():
+                self._left[name] = event.parent
+                self.parents.pop(name, None)
+            case ParentChanged():
+                before = event.previous or self._left.pop(name, "")
+                self._moves.append((now, before))
+                self.parents[name] = event.parent
 
     def moved(self, parent: str, since: float) -> dict[str, Any]:
         """Who has left that parent for another since then: how many, and when the last one."""
@@ -178,15 +188,15 @@
         self._tally = tally
         own = replace(settings, listen=("127.0.0.1", 0), zone=zone(at), region=region(at))
         super().__init__(scheduler, self.name, own, keys)
-        self.leaf(Taker(tally))
+        self.use_proxy_node(Taker(tally))
 
     def start(self) -> None:
         """Take part from now on."""
         assert self.node is not None
-        self._datagrams.start(_Counted(self.node, self._tally), TICK)
+        self._datagrams.start(_Counted(self.node, self._tally), TICK_INTERVAL_S)
 
-    def _told(self, what: str, fields: dict[str, Any]) -> None:
-        self._tally.told(self.name, what, fields, time.monotonic())
+    def _on_event(self, event: Event) -> None:
+        self._tally.on_event(self.name, event, time.monotonic())
 
 
 def run(settings: str, first: int, count: int) -> int:
