--- a/ironmill/distribution/children.py
+++ b/ironmill/distribution/children.py
@@ -6,6 +6,7 @@
 
 from msgspec import Struct
 
+from ironmill.distribution.drop_reason import DistributionDropReason
 from ironmill.distribution.events import ChildAdded, ChildReachable, ChildUnreachable
 from ironmill.distribution.link import Link
 from ironmill.distribution.messages import (
@@ -18,7 +19,8 @@
 from ironmill.distribution.replica import Replica
 from ironmill.distribution.revision import START, Position, Rejection
 from ironmill.distribution.timing import CHILD_LEASE_S, MIN_FIND_CHILD_INTERVAL_S, Timing
-from ironmill.membership.envelope import Address, DroppedError, Envelope
+from ironmill.membership.envelope import DroppedError, DropReason, Envelope
+from ironmill.membership.identity import Address
 
 MAX_CHILDREN = 4096  # a multiple of what a machine has while others are down
 MOVED_CHILD_TTL_S = 10.0  # longer than any datagram is under way
@@ -75,17 +77,17 @@
         child = self.children.get(envelope.sender)
         moved = self._moved.get(envelope.sender)
         if moved is not None and (envelope.incarnation, poll.attach_count) < moved.version:
-            raise DroppedError("moved")
+            raise DroppedError(DistributionDropReason.CHILD_MOVED)
         if child is None:
             return None
         if envelope.incarnation < child.incarnation and child.is_reachable:
             # A lower incarnation of an unreachable child is accepted: the wall clock, which incarnations are
             # taken from, may have been stepped back before a restart. The echo proves that it runs now.
-            raise DroppedError("stale")
+            raise DroppedError(DropReason.STALE)
         if envelope.incarnation != child.incarnation:
             return None
         if envelope.count <= child.poll_count:
-            raise DroppedError("replayed")
+            raise DroppedError(DropReason.REPLAYED)
         return child
 
     def add(self, envelope: Envelope[Message], poll: Poll, source: Address) -> Child:
@@ -97,7 +99,7 @@
         if name not in self.children and len(self.children) >= MAX_CHILDREN:
             unreachable = next((one.name for one in self.children.values() if not one.is_reachable), None)
             if unreachable is None:
-                raise DroppedError("full")
+                raise DroppedError(DistributionDropReason.TOO_MANY_CHILDREN)
             del self.children[unreachable]
         child = Child(name, envelope.incarnation, source, poll.zone, at_latest_at=self._link.now)
         self.children[name] = child
--- a/ironmill/distribution/codec.py
+++ b/ironmill/distribution/codec.py
@@ -8,7 +8,7 @@
 
 from ironmill.distribution.messages import Message
 from ironmill.distribution.validation import is_valid
-from ironmill.membership.envelope import DroppedError, Envelope, SignedCodec
+from ironmill.membership.envelope import DroppedError, DropReason, Envelope, SignedCodec
 
 _DECODER = msgspec.msgpack.Decoder(Envelope[Message])
 
@@ -20,7 +20,7 @@
         """The first key signs; a second one is accepted too, while keys are being rotated."""
         super().__init__(cluster, keys, _DECODER)
 
-    def check(self, message: Message) -> None:
+    def validate(self, message: Message) -> None:
         """Raises ``DroppedError`` if a field of the message is out of its range."""
         if not is_valid(message):
-            raise DroppedError("malformed")
+            raise DroppedError(DropReason.MALFORMED)
--- a/ironmill/distribution/delta_assembler.py
+++ b/ironmill/distribution/delta_assembler.py
@@ -5,9 +5,10 @@
 from msgspec import Struct
 
 from ironmill.distribution.changes import Changes, packed_size, unpack_entries
+from ironmill.distribution.drop_reason import DistributionDropReason
 from ironmill.distribution.messages import MAX_MISSING_CHUNKS, DeltaChunk
 from ironmill.distribution.revision import START, Delta, Position
-from ironmill.membership.envelope import DroppedError
+from ironmill.membership.envelope import DroppedError, DropReason
 
 
 class _Assembly(Struct):
@@ -61,7 +62,7 @@
         assembly = self._assembly
         if assembly is None or not assembly.includes(chunk):
             if assembly is not None and assembly.base == chunk.base and assembly.target > chunk.target:
-                raise DroppedError("out of order")
+                raise DroppedError(DistributionDropReason.OUT_OF_ORDER)
             assembly = _Assembly(chunk.base, chunk.target, chunk.digest, chunk.count, {})
             self._assembly = assembly
         assembly.bodies[chunk.index] = chunk.body
@@ -77,5 +78,5 @@
         for index in range(assembly.count):
             changes.update(unpack_entries(assembly.bodies[index]))
     except ValueError:
-        raise DroppedError("malformed") from None
+        raise DroppedError(DropReason.MALFORMED) from None
     return Delta(assembly.base, assembly.target, assembly.digest, changes, packed_size(changes))
--- a/ironmill/distribution/link.py
+++ b/ironmill/distribution/link.py
@@ -10,7 +10,8 @@
 from ironmill.distribution.events import Event, EventListener
 from ironmill.distribution.messages import Message
 from ironmill.distribution.timing import Timing
-from ironmill.membership.envelope import Address, Card, Datagram, Tokens
+from ironmill.membership.contact_tokens import ContactTokens
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
 
 TOKEN_SECRET_BYTES = 16
 
@@ -18,7 +19,7 @@
 class NodeContext(Struct, frozen=True):
     """What the owner of a node gives it, whatever its role."""
 
-    identity: Card
+    identity: MemberIdentity
     codec: Codec
     timing: Timing
     rng: random.Random
@@ -35,7 +36,7 @@
         self.codec = context.codec
         self.rng = context.rng
         self.now = context.now  # as of the current tick or datagram
-        self.tokens = Tokens(context.rng.randbytes(TOKEN_SECRET_BYTES))
+        self.tokens = ContactTokens(context.rng.randbytes(TOKEN_SECRET_BYTES))
         self.dropped: dict[str, int] = {}  # datagrams by reason
         self.sent_bytes = 0
         self.sent_datagrams = 0
@@ -46,7 +47,7 @@
     def send(self, recipient: str, address: Address, message: Message) -> int:
         """Queues a message and returns the count of its datagram."""
         self._count += 1
-        data = self.codec.write(self.identity, recipient, self._count, message)
+        data = self.codec.encode(self.identity, recipient, self._count, message)
         self.sent_bytes += len(data)
         self.sent_datagrams += 1
         self._outgoing.append((address, data))
@@ -59,7 +60,8 @@
 
     def drop(self, reason: str) -> None:
         """Counts a datagram that was not accepted."""
-        self.dropped[reason] = self.dropped.get(reason, 0) + 1
+        key = str(reason)
+        self.dropped[key] = self.dropped.get(key, 0) + 1
 
     def notify(self, event: Event) -> None:
         """Reports an event to the node's owner."""
--- a/ironmill/distribution/messages.py
+++ b/ironmill/distribution/messages.py
@@ -10,7 +10,7 @@
 
 from ironmill.distribution.keyspace import LEVEL_BITS
 from ironmill.distribution.revision import Position, Rejection
-from ironmill.membership.envelope import Address
+from ironmill.membership.identity import Address
 
 # Limits of one datagram, or of a field in it.
 MAX_BODY_BYTES = 940  # of packed entries
--- a/ironmill/distribution/node.py
+++ b/ironmill/distribution/node.py
@@ -12,7 +12,8 @@
 
 from ironmill.distribution.link import Link, NodeContext
 from ironmill.distribution.messages import Message
-from ironmill.membership.envelope import Address, Card, Datagram, DroppedError, Envelope
+from ironmill.membership.envelope import DroppedError, DropReason, Envelope
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
 
 
 class Node:
@@ -25,7 +26,7 @@
         self.link = Link(context)
 
     @property
-    def identity(self) -> Card:
+    def identity(self) -> MemberIdentity:
         """What the process calls itself."""
         return self.link.identity
 
@@ -49,13 +50,13 @@
         """Takes a datagram and returns the datagrams to send. One that is not acceptable is only counted."""
         self.link.now = now
         try:
-            envelope = self.link.codec.read(data)
+            envelope = self.link.codec.decode(data)
             name = self.identity.name
             if envelope.to not in ("", name) or envelope.sender == name:
-                raise DroppedError("misdirected")
+                raise DroppedError(DropReason.MISDIRECTED)
             self._on_message(envelope, source)
         except DroppedError as error:
-            self.link.drop(str(error))
+            self.link.drop(error.reason)
         return self.link.flush()
 
     def flush(self) -> list[Datagram]:
--- a/ironmill/distribution/origin.py
+++ b/ironmill/distribution/origin.py
@@ -6,6 +6,7 @@
 from typing import ClassVar
 
 from ironmill.distribution.changes import Changes, check_changes, packed_size
+from ironmill.distribution.drop_reason import DistributionDropReason
 from ironmill.distribution.errors import (
     FencedError,
     NotOriginError,
@@ -43,7 +44,8 @@
 from ironmill.distribution.status import OriginStatus, fleet_fields
 from ironmill.distribution.timing import STORE_CHECK_INTERVAL_S
 from ironmill.distribution.unreachable_children import UnreachableChildren
-from ironmill.membership.envelope import Address, DroppedError, Envelope
+from ironmill.membership.envelope import DroppedError, Envelope
+from ironmill.membership.identity import Address
 
 MAX_TRACKED_PUSHES = 1024  # revisions of which the time until they are fully applied is measured
 
@@ -205,7 +207,7 @@
         """Compares a child's position with the store's; raises ``DroppedError`` for another lineage."""
         latest = self.replica.received_position
         if poll.lineage not in (0, self.replica.lineage):
-            raise DroppedError("lineage")
+            raise DroppedError(DistributionDropReason.FOREIGN_LINEAGE)
         is_ahead = poll.received_position > latest and poll.received_position.epoch >= self._store.epoch
         if is_ahead and self._fleet_ahead != poll.received_position:
             self._fleet_ahead = max(poll.received_position, self._fleet_ahead or START)
--- a/ironmill/distribution/proxy_node.py
+++ b/ironmill/distribution/proxy_node.py
@@ -12,7 +12,8 @@
 from ironmill.distribution.replica import Replica
 from ironmill.distribution.status import SubscriberStatus, subscriber_status
 from ironmill.distribution.subscriber import Subscriber
-from ironmill.membership.envelope import Address, Envelope
+from ironmill.membership.envelope import Envelope
+from ironmill.membership.identity import Address
 
 
 class ProxyNode(Node):
--- a/ironmill/distribution/publisher.py
+++ b/ironmill/distribution/publisher.py
@@ -7,6 +7,7 @@
 from ironmill.distribution.child_search import ChildSearch
 from ironmill.distribution.children import Child, ChildRegistry
 from ironmill.distribution.delta_sender import DeltaSender
+from ironmill.distribution.drop_reason import DistributionDropReason
 from ironmill.distribution.fleet_summary import SummaryBuilder
 from ironmill.distribution.link import Link
 from ironmill.distribution.messages import (
@@ -28,7 +29,8 @@
 from ironmill.distribution.range_server import RangeServer
 from ironmill.distribution.replica import Replica
 from ironmill.distribution.timing import CONVERGENCE_DELAY_S, PAUSE_THRESHOLD_S, Timing
-from ironmill.membership.envelope import Address, DroppedError, Envelope
+from ironmill.membership.envelope import DroppedError, DropReason, Envelope
+from ironmill.membership.identity import Address
 
 
 class Publisher:
@@ -108,7 +110,7 @@
         Raises ``DroppedError`` if it is not accepted.
         """
         if self.is_stopped:
-            raise DroppedError("stopped")
+            raise DroppedError(DistributionDropReason.STOPPED)
         match envelope.message:
             case Poll() as poll:
                 self._on_poll(envelope, poll, source)
@@ -125,11 +127,11 @@
             case FindChildRequest() as request:
                 self._on_find_child(envelope, request, source)
             case _:
-                raise DroppedError("unasked")
+                raise DroppedError(DropReason.UNSOLICITED)
 
     def _on_poll(self, envelope: Envelope[Message], poll: Poll, source: Address) -> None:
         name, incarnation = envelope.sender, envelope.incarnation
-        is_proven = self._link.tokens.proves(name, incarnation, poll.echo, self._link.now)
+        is_proven = self._link.tokens.verify(name, incarnation, poll.echo, self._link.now)
         if not is_proven or poll.is_probe:
             # Until its address is proven, no state is kept for a sender, and the response is no larger than
             # its poll: a forged source address gains nothing.
@@ -150,7 +152,7 @@
         assert replica.log is not None
         response = PollResponse(
             echo=poll.token,
-            token=self._link.tokens.give(envelope.sender, envelope.incarnation, self._link.now),
+            token=self._link.tokens.issue(envelope.sender, envelope.incarnation, self._link.now),
             lineage=replica.lineage,
             term=self.term,
             latest_position=replica.received_position,
@@ -164,9 +166,9 @@
     def _on_leave(self, envelope: Envelope[Message], leave: Leave) -> None:
         child = self.children.get(envelope.sender)
         if child is None or child.incarnation != envelope.incarnation:
-            raise DroppedError("stale")
-        if not self._link.tokens.proves(envelope.sender, envelope.incarnation, leave.echo, self._link.now):
-            raise DroppedError("unproven")
+            raise DroppedError(DropReason.STALE)
+        if not self._link.tokens.verify(envelope.sender, envelope.incarnation, leave.echo, self._link.now):
+            raise DroppedError(DropReason.UNPROVEN)
         self._remove(child.name)
 
     def _on_child_moved(self, envelope: Envelope[Message], moved: ChildMoved, source: Address) -> None:
@@ -188,7 +190,7 @@
 
     def _check_peer(self, envelope: Envelope[Message]) -> None:
         if not self._search.is_peer(envelope.sender):
-            raise DroppedError("stranger")
+            raise DroppedError(DistributionDropReason.UNKNOWN_SENDER)
 
     def _remove(self, name: str) -> None:
         self._registry.remove(name)
--- a/ironmill/distribution/range_server.py
+++ b/ironmill/distribution/range_server.py
@@ -13,7 +13,9 @@
     Message,
 )
 from ironmill.distribution.replica import Replica
-from ironmill.membership.envelope import DATAGRAM_MOST, Address, DroppedError, Envelope
+from ironmill.membership.envelope import DroppedError, DropReason, Envelope
+from ironmill.membership.identity import Address
+from ironmill.membership.limits import MAX_DATAGRAM_BYTES
 
 BURST_S = 0.25  # of the rate, that may be sent at once
 
@@ -79,9 +81,9 @@
         The child repeats its request.
         """
         now, rate = self._link.now, self._bytes_per_s
-        if not self._link.tokens.proves(envelope.sender, envelope.incarnation, echo, now):
-            raise DroppedError("unproven")
+        if not self._link.tokens.verify(envelope.sender, envelope.incarnation, echo, now):
+            raise DroppedError(DropReason.UNPROVEN)
         self._credit = min(rate * BURST_S, self._credit + (now - self._credit_at) * rate)
         self._credit_at = now
-        if self._credit < DATAGRAM_MOST:
-            raise DroppedError("busy")
+        if self._credit < MAX_DATAGRAM_BYTES:
+            raise DroppedError(DropReason.BUSY)
--- a/ironmill/distribution/relay.py
+++ b/ironmill/distribution/relay.py
@@ -22,7 +22,8 @@
 from ironmill.distribution.revision_log import RevisionLog
 from ironmill.distribution.status import RelayStatus, fleet_fields, subscriber_status
 from ironmill.distribution.subscriber import Subscriber
-from ironmill.membership.envelope import Address, Envelope
+from ironmill.membership.envelope import Envelope
+from ironmill.membership.identity import Address
 
 MAX_STATUS_LAGGING_BYTES = 1 << 16  # of lagging nodes in a status
 
--- a/ironmill/distribution/subscriber.py
+++ b/ironmill/distribution/subscriber.py
@@ -7,6 +7,7 @@
 
 from ironmill.distribution.catch_up import CatchUp, Request
 from ironmill.distribution.delta_assembler import DeltaAssembler
+from ironmill.distribution.drop_reason import DistributionDropReason
 from ironmill.distribution.events import CatchUpFinished, CatchUpStarted
 from ironmill.distribution.freshness import Freshness
 from ironmill.distribution.link import Link
@@ -28,7 +29,8 @@
 from ironmill.distribution.replica import Replica
 from ironmill.distribution.revision import START, Delta
 from ironmill.distribution.timing import MAX_UNANSWERED_POLLS, PAUSE_THRESHOLD_S, Timing
-from ironmill.membership.envelope import DroppedError, Envelope, Tokens
+from ironmill.membership.contact_tokens import ContactTokens
+from ironmill.membership.envelope import DroppedError, DropReason, Envelope
 
 
 class Subscriber:
@@ -117,7 +119,7 @@
             received_position = self._catch_up.frontier
         poll = Poll(
             echo=candidate.token,
-            token=self._link.tokens.give(endpoint.name, 0, now),
+            token=self._link.tokens.issue(endpoint.name, 0, now),
             is_probe=is_probe,
             lineage=replica.lineage,
             received_position=received_position,
@@ -154,27 +156,29 @@
             case DigestResponse() | EntriesResponse():
                 self._on_range_response(self._sender(envelope, message.echo), message)
             case _:
-                raise DroppedError("unasked")
+                raise DroppedError(DropReason.UNSOLICITED)
 
     def _sender(self, envelope: Envelope[Message], echo: int) -> ParentCandidate:
         """Returns the sender, which must have been polled lately."""
         candidate = self._selector.find(envelope.sender)
         if candidate is None:
-            raise DroppedError("stranger")
-        if not self._link.tokens.proves(envelope.sender, 0, echo, self._link.now):
-            raise DroppedError("unproven")
+            raise DroppedError(DistributionDropReason.UNKNOWN_SENDER)
+        if not self._link.tokens.verify(envelope.sender, 0, echo, self._link.now):
+            raise DroppedError(DropReason.UNPROVEN)
         return candidate
 
     def _check_lineage(self, lineage: int) -> None:
         own_lineage = self.replica.lineage
         if own_lineage != 0 and lineage not in (0, own_lineage):
-            raise DroppedError("lineage")
+            raise DroppedError(DistributionDropReason.FOREIGN_LINEAGE)
 
     def _on_poll_response(self, candidate: ParentCandidate, response: PollResponse) -> None:
         self._check_lineage(response.lineage)
         now, replica, selector = self._link.now, self.replica, self._selector
         # The token that the poll has echoed is no longer valid then, and the poll was no acknowledgement.
-        token_had_expired = candidate.token == 0 or now - candidate.answered_at > Tokens.EVERY
+        token_had_expired = (
+            candidate.token == 0 or now - candidate.answered_at > ContactTokens.ROTATION_INTERVAL_S
+        )
         polled_at = self._schedule.sent_at(response.poll_count)
         selector.record_response(candidate, response, polled_at)
         if candidate is self.parent:
@@ -218,10 +222,10 @@
 
     def _on_delta_chunk(self, candidate: ParentCandidate, chunk: DeltaChunk) -> None:
         if candidate is not self.parent:
-            raise DroppedError("not the parent")
+            raise DroppedError(DistributionDropReason.NOT_PARENT)
         self._check_lineage(chunk.lineage)
         if chunk.term < self.term:
-            raise DroppedError("old term")
+            raise DroppedError(DistributionDropReason.OLD_TERM)
         # The delta may arrive before the response that names its position: without this, the parent would
         # seem to be behind its own child.
         candidate.latest_position = max(candidate.latest_position, chunk.target)
@@ -236,13 +240,13 @@
         expected = self.replica.received_position
         if self._catch_up is not None:
             if self._catch_up.frontier is None:
-                raise DroppedError("out of order")
+                raise DroppedError(DistributionDropReason.OUT_OF_ORDER)
             expected = self._catch_up.frontier
         if chunk.target <= expected:
             self._acknowledge()  # it is sent again as the acknowledgement was lost
-            raise DroppedError("out of order")
+            raise DroppedError(DistributionDropReason.OUT_OF_ORDER)
         if chunk.base != expected:
-            raise DroppedError("out of order")
+            raise DroppedError(DistributionDropReason.OUT_OF_ORDER)
 
     def _on_delta(self, delta: Delta) -> None:
         if self._catch_up is not None:
@@ -252,7 +256,7 @@
             self._has_advanced = True
         else:
             # Another digest: the state here is not the one that the delta was made for.
-            self._link.drop("digest")
+            self._link.drop(DistributionDropReason.DIGEST_MISMATCH)
             self._start_catch_up()
         self._acknowledge()
 
@@ -271,7 +275,7 @@
         parent = self.parent
         if self._catch_up is None or parent is None or parent.token == 0:
             return
-        token = self._link.tokens.give(parent.endpoint.name, 0, self._link.now)
+        token = self._link.tokens.issue(parent.endpoint.name, 0, self._link.now)
         for request in self._catch_up.due_requests(self._link.now):
             message = _addressed(request, parent.token, token)
             self._link.send(parent.endpoint.name, parent.endpoint.address, message)
@@ -280,7 +284,7 @@
         self, candidate: ParentCandidate, response: DigestResponse | EntriesResponse
     ) -> None:
         if self._catch_up is None or candidate is not self.parent:
-            raise DroppedError("unasked")
+            raise DroppedError(DropReason.UNSOLICITED)
         self._check_lineage(response.lineage)
         candidate.latest_position = max(candidate.latest_position, response.position)
         if isinstance(response, DigestResponse):
@@ -290,7 +294,7 @@
                 self._catch_up.on_entries(response)
             except ValueError:
                 self._catch_up.restart()
-                raise DroppedError("malformed") from None
+                raise DroppedError(DropReason.MALFORMED) from None
         self._finish_catch_up()
         self._send_catch_up_requests()
 
--- a/ironmill/distribution/validation.py
+++ b/ironmill/distribution/validation.py
@@ -37,7 +37,7 @@
     digest_count,
 )
 from ironmill.distribution.revision import NUMBER_LIMIT, Position
-from ironmill.membership.envelope import named, short
+from ironmill.membership.limits import fits_text, is_name
 
 
 def is_valid(message: Message) -> bool:
@@ -73,7 +73,7 @@
         return False
     if len(poll.missing_chunks) > MAX_MISSING_CHUNKS or len(poll.previous_parents) > MAX_PREVIOUS_PARENTS:
         return False
-    if not (short(poll.zone) and all(short(name) for name in poll.previous_parents)):
+    if not (fits_text(poll.zone) and all(fits_text(name) for name in poll.previous_parents)):
         return False
     rejection = poll.rejection
     if rejection is not None and not _is_rejection(rejection.key, rejection.reason):
@@ -92,7 +92,7 @@
 
 def _is_valid_zone(zone: ZoneSummary) -> bool:
     return (
-        short(zone.zone)
+        fits_text(zone.zone)
         and _is_position(zone.lowest_position)
         and min(zone.proxies, zone.rejecting, zone.unreachable, zone.stale) >= 0
     )
@@ -100,8 +100,8 @@
 
 def _is_valid_lagging_node(node: LaggingNode) -> bool:
     return (
-        named(node.name)
-        and short(node.zone)
+        is_name(node.name)
+        and fits_text(node.zone)
         and _is_rejection(node.key, node.reason)
         and _is_position(node.applied_position)
     )
@@ -159,7 +159,7 @@
 
 
 def _is_valid_child_move(message: ChildMoved | ChildMoveAck) -> bool:
-    return named(message.name) and _is_number(message.attach_count)
+    return is_name(message.name) and _is_number(message.attach_count)
 
 
 def _is_valid_find_child_request(request: FindChildRequest) -> bool:
@@ -170,8 +170,8 @@
 
 def _is_valid_unreachable_child(child: UnreachableChild) -> bool:
     return (
-        named(child.name)
-        and short(child.zone)
+        is_name(child.name)
+        and fits_text(child.zone)
         and _is_position(child.applied_position)
         and 0 < child.incarnation < NUMBER_LIMIT
         and _is_number(child.attach_count)
--- /dev/null
+++ b/ironmill/net/admin_server.py
@@ -0,0 +1,88 @@
+"""Server of the admin API: one HTTP call per connection, independent of the load of clients.
+
+Connections are bounded in number and time, so they take nothing from clients: a call that is not complete in
+time is rejected, and at ``MAX_CONNECTIONS`` a new connection closes the oldest one.
+"""
+
+from __future__ import annotations
+
+import logging
+import time
+from http import HTTPStatus
+from typing import TYPE_CHECKING
+
+from ironmill.administration.messages import ApiRequest, ApiResponse
+from ironmill.administration.routes import Routes
+from ironmill.net.listener import Listener
+from ironmill.net.sockets import Stream, TimedOutError
+from ironmill.runtime.scheduler import Scheduler, Task
+
+if TYPE_CHECKING:
+    from ironmill.administration.http import HttpExchange
+
+MAX_CONNECTIONS = 12  # at once; their descriptors are among those that Admission reserves
+REQUEST_TIMEOUT_S = 3.0  # from the accept to the end of the request
+RESPONSE_TIMEOUT_S = 1.0  # for the response to be written
+CLOSE_TIMEOUT_S = 0.2  # for the peer to close as well
+
+log = logging.getLogger("ironmill.admin")
+
+
+class AdminServer:
+    """Listens at the second address and answers each call from a table of routes."""
+
+    def __init__(self, scheduler: Scheduler, address: tuple[str, int], routes: Routes) -> None:
+        """Binds the address. Raises ``OSError`` if it is not available."""
+        self._scheduler = scheduler
+        self._routes = routes
+        self._connections: dict[Stream, Task] = {}  # the oldest first
+        self._listener = Listener(scheduler, address, self._accepted, at_once=False)
+        self.address = self._listener.address
+
+    def start(self) -> None:
+        """Starts to accept calls."""
+        self._listener.start()
+
+    def close(self, within: float = 0.0) -> None:
+        """Stops listening; accepted calls are still answered. ``within``: as for ``Listener.close``."""
+        self._listener.close(within)
+
+    def _accepted(self, stream: Stream) -> None:
+        while len(self._connections) >= MAX_CONNECTIONS:
+            oldest = next(iter(self._connections))
+            self._scheduler.kill(self._connections.pop(oldest))
+            oldest.close_immediately()
+        self._connections[stream] = self._scheduler.spawn(self._serve, stream)
+
+    def _serve(self, stream: Stream) -> None:
+        # Imported at the first call: h11 would add a tenth to the start time.
+        from ironmill.administration.http import HttpExchange
+
+        try:
+            exchange = HttpExchange(self._routes.detailed)
+            response = self._respond(stream, exchange)
+            if response is not None:
+                stream.send(exchange.encode(response), RESPONSE_TIMEOUT_S)
+                stream.close_gracefully(CLOSE_TIMEOUT_S)
+        except (OSError, TimedOutError):
+            pass  # the peer is gone, or does not read its response
+        finally:
+            self._connections.pop(stream, None)
+            if not stream.closed:
+                stream.close_immediately()
+
+    def _respond(self, stream: Stream, exchange: HttpExchange) -> ApiResponse | None:
+        """Reads one request and returns its response; None if the peer closes before it is complete."""
+        deadline = time.monotonic() + REQUEST_TIMEOUT_S
+        while True:
+            try:
+                data = stream.receive(max(0.0, deadline - time.monotonic()))
+            except TimedOutError:
+                return ApiResponse(HTTPStatus.REQUEST_TIMEOUT)
+            received = exchange.receive(data)
+            if isinstance(received, ApiRequest):
+                response = self._routes.dispatch(received)
+                log.info("%s %s: %d", received.method, received.path, response.status)
+                return response
+            if received is not None or not data:
+                return received
--- a/ironmill/net/distribution.py
+++ b/ironmill/net/distribution.py
@@ -18,7 +18,7 @@
 from ironmill.distribution.relay import Relay
 from ironmill.distribution.status import ConfigurationHealth, SubscriberStatus
 from ironmill.distribution.timing import TICK_INTERVAL_S, Timing
-from ironmill.membership.envelope import Address, Card, spelled
+from ironmill.membership.identity import Address, MemberIdentity, format_address
 from ironmill.net.datagrams import Datagrams
 from ironmill.net.distribution_log import log_line
 from ironmill.runtime.logs import EventLog
@@ -42,7 +42,7 @@
         self.node: Node | None = None
         self._datagrams = Datagrams(scheduler, settings.listen)
         incarnation = max(1, int(time.time() * 1000.0))
-        self._identity = Card(name, *settings.listen, settings.zone, settings.region, incarnation)
+        self._identity = MemberIdentity(name, *settings.listen, settings.zone, settings.region, incarnation)
         endpoints = [
             (Endpoint(control.name, control.address, control.zone, control.region), control.origin)
             for control in settings.controls
@@ -83,16 +83,19 @@
         """Begins to exchange datagrams."""
         assert self.node is not None
         log.info(
-            "distribution", address=spelled(self.address), cluster=self.settings.cluster, role=self.node.role
+            "distribution",
+            address=format_address(self.address),
+            cluster=self.settings.cluster,
+            role=self.node.role,
         )
         self._datagrams.start(self.node, TICK_INTERVAL_S)
 
-    def health(self) -> dict[str, ConfigurationHealth]:
+    def health(self) -> ConfigurationHealth:
         """Returns what a proxy's health check reports of distributed configuration."""
         assert self.node is not None
         status = self.node.status(time.monotonic())
         assert isinstance(status, SubscriberStatus)
-        return {"configuration": ConfigurationHealth.of(status)}
+        return ConfigurationHealth.of(status)
 
     def flush(self) -> None:
         """Sends at once what a call to the node has queued."""
--- a/ironmill/net/listener.py
+++ b/ironmill/net/listener.py
@@ -18,9 +18,9 @@
 from enum import Enum, auto
 
 from ironmill.net.sockets import Stream
-from ironmill.runtime.rate_limited_log import LogThrottle
+from ironmill.runtime.rate_limited_log import LogRateLimiter
 from ironmill.runtime.scheduler import READ, Scheduler, Task
-from ironmill.runtime.system_calls import RETRY_PAUSE, retry_at_start
+from ironmill.runtime.system_calls import RETRY_INTERVAL_S, retry_at_start
 
 BACKLOG = 1024
 AT_ONCE = 16  # accepted in one turn; the others run in between
@@ -60,8 +60,8 @@
         self._take = take
         self._shared = shared
         self.succeeds = shared and _taken(address)  # another process listens there
-        self._failures = LogThrottle()
-        self._waits_since: float | None = None  # how long whoever is accepted next may have waited
+        self._failures = LogRateLimiter()
+        self._queued_since: float | None = None  # how long whoever is accepted next may have waited
         self._sock = retry_at_start(socket.socket, socket.AF_INET, socket.SOCK_STREAM)
         try:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -91,7 +91,7 @@
 
     def _listen(self) -> None:
         retry_at_start(self._sock.listen, BACKLOG)
-        self._waits_since = time.monotonic()
+        self._queued_since = time.monotonic()
 
     def give_way(self) -> None:
         """From now on all new connections go to the process that was started after this one, if there is one.
@@ -130,7 +130,7 @@
             if accepted is Accepted.FAILED:
                 if time.monotonic() >= until:
                     break
-                self._scheduler.sleep(RETRY_PAUSE)
+                self._scheduler.sleep(RETRY_INTERVAL_S)
         self._scheduler.forget(self._sock.fileno())
         self._sock.close()
 
@@ -144,13 +144,13 @@
                 if accepted is Accepted.FAILED:
                     # Guards against a busy loop: the waiting connection keeps the listener readable. No
                     # longer, for whoever waits there waits for its answer, too.
-                    self._scheduler.sleep(RETRY_PAUSE)
+                    self._scheduler.sleep(RETRY_INTERVAL_S)
 
     def _accept_one(self) -> Accepted:
         try:
             sock, _ = self._sock.accept()
         except BlockingIOError:
-            self._waits_since = None
+            self._queued_since = None
             return Accepted.NOTHING
         except OSError as error:
             # Descriptors or memory have run out, or that one connection broke before it was accepted. Neither
@@ -158,13 +158,13 @@
             left_out = self._failures.allow()
             if left_out is not None:
                 log.warning("cannot accept: %s (%d more since the last such line)", error.strerror, left_out)
-            if self._waits_since is None:
-                self._waits_since = time.monotonic()
+            if self._queued_since is None:
+                self._queued_since = time.monotonic()
             return Accepted.FAILED
         try:
             stream = self._make(self._scheduler, sock)
-            if self._waits_since is not None and stream.has_unread():
-                stream.waits_since = self._waits_since
+            if self._queued_since is not None and stream.has_unread():
+                stream.queued_since = self._queued_since
             self._take(stream)
         except OSError as error:  # guards the accepting task: the connection broke at once
             log.info("a connection broke when it was accepted: %s", error)
--- a/ironmill_testbed/faults/fleet_world.py
+++ b/ironmill_testbed/faults/fleet_world.py
@@ -29,7 +29,7 @@
 from ironmill.distribution.relay import Relay
 from ironmill.distribution.revision import Position, Rejection, RevisionMetadata
 from ironmill.distribution.timing import TICK_INTERVAL_S, Timing
-from ironmill.membership.envelope import Address, Card, Datagram
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
 from ironmill_testbed.faults.fleet_watch import Watch
 from ironmill_testbed.faults.memory_store import Disk
 from ironmill_testbed.faults.schedule import Fault, Links
@@ -224,7 +224,7 @@
         process = self.processes[name]
         process.starts += 1
         incarnation = int((EPOCH + ahead + self.now) * 1000.0) + process.starts
-        identity = Card(name, *process.address, process.zone, process.region, incarnation)
+        identity = MemberIdentity(name, *process.address, process.zone, process.region, incarnation)
         process.waiting.clear()
         process.paused_until = 0.0
         process.received_bytes = 0
--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -17,7 +17,7 @@
 
 import psutil
 
-from ironmill.configuration.operator_files import read_operator
+from ironmill.configuration.operator_files import read_operator_files
 from ironmill.configuration.settings.model import DistributionSettings
 from ironmill.distribution.events import (
     BecameFresh,
@@ -29,7 +29,7 @@
 )
 from ironmill.distribution.revision import START, Position, Rejection
 from ironmill.distribution.timing import TICK_INTERVAL_S
-from ironmill.membership.envelope import Address, Datagram
+from ironmill.membership.identity import Address, Datagram
 from ironmill.net.datagrams import Machine
 from ironmill.net.distribution import Distribution
 from ironmill.net.distribution_log import log_line
@@ -201,7 +201,7 @@
 
 def run(settings: str, first: int, count: int) -> int:
     """Serve until standard input ends; the exit status. MalformedError where the settings are not fit."""
-    operator = read_operator(settings, ())
+    operator = read_operator_files(settings, ())
     distribution = operator.settings.distribution
     assert distribution is not None
     scheduler, tally, ps = Scheduler(), Tally(), psutil.Process()
--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -11,16 +11,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironmill.administration.http import BODY_MOST, HEAD_MOST, CallSide
-from ironmill.administration.messages import Answer, Call
-from ironmill.administration.proxy_api import Staff
-from ironmill.net import control as control_module
+from ironmill.administration.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, HttpExchange
+from ironmill.administration.messages import ApiRequest, ApiResponse
+from ironmill.administration.proxy_api import ProxyApi
+from ironmill.net import admin_server as admin_server_module
 from ironmill.net import drain as drain_module
-from ironmill.net.control import CALLERS_MOST, Control
+from ironmill.net.admin_server import MAX_CONNECTIONS, AdminServer
 from ironmill.net.drain import Drain
 from ironmill.net.sockets import Stream
-from ironmill.requests.metrics import ClassFigures, Figures
-from ironmill.runtime.lifecycle import Event, Lifecycle, State
+from ironmill.requests.metrics import ClassMetrics, RequestMetrics
+from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent, ProcessState
 from ironmill_testbed.staff import call
 from tests.system.test_net import OPEN, Town, read_line
 
@@ -30,9 +30,9 @@
 class Served:
     """What the figures come from."""
 
-    def __init__(self, state: State = State.SERVING) -> None:
+    def __init__(self, state: ProcessState = ProcessState.SERVING) -> None:
         self.lifecycle = Lifecycle(state)
-        self.figures = Figures(["read"])
+        self.metrics = RequestMetrics(["read"])
 
     def known_servers(self) -> int:
         return 4
@@ -41,8 +41,8 @@
         return 1
 
 
-def hear(data: bytes, step: int = 1 << 20) -> Call | Answer | None:
-    side, heard = CallSide(), None
+def hear(data: bytes, step: int = 1 << 20) -> ApiRequest | ApiResponse | None:
+    side, heard = HttpExchange(), None
     for at in range(0, len(data), step):
         heard = side.receive(data[at : at + step])
         if heard is not None:
@@ -52,19 +52,19 @@
 
 @given(st.integers(1, 60))
 def test_a_call_is_whole_however_its_bytes_come(step: int) -> None:
-    assert hear(GET, step) == Call("GET", "/admin/health")
+    assert hear(GET, step) == ApiRequest("GET", "/admin/health")
     post = b"POST /admin/quiesce?a=b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
-    assert hear(post, step) == Call("POST", "/admin/quiesce")
+    assert hear(post, step) == ApiRequest("POST", "/admin/quiesce")
     assert hear(post[:-1], step) is None
 
 
 @given(st.binary(max_size=200))
 def test_rubbish_is_answered_or_waited_for_and_never_fails(data: bytes) -> None:
-    side = CallSide()
+    side = HttpExchange()
     heard = side.receive(data) if data else side.receive(b"")
-    if isinstance(heard, Answer):
+    if isinstance(heard, ApiResponse):
         assert heard.status >= 400
-        assert side.answer(heard).startswith(b"HTTP/1.1 %d " % heard.status)
+        assert side.encode(heard).startswith(b"HTTP/1.1 %d " % heard.status)
 
 
 @pytest.mark.parametrize(
@@ -72,22 +72,25 @@
     [
         (b"HELLO\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\n\r\n", 400),  # no Host
-        (b"GET / HTTP/1.1\r\nHost: x\r\nx: " + b"y" * (2 * HEAD_MOST) + b"\r\n\r\n", 431),
-        (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n" + b"z" * (BODY_MOST + 1), 413),
+        (b"GET / HTTP/1.1\r\nHost: x\r\nx: " + b"y" * (2 * MAX_HEAD_BYTES) + b"\r\n\r\n", 431),
+        (
+            b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n" + b"z" * (MAX_BODY_BYTES + 1),
+            413,
+        ),
     ],
 )
 def test_what_can_be_no_call_has_an_answer(data: bytes, status: int) -> None:
     heard = hear(data, 4096)
-    assert isinstance(heard, Answer)
+    assert isinstance(heard, ApiResponse)
     assert heard.status == status
 
 
 def test_the_table_of_calls() -> None:
     served = Served()
-    staff = Staff(served)
+    api = ProxyApi(served)
 
     def ask(method: str, path: str) -> tuple[int, Any]:
-        answer = staff.answer(Call(method, path))
+        answer = api.dispatch(ApiRequest(method, path))
         return int(answer.status), orjson.loads(answer.body) if answer.body else dict(answer.headers)
 
     assert ask("GET", "/admin/health") == (200, {"state": "serving"})
@@ -99,8 +102,8 @@
     assert ask("GET", "/admin/nothing")[0] == 404
     assert ask("GET", "/admin/quiesce") == (405, {"Allow": "POST"})
     assert ask("DELETE", "/admin/stats") == (405, {"Allow": "GET"})
-    served.figures.take("read").passed()
-    served.figures.take("read").dropped()
+    served.metrics.start("read").established()
+    served.metrics.start("read").rejected()
     status, stats = ask("GET", "/admin/stats")
     assert (status, stats["passed"], stats["dropped"], stats["bad_gateway"]) == (
         200,
@@ -110,35 +113,35 @@
     )
     assert (stats["in_progress"], stats["known_servers"], stats["skipped_servers"]) == (1, 4, 1)
     assert stats["upstream_tries"] == 0  # one number, as the platform reads it
-    served.lifecycle.tell(Event.END)
+    served.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
     assert ask("GET", "/admin/health")[0] == 503
     assert ask("POST", "/admin/quiesce")[0] == 200
     assert ask("POST", "/admin/resume")[0] == 409
 
 
-STEPS = ("passed", "dropped", "failed", "abandoned", "ended", "tried")
+STEPS = ("established", "rejected", "failed", "abandoned", "closed", "attempt_sent")
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(STEPS))))
 def test_each_request_is_counted_once_at_any_instant(steps: list[tuple[int, str]]) -> None:
-    figures = Figures(["read", "write"])
-    counts = [figures.take("read" if at % 2 else "write") for at in range(10)]
+    metrics = RequestMetrics(["read", "write"])
+    counts = [metrics.start("read" if at % 2 else "write") for at in range(10)]
     outcomes: dict[int, str] = {}
     over: set[int] = set()
     for which, step in steps:
         getattr(counts[which], step)()
         if step in STEPS[:4]:
             outcomes.setdefault(which, step)
-        if step == "ended":
+        if step == "closed":
             outcomes.setdefault(which, "abandoned")
             over.add(which)
-        over |= {at for at, outcome in outcomes.items() if outcome != "passed"}
-        for one in figures.classes.values():
-            assert one.taken == 5
+        over |= {at for at, outcome in outcomes.items() if outcome != "established"}
+        for one in metrics.classes.values():
+            assert one.received == 5
             assert one.pending >= 0
-        told = [sum(by.values()) for by in figures.by_outcome().values()][1:]
-        assert told == [list(outcomes.values()).count(name) for name in STEPS[:4]]
-        assert figures.in_progress == 10 - len(over)
+        outcome_sums = [sum(by.values()) for by in metrics.by_outcome().values()][1:]
+        assert outcome_sums == [list(outcomes.values()).count(name) for name in STEPS[:4]]
+        assert metrics.in_progress == 10 - len(over)
 
 
 class Called:
@@ -146,9 +149,9 @@
 
     def __init__(self, keeps: bool = False) -> None:
         self.town = Town()
-        self.control = Control(self.town.scheduler, ("127.0.0.1", 0), Staff(self.town.gateway))
+        self.control = AdminServer(self.town.scheduler, ("127.0.0.1", 0), ProxyApi(self.town.gateway))
         self.control.start()
-        Drain(self.town.scheduler, self.town.gateway, keeps)
+        Drain(self.town.scheduler, self.town.gateway, keeps_established=keeps)
 
     def connect(self, data: bytes) -> Stream:
         stream = Stream.connect(self.town.scheduler, self.control.address, 1.0)
@@ -164,7 +167,7 @@
 
 
 def test_half_calls_neither_hold_up_others_nor_stay(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control_module, "CALL_WAIT", 0.3)
+    monkeypatch.setattr(admin_server_module, "REQUEST_TIMEOUT_S", 0.3)
     it = Called()
 
     def story() -> None:
@@ -178,8 +181,8 @@
             answers.append(data[:12])
             stream.close()
         # The oldest made room; those that were left had their time.
-        assert answers.count(b"") >= 200 - CALLERS_MOST
-        assert set(answers[-CALLERS_MOST + 1 :]) == {b"HTTP/1.1 408"}
+        assert answers.count(b"") >= 200 - MAX_CONNECTIONS
+        assert set(answers[-MAX_CONNECTIONS + 1 :]) == {b"HTTP/1.1 408"}
         assert it.ask("GET", "/admin/health")[0] == 200
 
     it.run(story)
@@ -197,7 +200,12 @@
 
 
 def test_a_drain_and_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("FRONT", 0.05), ("MOVED_BY", 0.4), ("SETTLED_BY", 0.5), ("LOOK_FOR", 0.1)):
+    for name, value in (
+        ("FRONT_UPDATE_DELAY_S", 0.05),
+        ("MIGRATION_DEADLINE_S", 0.4),
+        ("FINAL_ANSWER_DEADLINE_S", 0.5),
+        ("LATE_MIGRATION_S", 0.1),
+    ):
         monkeypatch.setattr(drain_module, name, value)
     it = Called()
     town = it.town
@@ -223,23 +231,28 @@
         for stream in (client, late, stuck, attempt, late_attempt, stuck_attempt):
             stream.close()
         assert read_line(town.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
-        town.until(lambda: not town.gateway.busy())
+        town.until(lambda: not town.gateway.request_count())
         assert it.ask("POST", "/admin/resume")[0] == 200
         asking.send(b"PING\r\n")
         assert read_line(asking) == b"PONG\r\n"
         town.arrived.clear()  # what came for the one that was stuck
         town.pair()
-        counted = town.gateway.figures.classes["read"]
-        assert counted == ClassFigures(5, passed=3, dropped=2, upstream_tries=counted.upstream_tries)
-        assert counted.upstream_tries >= 4
-        assert town.gateway.figures.in_progress == 1
+        counted = town.gateway.metrics.classes["read"]
+        assert counted == ClassMetrics(5, established=3, rejected=2, attempts=counted.attempts)
+        assert counted.attempts >= 4
+        assert town.gateway.metrics.in_progress == 1
 
     it.run(story)
 
 
 def test_where_packets_pass_a_drain_leaves_what_stands(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each move is a connection set up anew, and two proxies drained in turn moved every client once."""
-    for name, value in (("FRONT", 0.02), ("MOVED_BY", 0.1), ("SETTLED_BY", 0.2), ("LOOK_FOR", 0.1)):
+    for name, value in (
+        ("FRONT_UPDATE_DELAY_S", 0.02),
+        ("MIGRATION_DEADLINE_S", 0.1),
+        ("FINAL_ANSWER_DEADLINE_S", 0.2),
+        ("LATE_MIGRATION_S", 0.1),
+    ):
         monkeypatch.setattr(drain_module, name, value)
     it = Called(keeps=True)
     town = it.town
@@ -256,8 +269,8 @@
         assert read_line(attempt) == b"hey\r\n"
         attempt.send(b"you\r\n")
         assert read_line(client) == b"you\r\n"
-        assert "moved" not in town.gateway.counts
-        assert len(town.gateway.standing()) == 1
+        assert "migrated" not in town.gateway.counts
+        assert len(town.gateway.established()) == 1
         for stream in (client, attempt, stuck, stuck_attempt):
             stream.close()
 
@@ -265,7 +278,7 @@
 
 
 def test_a_drain_that_is_taken_back_half_way_keeps_the_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(drain_module, "FRONT", 0.0)
+    monkeypatch.setattr(drain_module, "FRONT_UPDATE_DELAY_S", 0.0)
     it = Called()
     town = it.town
 
@@ -279,12 +292,12 @@
             read_line(client)
             pairs.append((client, attempt))
         it.ask("POST", "/admin/quiesce")
-        town.until(lambda: len(town.gateway.standing()) < 12)
+        town.until(lambda: len(town.gateway.established()) < 12)
         it.ask("POST", "/admin/resume")
-        left = len(town.gateway.standing())
+        left = len(town.gateway.established())
         assert left > 0
         town.scheduler.sleep(0.3)
-        assert len(town.gateway.standing()) == left
+        assert len(town.gateway.established()) == left
         for client, attempt in pairs:
             client.close()
             attempt.close()
@@ -296,11 +309,11 @@
     it = Called()
 
     def story() -> None:
-        half = [it.connect(GET[:7]) for _ in range(CALLERS_MOST)]
-        it.town.until(lambda: len(it.control._callers) == CALLERS_MOST)
-        half[0].send_now(GET[7:20])  # not read yet when the next one comes
+        half = [it.connect(GET[:7]) for _ in range(MAX_CONNECTIONS)]
+        it.town.until(lambda: len(it.control._connections) == MAX_CONNECTIONS)
+        half[0].send_nowait(GET[7:20])  # not read yet when the next one comes
         ours, theirs = socket.socketpair()
-        it.control._take(Stream(it.town.scheduler, ours))
+        it.control._accepted(Stream(it.town.scheduler, ours))
         theirs.close()
         assert half[0].receive(5.0) == b""
 
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -15,10 +15,10 @@
 import msgspec
 import pytest
 
-from ironmill.administration.configuration_api import ConfigurationCalls, read_position
-from ironmill.administration.http import CallSide
-from ironmill.administration.messages import Answer, Call
-from ironmill.administration.proxy_api import Staff
+from ironmill.administration.configuration_api import ConfigurationApi, read_position
+from ironmill.administration.http import HttpExchange
+from ironmill.administration.messages import ApiRequest, ApiResponse
+from ironmill.administration.proxy_api import ProxyApi
 from ironmill.administration.routes import Routes
 from ironmill.balancing.interface import Outcome, Stage
 from ironmill.configuration.proxy_config import load
@@ -30,14 +30,29 @@
 from ironmill.identity.keyring import KeyState, parse_ring
 from ironmill.membership import wire as membership
 from ironmill.net.revision_store import SqliteStore
-from ironmill.protocol.client import Asked, ClientSide, Left, Malformed, Onward, Opened, SendingEnded, Shown
-from ironmill.protocol.discovery import Listed, parse_routing
+from ironmill.protocol.client import (
+    ClientClosed,
+    ClientHalfClosed,
+    ClientProtocol,
+    CredentialPresented,
+    DataReceived,
+    PingReceived,
+    ProtocolViolated,
+    RequestReceived,
+)
+from ironmill.protocol.discovery import ListedServer, parse_endpoint_update
 from ironmill.protocol.http import ResponseParser
-from ironmill.protocol.json_object import Tree
-from ironmill.protocol.request import busy_line, request_fields
-from ironmill.protocol.server import ProbeSide, Refused, Relayed, ServerSide, Up
-from ironmill.requests.metrics import Figures
-from ironmill.runtime.lifecycle import Event, Lifecycle
+from ironmill.protocol.json_object import JsonObject
+from ironmill.protocol.request import busy_line, request_attributes
+from ironmill.protocol.server import (
+    AttemptEstablished,
+    AttemptProtocol,
+    AttemptRejected,
+    HealthCheckProtocol,
+    ServerDataReceived,
+)
+from ironmill.requests.metrics import RequestMetrics
+from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent
 from ironmill.simulator.host import main as simulate
 from tests.golden import messages
 
@@ -61,8 +76,8 @@
     kind, message = list(messages.MEMBERSHIP.items())[at]
     data = bytes.fromhex(recorded("datagrams.json")["membership"][kind])
     codec, _ = codecs()
-    assert codec.write(messages.SENDER, "n2", 1000 + at, message) == data
-    assert codec.read(data) == messages.envelope(message, "n2", 1000 + at)
+    assert codec.encode(messages.SENDER, "n2", 1000 + at, message) == data
+    assert codec.decode(data) == messages.envelope(message, "n2", 1000 + at)
 
 
 @pytest.mark.parametrize("at", range(len(messages.DISTRIBUTION)))
@@ -70,8 +85,8 @@
     kind, message = list(messages.DISTRIBUTION.items())[at]
     data = bytes.fromhex(recorded("datagrams.json")["distribution"][kind])
     _, codec = codecs()
-    assert codec.write(messages.SENDER, "c1", 2000 + at, message) == data
-    assert codec.read(data) == messages.envelope(message, "c1", 2000 + at)
+    assert codec.encode(messages.SENDER, "c1", 2000 + at, message) == data
+    assert codec.decode(data) == messages.envelope(message, "c1", 2000 + at)
 
 
 def test_every_recorded_datagram_is_of_a_known_kind() -> None:
@@ -94,9 +109,9 @@
     data = bytes.fromhex(recorded("datagrams.json")["older key"])
     codec, _ = codecs()
     ping = messages.MEMBERSHIP["ping"]
-    assert codec.read(data) == messages.envelope(ping, "n2", 3000)
+    assert codec.decode(data) == messages.envelope(ping, "n2", 3000)
     older = membership.Codec(messages.CLUSTER, [messages.OLDER_KEY])
-    assert older.write(messages.SENDER, "n2", 3000, ping) == data
+    assert older.encode(messages.SENDER, "n2", 3000, ping) == data
 
 
 def test_words_that_travel_are_as_recorded() -> None:
@@ -219,13 +234,13 @@
 
 
 def test_what_a_client_sends() -> None:
-    side = ClientSide(may_show=True)
+    side = ClientProtocol(accepts_credential=True)
     events = side.receive(b"PING\r\nAUTH abc.def.ghi\r\n" + OPEN)
-    assert [type(event) for event in events] == [Asked, Shown, Opened]
-    assert isinstance(events[1], Shown) and events[1].token == b"abc.def.ghi"
+    assert [type(event) for event in events] == [PingReceived, CredentialPresented, RequestReceived]
+    assert isinstance(events[1], CredentialPresented) and events[1].token == b"abc.def.ghi"
     opened = events[2]
-    assert isinstance(opened, Opened)
-    first = opened.first
+    assert isinstance(opened, RequestReceived)
+    first = opened.line
     assert (first.raw, first.id, first.key) == (OPEN, "9b1f03aa5c7e2d41", "7f3a9c21e0b4d655")
     assert first.fields == {
         "c": "chat",
@@ -235,8 +250,8 @@
         "h": "0.5",
         "r": "1",
     }
-    assert first.with_wait(1234) == OPEN.replace(b"d=2000", b"d=1234")
-    assert request_fields(first) == {
+    assert first.with_deadline(1234) == OPEN.replace(b"d=2000", b"d=1234")
+    assert msgspec.structs.asdict(request_attributes(first)) == {
         "tenant": "acme",
         "key": 0x7F3A9C21E0B4D655,
         "group": 0x5C0F6E1A2B3D4C59,
@@ -247,19 +262,19 @@
 
 
 def test_what_a_client_sends_on_an_established_connection() -> None:
-    side = ClientSide()
+    side = ClientProtocol()
     line = OPEN.replace(b"r=1", b"mid=1")
     opened = side.receive(line + b"early\r\n")[0]
-    assert isinstance(opened, Opened) and request_fields(opened.first)["rerouted"]
-    assert side.stand() == Onward(b"early\r\n", 1)
-    assert side.receive(b"one\r\ntw") == [Onward(b"one\r\ntw", 1)]
-    assert side.end() == [SendingEnded()]
+    assert isinstance(opened, RequestReceived) and request_attributes(opened.line).rerouted
+    assert side.establish() == DataReceived(b"early\r\n", 1)
+    assert side.receive(b"one\r\ntw") == [DataReceived(b"one\r\ntw", 1)]
+    assert side.end_of_stream() == [ClientHalfClosed()]
 
 
 def test_a_client_that_goes_while_it_waits() -> None:
-    side = ClientSide()
+    side = ClientProtocol()
     side.receive(OPEN)
-    assert side.end() == [Left()]
+    assert side.end_of_stream() == [ClientClosed()]
 
 
 @pytest.mark.parametrize(
@@ -276,10 +291,10 @@
     ],
 )
 def test_lines_that_are_malformed(line: bytes) -> None:
-    assert [type(event) for event in ClientSide().receive(line)] == [Malformed]
+    assert [type(event) for event in ClientProtocol().receive(line)] == [ProtocolViolated]
 
 
-def test_what_a_refused_client_is_told() -> None:
+def test_reply_to_a_rejected_client() -> None:
     assert [busy_line(seconds) for seconds in (0.0, -1.0, 0.0001, 1.5)] == [
         b"BUSY\r\n",
         b"BUSY\r\n",
@@ -296,32 +311,32 @@
         b"MOVE": Outcome.CANCELLED,
         b"NO": Outcome.ERROR,
     }.items():
-        side = ServerSide(OPEN)
+        side = AttemptProtocol(OPEN)
         assert side.connected() == OPEN
         assert side.wrote(len(OPEN)) == b""
-        assert side.receive(line + b"\r\n") == [Refused(outcome, line + b"\r\n")]
+        assert side.receive(line + b"\r\n") == [AttemptRejected(outcome, line + b"\r\n")]
     assert side.report == ()
 
 
 def test_what_a_server_sends_on_an_established_connection() -> None:
-    side = ServerSide(OPEN)
+    side = AttemptProtocol(OPEN)
     side.connected()
     side.wrote(len(OPEN))
-    assert side.receive(b"UP 17\r\nLOAD 0.5\r\n") == [Up(b"UP 17\r\n", b"LOAD 0.5\r\n")]
+    assert side.receive(b"UP 17\r\nLOAD 0.5\r\n") == [AttemptEstablished(b"UP 17\r\n", b"LOAD 0.5\r\n")]
     assert side.receive(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n") == [
-        Relayed(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n", 0, (0.5,))
+        ServerDataReceived(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n", 0, (0.5,))
     ]
     assert side.report == (("inflight", 7.0), ("queue", 2.0))
-    assert side.end() is Outcome.OK
+    assert side.end_of_stream() is Outcome.OK
 
 
 def test_what_a_probe_asks_and_is_answered() -> None:
-    assert ProbeSide.QUESTION == b"STATS\r\n"
-    assert ProbeSide().receive(b"PONG inflight=7,util=0.61\r\n") == (
+    assert HealthCheckProtocol.REQUEST == b"STATS\r\n"
+    assert HealthCheckProtocol().receive(b"PONG inflight=7,util=0.61\r\n") == (
         Outcome.OK,
         (("inflight", 7.0), ("util", 0.61)),
     )
-    assert ProbeSide().receive(b"NO\r\n") == (Outcome.ERROR, ())
+    assert HealthCheckProtocol().receive(b"NO\r\n") == (Outcome.ERROR, ())
 
 
 # The simulator's wire, and with it every decision on a recorded day
@@ -341,15 +356,15 @@
 def test_discovery_answers() -> None:
     data = (GOLDEN / "discovery.http").read_bytes()
     whole, changes = ResponseParser().feed(data)
-    routing = parse_routing(Tree(msgspec.json.decode(whole.body), "", "routing table"))
+    routing = parse_endpoint_update(JsonObject(msgspec.json.decode(whole.body), "", "routing table"))
     assert (routing.revision, routing.full) == (41, True)
-    assert routing.listed == (
-        Listed("s-5be2a07c", "10.1.0.18", 3000, Stage.READY, "a", 3, 1.0, 0.0),
-        Listed("s-6be2a07c", "10.1.0.19", 3001, Stage.DRAINING, "b", 0, 0.5, 1764700000.5),
+    assert routing.servers == (
+        ListedServer("s-5be2a07c", "10.1.0.18", 3000, Stage.READY, "a", 3, 1.0, 0.0),
+        ListedServer("s-6be2a07c", "10.1.0.19", 3001, Stage.DRAINING, "b", 0, 0.5, 1764700000.5),
     )
-    routing = parse_routing(Tree(msgspec.json.decode(changes.body), "", "routing table"))
+    routing = parse_endpoint_update(JsonObject(msgspec.json.decode(changes.body), "", "routing table"))
     assert (routing.revision, routing.full) == (43, False)
-    assert routing.listed == (Listed("s-5be2a07c", "10.1.0.18", 3000, Stage.GONE, "", 0, 1.0, 0.0),)
+    assert routing.servers == (ListedServer("s-5be2a07c", "10.1.0.18", 3000, Stage.GONE, "", 0, 1.0, 0.0),)
 
 
 # The configuration
@@ -362,25 +377,29 @@
         ("127.0.0.4", 3000),
         ("127.0.1.1", 8500),
     )
-    assert (config.seed, config.sockets, config.control) == (0x8C1F30D27A5BE964, 4096, ("127.0.0.4", 3100))
-    assert config.known.listed[0].uid == "s-5be2a07c"
-    assert config.wait_limits == {"chat": 4.0, "sync": 10.0}
-    assert (config.connect_timeout, config.drain_grace, config.packets_pass) == (0.75, 0.25, True)
+    assert (config.seed, config.sockets, config.admin_address) == (
+        0x8C1F30D27A5BE964,
+        4096,
+        ("127.0.0.4", 3100),
+    )
+    assert config.known.servers[0].uid == "s-5be2a07c"
+    assert config.default_deadlines_s == {"chat": 4.0, "sync": 10.0}
+    assert (config.connect_timeout_s, config.drain_grace_s, config.packets_pass_through) == (0.75, 0.25, True)
 
 
 # The admin API
 
 
 class Observed:
-    """A proxy whose figures are fixed."""
+    """A proxy whose metrics are fixed."""
 
     def __init__(self) -> None:
         self.lifecycle = Lifecycle()
-        self.figures = Figures(["chat"])
-        for end in ("passed", "dropped", "failed", "abandoned"):
-            getattr(self.figures.take("chat"), end)()
-        count = self.figures.take("sync")
-        count.tried()
+        self.metrics = RequestMetrics(["chat"])
+        for end in ("established", "rejected", "failed", "abandoned"):
+            getattr(self.metrics.start("chat"), end)()
+        count = self.metrics.start("sync")
+        count.attempt_sent()
 
     def known_servers(self) -> int:
         return 3
@@ -390,10 +409,10 @@
 
 
 def call(routes: Routes, request: bytes) -> bytes:
-    side = CallSide(routes.detailed)
+    side = HttpExchange(routes.detailed)
     call = side.receive(request)
     assert call is not None
-    return side.answer(routes.answer(call) if isinstance(call, Call) else call)
+    return side.encode(routes.dispatch(call) if isinstance(call, ApiRequest) else call)
 
 
 def request(method: str, path: str, body: bytes = b"") -> bytes:
@@ -402,27 +421,27 @@
 
 def test_the_calls_of_a_proxy() -> None:
     observed = Observed()
-    staff = Staff(observed)
+    staff = ProxyApi(observed)
     answers = []
     for step in (
         ("GET", "/admin/health"),
-        Event.OPENED,
+        LifecycleEvent.STARTED,
         ("GET", "/admin/health"),
         ("GET", "/admin/stats"),
         ("POST", "/admin/quiesce"),
         ("GET", "/admin/health"),
-        Event.HEARD,
+        LifecycleEvent.DRAIN_PROPAGATED,
         ("GET", "/admin/health"),
         ("POST", "/admin/resume"),
         ("GET", "/admin/resume"),
         ("GET", "/admin/nothing"),
-        Event.END,
+        LifecycleEvent.SHUTDOWN_REQUESTED,
         ("POST", "/admin/resume"),
-        Event.SETTLE,
+        LifecycleEvent.GRACE_PERIOD_ENDED,
         ("GET", "/admin/health"),
     ):
-        if isinstance(step, Event):
-            observed.lifecycle.tell(step)
+        if isinstance(step, LifecycleEvent):
+            observed.lifecycle.handle(step)
         else:
             answers.append([*step, call(staff, request(*step)).decode()])
     assert answers == recorded("admin.json")["proxy"]
@@ -431,14 +450,19 @@
 def test_the_states_of_a_process() -> None:
     found = []
     for steps in (
-        (Event.QUIESCE, Event.OPENED, Event.RESUME),
-        (Event.QUIESCE, Event.RESUME, Event.END),
-        (Event.OPENED, Event.QUIESCE, Event.HEARD, Event.END),
+        (LifecycleEvent.DRAIN_REQUESTED, LifecycleEvent.STARTED, LifecycleEvent.RESUME_REQUESTED),
+        (LifecycleEvent.DRAIN_REQUESTED, LifecycleEvent.RESUME_REQUESTED, LifecycleEvent.SHUTDOWN_REQUESTED),
+        (
+            LifecycleEvent.STARTED,
+            LifecycleEvent.DRAIN_REQUESTED,
+            LifecycleEvent.DRAIN_PROPAGATED,
+            LifecycleEvent.SHUTDOWN_REQUESTED,
+        ),
     ):
         lifecycle = Lifecycle()
         states = [lifecycle.state.value]
         for step in steps:
-            lifecycle.tell(step)
+            lifecycle.handle(step)
             states.append(lifecycle.state.value)
         found.append(states)
     assert found == recorded("admin.json")["states"]
@@ -464,8 +488,8 @@
 
     answers = []
     for calls in (
-        ConfigurationCalls(Reader(), None, ["c1", "c2"], clock=lambda: 1764700200.0, now=lambda: 1.0),
-        ConfigurationCalls(Reader(), Writer(), ["c1"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+        ConfigurationApi(Reader(), None, ["c1", "c2"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+        ConfigurationApi(Reader(), Writer(), ["c1"], clock=lambda: 1764700200.0, now=lambda: 1.0),
     ):
         routes = Routes()
         calls.add_to(routes)
@@ -477,6 +501,6 @@
 
 
 def test_a_call_that_is_too_large() -> None:
-    side = CallSide(["/x"])
+    side = HttpExchange(["/x"])
     answer = side.receive(request("POST", "/x", b"x" * 65537))
-    assert isinstance(answer, Answer) and answer.status is HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+    assert isinstance(answer, ApiResponse) and answer.status is HTTPStatus.REQUEST_ENTITY_TOO_LARGE
