--- a/ironmill_testbed/faults/hollow.py
+++ b/ironmill_testbed/faults/hollow.py
@@ -30,7 +30,7 @@
 from ironmill.distribution.revision import START, Position, Rejection
 from ironmill.distribution.timing import TICK_INTERVAL_S
 from ironmill.membership.identity import Address, Datagram
-from ironmill.net.datagrams import Machine
+from ironmill.net.datagrams import DatagramMachine
 from ironmill.net.distribution import Distribution
 from ironmill.net.distribution_log import log_line
 from ironmill.runtime.scheduler import Scheduler
@@ -159,7 +159,7 @@
 class _Counted:
     """A machine whose datagrams are counted as they come."""
 
-    def __init__(self, machine: Machine, tally: Tally) -> None:
+    def __init__(self, machine: DatagramMachine, tally: Tally) -> None:
         self._machine = machine
         self._tally = tally
 
