--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -14,7 +14,7 @@
 from ironmill.configuration.operator_files import OperatorFiles
 from ironmill.distribution.changes import Changes
 from ironmill.distribution.errors import StoreError
-from ironmill.distribution.node import Origin
+from ironmill.distribution.origin import Origin
 from ironmill.distribution.revision import Position, RevisionMetadata, StoredRevision
 from ironmill.membership.identity import Address
 from ironmill.net.admin_server import AdminServer
@@ -73,8 +73,8 @@
 
     def _build_api(self, origins: list[str]) -> ConfigurationApi:
         if self._store is None:
-            return ConfigurationApi(self.distribution.relay(), None, origins)
-        origin = self.distribution.origin(self._store, check_form)
+            return ConfigurationApi(self.distribution.use_relay(), None, origins)
+        origin = self.distribution.use_origin(self._store, check_form)
         return ConfigurationApi(origin, FlushingOrigin(origin, self.distribution), origins)
 
     def serve(self) -> None:
--- a/ironmill/net/operator_features.py
+++ b/ironmill/net/operator_features.py
@@ -71,7 +71,7 @@
         from ironmill.net.distribution import Distribution
 
         distribution = Distribution(self._scheduler, self._name, settings, self._files.distribution_keys)
-        distribution.leaf(ConfigurationConsumer(self.callers))
+        distribution.use_proxy_node(ConfigurationConsumer(self.callers))
         return distribution
 
     def listen_for_tls(self, on_connection: Callable[[Stream], None]) -> None:
