--- a/ironmill/commands/config.py
+++ b/ironmill/commands/config.py
@@ -203,7 +203,10 @@
     result = call(address, "GET", f"{REVISIONS_PATH}?most={int(max_count)}")
     if result.status != 200:
         raise ConfigError(result.reason(f"the answer is {result.status}"))
-    page = msgspec.convert(result.content, HistoryBody)
+    try:
+        page = msgspec.convert(result.content, HistoryBody)
+    except msgspec.ValidationError as error:
+        raise ConfigError(f"{address[0]}:{address[1]} answers something else: {error}") from None
     for revision in page.revisions:
         when = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(revision.at))
         author, note = printable(revision.author), printable(revision.note)
@@ -243,7 +246,7 @@
             break
         sleep(POLL_INTERVAL_S)
     assert last is not None
-    yield f"{position} is not in force everywhere after {within_s:g}s; the lowest is {last.lowest}"
+    yield f"{position} is not in force everywhere after {within_s:g}s; the lowest is {last.lowest_position}"
     yield from lagging_lines(last)
     return 1
 
--- a/ironmill/commands/config_status.py
+++ b/ironmill/commands/config_status.py
@@ -17,23 +17,23 @@
 MAX_NAMED_NODES = 50  # lagging nodes that are named in a text
 
 
-class ZoneStatus(Struct):
+class ZoneStatus(Struct, kw_only=True):
     """What the proxies of one zone have applied."""
 
     zone: str
     proxies: int
-    lowest: str  # position
-    refused: int
+    lowest_position: str = field(name="lowest")
+    rejecting: int = field(name="refused")
     unreachable: int
 
 
-class LaggingNodeStatus(Struct):
+class LaggingNodeStatus(Struct, kw_only=True):
     """A node that has not applied the latest revision, and why."""
 
     name: str
     zone: str
     applied_position: str = field(name="in_force")
-    why: str
+    state: str = field(name="why")
     key: str
     reason: str
 
@@ -45,16 +45,16 @@
     role: str
     received_position: str = field(name="held")
     applied_position: str = field(name="in_force")
-    stale: bool
+    is_stale: bool = field(name="stale")
     entries: int
-    age_s: float | None = None
+    origin_age_s: float | None = field(name="age_s", default=None)
     parent: str = ""
-    fully_applied: bool = field(name="everywhere", default=False)
+    is_fully_applied: bool = field(name="everywhere", default=False)
     converged: bool = field(name="settled", default=True)
-    lowest: str | None = None  # position; None where no proxy is known
+    lowest_position: str | None = field(name="lowest", default=None)  # None where no proxy is known
     zones: Sequence[ZoneStatus] = ()
     lagging_nodes: Sequence[LaggingNodeStatus] = field(name="laggards", default=())
-    more_lagging_nodes: int = field(name="more_laggards", default=0)
+    omitted_lagging_nodes: int = field(name="more_laggards", default=0)
     dropped: dict[str, int] = {}
 
     @classmethod
@@ -67,31 +67,31 @@
 
         Raises ``ValueError`` if a position in the status is malformed.
         """
-        if self.fully_applied and read_position(self.received_position) >= position:
+        if self.is_fully_applied and read_position(self.received_position) >= position:
             return True
         if not self.zones or not self.converged:
             return False
-        if any(zone.refused or zone.unreachable for zone in self.zones):
+        if any(zone.rejecting or zone.unreachable for zone in self.zones):
             return False
         # An unreachable relay is in no zone's count, and the state of the proxies behind it is unknown.
-        if any(node.why != "behind" for node in self.lagging_nodes):
+        if any(node.state != "behind" for node in self.lagging_nodes):
             return False
-        return all(read_position(zone.lowest) >= position for zone in self.zones)
+        return all(read_position(zone.lowest_position) >= position for zone in self.zones)
 
 
 def status_table(status: NodeStatus) -> Iterator[str]:
     """Yields the status as lines of text."""
-    heard = "" if status.age_s is None else f", heard of the origin {status.age_s:.1f}s ago"
+    heard = "" if status.origin_age_s is None else f", heard of the origin {status.origin_age_s:.1f}s ago"
     yield (
         f"{status.name} is {status.role}, holds {status.received_position}, "
-        f"in force {status.applied_position}{', STALE' if status.stale else ''}{heard}, "
+        f"in force {status.applied_position}{', STALE' if status.is_stale else ''}{heard}, "
         f"{status.entries} keys"
     )
     if status.parent:
         yield f"parent: {status.parent}"
     if status.zones:
-        everywhere = "everywhere" if status.fully_applied else "not everywhere"
-        yield f"{status.received_position} is {everywhere} in force; the lowest is {status.lowest}"
+        everywhere = "everywhere" if status.is_fully_applied else "not everywhere"
+        yield f"{status.received_position} is {everywhere} in force; the lowest is {status.lowest_position}"
         yield from _zone_table(status.zones)
     yield from lagging_lines(status)
     if status.dropped:
@@ -99,10 +99,12 @@
 
 
 def _zone_table(zones: Sequence[ZoneStatus]) -> Iterator[str]:
-    columns = ZoneStatus.__struct_fields__
-    rows = [[name.upper() for name in columns]]
-    rows += [[str(getattr(zone, name)) for name in columns] for zone in zones]
-    widths = [max(len(row[at]) for row in rows) for at in range(len(columns))]
+    rows = [["ZONE", "PROXIES", "LOWEST", "REFUSED", "UNREACHABLE"]]
+    rows += [
+        [zone.zone, str(zone.proxies), zone.lowest_position, str(zone.rejecting), str(zone.unreachable)]
+        for zone in zones
+    ]
+    widths = [max(len(text) for text in column) for column in zip(*rows, strict=True)]
     for row in rows:
         yield "  ".join(text.ljust(width) for text, width in zip(row, widths, strict=True)).rstrip()
 
@@ -112,9 +114,9 @@
     for node in status.lagging_nodes[:MAX_NAMED_NODES]:
         reason = ": ".join(printable(text) for text in (node.key, node.reason) if text)
         suffix = f": {reason}" if reason else ""
-        yield f"{node.name} in zone {node.zone}: {node.why}, in force {node.applied_position}{suffix}"
+        yield f"{node.name} in zone {node.zone}: {node.state}, in force {node.applied_position}{suffix}"
     unnamed = max(0, len(status.lagging_nodes) - MAX_NAMED_NODES)
-    if more := status.more_lagging_nodes + unnamed:
+    if more := status.omitted_lagging_nodes + unnamed:
         yield f"and {more} more"
 
 
