--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -1,149 +1,25 @@
-"""The admin API of a proxy: its routes, its server beside incomplete calls, and drains."""
+"""The admin server of a proxy: incomplete and aborted calls, and drains."""
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Callable
-from typing import Any
 
-import orjson
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 
-from ironmill.administration.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, HttpExchange
-from ironmill.administration.messages import ApiRequest, ApiResponse
 from ironmill.administration.proxy_api import ProxyApi
 from ironmill.net import admin_server as admin_server_module
 from ironmill.net import drain as drain_module
 from ironmill.net.admin_server import MAX_CONNECTIONS, AdminServer
 from ironmill.net.drain import Drain
 from ironmill.net.sockets import Stream
-from ironmill.requests.metrics import ClassMetrics, RequestMetrics
-from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent, ProcessState
+from ironmill.requests.metrics import ClassMetrics
 from ironmill_testbed.staff import call
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 GET = b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Served:
-    """The source of the metrics."""
-
-    def __init__(self, state: ProcessState = ProcessState.SERVING) -> None:
-        self.lifecycle = Lifecycle(state)
-        self.metrics = RequestMetrics(["read"])
-
-    def known_servers(self) -> int:
-        return 4
-
-    def skipped_servers(self) -> int:
-        return 1
-
-
-def parse(data: bytes, step: int = 1 << 20) -> ApiRequest | ApiResponse | None:
-    side, parsed = HttpExchange(), None
-    for at in range(0, len(data), step):
-        parsed = side.receive(data[at : at + step])
-        if parsed is not None:
-            break
-    return parsed
-
-
-@given(st.integers(1, 60))
-def test_call_is_parsed_however_its_bytes_are_split(step: int) -> None:
-    assert parse(GET, step) == ApiRequest("GET", "/admin/health")
-    post = b"POST /admin/quiesce?a=b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
-    assert parse(post, step) == ApiRequest("POST", "/admin/quiesce")
-    assert parse(post[:-1], step) is None
-
-
-@given(st.binary(max_size=200))
-def test_arbitrary_bytes_get_an_error_response_or_wait_for_more(data: bytes) -> None:
-    side = HttpExchange()
-    parsed = side.receive(data) if data else side.receive(b"")
-    if isinstance(parsed, ApiResponse):
-        assert parsed.status >= 400
-        assert side.encode(parsed).startswith(b"HTTP/1.1 %d " % parsed.status)
-
-
-@pytest.mark.parametrize(
-    ("data", "status"),
-    [
-        (b"HELLO\r\n\r\n", 400),
-        (b"GET / HTTP/1.1\r\n\r\n", 400),  # no Host
-        (b"GET / HTTP/1.1\r\nHost: x\r\nx: " + b"y" * (2 * MAX_HEAD_BYTES) + b"\r\n\r\n", 431),
-        (
-            b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n" + b"z" * (MAX_BODY_BYTES + 1),
-            413,
-        ),
-    ],
-)
-def test_malformed_call_gets_an_error_status(data: bytes, status: int) -> None:
-    parsed = parse(data, 4096)
-    assert isinstance(parsed, ApiResponse)
-    assert parsed.status == status
-
-
-def test_routes_of_a_proxy() -> None:
-    served = Served()
-    api = ProxyApi(served)
-
-    def call_server(method: str, path: str) -> tuple[int, Any]:
-        answer = api.dispatch(ApiRequest(method, path))
-        return int(answer.status), orjson.loads(answer.body) if answer.body else dict(answer.headers)
-
-    assert call_server("GET", "/admin/health") == (200, {"state": "serving"})
-    assert call_server("POST", "/admin/quiesce") == (200, {"state": "draining"})
-    assert call_server("POST", "/admin/quiesce") == (200, {"state": "draining"})
-    assert call_server("GET", "/admin/health")[0] == 503
-    assert call_server("POST", "/admin/resume") == (200, {"state": "serving"})
-    assert call_server("POST", "/admin/resume")[0] == 200
-    assert call_server("GET", "/admin/nothing")[0] == 404
-    assert call_server("GET", "/admin/quiesce") == (405, {"Allow": "POST"})
-    assert call_server("DELETE", "/admin/stats") == (405, {"Allow": "GET"})
-    served.metrics.start("read").established()
-    served.metrics.start("read").rejected()
-    status, stats = call_server("GET", "/admin/stats")
-    assert (status, stats["passed"], stats["dropped"], stats["bad_gateway"]) == (
-        200,
-        {"read": 1},
-        {"read": 1},
-        {"read": 0},
-    )
-    assert (stats["in_progress"], stats["known_servers"], stats["skipped_servers"]) == (1, 4, 1)
-    assert stats["upstream_tries"] == 0  # one number, as the platform reads it
-    served.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
-    assert call_server("GET", "/admin/health")[0] == 503
-    assert call_server("POST", "/admin/quiesce")[0] == 200
-    assert call_server("POST", "/admin/resume")[0] == 409
-
-
-STEPS = ("established", "rejected", "failed", "abandoned", "closed", "attempt_sent")
-
-
-@given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(STEPS))))
-def test_each_request_is_counted_once_at_any_time(steps: list[tuple[int, str]]) -> None:
-    metrics = RequestMetrics(["read", "write"])
-    counts = [metrics.start("read" if at % 2 else "write") for at in range(10)]
-    outcomes: dict[int, str] = {}
-    over: set[int] = set()
-    for which, step in steps:
-        getattr(counts[which], step)()
-        if step in STEPS[:4]:
-            outcomes.setdefault(which, step)
-        if step == "closed":
-            outcomes.setdefault(which, "abandoned")
-            over.add(which)
-        over |= {at for at, outcome in outcomes.items() if outcome != "established"}
-        for one in metrics.classes.values():
-            assert one.received == 5
-            assert one.pending >= 0
-        outcome_sums = [sum(by.values()) for by in metrics.by_outcome().values()][1:]
-        assert outcome_sums == [list(outcomes.values()).count(name) for name in STEPS[:4]]
-        assert metrics.in_progress == 10 - len(over)
-
-
 class ProxyWithAdminApi:
     """A proxy whose admin API answers."""
 
