--- a/ironmill_testbed/staff.py
+++ b/ironmill_testbed/admin_client.py
@@ -1,20 +1,20 @@
-"""Calls as staff make them, from within a task."""
+"""Client of the admin API, for tasks of the scheduler."""
 
 from __future__ import annotations
 
 from ironmill.net.sockets import Stream
 from ironmill.runtime.scheduler import Scheduler
 
-CALL_WAIT = 5.0  # seconds
+CALL_TIMEOUT_S = 5.0
 
 
 def call(scheduler: Scheduler, address: tuple[str, int], method: str, path: str) -> tuple[int, bytes]:
-    """One call over a connection of its own: the status and the body of the answer."""
-    stream = Stream.connect(scheduler, address, CALL_WAIT)
+    """Sends one call over its own connection, and returns status and body of the response. Parks."""
+    stream = Stream.connect(scheduler, address, CALL_TIMEOUT_S)
     try:
         stream.send(b"%s %s HTTP/1.1\r\nHost: x\r\n\r\n" % (method.encode(), path.encode()))
         data = b""
-        while piece := stream.receive(CALL_WAIT):
+        while piece := stream.receive(CALL_TIMEOUT_S):
             data += piece
     finally:
         stream.close()
--- a/ironmill_testbed/demo.py
+++ b/ironmill_testbed/demo.py
@@ -15,10 +15,10 @@
 
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.runtime.scheduler import Scheduler
+from ironmill_testbed.admin_client import call
 from ironmill_testbed.fleet import Fleet, FleetCounts, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from ironmill_testbed.staff import call
 
 HOSTS = 6
 SOCKETS = 4096
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -24,10 +24,10 @@
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.lines import LineReader
 from ironmill.runtime.scheduler import Scheduler
+from ironmill_testbed.admin_client import call
 from ironmill_testbed.fleet import play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from ironmill_testbed.staff import call
 from tests.faults import Plan
 
 SPAN = 9.0  # seconds in which requests come
--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -14,7 +14,7 @@
 from ironmill.net.drain import Drain
 from ironmill.net.sockets import Stream
 from ironmill.requests.metrics import ClassMetrics
-from ironmill_testbed.staff import call
+from ironmill_testbed.admin_client import call
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 GET = b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -14,10 +14,10 @@
 
 from ironmill.net.sockets import Stream
 from ironmill.runtime.scheduler import Scheduler
+from ironmill_testbed.admin_client import call
 from ironmill_testbed.fleet import Client, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from ironmill_testbed.staff import call
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 SOCKETS = 96
--- a/tests/system/test_operation.py
+++ b/tests/system/test_operation.py
@@ -12,10 +12,10 @@
 
 from ironmill.net.sockets import TimedOutError
 from ironmill.runtime.scheduler import Scheduler
+from ironmill_testbed.admin_client import call
 from ironmill_testbed.fleet import Client, Fleet, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from ironmill_testbed.staff import call
 
 LIMIT = 120.0
 
--- a/tests/system/test_system_calls.py
+++ b/tests/system/test_system_calls.py
@@ -20,10 +20,10 @@
 from ironmill.net.admin_server import AdminServer
 from ironmill.net.sockets import TimedOutError
 from ironmill.runtime.scheduler import Scheduler
+from ironmill_testbed.admin_client import call
 from ironmill_testbed.fleet import Client, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from ironmill_testbed.staff import call
 from tests.faults import Faults, Plan, faulty_socket
 
 LIMIT = 60.0
