--- a/ironmill/commands/caller.py
+++ b/ironmill/commands/caller.py
@@ -5,9 +5,10 @@
 from collections.abc import Iterator
 
 from ironmill.configuration.operator_files import OperatorFiles
-from ironmill.identity.gate import Admitted, Gate, Refused
+from ironmill.identity.authenticator import Admitted, Authenticator, Rejected
+from ironmill.identity.errors import CredentialError
 from ironmill.identity.rules import explain as steps_of
-from ironmill.identity.tokens import TokenError, read
+from ironmill.identity.tokens import parse_token
 
 
 def explain(operator: OperatorFiles, token: bytes, now: float) -> Iterator[str]:
@@ -17,23 +18,27 @@
         yield "the settings hold no identity: everybody is served, and AUTH is no line of the protocol"
         return
     try:
-        claims = read(token).claims
-    except TokenError as error:
+        claims = parse_token(token).claims
+    except CredentialError as error:
         yield f"refused: {error}"
         return
     for step in steps_of(identity, claims):
         rule = f"line {step.rule.line}, caller {step.rule.caller.name}"
-        yield f"{rule}: {'matches' if not step.why_not else step.why_not}"
-    match Gate(identity, ring, now).present(token, "", now):
+        yield f"{rule}: {'matches' if not step.mismatch else step.mismatch}"
+    match Authenticator(identity, ring, now).authenticate_token(token, "", now):
         case Admitted(caller, kid):
             rights = caller.rights
             names = None if rights.classes is None else " ".join(sorted(rights.classes))
             classes = "all classes" if names is None else f"classes {names}"
-            most = "any number of" if rights.connections is None else f"{rights.connections}"
-            openings = "" if rights.openings is None else f", {rights.openings:g} openings a second"
+            most = "any number of" if rights.max_connections is None else f"{rights.max_connections}"
+            openings = (
+                ""
+                if rights.max_openings_per_s is None
+                else f", {rights.max_openings_per_s:g} openings a second"
+            )
             yield (
                 f"admitted by key {kid}: caller {caller.name} of tenant {caller.tenant}, {classes}, "
                 f"{most} connections{openings}"
             )
-        case Refused(_, detail):
+        case Rejected(_, detail):
             yield f"refused: {detail}"
--- a/ironmill/commands/keys.py
+++ b/ironmill/commands/keys.py
@@ -16,17 +16,17 @@
 
 import orjson
 
+from ironmill.identity.errors import CredentialError, KeyRingError
 from ironmill.identity.keyring import (
     ALGORITHMS,
-    KID_SHAPE,
+    KID_FORM,
     Key,
     KeyRing,
     KeyState,
-    RingError,
+    is_valid_kid,
     parse_ring,
-    valid_kid,
 )
-from ironmill.identity.tokens import SUBJECT_MOST, TOKEN_MOST, TokenError, read
+from ironmill.identity.tokens import MAX_SUBJECT_LENGTH, MAX_TOKEN_BYTES, parse_token
 
 RING = "ring.json"
 OVERLAP = 3600.0  # seconds for which a key that signs no more is still accepted
@@ -51,7 +51,7 @@
             return KeyRing()
         except OSError as error:
             raise CommandError(f"{self.path}: {error.strerror}") from None
-        except RingError as error:
+        except KeyRingError as error:
             raise CommandError(f"{self.path}: {error}") from None
 
     def write(self, ring: KeyRing) -> None:
@@ -60,8 +60,8 @@
 
     def new(self, kid: str, algorithm: str) -> Key:
         """A new key: the private part in a file of its own, the public part in the ring, as coming."""
-        if not valid_kid(kid):
-            raise CommandError(f"{kid!r} will not do: {KID_SHAPE}")
+        if not is_valid_kid(kid):
+            raise CommandError(f"{kid!r} will not do: {KID_FORM}")
         if algorithm not in ALGORITHMS:
             raise CommandError(f"there is no algorithm {algorithm!r}; it is one of {', '.join(ALGORITHMS)}")
         ring = self.ring()
@@ -72,7 +72,7 @@
         listed = [*orjson.loads(ring.dump())["keys"], item]
         try:
             ring = parse_ring(orjson.dumps({"keys": listed}))
-        except RingError as error:
+        except KeyRingError as error:
             raise CommandError(str(error)) from None
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         _write(self.private_path(kid), pem, 0o600)
@@ -116,38 +116,38 @@
             if kid is None
             else f"there is no key {kid!r}"
         )
-    if not 0 < len(subject) <= SUBJECT_MOST:
-        raise CommandError(f"a subject has 1 to {SUBJECT_MOST} characters")
+    if not 0 < len(subject) <= MAX_SUBJECT_LENGTH:
+        raise CommandError(f"a subject has 1 to {MAX_SUBJECT_LENGTH} characters")
     now = time.time()
     claims = {"iss": issuer, "aud": audience, "sub": subject, "iat": int(now), "exp": int(now + lifetime)}
     private = store.private(key.kid)
     token = jwt.encode(claims, private, algorithm=key.algorithm, headers={"kid": key.kid}).encode()
-    if len(token) > TOKEN_MOST:
-        raise CommandError(f"the token would have {len(token)} bytes, more than {TOKEN_MOST}")
+    if len(token) > MAX_TOKEN_BYTES:
+        raise CommandError(f"the token would have {len(token)} bytes, more than {MAX_TOKEN_BYTES}")
     return token
 
 
 def inspect(raw: bytes) -> dict[str, object]:
     """What a token says, its signature not looked at; CommandError where it is not in form."""
     try:
-        token = read(raw)
-    except TokenError as error:
+        token = parse_token(raw)
+    except CredentialError as error:
         raise CommandError(f"the token is refused: {error}") from None
     return {"alg": token.algorithm, "kid": token.kid, "claims": token.claims}
 
 
 def describe(key: Key, now: float) -> str:
     """One line on a key, as ``keys list`` has it."""
-    state = "retired" if key.retired(now) else key.state.value
-    until = "" if key.until is None else f"  until {_when(key.until)}"
-    return f"{key.kid:<20} {key.algorithm:<6} {state:<9} from {_when(key.since)}{until}"
+    state = "retired" if key.is_retired(now) else key.state.value
+    until = "" if key.valid_until is None else f"  until {_when(key.valid_until)}"
+    return f"{key.kid:<20} {key.algorithm:<6} {state:<9} from {_when(key.valid_from)}{until}"
 
 
 def promote(store: KeyStore, kid: str, overlap: float) -> None:
     """Let the key sign; the one that did is accepted for so many seconds more."""
     try:
         store.write(store.ring().promoted(kid, time.time(), overlap))
-    except RingError as error:
+    except KeyRingError as error:
         raise CommandError(str(error)) from None
 
 
@@ -159,7 +159,7 @@
         raise CommandError(f"{kid!r} is signing; let another key sign first, or no new token would be good")
     try:
         store.write(ring.retired(kid, time.time() + after))
-    except RingError as error:
+    except KeyRingError as error:
         raise CommandError(str(error)) from None
 
 
--- a/ironmill/configuration/distributed_keys.py
+++ b/ironmill/configuration/distributed_keys.py
@@ -192,7 +192,7 @@
         if self._callers is not None and not new.denies_same_as(old):
             from ironmill.identity.rules import Denials  # not needed without identity
 
-            self._callers.deny(Denials(new.subjects, tuple(sorted(new.patterns)), new.fingerprints))
+            self._callers.set_denials(Denials(new.subjects, tuple(sorted(new.patterns)), new.fingerprints))
         if new.level != old.level:
             self._set_level(new.level)
 
--- a/ironmill/configuration/operator_files.py
+++ b/ironmill/configuration/operator_files.py
@@ -8,7 +8,8 @@
 from typing import TYPE_CHECKING
 
 from ironmill.configuration.settings.model import OperatorSettings, SettingsError
-from ironmill.identity.keyring import KeyRing, RingError, parse_ring
+from ironmill.identity.errors import KeyRingError
+from ironmill.identity.keyring import KeyRing, parse_ring
 from ironmill.protocol.json_object import MalformedError
 
 if TYPE_CHECKING:
@@ -36,7 +37,7 @@
     """
     settings = _read_settings(path, classes)
     identity, membership, distribution = settings.identity, settings.membership, settings.distribution
-    ring = None if identity is None else read_ring(identity.keys)
+    ring = None if identity is None else read_ring(identity.key_ring_path)
     member_keys = () if membership is None else read_keys(membership.keys, "members'")
     distribution_keys = () if distribution is None else read_keys(distribution.keys, "distribution's")
     tls, upstream = _read_tls(settings)
@@ -88,5 +89,5 @@
         return parse_ring(Path(path).read_bytes())
     except OSError as error:
         raise MalformedError(f"{path}: the key ring cannot be read: {error.strerror}") from None
-    except RingError as error:
+    except KeyRingError as error:
         raise MalformedError(f"{path}: the key ring is not fit for use: {error}") from None
--- a/ironmill/configuration/settings/load.py
+++ b/ironmill/configuration/settings/load.py
@@ -23,7 +23,7 @@
     UpstreamTls,
 )
 from ironmill.configuration.units import duration, rate, size_rate
-from ironmill.identity.rules import Caller, CallerRule, Identity, Rights, TokenMatch
+from ironmill.identity.rules import Caller, CallerRule, IdentitySettings, Rights, TokenMatch
 from ironmill.runtime.logs import LogSettings
 
 SIZE_MOST = 1 << 20
@@ -280,7 +280,7 @@
         """A path beside the settings file, unless it is a whole one; empty where it is not told."""
         return str(Path(self._path).parent / _text(element, name)) if name in element.attrib else ""
 
-    def _identity(self, element: etree._Element) -> Identity:
+    def _identity(self, element: etree._Element) -> IdentitySettings:
         strangers = self._child(element, "strangers")
         stranger = None
         if strangers is not None:
@@ -313,16 +313,16 @@
             raise self._error(element, "nobody could be served; name a caller, or strangers")
         standing = _text(element, "standing")
         within = duration(standing.partition("=")[2]) if standing != "keep" else None
-        return Identity(
-            keys=self._beside(element, "keys"),
+        return IdentitySettings(
+            key_ring_path=self._beside(element, "keys"),
             rules=tuple(rules),
-            denied=self._denied(element, "subject"),
-            denied_certificates=frozenset(self._denied(element, "fingerprint")),
-            stranger=stranger,
-            skew=self._skew(element),
-            move_within=within,
-            cache=int(_text(element, "cache")),
-            suspect_checks=rate(_text(element, "suspect-checks")),
+            denied_subjects=self._denied(element, "subject"),
+            denied_fingerprints=frozenset(self._denied(element, "fingerprint")),
+            anonymous=stranger,
+            clock_skew_s=self._skew(element),
+            migrate_within_s=within,
+            cache_size=int(_text(element, "cache")),
+            suspect_checks_per_s=rate(_text(element, "suspect-checks")),
         )
 
     def _denied(self, element: etree._Element, by: str) -> tuple[str, ...]:
--- a/ironmill/configuration/settings/model.py
+++ b/ironmill/configuration/settings/model.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ironmill.identity.rules import Identity
+from ironmill.identity.rules import IdentitySettings
 from ironmill.runtime.logs import LogSettings
 
 if TYPE_CHECKING:  # what is off is not imported
@@ -83,7 +83,7 @@
 
     path: str
     log: LogSettings | None = None
-    identity: Identity | None = None
+    identity: IdentitySettings | None = None
     tls: TlsSettings | None = None
     upstream: UpstreamTls | None = None
     membership: MembershipSettings | None = None
--- a/ironmill/identity/certificates.py
+++ b/ironmill/identity/certificates.py
@@ -1,39 +1,42 @@
-"""What a certificate says of whom it is for. Its chain is TLS's business, and is found good before."""
+"""The facts of a client's certificate. TLS has verified its chain before."""
 
 from __future__ import annotations
 
 import hashlib
 from dataclasses import dataclass
 
-from ironmill.identity.tokens import Refusal, TokenError
+from ironmill.identity.errors import CredentialError, RejectionReason
 
-NAMES_MOST = 64  # of one certificate
+MAX_NAMES = 64  # of one certificate
 
 
 @dataclass(frozen=True, slots=True)
 class Certificate:
-    """A certificate whose chain was found good."""
+    """A certificate whose chain was verified. Times are Unix times."""
 
-    fingerprint: str  # SHA-256 of its DER form, hexadecimal, lower case
+    fingerprint: str  # SHA-256 of its DER form, in lower-case hexadecimal
     names: tuple[str, ...]  # its subject alternative names, as dns:NAME, uri:URI and email:ADDRESS
-    not_before: float  # Unix time
-    expires: float
+    not_before: float
+    expires_at: float
 
 
-def read_certificate(der: bytes) -> Certificate:
-    """The certificate's facts; TokenError if it is not in form or names nobody."""
-    from cryptography import x509  # here, for a proxy that knows no callers does not import it
+def parse_certificate(der: bytes) -> Certificate:
+    """Returns the certificate's facts. Raises CredentialError if it is malformed or has no names."""
+    from cryptography import x509  # not needed without callers
 
     try:
-        found = x509.load_der_x509_certificate(der)
-        extension = found.extensions.get_extension_for_class(x509.SubjectAlternativeName)
+        certificate = x509.load_der_x509_certificate(der)
+        extension = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName)
         kinds = ((x509.DNSName, "dns"), (x509.UniformResourceIdentifier, "uri"), (x509.RFC822Name, "email"))
         names = tuple(
-            f"{kind}:{name}" for of, kind in kinds for name in extension.value.get_values_for_type(of)
+            f"{prefix}:{name}" for kind, prefix in kinds for name in extension.value.get_values_for_type(kind)
         )
-        times = found.not_valid_before_utc.timestamp(), found.not_valid_after_utc.timestamp()
+        not_before = certificate.not_valid_before_utc.timestamp()
+        expires_at = certificate.not_valid_after_utc.timestamp()
     except (ValueError, x509.ExtensionNotFound, x509.DuplicateExtension):
-        raise TokenError(Refusal.MALFORMED, "a certificate without subject alternative names") from None
-    if len(names) > NAMES_MOST:
-        raise TokenError(Refusal.MALFORMED, "a certificate with too many names")
-    return Certificate(hashlib.sha256(der).hexdigest(), names, *times)
+        raise CredentialError(
+            RejectionReason.MALFORMED, "a certificate without subject alternative names"
+        ) from None
+    if len(names) > MAX_NAMES:
+        raise CredentialError(RejectionReason.MALFORMED, "a certificate with too many names")
+    return Certificate(hashlib.sha256(der).hexdigest(), names, not_before, expires_at)
--- a/ironmill/identity/tokens.py
+++ b/ironmill/identity/tokens.py
@@ -1,8 +1,8 @@
 """Signed tokens: JSON Web Signatures in compact form (RFC 7515) with the claims of RFC 7519.
 
-Reading is stricter than the standards ask, for what two readers could take differently is no credential: no
-name twice, no number that is not finite, no depth, plain base64url without padding. The signature itself is
-the business of PyJWT and cryptography, by EdDSA (Ed25519) or ES256, and by the algorithm that the key is for.
+Parsing is stricter than the standards require and rejects what two parsers could read differently: duplicate
+names, numbers that are not finite, deep nesting, padded base64url. Signatures are verified by PyJWT and
+cryptography, with EdDSA (Ed25519) or ES256, and only with the algorithm that the key is for.
 """
 
 from __future__ import annotations
@@ -14,158 +14,152 @@
 import re
 from collections.abc import Mapping
 from dataclasses import dataclass
-from enum import Enum
-from typing import Any
+from typing import Any, NoReturn
 
+from ironmill.identity.errors import CredentialError, RejectionReason
 from ironmill.identity.keyring import ALGORITHMS, Key
 
-TOKEN_MOST = 4000  # bytes; the line that carries one holds 4096
-DEPTH_MOST = 5
-NAMES_MOST = 64  # members of all objects of one part together
-KID_MOST = 128
-SUBJECT_MOST = 255
-# After the year 9999 a time is a mistake; guards the arithmetic and the printing of times as well.
-TIME_MOST = 253_402_300_800.0
+MAX_TOKEN_BYTES = 4000  # the line that carries a token has at most 4,096
+MAX_DEPTH = 5
+MAX_MEMBERS = 64  # of all objects of one part together
+MAX_KID_LENGTH = 128
+MAX_SUBJECT_LENGTH = 255
+MAX_INTEGER_DIGITS = 20  # the time to convert more grows with their square
+MAX_TIME = 253_402_300_800.0  # Unix time of the year 10000, which cannot be formatted
 _PART = re.compile(rb"[A-Za-z0-9_-]+")
 
 
-class Refusal(Enum):
-    """Why a credential was refused; the log and the counts name it, the client is not told."""
-
-    MISSING = "missing"
-    MALFORMED = "malformed"
-    ALGORITHM = "algorithm"
-    UNKNOWN_KEY = "unknown key"
-    KEY_NOT_YET = "key not yet valid"
-    KEY_RETIRED = "key retired"
-    SIGNATURE = "signature"
-    NOT_YET = "not yet valid"
-    EXPIRED = "expired"
-    DENIED = "denied"
-    NO_CALLER = "no caller"
-    CLASS = "class not allowed"
-
-
-class TokenError(Exception):
-    """A token that is refused, and why."""
-
-    def __init__(self, refusal: Refusal, detail: str = "") -> None:
-        super().__init__(f"{refusal.value}: {detail}" if detail else refusal.value)
-        self.refusal = refusal
-
-
 @dataclass(frozen=True, slots=True)
 class Token:
-    """A token as it was read; nothing in it is to be believed before ``verify``."""
+    """A parsed token. Nothing in it may be trusted before ``verify_signature``."""
 
     raw: bytes
     algorithm: str
     kid: str
     claims: Mapping[str, Any]
-    expires: float  # Unix time
-    not_before: float  # 0: from ever
+    expires_at: float  # Unix time
+    not_before: float  # Unix time, 0 without the claim
 
 
-def read(raw: bytes) -> Token:
-    """The token's parts; TokenError if it is not in form. Costs no signature."""
-    if len(raw) > TOKEN_MOST:
-        raise TokenError(Refusal.MALFORMED, "too long")
+def parse_token(raw: bytes) -> Token:
+    """Parses a token without verifying its signature. Raises CredentialError if it is malformed."""
+    if len(raw) > MAX_TOKEN_BYTES:
+        _malformed("too long")
     parts = raw.split(b".")
     if len(parts) != 3 or not all(_PART.fullmatch(part) for part in parts):
-        raise TokenError(Refusal.MALFORMED, "not three parts in base64url")
-    header, claims = _object(parts[0]), _object(parts[1])
-    _unpadded(parts[2])
-    algorithm, kid = header.get("alg"), header.get("kid")
+        _malformed("not three parts in base64url")
+    header = _parse_object(parts[0])
+    claims = _parse_object(parts[1])
+    _decode_base64url(parts[2])
+    algorithm = header.get("alg")
     if algorithm not in ALGORITHMS:
-        raise TokenError(Refusal.ALGORITHM)
-    if "crit" in header or "b64" in header:  # extensions that change what the rest means
-        raise TokenError(Refusal.MALFORMED, "an extension that is not known")
-    # A name, not a path or an address: nothing is ever looked up by it but a key in the ring.
-    if not isinstance(kid, str) or not 0 < len(kid) <= KID_MOST:
-        raise TokenError(Refusal.MALFORMED, "kid")
+        raise CredentialError(RejectionReason.ALGORITHM)
+    if "crit" in header or "b64" in header:  # extensions that change the meaning of the rest
+        _malformed("an extension that is not known")
+    kid = header.get("kid")
+    if not isinstance(kid, str) or not 0 < len(kid) <= MAX_KID_LENGTH:
+        _malformed("kid")
     subject = claims.get("sub")
-    if not isinstance(subject, str) or not 0 < len(subject) <= SUBJECT_MOST or not subject.isprintable():
-        raise TokenError(Refusal.MALFORMED, "sub")
-    return Token(raw, str(algorithm), kid, claims, _time(claims, "exp", None), _time(claims, "nbf", 0.0))
-
-
-def verify(token: Token, key: Key) -> None:
-    """TokenError unless the key made the token's signature. Some 0.1 ms of CPU."""
-    from jwt import PyJWS  # here, for a proxy that knows no callers does not import it
+    if (
+        not isinstance(subject, str)
+        or not 0 < len(subject) <= MAX_SUBJECT_LENGTH
+        or not subject.isprintable()
+    ):
+        _malformed("sub")
+    expires_at = _time(claims, "exp", None)
+    not_before = _time(claims, "nbf", 0.0)
+    return Token(raw, str(algorithm), kid, claims, expires_at, not_before)
+
+
+def verify_signature(token: Token, key: Key) -> None:
+    """Raises CredentialError unless the key made the token's signature. Takes about 0.1 ms of CPU."""
+    from jwt import PyJWS  # not needed without callers
     from jwt.exceptions import PyJWTError
 
-    if token.algorithm != key.algorithm:  # guards a key against use by another algorithm than its own
-        raise TokenError(Refusal.ALGORITHM)
+    if token.algorithm != key.algorithm:  # a key must not be used with another algorithm than its own
+        raise CredentialError(RejectionReason.ALGORITHM)
     try:
-        PyJWS().decode(token.raw, key.public, algorithms=[key.algorithm])
+        PyJWS().decode(token.raw, key.public_key, algorithms=[key.algorithm])
     except PyJWTError:
-        raise TokenError(Refusal.SIGNATURE) from None
+        raise CredentialError(RejectionReason.SIGNATURE) from None
+
 
+def check_times(token: Token, now: float, clock_skew_s: float) -> None:
+    """Raises CredentialError if the token is not valid at this Unix time, within the skew of clocks."""
+    if now >= token.expires_at + clock_skew_s:
+        raise CredentialError(RejectionReason.EXPIRED)
+    if now < token.not_before - clock_skew_s:
+        raise CredentialError(RejectionReason.NOT_YET_VALID)
 
-def check_times(token: Token, now: float, skew: float) -> None:
-    """TokenError if the token is not valid at this Unix time, clocks being up to ``skew`` seconds apart."""
-    if now >= token.expires + skew:
-        raise TokenError(Refusal.EXPIRED)
-    if now < token.not_before - skew:
-        raise TokenError(Refusal.NOT_YET)
 
+def _malformed(detail: str) -> NoReturn:
+    raise CredentialError(RejectionReason.MALFORMED, detail)
 
-def _unpadded(part: bytes) -> bytes:
-    """The bytes of one part. Guards against two spellings of one signature: the unused bits must be 0."""
+
+def _decode_base64url(part: bytes) -> bytes:
+    """Returns the bytes of one part, which must be the only encoding of them: its unused bits are zero."""
     try:
         data = base64.b64decode(part + b"=" * (-len(part) % 4), b"-_", validate=True)
     except (binascii.Error, ValueError):
-        raise TokenError(Refusal.MALFORMED, "base64url") from None
+        raise CredentialError(RejectionReason.MALFORMED, "base64url") from None
     if base64.urlsafe_b64encode(data).rstrip(b"=") != part:
-        raise TokenError(Refusal.MALFORMED, "base64url")
+        _malformed("base64url")
     return data
 
 
-def _object(part: bytes) -> dict[str, Any]:
-    left = NAMES_MOST
+class _MemberCollector:
+    """Builds the objects of one part and limits the number of their members."""
+
+    __slots__ = ("_left",)
 
-    def members(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-        nonlocal left
-        left -= len(pairs)
-        found = dict(pairs)
-        if len(found) < len(pairs):
-            raise TokenError(Refusal.MALFORMED, "a name comes twice")
-        if left < 0:
-            raise TokenError(Refusal.MALFORMED, "too many names")
-        return found
+    def __init__(self) -> None:
+        self._left = MAX_MEMBERS
 
-    def constant(_: str) -> Any:
-        raise TokenError(Refusal.MALFORMED, "a number that is none")
+    def collect(self, pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+        self._left -= len(pairs)
+        members = dict(pairs)
+        if len(members) < len(pairs):
+            _malformed("a name comes twice")
+        if self._left < 0:
+            _malformed("too many names")
+        return members
 
-    data = _unpadded(part)
-    # Before it is parsed: guards the stack, and the time that nested brackets take.
-    if data.count(b"[") + data.count(b"{") > NAMES_MOST:
-        raise TokenError(Refusal.MALFORMED, "too deep")
+
+def _parse_object(part: bytes) -> dict[str, Any]:
+    data = _decode_base64url(part)
+    # Checked before parsing, since the parser recurses.
+    if data.count(b"[") + data.count(b"{") > MAX_MEMBERS:
+        _malformed("too deep")
     try:
         value = json.loads(
             data.decode("utf-8"),
-            object_pairs_hook=members,
-            parse_constant=constant,
-            parse_int=_whole,
-            parse_float=_finite,
+            object_pairs_hook=_MemberCollector().collect,
+            parse_constant=_parse_constant,
+            parse_int=_parse_integer,
+            parse_float=_parse_float,
         )
     except (ValueError, RecursionError):
-        raise TokenError(Refusal.MALFORMED, "not JSON") from None
-    if not isinstance(value, dict) or _depth(value) > DEPTH_MOST:
-        raise TokenError(Refusal.MALFORMED, "not a plain object")
+        raise CredentialError(RejectionReason.MALFORMED, "not JSON") from None
+    if not isinstance(value, dict) or _depth(value) > MAX_DEPTH:
+        _malformed("not a plain object")
     return value
 
 
-def _whole(text: str) -> int:
-    if len(text) > 20:  # guards the processor: what takes a number of a thousand digits to a whole one
-        raise TokenError(Refusal.MALFORMED, "a number that is too long")
+def _parse_constant(_: str) -> NoReturn:
+    """Rejects NaN and Infinity, which the standard library's parser accepts."""
+    _malformed("a number that is none")
+
+
+def _parse_integer(text: str) -> int:
+    if len(text) > MAX_INTEGER_DIGITS:
+        _malformed("a number that is too long")
     return int(text)
 
 
-def _finite(text: str) -> float:
+def _parse_float(text: str) -> float:
     value = float(text)
     if not math.isfinite(value):
-        raise TokenError(Refusal.MALFORMED, "a number that is not finite")
+        _malformed("a number that is not finite")
     return value
 
 
@@ -179,6 +173,6 @@
 
 def _time(claims: Mapping[str, Any], name: str, default: float | None) -> float:
     value = claims.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0.0 <= value <= TIME_MOST:
-        raise TokenError(Refusal.MALFORMED, name)
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0.0 <= value <= MAX_TIME:
+        _malformed(name)
     return float(value)
--- a/ironmill/identity/usage.py
+++ b/ironmill/identity/usage.py
@@ -1,50 +1,52 @@
-"""What each caller holds here, against its rights: connections, and openings a second."""
+"""The connections of each caller through this proxy, against its rights."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-from ironmill.identity.gate import Bucket
+from ironmill.identity.rate_limiter import RateLimiter
 from ironmill.identity.rules import Caller
 
-CONNECTIONS_AGAIN = 1.0  # when a caller that holds all it may should come again, seconds
+RETRY_AFTER_S = 1.0  # for a caller that has all the connections it may have
+MIN_RETRY_AFTER_S = 0.001
 
 
 @dataclass(slots=True)
-class _Held:
+class _Usage:
     connections: int = 0
-    openings: Bucket | None = None
+    openings: RateLimiter | None = None
 
 
-class Usage:
-    """Counts by the caller's name. Forgets a caller that holds nothing and has all its openings."""
+class CallerUsage:
+    """Counts connections by the name of the caller."""
 
     def __init__(self) -> None:
-        self._held: dict[str, _Held] = {}
-
-    def open(self, caller: Caller, now: float) -> float | None:
-        """One more connection for the caller: None, or how many seconds later to come again."""
-        held = self._held.setdefault(caller.name, _Held())
-        most, rate = caller.rights.connections, caller.rights.openings
-        if most is not None and held.connections >= most:
-            return CONNECTIONS_AGAIN
+        """Counts nothing yet."""
+        self._usage: dict[str, _Usage] = {}
+
+    def open_connection(self, caller: Caller, now: float) -> float | None:
+        """Counts a connection of the caller. If it may have none, returns the seconds until it may retry."""
+        usage = self._usage.setdefault(caller.name, _Usage())
+        limit, rate = caller.rights.max_connections, caller.rights.max_openings_per_s
+        if limit is not None and usage.connections >= limit:
+            return RETRY_AFTER_S
         if rate is not None:
-            if held.openings is None or held.openings.rate != rate:
-                held.openings = Bucket(rate, max(1.0, math.ceil(rate)), now)
-            if not held.openings.take(now):
-                return max(0.001, held.openings.wait())
-        held.connections += 1
+            if usage.openings is None or usage.openings.rate != rate:
+                usage.openings = RateLimiter(rate, max(1.0, math.ceil(rate)), now)
+            if not usage.openings.acquire(now):
+                return max(MIN_RETRY_AFTER_S, usage.openings.retry_after())
+        usage.connections += 1
         return None
 
-    def close(self, caller: Caller) -> None:
-        """One connection of the caller is over."""
-        held = self._held[caller.name]
-        held.connections -= 1
-        if held.connections <= 0 and held.openings is None:
-            del self._held[caller.name]
+    def close_connection(self, caller: Caller) -> None:
+        """Ends a connection of the caller. Forgets a caller without connections and without a rate."""
+        usage = self._usage[caller.name]
+        usage.connections -= 1
+        if usage.connections <= 0 and usage.openings is None:
+            del self._usage[caller.name]
 
     def connections(self, name: str) -> int:
-        """How many the caller of that name holds."""
-        held = self._held.get(name)
-        return 0 if held is None else held.connections
+        """Returns the number of connections of the caller with that name."""
+        usage = self._usage.get(name)
+        return 0 if usage is None else usage.connections
--- a/ironmill/net/clients/attempts.py
+++ b/ironmill/net/clients/attempts.py
@@ -72,7 +72,7 @@
             return False
         connection.request_line = None
         if connection.caller is not None:
-            connection.caller.stands()
+            connection.caller.connection_established()
         early_data = connection.protocol.establish()
         if not self._service.relay.write(connection, line):
             return False
--- a/ironmill/net/clients/connection.py
+++ b/ironmill/net/clients/connection.py
@@ -20,7 +20,7 @@
 from ironmill.runtime.scheduler import Task
 
 if TYPE_CHECKING:
-    from ironmill.identity.callers import Guest
+    from ironmill.identity.sessions import CallerSession
     from ironmill.net.clients.service import ClientService
 
 log = logging.getLogger("ironmill.client")
@@ -55,7 +55,9 @@
         self.stream = stream
         self.protocol = ClientProtocol(accepts_credential=callers is not None)
         # None where callers are not identified.
-        self.caller: Guest | None = None if callers is None else callers.guest(self, stream.peer_address())
+        self.caller: CallerSession | None = (
+            None if callers is None else callers.new_session(self, stream.peer_address())
+        )
         self.ticket: Ticket | None = None
         self.request_line: RequestLine | None = None  # until the connection is established
         self.request_line_deadline = 0.0
@@ -170,4 +172,4 @@
         if self.counter is not None:
             self.counter.closed()
         if self.caller is not None:
-            self.caller.left()
+            self.caller.close()
--- a/ironmill/net/clients/intake.py
+++ b/ironmill/net/clients/intake.py
@@ -36,12 +36,12 @@
         caller = connection.caller
         certificate = None if caller is None else connection.stream.peer_certificate()
         if caller is not None and certificate is not None:
-            self._check_verdict(connection, caller.show_certificate(certificate))
+            self._check_verdict(connection, caller.present_certificate(certificate))
 
     def present_token(self, connection: ClientConnection, token: bytes) -> None:
         """Checks a token; a client that was rejected before is ignored."""
         if connection.caller is not None and connection.protocol.state is not ClientState.CLOSED:
-            self._check_verdict(connection, connection.caller.show(token))
+            self._check_verdict(connection, connection.caller.present_token(token))
 
     def open(self, connection: ClientConnection, line: RequestLine) -> None:
         """Opens the request, or gives the final answer."""
@@ -82,7 +82,9 @@
             self._closer.reject(connection, DRAINING_RETRY_AFTER_S)
             return False
         caller = connection.caller
-        if caller is not None and not self._check_verdict(connection, caller.ask(line.class_name)):
+        if caller is not None and not self._check_verdict(
+            connection, caller.request_connection(line.class_name)
+        ):
             return False
         if not self._admission.claim_id(ticket, line.id):
             self._closer.reject_violation(connection, "the id of an open connection")
--- a/ironmill/net/operator_features.py
+++ b/ironmill/net/operator_features.py
@@ -51,7 +51,7 @@
         from ironmill.net.key_ring_watcher import KeyRingWatcher
 
         callers = Callers(identity, ring, self._scheduler)
-        self._key_ring_watcher = KeyRingWatcher(self._scheduler, identity.keys, self._on_key_ring)
+        self._key_ring_watcher = KeyRingWatcher(self._scheduler, identity.key_ring_path, self._on_key_ring)
         self._key_ring_watcher.start()
         return callers
 
@@ -173,9 +173,9 @@
         if identity is None or files.ring is None or self.callers is None:
             return
         if self._key_ring_watcher is not None:
-            self._key_ring_watcher.path = identity.keys
-        self.callers.replace(identity, files.ring)
+            self._key_ring_watcher.path = identity.key_ring_path
+        self.callers.reconfigure(identity, files.ring)
 
     def _on_key_ring(self, ring: KeyRing) -> None:
         if self.callers is not None:
-            self.callers.replace(self.callers.gate.identity, ring)
+            self.callers.reconfigure(self.callers.authenticator.settings, ring)
--- a/ironmill_testbed/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 from typing import Any
 
-from ironmill.identity.gate import Admitted, Gate
-from ironmill.identity.rules import Caller, CallerRule, Identity, Rights, TokenMatch
+from ironmill.identity.authenticator import Admitted, Authenticator
+from ironmill.identity.rules import Caller, CallerRule, IdentitySettings, Rights, TokenMatch
 from ironmill.net.sockets import TimedOutError
 from ironmill.net.tls import TlsStream
 from ironmill.runtime.scheduler import Scheduler
@@ -75,14 +75,14 @@
 
 def _checks(issuer: Issuer, count: int) -> dict[str, Any]:
     match = TokenMatch(ISSUER, AUDIENCE, "farm-*")
-    identity = Identity("", (CallerRule(Caller("farms", "community", Rights()), (match,)),))
-    gate = Gate(identity, issuer.store.ring(), time.time())
+    identity = IdentitySettings("", (CallerRule(Caller("farms", "community", Rights()), (match,)),))
+    authenticator = Authenticator(identity, issuer.store.ring(), time.time())
     tokens = [issuer.token("old", f"farm-{at}") for at in range(count)]
     rates = []
     for _ in range(2):  # cold, and from the cache
         start = time.process_time()
         for token in tokens:
-            if not isinstance(gate.present(token, "", time.time()), Admitted):
+            if not isinstance(authenticator.authenticate_token(token, "", time.time()), Admitted):
                 raise RuntimeError("a good token was refused")
         rates.append(round(count / (time.process_time() - start)))
     return {"tokens_per_s_cold": rates[0], "tokens_per_s_cached": rates[1]}
--- a/tests/support/identity.py
+++ b/tests/support/identity.py
@@ -10,7 +10,7 @@
 import jwt
 
 from ironmill.commands.keys import KeyStore
-from ironmill.identity.rules import Caller, CallerRule, Identity, Rights, TokenMatch
+from ironmill.identity.rules import Caller, CallerRule, IdentitySettings, Rights, TokenMatch
 
 ISSUER, AUDIENCE = "https://issuer.example", "ironmill"
 
@@ -55,5 +55,5 @@
     return CallerRule(Caller(name, f"tenant-{name}", Rights(**rights)), (match,), 1)
 
 
-def identity(*rules: CallerRule, **changes: Any) -> Identity:
-    return Identity("ring.json", rules or (rule(),), **changes)
+def identity(*rules: CallerRule, **changes: Any) -> IdentitySettings:
+    return IdentitySettings("ring.json", rules or (rule(),), **changes)
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -17,10 +17,12 @@
 
 from ironmill.cli import main
 from ironmill.identity import callers as callers_module
+from ironmill.identity.authenticator import SUSPECT_CHECK_BURST, Admitted
 from ironmill.identity.callers import Callers
-from ironmill.identity.gate import BURST, SUSPECT_AFTER, Admitted
 from ironmill.identity.keyring import KeyRing
-from ironmill.identity.rules import Caller, Identity, Rights
+from ironmill.identity.rules import Caller, IdentitySettings, Rights
+from ironmill.identity.sessions import RETRY_NEVER
+from ironmill.identity.suspect_addresses import SUSPECT_AFTER
 from ironmill.net.key_ring_watcher import KeyRingWatcher
 from ironmill.net.sockets import Stream
 from ironmill.runtime.scheduler import Scheduler
@@ -38,7 +40,7 @@
     return Keys(tmp_path_factory.mktemp("keys"))
 
 
-def town_of(it: Identity, ring: KeyRing) -> Town:
+def town_of(it: IdentitySettings, ring: KeyRing) -> Town:
     town = Town()
     town.callers = Callers(it, ring, town.scheduler)
     return town
@@ -96,15 +98,15 @@
         assert town.arrived == []
         assert town.gateway.counts.get("attempts", 0) == 0
         counts = town.callers.counts()
-        assert counts["refused missing"] == 1
-        assert counts["refused expired"] == 1
-        assert counts["refused signature"] >= 2
+        assert counts["rejected missing"] == 1
+        assert counts["rejected expired"] == 1
+        assert counts["rejected signature"] >= 2
 
-    town_of(identity(suspect_checks=1000.0), keys.ring()).run(story)
+    town_of(identity(suspect_checks_per_s=1000.0), keys.ring()).run(story)
 
 
 def test_a_stranger_has_a_tenant_and_rights_of_its_own(keys: Keys) -> None:
-    stranger = Caller("stranger", "strangers", Rights(frozenset({"read"}), connections=1))
+    stranger = Caller("stranger", "strangers", Rights(frozenset({"read"}), max_connections=1))
     seen: list[Any] = []
 
     def story(town: Town) -> None:
@@ -124,14 +126,14 @@
         tenants = [event.tenant for event in seen if type(event).__name__ == "Request"]
         assert tenants == ["strangers", "tenant-farms"]
 
-    town_of(identity(stranger=stranger), keys.ring()).run(story)
+    town_of(identity(anonymous=stranger), keys.ring()).run(story)
 
 
 def test_a_class_that_the_caller_may_not_have(keys: Keys) -> None:
     def story(town: Town) -> None:
         assert town.callers is not None
         assert answer(town, auth(keys.token()) + OPEN) == b"ERR\r\n"
-        assert town.callers.counts()["refused class not allowed"] == 1
+        assert town.callers.counts()["rejected class not allowed"] == 1
 
     town_of(identity(rule(classes=frozenset({"write"}))), keys.ring()).run(story)
 
@@ -141,7 +143,9 @@
     def story(town: Town) -> None:
         assert town.callers is not None
         stood = [stand(town, keys.token(kid)) for kid in "aabab"]
-        town.callers.replace(identity(move_within=within), keys.ring().retired("a", time.time() - 1.0))
+        town.callers.reconfigure(
+            identity(migrate_within_s=within), keys.ring().retired("a", time.time() - 1.0)
+        )
         assert answer(town, auth(keys.token("a")) + OPEN) == b"ERR\r\n"
         if within is not None:
             for at in (0, 1, 3):
@@ -153,7 +157,7 @@
             client.send(b"hey\r\n")
             assert read_line(attempt) == b"hey\r\n"
 
-    town_of(identity(move_within=within), keys.ring()).run(story)
+    town_of(identity(migrate_within_s=within), keys.ring()).run(story)
 
 
 class Stands:
@@ -169,23 +173,27 @@
 def test_expired_and_denied_callers_are_moved_evenly(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
-    it = Callers(identity(move_within=10.0, skew=0.0), keys.ring(), timers, lambda: timers.now + offset)
+    it = Callers(
+        identity(migrate_within_s=10.0, clock_skew_s=0.0), keys.ring(), timers, lambda: timers.now + offset
+    )
     now = timers.now + offset
     drivers = [Stands() for _ in range(4)]
     for at, driver in enumerate(drivers):
         token = keys.token(exp=now + (5.5 if at < 2 else 1000.0), sub=f"farm-{at}")
-        verdict = it.present(token, "x")
+        verdict = it.authenticate_token(token, "x")
         assert isinstance(verdict, Admitted)
-        assert it.open(verdict) is None
-        it.stands(verdict, driver)
+        assert it.open_connection(verdict) is None
+        it.connection_established(verdict, driver)
     start = timers.now
     timers.run(5.0)
     assert [driver.moved for driver in drivers] == [[], [], [], []]
     timers.run(20.0)
     first, second = drivers[0].moved[0], drivers[1].moved[0]
-    assert 5.5 <= first - start <= 5.5 + callers_module.LOOK
+    assert 5.5 <= first - start <= 5.5 + callers_module.EXPIRY_CHECK_INTERVAL_S
     assert second - first == pytest.approx(5.0)
-    it.replace(identity(move_within=10.0, skew=0.0, denied=("farm-3",)), keys.ring())
+    it.reconfigure(
+        identity(migrate_within_s=10.0, clock_skew_s=0.0, denied_subjects=("farm-3",)), keys.ring()
+    )
     timers.run(1.0)
     assert [len(driver.moved) for driver in drivers] == [1, 1, 0, 1]
 
@@ -195,25 +203,25 @@
 ) -> None:
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
-    it = Callers(identity(move_within=1.0), keys.ring(), timers, lambda: timers.now + offset)
+    it = Callers(identity(migrate_within_s=1.0), keys.ring(), timers, lambda: timers.now + offset)
     driver = Stands()
-    guest = it.guest(driver, "x")
-    assert guest.show(keys.token()) is None
+    session = it.new_session(driver, "x")
+    assert session.present_token(keys.token()) is None
     # Another file between its token and its first line: another tenant, and the caller denied.
-    other = identity(rule("others"), move_within=1.0, denied=("farm-1",))
-    it.replace(other, keys.ring())
-    assert guest.ask("read") is None
-    assert guest.tenant == "tenant-farms"
-    later = it.guest(Stands(), "x")
-    assert later.show(keys.token()) == callers_module.NEVER
-    guest.stands()
+    other = identity(rule("others"), migrate_within_s=1.0, denied_subjects=("farm-1",))
+    it.reconfigure(other, keys.ring())
+    assert session.request_connection("read") is None
+    assert session.tenant == "tenant-farms"
+    later = it.new_session(Stands(), "x")
+    assert later.present_token(keys.token()) == RETRY_NEVER
+    session.connection_established()
     timers.run(2.0)
     assert len(driver.moved) == 1
     # A key is another matter: it is asked at each step, whatever the settings were.
-    third = it.guest(Stands(), "x")
-    assert third.show(keys.token(sub="farm-3")) is None
-    it.replace(other, keys.ring().retired("a", 1.0))
-    assert third.ask("read") == callers_module.NEVER
+    third = it.new_session(Stands(), "x")
+    assert third.present_token(keys.token(sub="farm-3")) is None
+    it.reconfigure(other, keys.ring().retired("a", 1.0))
+    assert third.request_connection("read") == RETRY_NEVER
 
 
 def test_what_has_expired_is_not_kept_by_those_that_left(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -222,11 +230,11 @@
     caller = Admitted(rule().caller, "a", 3e9)
     for _ in range(500):
         driver = Stands()
-        it.open(caller)
-        it.stands(caller, driver)
-        it.close(caller, driver)
+        it.open_connection(caller)
+        it.connection_established(caller, driver)
+        it.close_connection(caller, driver)
     timers.run(2.0)
-    assert len(it._expiring) <= 64
+    assert len(it._expiries) <= 64
 
 
 def test_a_half_written_ring_changes_nothing(
@@ -338,7 +346,7 @@
     assert answers.pop("good") == {"UP"}
     assert answers == {key: {"ERR"} for key in [*bad, "retired"]}
     events = [orjson.loads(line) for line in log.splitlines()]
-    kinds = {event["kind"] for event in events if event["event"] == "credential refused"}
+    kinds = {event["kind"] for event in events if event["event"] == "credential rejected"}
     assert {"expired", "not yet valid", "signature", "no caller"} <= kinds
     assert all(event["proxy"] == "p" for event in events)
     assert keys.token("a").split(b".")[0].decode() not in log
@@ -367,11 +375,11 @@
             attempt.close()
         town.until(lambda: sum(words.values()) == 230)
         # The valid ones cost a signature each; of the flood only what its budget allows was looked at.
-        allowed = SUSPECT_AFTER + BURST + 1
-        assert 30 < town.callers.gate.verified <= 30 + allowed
-        assert words["forged", "BUSY"] == town.callers.counts()["postponed"] >= 200 - allowed
+        allowed = SUSPECT_AFTER + SUSPECT_CHECK_BURST + 1
+        assert 30 < town.callers.authenticator.signatures_verified <= 30 + allowed
+        assert words["forged", "BUSY"] == town.callers.counts()["throttled"] >= 200 - allowed
 
-    town_of(identity(suspect_checks=0.001), keys.ring()).run(story)
+    town_of(identity(suspect_checks_per_s=0.001), keys.ring()).run(story)
     assert {word for kind, word in words if kind == "forged"} == {"ERR", "BUSY"}
 
 
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -21,7 +21,7 @@
 from ironmill.configuration.tls_context import server_tls, upstream_tls
 from ironmill.identity.callers import Callers
 from ironmill.identity.keyring import KeyRing
-from ironmill.identity.rules import Caller, CallerRule, Identity, Rights
+from ironmill.identity.rules import Caller, CallerRule, IdentitySettings, Rights
 from ironmill.net.clients import reading as reading_module
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream, TimedOutError
@@ -64,7 +64,7 @@
 class TlsTown(Town):
     """A town whose proxy speaks TLS to its clients."""
 
-    def __init__(self, authority: Authority, callers: Identity | None = None, **changes: Any) -> None:
+    def __init__(self, authority: Authority, callers: IdentitySettings | None = None, **changes: Any) -> None:
         super().__init__()
         self.listener.close()
         self.authority = authority
@@ -330,7 +330,7 @@
 
 
 def test_who_a_certificate_is(authority: Authority, shown: dict[str, tuple[str, str]]) -> None:
-    identity = Identity("", RULES, denied_certificates=frozenset({fingerprint(shown["denied"][0])}))
+    identity = IdentitySettings("", RULES, denied_fingerprints=frozenset({fingerprint(shown["denied"][0])}))
     told: dict[str, str] = {}
 
     def story(town: Town) -> None:
@@ -339,7 +339,7 @@
         for name, pair in shown.items():
             told[name] = answers(town, pair)
         counts = town.callers.counts()
-        assert [counts[f"refused {it}"] for it in ("denied", "no caller", "malformed")] == [1, 1, 1]
+        assert [counts[f"rejected {it}"] for it in ("denied", "no caller", "malformed")] == [1, 1, 1]
         until_gone(town)
 
     TlsTown(
@@ -363,17 +363,17 @@
 def test_a_certificate_is_denied_while_its_connection_stands(
     authority: Authority, shown: dict[str, tuple[str, str]]
 ) -> None:
-    identity = Identity("", RULES, move_within=0.05)
+    identity = IdentitySettings("", RULES, migrate_within_s=0.05)
 
     def story(town: Town) -> None:
         assert isinstance(town, TlsTown)
         assert town.callers is not None
         denied, _ = town.stand(*shown["denied"])
         good, attempt = town.stand(*shown["good"])
-        without = Identity(
-            "", RULES, move_within=0.05, denied_certificates=frozenset({fingerprint(shown["denied"][0])})
+        without = IdentitySettings(
+            "", RULES, migrate_within_s=0.05, denied_fingerprints=frozenset({fingerprint(shown["denied"][0])})
         )
-        town.callers.replace(without, KeyRing())
+        town.callers.reconfigure(without, KeyRing())
         assert read_line(denied) == b"MOVE\r\n"
         good.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -23,10 +23,10 @@
 from ironmill.distribution.interfaces import Consumer
 from ironmill.distribution.revision import Rejection
 from ironmill.identity import rules
+from ironmill.identity.authenticator import Admitted, Rejected
 from ironmill.identity.callers import Callers
-from ironmill.identity.gate import Admitted, Refused
-from ironmill.identity.rules import CallerRule, Denials, TokenMatch, fits
-from ironmill.identity.tokens import Refusal as Why
+from ironmill.identity.errors import RejectionReason
+from ironmill.identity.rules import CallerRule, Denials, TokenMatch, matches_pattern
 from ironmill.runtime import logs
 from ironmill.runtime.logs import LogSettings
 from ironmill.runtime.timers import TimerQueue
@@ -128,11 +128,11 @@
 def test_a_check_changes_nothing(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
     callers = callers_of(keys, FakeTimers(monkeypatch))
     it = ConfigurationConsumer(callers, lambda level: pytest.fail(level))
-    before, gate = it.applied, callers.gate.identity
+    before, gate = it.applied, callers.authenticator.settings
     assert it.check({"deny/subject/a": b"", "log/level": b"debug"}) is None
     assert it.check({"deny/subject/a": b"", "other": b""}) == Rejection("other", "unknown key")
     assert it.applied is before
-    assert callers.gate.identity is gate
+    assert callers.authenticator.settings is gate
 
 
 def test_too_many_denials_are_refused_by_name(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -171,14 +171,14 @@
 ) -> None:
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
-    callers = callers_of(keys, timers, lambda: timers.now + offset, move_within=1.0)
+    callers = callers_of(keys, timers, lambda: timers.now + offset, migrate_within_s=1.0)
     it = ConfigurationConsumer(callers, no_level)
     drivers = [Stands() for _ in range(4)]
     for at, driver in enumerate(drivers):
-        verdict = callers.present(keys.token(sub=f"farm-{at}"), "x")
+        verdict = callers.authenticate_token(keys.token(sub=f"farm-{at}"), "x")
         assert isinstance(verdict, Admitted)
-        assert callers.open(verdict) is None
-        callers.stands(verdict, driver)
+        assert callers.open_connection(verdict) is None
+        callers.connection_established(verdict, driver)
 
     def moved() -> list[int]:
         timers.run(2.0)
@@ -189,17 +189,17 @@
     it.apply({"deny/subject/?arm-3": b""})
     assert moved() == [0, 1, 0, 1]
     # At SIGHUP and with another ring both hold, and nobody is moved twice.
-    callers.replace(identity(move_within=1.0, denied=("farm-2",)), keys.ring())
+    callers.reconfigure(identity(migrate_within_s=1.0, denied_subjects=("farm-2",)), keys.ring())
     assert moved() == [0, 1, 1, 1]
-    callers.replace(identity(move_within=1.0), keys.ring())
-    callers.replace(callers.gate.identity, keys.ring())  # as the watch on the ring does
+    callers.reconfigure(identity(migrate_within_s=1.0), keys.ring())
+    callers.reconfigure(callers.authenticator.settings, keys.ring())  # as the watch on the ring does
     assert moved() == [0, 1, 1, 1]
-    verdicts = [callers.present(keys.token(sub=f"farm-{at}"), "x") for at in range(4)]
+    verdicts = [callers.authenticate_token(keys.token(sub=f"farm-{at}"), "x") for at in range(4)]
     assert [isinstance(verdict, Admitted) for verdict in verdicts] == [True, False, True, False]
     it.apply({"deny/subject/farm-1": None, "deny/subject/?arm-3": None, "deny/subject/farm-9": None})
-    assert isinstance(callers.present(keys.token(sub="farm-3"), "x"), Admitted)
+    assert isinstance(callers.authenticate_token(keys.token(sub="farm-3"), "x"), Admitted)
     # Where what stands is kept, it is kept here too.
-    callers.replace(identity(move_within=None), keys.ring())
+    callers.reconfigure(identity(migrate_within_s=None), keys.ring())
     it.apply({"deny/subject/farm-0": b""})
     assert moved() == [0, 1, 1, 1]
 
@@ -209,13 +209,13 @@
 ) -> None:
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
-    callers = callers_of(keys, timers, lambda: timers.now + offset, move_within=1.0)
+    callers = callers_of(keys, timers, lambda: timers.now + offset, migrate_within_s=1.0)
     driver = Stands()
-    guest = callers.guest(driver, "x")
-    assert guest.show(keys.token()) is None
+    session = callers.new_session(driver, "x")
+    assert session.present_token(keys.token()) is None
     ConfigurationConsumer(callers, no_level).apply({"deny/subject/farm-1": b""})
-    assert guest.ask("read") is None  # it keeps what was in force when it began
-    guest.stands()
+    assert session.request_connection("read") is None  # it keeps what was in force when it began
+    session.connection_established()
     timers.run(2.0)
     assert len(driver.moved) == 1
 
@@ -224,26 +224,26 @@
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
     who = CallerRule(rule_of().caller, (), 1, ("dns:*.farm.example",))
-    it = Callers(identity(who, move_within=0.5), keys.ring(), timers, lambda: timers.now + offset)
+    it = Callers(identity(who, migrate_within_s=0.5), keys.ring(), timers, lambda: timers.now + offset)
     shown, _ = Authority(tmp_path).certificate("x", "x.farm.example")
     der = ssl.PEM_cert_to_DER_cert(Path(shown).read_text())
-    verdict = it.certificate(der, "x")
+    verdict = it.authenticate_certificate(der, "x")
     assert isinstance(verdict, Admitted)
     assert verdict.certificate is not None
     driver = Stands()
-    it.open(verdict)
-    it.stands(verdict, driver)
+    it.open_connection(verdict)
+    it.connection_established(verdict, driver)
     key = f"deny/fingerprint/{fingerprint(shown)}"
     consumer = ConfigurationConsumer(it, no_level)
     assert consumer.check({key: b"lost"}) is None
     consumer.apply({key: b"lost"})
-    refused = it.certificate(der, "x")
-    assert isinstance(refused, Refused)
-    assert refused.refusal is Why.DENIED
+    refused = it.authenticate_certificate(der, "x")
+    assert isinstance(refused, Rejected)
+    assert refused.reason is RejectionReason.DENIED
     timers.run(1.0)
     assert len(driver.moved) == 1
     consumer.apply({key: None})
-    assert isinstance(it.certificate(der, "x"), Admitted)
+    assert isinstance(it.authenticate_certificate(der, "x"), Admitted)
 
 
 SUBJECTS = ["farm-1", "farm-2", "farm-22", "farm-x", "farm-"]
@@ -298,21 +298,21 @@
     @rule(own=st.lists(st.sampled_from(PATTERNS[:6]), max_size=2))
     def reload(self, own: list[str]) -> None:
         self.own = tuple(own)
-        self.callers.replace(identity(denied=self.own), self.keys.ring())
+        self.callers.reconfigure(identity(denied_subjects=self.own), self.keys.ring())
 
     @rule()
     def another_ring(self) -> None:
-        self.callers.replace(self.callers.gate.identity, self.keys.ring())
+        self.callers.reconfigure(self.callers.authenticator.settings, self.keys.ring())
 
     @invariant()
     def denied_is_whom_either_denies(self) -> None:
         denied = [key.removeprefix("deny/subject/") for key in self.pushed if key.startswith("deny/subject/")]
         for subject, token in self.tokens.items():
-            verdict = self.callers.gate.present(token, "x", time.time())
+            verdict = self.callers.authenticator.authenticate_token(token, "x", time.time())
             expected = any(naive(pattern, subject) for pattern in (*self.own, *denied))
-            assert isinstance(verdict, Refused) is expected, (subject, self.own, denied)
-            if isinstance(verdict, Refused):
-                assert verdict.refusal is Why.DENIED
+            assert isinstance(verdict, Rejected) is expected, (subject, self.own, denied)
+            if isinstance(verdict, Rejected):
+                assert verdict.reason is RejectionReason.DENIED
         assert self.level == self.pushed.get("log/level", b"").decode()
 
 
@@ -336,14 +336,14 @@
 
 @given(st.text("ab*?.\n[", max_size=8), st.text("ab.\n[", max_size=10))
 def test_a_pattern_fits_as_it_always_did(pattern: str, text: str) -> None:
-    assert fits(pattern, text) is naive(pattern, text)
+    assert matches_pattern(pattern, text) is naive(pattern, text)
 
 
 def test_a_pattern_with_many_stars_costs_no_more_than_others() -> None:
     began = time.process_time()
     for pattern in ("*a" * 90 + "*b", "a*" * 93, "*?" * 90 + "b"):
-        assert not fits(pattern, "a" * 80 + "c")
-    assert fits("*a" * 90 + "*", "a" * 255)
+        assert not matches_pattern(pattern, "a" * 80 + "c")
+    assert matches_pattern("*a" * 90 + "*", "a" * 255)
     assert time.process_time() - began < 2.0
 
 
@@ -354,9 +354,9 @@
     def counted(pattern: str, text: str) -> bool:
         nonlocal calls
         calls += 1
-        return fits(pattern, text)
+        return matches_pattern(pattern, text)
 
-    monkeypatch.setattr(rules, "fits", counted)
+    monkeypatch.setattr(rules, "matches_pattern", counted)
     denials = Denials(frozenset(f"farm-{at}" for at in range(5000)), ("a*",))
     assert denials.deny_subject("farm-4999")
     assert not denials.deny_subject("farm-5000")
--- a/tests/unit/configuration/test_settings.py
+++ b/tests/unit/configuration/test_settings.py
@@ -30,13 +30,21 @@
     assert settings.log == LogSettings("json", "info")
     identity = settings.identity
     assert identity is not None
-    assert (identity.skew, identity.move_within, identity.suspect_checks) == (30.0, 20.0, 50.0)
-    assert identity.keys == str(EXAMPLE.parent / "keys" / "ring.json")
+    assert (identity.clock_skew_s, identity.migrate_within_s, identity.suspect_checks_per_s) == (
+        30.0,
+        20.0,
+        50.0,
+    )
+    assert identity.key_ring_path == str(EXAMPLE.parent / "keys" / "ring.json")
     assert [rule.caller.name for rule in identity.rules] == ["build-farms", "mirrors"]
     first = identity.rules[0].caller.rights
-    assert (first.classes, first.connections, first.openings) == (frozenset(CLASSES), 2000, 200.0)
-    assert identity.stranger is not None
-    assert identity.denied == ("farm-17@*",)
+    assert (first.classes, first.max_connections, first.max_openings_per_s) == (
+        frozenset(CLASSES),
+        2000,
+        200.0,
+    )
+    assert identity.anonymous is not None
+    assert identity.denied_subjects == ("farm-17@*",)
 
 
 def test_what_is_left_out_has_the_schemas_value(tmp_path: Path) -> None:
@@ -44,8 +52,8 @@
     assert settings.log == LogSettings()
     identity = settings.identity
     assert identity is not None
-    assert (identity.skew, identity.move_within, identity.cache) == (30.0, None, 8192)
-    assert identity.stranger is None
+    assert (identity.clock_skew_s, identity.migrate_within_s, identity.cache_size) == (30.0, None, 8192)
+    assert identity.anonymous is None
     assert identity.rules[0].tokens[0].subject == "*"
 
 
@@ -129,7 +137,7 @@
     identity = load_settings(file(tmp_path, text), CLASSES).identity
     assert identity is not None
     assert identity.rules[0].names == ("dns:*.farm.example",)
-    assert (identity.denied, identity.denied_certificates) == (("x",), frozenset({print_}))
+    assert (identity.denied_subjects, identity.denied_fingerprints) == (("x",), frozenset({print_}))
     for wrong, told in (
         (rules.replace("dns:", ""), "as in dns:*.farm.example"),
         ('<deny fingerprint="AB"/>' + rules, "64 digits"),
