--- a/ironmill/net/operator_features.py
+++ b/ironmill/net/operator_features.py
@@ -93,7 +93,7 @@
     def add_routes(self, api: ProxyApi) -> None:
         """Adds the routes of membership and distribution to the admin API."""
         if self.membership is not None:
-            api.add("/admin/members", {"GET": self.membership.shown})
+            api.add("/admin/members", {"GET": self.membership.answer_members_request})
         if self.distribution is not None:
             from ironmill.administration.configuration_api import ConfigurationApi
 
