--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 from http import HTTPStatus
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from msgspec import UNSET, Struct, UnsetType
 
@@ -13,6 +13,9 @@
 from ironmill.requests.metrics import RequestMetrics
 from ironmill.runtime.lifecycle import TERMINAL_STATES, Lifecycle, LifecycleEvent
 
+if TYPE_CHECKING:  # what is off is not imported
+    from ironmill.distribution.status import ConfigurationHealth
+
 
 class MetricsSource(Protocol):
     """The requests and servers that the metrics describe."""
@@ -31,7 +34,7 @@
     """Body of the responses with the state. ``configuration`` is there if distribution is on."""
 
     state: str
-    configuration: object | UnsetType = UNSET
+    configuration: ConfigurationHealth | UnsetType = UNSET
 
 
 class StatsBody(Struct, kw_only=True):
@@ -57,7 +60,7 @@
         super().__init__()
         self._source = source
         self._lifecycle = source.lifecycle
-        self.configuration_health: Callable[[], object] | None = None  # if distribution is on
+        self.configuration_health: Callable[[], ConfigurationHealth] | None = None  # if distribution is on
         self.add("/admin/health", {"GET": self._health})
         self.add("/admin/stats", {"GET": self._stats})
         self.add("/admin/quiesce", {"POST": self._drain})
--- a/ironmill/commands/config_status.py
+++ b/ironmill/commands/config_status.py
@@ -13,33 +13,13 @@
 
 from ironmill.administration.configuration_api import read_position
 from ironmill.distribution.revision import Position
+from ironmill.distribution.status import LaggingNodeStatus, ZoneStatus
 
 MAX_NAMED_NODES = 50  # lagging nodes that are named in a text
 
 
-class ZoneStatus(Struct, kw_only=True):
-    """What the proxies of one zone have applied."""
-
-    zone: str
-    proxies: int
-    lowest_position: str = field(name="lowest")
-    rejecting: int = field(name="refused")
-    unreachable: int
-
-
-class LaggingNodeStatus(Struct, kw_only=True):
-    """A node that has not applied the latest revision, and why."""
-
-    name: str
-    zone: str
-    applied_position: str = field(name="in_force")
-    state: str = field(name="why")
-    key: str
-    reason: str
-
-
 class NodeStatus(Struct, kw_only=True):
-    """Status of one node of distribution; of a parent, also that of the nodes below it."""
+    """The common view of the statuses of all roles; of a parent, also that of the nodes below it."""
 
     name: str
     role: str
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -320,7 +320,7 @@
             config.read_changes([], str(file))
 
 
-ZONE = {"zone": "z", "proxies": 3, "lowest": "2.9", "refused": 0, "unreachable": 0}
+ZONE = {"zone": "z", "proxies": 3, "lowest": "2.9", "refused": 0, "unreachable": 0, "stale": 0}
 LAGGING_NODE = {"name": "n", "zone": "z", "in_force": "2.8", "why": "", "key": "", "reason": ""}
 
 
