--- a/ironmill/membership/contact_tokens.py
+++ b/ironmill/membership/contact_tokens.py
@@ -15,6 +15,7 @@
     ACCEPTED_PERIODS = 3  # the current one and those before it
 
     def __init__(self, secret: bytes) -> None:
+        """``secret`` keys the hash; it must not leave this process."""
         self._secret = secret
 
     def issue(self, name: str, incarnation: int, now: float, periods_ago: int = 0) -> int:
--- a/ironmill/membership/envelope.py
+++ b/ironmill/membership/envelope.py
@@ -53,6 +53,7 @@
     """Raised where a datagram is dropped. Its text is the reason, by which drops are counted."""
 
     def __init__(self, reason: str) -> None:
+        """``reason`` is a value of ``DropReason``, or of the same enumeration in another package."""
         super().__init__(reason)
         self.reason = reason
 
--- a/ironmill/membership/failure_detection.py
+++ b/ironmill/membership/failure_detection.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-import math
-
 from ironmill.membership.gossip import BroadcastQueue
-from ironmill.membership.member_state import MemberState, Peer
+from ironmill.membership.member_state import NEVER, MemberState, Peer
 from ironmill.membership.messages import ALIVE, NEUTRAL, SUSPECT
 from ironmill.membership.pinging import HELPER_COUNT, Pinger
 from ironmill.membership.self_health import SelfHealth
@@ -34,6 +32,7 @@
         health: SelfHealth,
         agreement: ViewAgreement,
     ) -> None:
+        """Starts without subjects; the first call of ``observe`` assigns them."""
         self._state = state
         self._broadcasts = broadcasts
         self._pinger = pinger
@@ -83,7 +82,7 @@
         self._subjects = view.rings.subjects(state.name, view.is_suspected)
         for name in self._subjects:
             peer = state.peer(name)
-            if peer.observed_since == -math.inf:
+            if peer.observed_since == NEVER:
                 peer.observed_since = state.now
                 peer.next_ping_at = state.now + state.rng.random() * state.timing.ping_interval_s * 0.5
         for record in view.removed_members():
@@ -91,7 +90,7 @@
             if state.name in view.observers(name):
                 self._removed_subjects.append(name)
                 peer = state.peer(name)
-                if peer.observed_since == -math.inf:
+                if peer.observed_since == NEVER:
                     peer.observed_since = state.now
                     peer.next_ping_at = state.now
 
--- a/ironmill/membership/gossip.py
+++ b/ironmill/membership/gossip.py
@@ -40,9 +40,11 @@
     __slots__ = ("_pending",)
 
     def __init__(self) -> None:
+        """Starts empty."""
         self._pending: dict[tuple[str, str], PendingBroadcast] = {}
 
     def __len__(self) -> int:
+        """Returns the number of pending updates."""
         return len(self._pending)
 
     def enqueue(self, update: GossipUpdate) -> None:
--- a/ironmill/membership/joining.py
+++ b/ironmill/membership/joining.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-import math
 from collections.abc import Sequence
 
 from msgspec import structs
 
 from ironmill.membership.events import ChangeCause, RemovedByOthers, Superseded
 from ironmill.membership.identity import Address
-from ironmill.membership.member_state import MemberState
+from ironmill.membership.member_state import NEVER, MemberState
 from ironmill.membership.messages import MemberRecord
 from ironmill.membership.pinging import Pinger
 from ironmill.membership.self_health import SelfHealth
@@ -35,6 +34,7 @@
         health: SelfHealth,
         agreement: ViewAgreement,
     ) -> None:
+        """``seeds`` may contain the own address, which makes this member a seed of that rank."""
         own_address = state.identity.address
         self._state = state
         self._pinger = pinger
@@ -45,7 +45,7 @@
         self._was_joined = False  # since this process started
         self._waiting_since = state.now  # for another member, before this seed starts a cluster
         self._next_seed_ping_at = state.now
-        self._last_joined_ping_at = -math.inf
+        self._last_joined_ping_at = NEVER
 
     def start(self) -> None:
         """Creates the own record, out of the view."""
--- a/ironmill/membership/member_state.py
+++ b/ironmill/membership/member_state.py
@@ -15,6 +15,7 @@
 from ironmill.membership.replay_window import ReplayWindow
 from ironmill.membership.view import View
 
+NEVER = -math.inf  # a time before all others
 _TOKEN_SECRET_BYTES = 16
 
 
@@ -25,14 +26,14 @@
     replay_window: ReplayWindow | None = None
     address: Address | None = None  # the source of its last datagram that proved contact both ways
     token: int = 0  # to be echoed to it
-    last_alive_at: float = -math.inf  # the last ack to a ping, direct or relayed
-    last_ack_at: float = -math.inf  # the last direct ack to a ping of this member
-    last_contact_at: float = -math.inf  # the last proof of contact both ways, by an ack or an echoed token
+    last_alive_at: float = NEVER  # the last ack to a ping, direct or relayed
+    last_ack_at: float = NEVER  # the last direct ack to a ping of this member
+    last_contact_at: float = NEVER  # the last proof of contact both ways, by an ack or an echoed token
     next_ping_at: float = 0.0
-    indirect_ping_at: float = -math.inf
-    observed_since: float = -math.inf
-    opinion_sent_at: float = -math.inf
-    quorum_since: float = -math.inf  # since when a quorum supports a change
+    indirect_ping_at: float = NEVER
+    observed_since: float = NEVER
+    opinion_sent_at: float = NEVER
+    quorum_since: float = NEVER  # since when a quorum supports a change
     changed_at: float = 0.0  # the last change of its record
 
 
@@ -55,6 +56,7 @@
     def __init__(
         self, config: MemberConfig, rng: random.Random, now: float, on_event: EventListener, view: View
     ) -> None:
+        """Starts without peers; draws the secret of the tokens from ``rng``."""
         self.identity = config.identity
         self.timing = config.timing
         self.peer_addresses = config.peer_addresses
--- a/ironmill/membership/outbox.py
+++ b/ironmill/membership/outbox.py
@@ -14,6 +14,7 @@
     __slots__ = ("_count", "_datagrams", "_state", "codec", "sent_bytes")
 
     def __init__(self, state: MemberState, codec: Codec) -> None:
+        """Starts with sequence number 1 and without datagrams."""
         self._state = state
         self.codec = codec
         self._count = 0  # the last sequence number
--- a/ironmill/membership/pinging.py
+++ b/ironmill/membership/pinging.py
@@ -40,6 +40,7 @@
     __slots__ = ("_broadcasts", "_last_number", "_outbox", "_outstanding", "_relayed_count", "_state")
 
     def __init__(self, state: MemberState, outbox: Outbox, broadcasts: BroadcastQueue) -> None:
+        """Starts without outstanding pings."""
         self._state = state
         self._outbox = outbox
         self._broadcasts = broadcasts
--- a/ironmill/membership/rings.py
+++ b/ironmill/membership/rings.py
@@ -29,13 +29,16 @@
     """The members of one view in their rings."""
 
     def __init__(self) -> None:
+        """Starts without members."""
         self._rings: list[list[tuple[int, str]]] = [[] for _ in range(RING_COUNT)]
         self._positions: dict[str, list[int]] = {}
 
     def __len__(self) -> int:
+        """Returns the number of members."""
         return len(self._positions)
 
     def __contains__(self, name: str) -> bool:
+        """Returns whether a member is present."""
         return name in self._positions
 
     def add(self, name: str) -> None:
--- a/ironmill/membership/self_health.py
+++ b/ironmill/membership/self_health.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-import math
-
 from ironmill.membership.events import IsolationEnded, IsolationStarted, PauseDetected
-from ironmill.membership.member_state import MemberState
+from ironmill.membership.member_state import NEVER, MemberState
 from ironmill.membership.timing import PAUSE_RECOVERY_S
 
 
@@ -22,9 +20,10 @@
     )
 
     def __init__(self, state: MemberState) -> None:
+        """Starts healthy."""
         self._state = state
         self.is_isolated = False
-        self.last_contact_at = -math.inf  # the last direct ack of any member
+        self.last_contact_at = NEVER  # the last direct ack of any member
         self._last_without_others_at = state.now  # when the view last held no other member
         self._recovering_until = state.now
         self._healthy_since = state.now
--- a/ironmill/membership/state_sync.py
+++ b/ironmill/membership/state_sync.py
@@ -2,12 +2,10 @@
 
 from __future__ import annotations
 
-import math
-
 from msgspec import Struct
 
 from ironmill.membership.identity import Address
-from ironmill.membership.member_state import MemberState
+from ironmill.membership.member_state import NEVER, MemberState
 from ironmill.membership.messages import StateSyncPage, StateSyncRequest
 from ironmill.membership.outbox import Outbox
 
@@ -29,10 +27,11 @@
     __slots__ = ("_difference", "_last_request_at", "_outbox", "_state")
 
     def __init__(self, state: MemberState, outbox: Outbox) -> None:
+        """Starts without a difference."""
         self._state = state
         self._outbox = outbox
         self._difference: ViewDifference | None = None
-        self._last_request_at = -math.inf
+        self._last_request_at = NEVER
 
     def compare(self, name: str, digest: int) -> None:
         """Compares the digest of another member's view; starts a sync if a difference has lasted."""
--- a/ironmill/membership/view.py
+++ b/ironmill/membership/view.py
@@ -42,6 +42,7 @@
     """Records by name, the rings of the members that are present, and opinions by subject."""
 
     def __init__(self) -> None:
+        """Starts without records."""
         self.records: dict[str, MemberRecord] = {}
         self.rings = Rings()
         self.digest = 0  # of all members that are present; equal digests mean equal views
--- a/ironmill/membership/view_agreement.py
+++ b/ironmill/membership/view_agreement.py
@@ -9,7 +9,7 @@
 
 from ironmill.membership.events import ChangeCause, MemberJoined, MemberLeft, MemberRemoved, OpinionChanged
 from ironmill.membership.gossip import BroadcastQueue
-from ironmill.membership.member_state import MemberState
+from ironmill.membership.member_state import NEVER, MemberState
 from ironmill.membership.messages import NEUTRAL, SUSPECT, MemberRecord, Opinion
 from ironmill.membership.pinging import Pinger
 from ironmill.membership.self_health import SelfHealth
@@ -38,6 +38,7 @@
     def __init__(
         self, state: MemberState, broadcasts: BroadcastQueue, pinger: Pinger, health: SelfHealth
     ) -> None:
+        """Starts without suspected changes; stamps of opinions start at the own incarnation."""
         self._state = state
         self._broadcasts = broadcasts
         self._pinger = pinger
@@ -55,8 +56,8 @@
         self._broadcasts.enqueue(record)
         if name != state.name:
             peer = state.peer(name)
-            peer.observed_since = -math.inf
-            peer.quorum_since = -math.inf
+            peer.observed_since = NEVER
+            peer.quorum_since = NEVER
             peer.changed_at = state.now
         is_new_process = cause in (ChangeCause.STARTED, ChangeCause.REJOINED)
         if record.is_present is not was_present or is_new_process:
@@ -125,11 +126,11 @@
             supporters = state.view.supporters_of_change(name)
             peer = state.peer(name)
             if not supporters or name == state.name:
-                peer.quorum_since = -math.inf
-            elif peer.quorum_since == -math.inf:
+                peer.quorum_since = NEVER
+            elif peer.quorum_since == NEVER:
                 peer.quorum_since = state.now
             elif state.now - peer.quorum_since >= DECISION_STABILITY_S:
-                peer.quorum_since = -math.inf
+                peer.quorum_since = NEVER
                 record = state.view.records[name]
                 changed = structs.replace(record, transitions=record.transitions + 1)
                 self.apply(changed, ChangeCause.DECIDED, supporters)
--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -24,10 +24,10 @@
 
 from ironmill.commands.config import ConfigError, to_position
 from ironmill.distribution.revision import START, Position
+from ironmill_testbed.client_load import ClientLoad
 from ironmill_testbed.faults.checker import LoggedEvent
 from ironmill_testbed.faults.hollow import TWINS
 from ironmill_testbed.faults.socket_fleet import LOOK, ORIGIN, Fleet
-from ironmill_testbed.measures.membership import Load
 from ironmill_testbed.processes import Usage
 
 RATE, STORM = 2.0, 12.5  # changes a second
@@ -113,7 +113,7 @@
         found |= _rest(fleet, seconds / 3.0)
         for one in fleet.plain:
             fleet.end(one)
-        load = Load([fleet.clients[one] for one in fleet.real])
+        load = ClientLoad([fleet.clients[one] for one in fleet.real])
         staff = Staff(fleet)
         before = fleet.usage(), time.monotonic()
         staff.tell("ordinary", RATE, seconds / 3.0)
@@ -126,8 +126,9 @@
         _settle(fleet, staff)
         found |= _stale(fleet, staff)
         _settle(fleet, staff)
-        lost, lines = load.stop()
-        found["clients_lost"], found["clients_lines"] = (lost if lines else None), lines
+        clients = load.stop()
+        found["clients_lost"] = clients.lost if clients.lines else None
+        found["clients_lines"] = clients.lines
         found |= _kept(fleet, staff)
         found["control_memory_mb"] = _memory(fleet)
         found["peak_memory_mb"] = fleet.peak / 2**20
--- /dev/null
+++ b/ironmill_testbed/client_load.py
@@ -0,0 +1,54 @@
+"""Clients that keep their connections to some proxies and send requests, in a thread of their own."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Sequence
+
+from msgspec import Struct
+
+from ironmill.membership.identity import Address
+from ironmill.runtime.scheduler import Scheduler
+from ironmill_testbed.fleet import Fleet, play
+
+CLIENTS = 60
+MAX_RUN_S = 600.0
+STOP_CHECK_INTERVAL_S = 0.1
+
+
+class ClientLoadResult(Struct, frozen=True):
+    """The results of a load."""
+
+    lost: int  # connections and requests
+    lines: int  # received
+
+
+class ClientLoad:
+    """A load that runs from its creation until ``stop``."""
+
+    def __init__(self, addresses: Sequence[Address]) -> None:
+        """Starts the thread; the clients are distributed over the addresses."""
+        self._is_stopping = False
+        self._result = ClientLoadResult(0, 0)
+        self._thread = threading.Thread(target=self._run, args=(list(addresses),), daemon=True)
+        self._thread.start()
+
+    def stop(self) -> ClientLoadResult:
+        """Ends the clients and returns what they have received and lost."""
+        self._is_stopping = True
+        self._thread.join()
+        return self._result
+
+    def _run(self, addresses: list[Address]) -> None:
+        scheduler = Scheduler()
+
+        def run_clients() -> None:
+            fleet = Fleet(scheduler, addresses, CLIENTS)
+            while not self._is_stopping:
+                scheduler.sleep(STOP_CHECK_INTERVAL_S)
+            counts = fleet.counts
+            lost = counts.lost + counts.unanswered + counts.failed + counts.unreached
+            self._result = ClientLoadResult(lost, counts.lines)
+            fleet.end()
+
+        play(scheduler, run_clients, MAX_RUN_S)
--- a/ironmill_testbed/faults/interning.py
+++ b/ironmill_testbed/faults/interning.py
@@ -32,6 +32,7 @@
 
     def __init__(self) -> None:
         # The newest of each name, and of each observer on each subject; members that lag have older ones.
+        """Starts without values."""
         self._records: dict[str, MemberRecord] = {}
         self._opinions: dict[tuple[str, str], Opinion] = {}
         self._positions: dict[str, InternedPositions] = {}
--- a/ironmill_testbed/faults/schedule.py
+++ b/ironmill_testbed/faults/schedule.py
@@ -55,6 +55,7 @@
     """Delivers datagrams between processes, subject to the faults of a schedule."""
 
     def __init__(self, faults: list[Fault], seed: int) -> None:
+        """Faults of processes in the schedule are ignored."""
         self._faults = [fault for fault in faults if fault.kind in LINK_FAULTS]
         self._rng = random.Random(seed)
 
--- a/ironmill_testbed/faults/simulated_cluster.py
+++ b/ironmill_testbed/faults/simulated_cluster.py
@@ -77,6 +77,7 @@
     """One process, which may be killed, paused and started again."""
 
     def __init__(self, name: str, zone: str, address: Address) -> None:
+        """Starts without a running member."""
         self.name = name
         self.zone = zone
         self.address = address
--- a/ironmill_testbed/faults/swim.py
+++ b/ironmill_testbed/faults/swim.py
@@ -58,6 +58,7 @@
     def __init__(
         self, config: MemberConfig, _codec: object, rng: random.Random, now: float, on_event: EventListener
     ) -> None:
+        """Starts with itself in the view."""
         self.identity = config.identity
         self.sent_bytes = 0
         self._seeds = config.seeds
--- a/ironmill_testbed/faults/switch.py
+++ b/ironmill_testbed/faults/switch.py
@@ -27,6 +27,7 @@
     """Runs in a thread from ``start`` until ``stop``."""
 
     def __init__(self, names: Sequence[str]) -> None:
+        """Opens a socket for each ordered pair of names; raises ``OSError`` if that fails."""
         self.links = Links([], 0)
         self.schedule_start = time.monotonic()  # from which the schedule's times count
         self.forwarded = 0
--- a/tests/system/test_distribution_processes.py
+++ b/tests/system/test_distribution_processes.py
@@ -16,10 +16,10 @@
 import pytest
 
 from ironmill.membership.identity import format_address
+from ironmill_testbed.client_load import ClientLoad
 from ironmill_testbed.faults.checker import LoggedEvent
 from ironmill_testbed.faults.control_town import ORIGIN, ControlPlaneCluster, Form
 from ironmill_testbed.faults.schedule import Fault, both_ways
-from ironmill_testbed.measures.membership import Load
 
 STALE_AFTER = 5.0  # seconds: by then a proxy must know
 
@@ -65,7 +65,7 @@
 
 def test_faults_between_and_under_them_and_clients_lose_nothing(town: ControlPlaneCluster) -> None:
     proxies = town.proxies
-    load = Load([town.client_addresses[name] for name in proxies[:3]])  # which stay up
+    load = ClientLoad([town.client_addresses[name] for name in proxies[:3]])  # which stay up
 
     first = town.push({"shard/a": "s-1", "shard/b": "s-2"})
     town.wait_until(lambda: _everywhere(town, first))
@@ -142,9 +142,9 @@
     assert after[1] == later[1] + 1
     town.wait_until(lambda: _everywhere(town, after))
 
-    lost, lines = load.stop()
-    assert lost == 0
-    assert lines > 100
+    clients = load.stop()
+    assert clients.lost == 0
+    assert clients.lines > 100
     _check_order(town.logged_events(), proxies)
 
 
