--- a/ironmill/membership/failure_detection.py
+++ b/ironmill/membership/failure_detection.py
@@ -55,7 +55,7 @@
     def disseminate(self) -> None:
         """Pings random members while gossip is pending or no subject answers.
 
-        Gossip travels only in pings and acks, so it would not spread while most subjects are dead.
+        Gossip travels only in pings and acks, so it would not propagate while the subjects are dead.
         """
         state = self._state
         silence_limit_s = 2.0 * TICK_INTERVAL_S + state.timing.ping_interval_s
--- a/ironmill/membership/joining.py
+++ b/ironmill/membership/joining.py
@@ -97,7 +97,7 @@
                 self._agreement.apply_own(record.transitions, ChangeCause.GOSSIP)
 
     def supersede(self, newer_incarnation: int) -> None:
-        """Withdraws for good, for a newer process uses the name."""
+        """Withdraws permanently, because a newer process uses the name."""
         self._state.is_superseded = True
         self._state.on_event(Superseded(self._state.identity.incarnation, newer_incarnation))
 
--- a/ironmill/membership/member.py
+++ b/ironmill/membership/member.py
@@ -158,7 +158,7 @@
         return self._outbox.flush()
 
     def restore(self, records: Sequence[MemberRecord], now: float) -> None:
-        """Starts from a view that is known to be true, without spreading it."""
+        """Starts from a view that is known to be true, without broadcasting it."""
         self._state.now = now
         for record in records:
             self._agreement.apply(record, ChangeCause.RESTORED)
--- a/ironmill/membership/replay_window.py
+++ b/ironmill/membership/replay_window.py
@@ -11,7 +11,7 @@
     __slots__ = ("_highest", "_received")
 
     def __init__(self) -> None:
-        """Starts empty: the first sequence number is accepted, whatever it is."""
+        """Starts empty, so it accepts any first sequence number."""
         self._highest = -1
         self._received = 0  # bit 0 is the highest number
 
--- a/ironmill/membership/self_health.py
+++ b/ironmill/membership/self_health.py
@@ -1,4 +1,4 @@
-"""A member's judgement of its own health, which comes before any judgement of others."""
+"""A member's assessment of its own health, which comes before any opinion of others."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self._state = state
         self.is_isolated = False
         self.last_contact_at = NEVER  # the last direct ack of any member
-        self._last_without_others_at = state.now  # when the view last held no other member
+        self._last_without_others_at = state.now  # when the view last contained no other member
         self._recovering_until = state.now
         self._healthy_since = state.now
 
@@ -55,7 +55,7 @@
 
     @property
     def withholds_opinions(self) -> bool:
-        """Whether this member would blame others for its own faults, and so holds no opinion of them."""
+        """Whether this member might blame others for a fault of itself, and so keeps its opinions back."""
         return self.is_isolated or self._state.now < self._recovering_until or not self._state.is_joined
 
     @property
--- a/ironmill/membership/view_agreement.py
+++ b/ironmill/membership/view_agreement.py
@@ -27,11 +27,11 @@
     """A reported change of a member that own observations do not confirm."""
 
     record: MemberRecord
-    pinged_at: float = math.inf
+    pinged_at: float = math.inf  # infinite until the member is pinged
 
 
 class ViewAgreement:
-    """Applies changes to the view and spreads the opinions from which they are decided."""
+    """Applies changes to the view and broadcasts the opinions from which they are decided."""
 
     __slots__ = ("_broadcasts", "_health", "_last_stamp", "_pinger", "_state", "_suspected_changes")
 
@@ -47,7 +47,7 @@
         self._suspected_changes: dict[str, SuspectedChange] = {}
 
     def apply(self, record: MemberRecord, cause: ChangeCause, observers: Sequence[str] = ()) -> None:
-        """Makes a record part of the view and spreads it."""
+        """Makes a record part of the view and broadcasts it."""
         state = self._state
         name = record.identity.name
         old = state.view.records.get(name)
@@ -68,7 +68,7 @@
         self.apply(structs.replace(self._state.record, transitions=transitions), cause)
 
     def set_opinion(self, subject: str, value: int) -> None:
-        """Spreads the own opinion of a subject if it has changed or has to be renewed."""
+        """Broadcasts the own opinion of a subject if it has changed or has to be renewed."""
         state = self._state
         old_value = state.view.opinion_value(state.name, subject)
         peer = state.peer(subject)
@@ -84,7 +84,7 @@
             state.on_event(OpinionChanged(subject, value))
 
     def add_opinion(self, opinion: Opinion) -> bool:
-        """Stores an opinion and spreads it; returns False if it is outdated."""
+        """Stores an opinion and broadcasts it; returns False if it is outdated."""
         is_new = self._state.view.add_opinion(opinion, self._state.now + OPINION_LIFETIME_S)
         if is_new:
             self._broadcasts.enqueue(opinion)
--- a/ironmill_testbed/client_load.py
+++ b/ironmill_testbed/client_load.py
@@ -1,4 +1,4 @@
-"""Clients that keep their connections to some proxies and send requests, in a thread of their own."""
+"""Clients that keep their connections to some proxies and send requests, in a separate thread."""
 
 from __future__ import annotations
 
--- a/ironmill_testbed/faults/process_cluster.py
+++ b/ironmill_testbed/faults/process_cluster.py
@@ -24,6 +24,7 @@
 POLL_INTERVAL_S = 0.05
 DEFAULT_WAIT_LIMIT_S = 60.0
 KEY = "0f" * 32
+CLUSTER = "testbed"
 
 
 class ProcessCluster:
@@ -94,7 +95,7 @@
         ]
         zone = f"z{self.names.index(name) % ZONES}"
         return [
-            f'<membership cluster="town" listen="{format_address(own_address)}" keys="members.keys"'
+            f'<membership cluster="{CLUSTER}" listen="{format_address(own_address)}" keys="members.keys"'
             f' zone="{zone}" region="r">',
             *(f'<seed address="{format_address(seed)}"/>' for seed in seeds),
             *(
--- a/tests/system/test_membership_processes.py
+++ b/tests/system/test_membership_processes.py
@@ -109,9 +109,13 @@
         assert killed_at > 0.0
 
 
-def run(*words: str) -> subprocess.CompletedProcess[str]:
+def run(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "ironmill", *words], capture_output=True, text=True, timeout=60.0, check=False
+        [sys.executable, "-m", "ironmill", *arguments],
+        capture_output=True,
+        text=True,
+        timeout=60.0,
+        check=False,
     )
 
 
@@ -121,7 +125,7 @@
         cluster.wait_until(lambda: cluster.agree(cluster.names))
         printed = run("members", format_address(cluster.admin_addresses["m00"]))
         assert printed.returncode == 0
-        assert printed.stdout.startswith("m00 is a member of town, view ")
+        assert printed.stdout.startswith("m00 is a member of testbed, view ")
         assert "m01" in printed.stdout
     down = run("members", f"127.0.0.1:{free_port()}")
     assert (down.returncode, down.stdout) == (2, "")
