--- a/ironmill/administration/configuration_api.py
+++ b/ironmill/administration/configuration_api.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable, Sequence
 from http import HTTPStatus
-from typing import Annotated, Any, Protocol, TypeVar
+from typing import Annotated, Protocol, TypeVar
 from urllib.parse import parse_qs
 
 import msgspec
@@ -51,7 +51,7 @@
 class StatusSource(Protocol):
     """A node of distribution."""
 
-    def status(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> object:
         """Returns the node's own status; of a parent, also that of the nodes below it."""
 
 
--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from http import HTTPStatus
 from typing import Protocol
 
@@ -31,7 +31,7 @@
     """Body of the responses with the state. ``configuration`` is there if distribution is on."""
 
     state: str
-    configuration: Mapping[str, object] | UnsetType = UNSET
+    configuration: object | UnsetType = UNSET
 
 
 class StatsBody(Struct, kw_only=True):
@@ -57,7 +57,7 @@
         super().__init__()
         self._source = source
         self._lifecycle = source.lifecycle
-        self.configuration_health: Callable[[], Mapping[str, object]] | None = None  # if distribution is on
+        self.configuration_health: Callable[[], object] | None = None  # if distribution is on
         self.add("/admin/health", {"GET": self._health})
         self.add("/admin/stats", {"GET": self._stats})
         self.add("/admin/quiesce", {"POST": self._drain})
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -23,10 +23,10 @@
 from ironmill.distribution.interfaces import Consumer
 from ironmill.distribution.revision import Rejection
 from ironmill.identity import rules
+from ironmill.identity.authenticator import Admitted, Rejected
 from ironmill.identity.callers import Callers
-from ironmill.identity.gate import Admitted, Refused
-from ironmill.identity.rules import CallerRule, Denials, TokenMatch, fits
-from ironmill.identity.tokens import Refusal as Why
+from ironmill.identity.errors import RejectionReason
+from ironmill.identity.rules import CallerRule, Denials, TokenMatch, matches_pattern
 from ironmill.runtime import logs
 from ironmill.runtime.logs import LogSettings
 from ironmill.runtime.timers import TimerQueue
@@ -128,11 +128,11 @@
 def test_check_changes_nothing(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
     callers = callers_of(keys, FakeTimers(monkeypatch))
     consumer = ConfigurationConsumer(callers, lambda level: pytest.fail(level))
-    before, gate = consumer.applied, callers.gate.identity
+    before, gate = consumer.applied, callers.authenticator.settings
     assert consumer.check({"deny/subject/a": b"", "log/level": b"debug"}) is None
     assert consumer.check({"deny/subject/a": b"", "other": b""}) == Rejection("other", "unknown key")
     assert consumer.applied is before
-    assert callers.gate.identity is gate
+    assert callers.authenticator.settings is gate
 
 
 def test_denials_over_a_limit_are_rejected_with_their_key(
@@ -173,14 +173,14 @@
 ) -> None:
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
-    callers = callers_of(keys, timers, lambda: timers.now + offset, move_within=1.0)
+    callers = callers_of(keys, timers, lambda: timers.now + offset, migrate_within_s=1.0)
     consumer = ConfigurationConsumer(callers, ignore_level)
     drivers = [Stands() for _ in range(4)]
     for at, driver in enumerate(drivers):
-        verdict = callers.present(keys.token(sub=f"farm-{at}"), "x")
+        verdict = callers.authenticate_token(keys.token(sub=f"farm-{at}"), "x")
         assert isinstance(verdict, Admitted)
-        assert callers.open(verdict) is None
-        callers.stands(verdict, driver)
+        assert callers.open_connection(verdict) is None
+        callers.connection_established(verdict, driver)
 
     def moved() -> list[int]:
         timers.run(2.0)
@@ -191,17 +191,17 @@
     consumer.apply({"deny/subject/?arm-3": b""})
     assert moved() == [0, 1, 0, 1]
     # Both survive a reload and another ring, and nobody is migrated twice.
-    callers.replace(identity(move_within=1.0, denied=("farm-2",)), keys.ring())
+    callers.reconfigure(identity(migrate_within_s=1.0, denied_subjects=("farm-2",)), keys.ring())
     assert moved() == [0, 1, 1, 1]
-    callers.replace(identity(move_within=1.0), keys.ring())
-    callers.replace(callers.gate.identity, keys.ring())  # as the key ring watcher does
+    callers.reconfigure(identity(migrate_within_s=1.0), keys.ring())
+    callers.reconfigure(callers.authenticator.settings, keys.ring())  # as the key ring watcher does
     assert moved() == [0, 1, 1, 1]
-    verdicts = [callers.present(keys.token(sub=f"farm-{at}"), "x") for at in range(4)]
+    verdicts = [callers.authenticate_token(keys.token(sub=f"farm-{at}"), "x") for at in range(4)]
     assert [isinstance(verdict, Admitted) for verdict in verdicts] == [True, False, True, False]
     consumer.apply({"deny/subject/farm-1": None, "deny/subject/?arm-3": None, "deny/subject/farm-9": None})
-    assert isinstance(callers.present(keys.token(sub="farm-3"), "x"), Admitted)
+    assert isinstance(callers.authenticate_token(keys.token(sub="farm-3"), "x"), Admitted)
     # Where the settings keep established connections, a denial keeps them too.
-    callers.replace(identity(move_within=None), keys.ring())
+    callers.reconfigure(identity(migrate_within_s=None), keys.ring())
     consumer.apply({"deny/subject/farm-0": b""})
     assert moved() == [0, 1, 1, 1]
 
@@ -211,13 +211,13 @@
 ) -> None:
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
-    callers = callers_of(keys, timers, lambda: timers.now + offset, move_within=1.0)
+    callers = callers_of(keys, timers, lambda: timers.now + offset, migrate_within_s=1.0)
     driver = Stands()
-    guest = callers.guest(driver, "x")
-    assert guest.show(keys.token()) is None
+    session = callers.new_session(driver, "x")
+    assert session.present_token(keys.token()) is None
     ConfigurationConsumer(callers, ignore_level).apply({"deny/subject/farm-1": b""})
-    assert guest.ask("read") is None  # it is judged by the rules as of its beginning
-    guest.stands()
+    assert session.request_connection("read") is None  # it is judged by the rules as of its beginning
+    session.connection_established()
     timers.run(2.0)
     assert len(driver.moved) == 1
 
@@ -228,26 +228,26 @@
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
     who = CallerRule(rule_of().caller, (), 1, ("dns:*.farm.example",))
-    callers = Callers(identity(who, move_within=0.5), keys.ring(), timers, lambda: timers.now + offset)
+    callers = Callers(identity(who, migrate_within_s=0.5), keys.ring(), timers, lambda: timers.now + offset)
     shown, _ = Authority(tmp_path).certificate("x", "x.farm.example")
     der = ssl.PEM_cert_to_DER_cert(Path(shown).read_text())
-    verdict = callers.certificate(der, "x")
+    verdict = callers.authenticate_certificate(der, "x")
     assert isinstance(verdict, Admitted)
     assert verdict.certificate is not None
     driver = Stands()
-    callers.open(verdict)
-    callers.stands(verdict, driver)
+    callers.open_connection(verdict)
+    callers.connection_established(verdict, driver)
     key = f"deny/fingerprint/{fingerprint(shown)}"
     consumer = ConfigurationConsumer(callers, ignore_level)
     assert consumer.check({key: b"lost"}) is None
     consumer.apply({key: b"lost"})
-    refused = callers.certificate(der, "x")
-    assert isinstance(refused, Refused)
-    assert refused.refusal is Why.DENIED
+    refused = callers.authenticate_certificate(der, "x")
+    assert isinstance(refused, Rejected)
+    assert refused.reason is RejectionReason.DENIED
     timers.run(1.0)
     assert len(driver.moved) == 1
     consumer.apply({key: None})
-    assert isinstance(callers.certificate(der, "x"), Admitted)
+    assert isinstance(callers.authenticate_certificate(der, "x"), Admitted)
 
 
 SUBJECTS = ["farm-1", "farm-2", "farm-22", "farm-x", "farm-"]
@@ -302,21 +302,21 @@
     @rule(own=st.lists(st.sampled_from(PATTERNS[:6]), max_size=2))
     def reload(self, own: list[str]) -> None:
         self.own = tuple(own)
-        self.callers.replace(identity(denied=self.own), self.keys.ring())
+        self.callers.reconfigure(identity(denied_subjects=self.own), self.keys.ring())
 
     @rule()
     def another_ring(self) -> None:
-        self.callers.replace(self.callers.gate.identity, self.keys.ring())
+        self.callers.reconfigure(self.callers.authenticator.settings, self.keys.ring())
 
     @invariant()
     def denied_is_whom_either_denies(self) -> None:
         denied = [key.removeprefix("deny/subject/") for key in self.pushed if key.startswith("deny/subject/")]
         for subject, token in self.tokens.items():
-            verdict = self.callers.gate.present(token, "x", time.time())
+            verdict = self.callers.authenticator.authenticate_token(token, "x", time.time())
             expected = any(reference_match(pattern, subject) for pattern in (*self.own, *denied))
-            assert isinstance(verdict, Refused) is expected, (subject, self.own, denied)
-            if isinstance(verdict, Refused):
-                assert verdict.refusal is Why.DENIED
+            assert isinstance(verdict, Rejected) is expected, (subject, self.own, denied)
+            if isinstance(verdict, Rejected):
+                assert verdict.reason is RejectionReason.DENIED
         assert self.level == self.pushed.get("log/level", b"").decode()
 
 
@@ -340,14 +340,14 @@
 
 @given(st.text("ab*?.\n[", max_size=8), st.text("ab.\n[", max_size=10))
 def test_pattern_matches_like_the_reference(pattern: str, text: str) -> None:
-    assert fits(pattern, text) is reference_match(pattern, text)
+    assert matches_pattern(pattern, text) is reference_match(pattern, text)
 
 
 def test_pattern_with_many_wildcards_matches_in_bounded_time() -> None:
     began = time.process_time()
     for pattern in ("*a" * 90 + "*b", "a*" * 93, "*?" * 90 + "b"):
-        assert not fits(pattern, "a" * 80 + "c")
-    assert fits("*a" * 90 + "*", "a" * 255)
+        assert not matches_pattern(pattern, "a" * 80 + "c")
+    assert matches_pattern("*a" * 90 + "*", "a" * 255)
     assert time.process_time() - began < 2.0
 
 
@@ -358,9 +358,9 @@
     def counted(pattern: str, text: str) -> bool:
         nonlocal calls
         calls += 1
-        return fits(pattern, text)
+        return matches_pattern(pattern, text)
 
-    monkeypatch.setattr(rules, "fits", counted)
+    monkeypatch.setattr(rules, "matches_pattern", counted)
     denials = Denials(frozenset(f"farm-{at}" for at in range(5000)), ("a*",))
     assert denials.deny_subject("farm-4999")
     assert not denials.deny_subject("farm-5000")
