--- a/tests/system/test_distribution_processes.py
+++ b/tests/system/test_distribution_processes.py
@@ -63,7 +63,7 @@
     assert all(len(digests) == 1 for digests in states.values())
 
 
-def test_faults_between_and_under_them_and_clients_lose_nothing(town: ControlPlaneCluster) -> None:
+def test_faults_of_links_and_processes_lose_no_change_and_no_client(town: ControlPlaneCluster) -> None:
     proxies = town.proxies
     load = Load([town.clients[name] for name in proxies[:3]])  # which stay up
 
@@ -146,7 +146,7 @@
     _check_order(town.seen(), proxies)
 
 
-def test_a_slow_relay_and_a_proxy_that_ends_in_an_orderly_way(town: ControlPlaneCluster) -> None:
+def test_slow_relay_and_proxy_that_shuts_down_gracefully(town: ControlPlaneCluster) -> None:
     town.pause("c02")
     latest = town.push({"shard/a": "s-1"})
     town.until(lambda: town.all_at(latest))  # its children have found another parent
@@ -160,7 +160,7 @@
     _check_order(town.seen(), town.proxies)
 
 
-def test_keys_replaced_and_a_stranger(town: ControlPlaneCluster) -> None:
+def test_cluster_keys_are_rotated_and_unknown_senders_are_dropped(town: ControlPlaneCluster) -> None:
     keys = town.folder / "members.keys"
     keys.write_text("0f" * 32 + "\n" + "a1" * 32 + "\n")
     town.processes["p00"].popen.send_signal(signal.SIGHUP)
@@ -183,7 +183,7 @@
     )
 
 
-def test_what_staff_see_and_do(town: ControlPlaneCluster) -> None:
+def test_operators_push_watch_and_revert_revisions(town: ControlPlaneCluster) -> None:
     at = format_address(town.controls[ORIGIN])
     pushed = _run("config", "push", at, "shard/a=s-1", "log/level=debug", "--author=ann", "--wait")
     assert (pushed.returncode, pushed.stderr) == (0, "")
@@ -219,7 +219,7 @@
     assert ORIGIN in elsewhere.stderr
 
 
-def test_without_settings_nothing_of_it_is_imported(tmp_path: Path) -> None:
+def test_distribution_is_not_imported_without_settings(tmp_path: Path) -> None:
     story = (
         "import sys; import ironmill.cli, ironmill.net.proxy; "
         "own = ['ironmill.configuration'] + ['ironmill.configuration.' + name for name in "
@@ -232,7 +232,7 @@
     assert found.stdout.strip() == "[]"
 
 
-def test_a_control_machine_that_cannot_begin_says_why_in_one_line(tmp_path: Path) -> None:
+def test_control_machine_that_cannot_start_reports_one_line(tmp_path: Path) -> None:
     (tmp_path / "members.keys").write_text("0f" * 32 + "\n")
     (tmp_path / "store").write_text("something else" * 100)
     settings = tmp_path / "c00.xml"
--- a/tests/system/test_revision_store.py
+++ b/tests/system/test_revision_store.py
@@ -56,7 +56,7 @@
     return {key: value for key, value in (state | changes).items() if value is not None}
 
 
-def test_a_new_store_is_empty_and_each_opening_takes_an_epoch(tmp_path: Path) -> None:
+def test_new_store_is_empty_and_each_opening_takes_an_epoch(tmp_path: Path) -> None:
     path = str(tmp_path / "store")
     lineages = set()
     for epoch in (1, 2, 3):
@@ -180,7 +180,7 @@
 TestStoreMachine.settings = settings(max_examples=40, stateful_step_count=25)
 
 
-def test_what_is_older_than_the_history_is_not_gone_back_to(tmp_path: Path) -> None:
+def test_undo_beyond_the_kept_history_fails(tmp_path: Path) -> None:
     it = SqliteStore(str(tmp_path / "store"), max_kept_revisions=3)
     for at in range(6):
         put(it, {"a": b"%d" % at})
@@ -196,7 +196,7 @@
     it.close()
 
 
-def test_an_undo_over_several_revisions(store: SqliteStore) -> None:
+def test_undo_spans_several_revisions(store: SqliteStore) -> None:
     put(store, {"a": b"1", "b": b"1", "gone": b"1"})
     put(store, {"a": b"2", "new": b"2", "gone": None})
     put(store, {"a": b"3", "new": b"3", "b": b"2"})
@@ -209,7 +209,7 @@
     assert store.undo(0) == {"a": None, "b": None, "gone": None}
 
 
-def test_an_undo_that_is_no_revision_says_so(store: SqliteStore) -> None:
+def test_undo_larger_than_a_revision_fails(store: SqliteStore) -> None:
     for half in range(2):
         put(store, {f"{half}-{at}": b"" for at in range(MAX_REVISION_CHANGES // 2 + 1)})
     assert len(store.undo(1)) == MAX_REVISION_CHANGES // 2 + 1
@@ -229,7 +229,7 @@
         ({"a": b""}, "", "", "t" * (MAX_TICKET_LENGTH + 1), "ticket: it has 1 to 64 characters"),
     ],
 )
-def test_what_is_out_of_bounds_is_not_kept(
+def test_rejects_revisions_out_of_bounds(
     store: SqliteStore, changes: Changes, author: str, note: str, ticket: str, wrong: str
 ) -> None:
     with pytest.raises(RevisionError, match=wrong):
@@ -237,13 +237,13 @@
     assert (store.position, list(store.entries())) == (START, [])
 
 
-def test_a_time_that_is_none_leaves_the_store_as_it_was(store: SqliteStore) -> None:
+def test_invalid_time_leaves_the_store_unchanged(store: SqliteStore) -> None:
     with pytest.raises(StoreError, match="NOT NULL"):
         store.commit({"a": b"1"}, RevisionMetadata(float("nan"), "", "", "t"))
     assert (list(store.entries()), put(store, {"a": b"2"})) == ([], Position(1, 1))
 
 
-def test_a_backup_that_is_put_back_takes_an_epoch_above_those_that_were_seen(tmp_path: Path) -> None:
+def test_restored_backup_takes_an_epoch_above_the_observed_ones(tmp_path: Path) -> None:
     path, backup = tmp_path / "store", tmp_path / "backup"
     it = SqliteStore(str(path))
     put(it, {"a": b"1"})
@@ -271,7 +271,7 @@
     it.close()
 
 
-def test_another_process_that_writes_for_long_is_one_line(
+def test_store_locked_by_another_process_is_a_one_line_error(
     store: SqliteStore, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     store._connection.execute("PRAGMA busy_timeout = 50")
@@ -284,7 +284,7 @@
     assert put(store, {"a": b"1"}) == Position(1, 1)
 
 
-def test_after_the_close_every_call_is_one_line(store: SqliteStore) -> None:
+def test_every_call_after_close_is_a_one_line_error(store: SqliteStore) -> None:
     store.close()
     for call in (
         lambda: put(store, {"a": b"1"}),
@@ -306,7 +306,7 @@
     assert "\n" not in str(caught.value)
 
 
-def test_files_that_are_no_store(tmp_path: Path) -> None:
+def test_rejects_files_that_are_no_store(tmp_path: Path) -> None:
     path = tmp_path / "store"
     fails(tmp_path, "the store cannot be opened: Is a directory")
     fails(tmp_path / "none" / "store", "the store cannot be opened: No such file or directory")
@@ -329,7 +329,7 @@
     fails(path, "the store is of form 7; this program reads form 1")
 
 
-def test_a_damaged_store_is_one_line_and_no_wrong_values(tmp_path: Path) -> None:
+def test_damaged_store_is_a_one_line_error_and_yields_no_wrong_values(tmp_path: Path) -> None:
     path = tmp_path / "store"
     it = SqliteStore(str(path))
     for at in range(50):
@@ -370,7 +370,7 @@
         os.seteuid(0)
 
 
-def test_a_file_that_may_only_be_read(nobody: None) -> None:
+def test_rejects_a_read_only_file(nobody: None) -> None:
     folder = Path(tempfile.mkdtemp())
     path = folder / "store"
     try:
@@ -401,7 +401,7 @@
 """
 
 
-def test_a_process_that_is_killed_in_the_midst_of_commits_keeps_whole_revisions(tmp_path: Path) -> None:
+def test_process_killed_during_commits_keeps_complete_revisions(tmp_path: Path) -> None:
     path, rng, last = str(tmp_path / "store"), random.Random(3), 0
     for turn in range(8):
         child = subprocess.Popen([sys.executable, "-c", WRITER, path], stdout=subprocess.PIPE, text=True)
@@ -423,7 +423,7 @@
         it.close()
 
 
-def test_the_interface_is_kept(store: SqliteStore) -> None:
+def test_implements_the_store_interface(store: SqliteStore) -> None:
     it: RevisionStore = store  # mypy says whether it is
     assert it.position == START
     assert revision_store.MAX_KEPT_REVISIONS == 100_000
--- a/tests/unit/distribution/test_catch_up.py
+++ b/tests/unit/distribution/test_catch_up.py
@@ -1,13 +1,122 @@
-"""Catching up by ranges: many at once, and while the parent goes on changing."""
+"""Catching up by ranges: the state that results, and what it costs."""
 
 from __future__ import annotations
 
+import random
+from collections.abc import Mapping
+
+import pytest
+
+from ironmill.distribution.catch_up import MAX_OVERLAY_BYTES, CatchUp
+from ironmill.distribution.changes import Changes, packed_size
+from ironmill.distribution.keyspace import Keyspace, children_of
+from ironmill.distribution.messages import (
+    MAX_BODY_BYTES,
+    DigestRequest,
+    DigestResponse,
+    EntriesRequest,
+    EntriesResponse,
+)
+from ironmill.distribution.revision import Delta, Position
 from ironmill.distribution.timing import Timing
 from ironmill_testbed.faults.fleet_world import FleetWorld, Plan
+from tests.unit.distribution.keyspaces import whole
+
+
+class Parent:
+    """The state that a parent has at any moment."""
+
+    def __init__(self, values: Mapping[str, bytes]) -> None:
+        self.keyspace = whole(values)
+        self.position = Position(1, 1)
+
+    def change(self, changes: Changes) -> Delta:
+        base, self.position = self.position, Position(1, self.position.number + 1)
+        self.keyspace.apply(changes)
+        return Delta(base, self.position, self.keyspace.digest, changes, packed_size(changes))
+
+    def answer(self, question: DigestRequest | EntriesRequest) -> DigestResponse | EntriesResponse:
+        keyspace = self.keyspace
+        if isinstance(question, DigestRequest):
+            level = question.level + 1
+            prefixes = children_of(question.level, question.prefix) if level else range(64)
+            sums = [keyspace.range_digest(level, prefix) for prefix in prefixes]
+            return DigestResponse(0, 1, self.position, keyspace.digest, question.level, question.prefix, sums)
+        body, leaf, after = keyspace.page(
+            question.leaf, question.after_key, question.end_leaf, MAX_BODY_BYTES
+        )
+        return EntriesResponse(0, 1, question.number, self.position, leaf, after != "", body)
+
+
+VALUES_OF = {f"shard/{at}": b"%d" % at * 9 for at in range(900)}
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_catch_up_yields_one_state_despite_lost_duplicated_and_late_answers(seed: int) -> None:
+    """Changes, a change of parent, and answers in any order; what comes out is the parent's state, whole."""
+    rng = random.Random(seed)
+    parent = Parent(VALUES_OF)
+    old = whole({f"shard/{at}": b"old" for at in range(0, 900 if seed % 2 else 3, 2)})
+    catch_up = CatchUp(old, 1e6, 0.0)
+    now, late, pushes = 0.0, list[DigestResponse | EntriesResponse](), list[Delta]()
+    states = {parent.position: dict(parent.keyspace.entries())}
+    for turn in range(4000):
+        now += 0.05
+        answers = [parent.answer(question) for question in catch_up.due_requests(now)]
+        answers = [one for one in answers if rng.random() > 0.2]
+        late += [one for one in answers if rng.random() < 0.3] + rng.sample(answers, len(answers) // 4)
+        rng.shuffle(late)
+        for answer in answers + [late.pop() for _ in range(min(len(late), rng.randrange(3)))]:
+            if isinstance(answer, DigestResponse):
+                catch_up.on_digests(answer)
+            else:
+                catch_up.on_entries(answer)
+        if turn < 40 and rng.random() < 0.5:
+            key = f"shard/{rng.randrange(950)}"
+            pushes.append(parent.change({key: rng.choice([None, b"new" * rng.randrange(9)])}))
+            states[parent.position] = dict(parent.keyspace.entries())
+        for delta in pushes:  # sent again until it is held
+            if rng.random() > 0.2:
+                catch_up.on_delta(delta)
+        if turn == 15:
+            catch_up.restart()  # another parent
+            late.clear()
+        result = catch_up.result()
+        if result is not None:
+            keyspace, position = result
+            assert dict(keyspace.entries()) == states[position]
+            return
+    pytest.fail("it does not end")
+
+
+def test_catch_up_overrun_by_changes_restarts() -> None:
+    parent = Parent(VALUES_OF)
+    catch_up = CatchUp(Keyspace(), 1e9, 0.0)
+    [question] = list(catch_up.due_requests(0.0))
+    answer = parent.answer(question)
+    assert isinstance(answer, DigestResponse)
+    catch_up.on_digests(answer)
+    assert catch_up.frontier == parent.position
+    for at in range(MAX_OVERLAY_BYTES // 600 + 9):
+        catch_up.on_delta(parent.change({f"large/{at}": bytes(600)}))
+        if catch_up.frontier is None:
+            break
+    assert catch_up.frontier is None
+    for at in range(2000):
+        for question in list(catch_up.due_requests(float(at))):
+            answer = parent.answer(question)
+            if isinstance(answer, DigestResponse):
+                catch_up.on_digests(answer)
+            else:
+                catch_up.on_entries(answer)
+        if (result := catch_up.result()) is not None:
+            assert result[0].digest == parent.keyspace.digest
+            return
+    pytest.fail("it does not end")
 
 
-def test_small_answers_use_up_no_more_of_the_rate_than_they_are() -> None:
-    """Each was charged as the largest: 127 cold proxies of a zone waited 4.9 s for 300 keys."""
+def test_small_answers_are_charged_at_their_actual_size() -> None:
+    """Prevents a whole zone that restarts from waiting for a rate that it does not use."""
     plan = Plan(proxies=40, control=2, entries=300, standby=False)
     world = FleetWorld(plan, timing=Timing(serve_bytes_per_s=1 << 20))
     world.settle()
@@ -34,13 +143,13 @@
     return world.processes["p00000"].received_bytes, world.origin.replica.keyspace.size
 
 
-def test_a_cold_start_of_few_keys_takes_few_answers() -> None:
-    """128 ranges were asked for one by one, though all keys fit into a dozen datagrams."""
+def test_first_start_with_few_keys_needs_few_answers() -> None:
+    """Prevents a request for each range, where all keys fit into a few datagrams."""
     received, size = received_by_a_cold_start(1, 300)
     assert received < 1.6 * size
 
 
-def test_a_parent_in_another_region_is_not_asked_twice() -> None:
+def test_requests_to_another_region_are_not_repeated_within_the_round_trip() -> None:
     """A question was sent again after 0.15 s, which is less than there and back: each page came twice."""
     received, size = received_by_a_cold_start(5, 3000)
     assert received < 1.5 * size
--- a/tests/unit/distribution/test_failing_store.py
+++ b/tests/unit/distribution/test_failing_store.py
@@ -29,7 +29,7 @@
     return world, events
 
 
-def test_a_fleet_that_is_ahead_of_a_failing_store_does_not_end_the_origin() -> None:
+def test_origin_survives_a_fleet_ahead_of_its_failing_store() -> None:
     """The store was told from within ``receive``, and what it raised ended the process."""
     world, events = settled()
     world.push({"a": b"1"})
@@ -49,7 +49,7 @@
     assert world.disk.observed == 1
 
 
-def test_an_origin_with_a_higher_epoch_writes_though_the_fleet_is_ahead_of_its_store() -> None:
+def test_origin_with_a_higher_epoch_writes_while_the_fleet_is_ahead_of_its_store() -> None:
     """It told to start again for a higher epoch, and refused again after each start, for ever."""
     world, _ = settled()
     world.push({"a": b"1"})
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["fails", "full"])
-def test_a_change_that_the_store_does_not_take_is_in_force_nowhere(trouble: Any) -> None:
+def test_change_that_the_store_does_not_commit_is_applied_nowhere(trouble: Any) -> None:
     world, _ = settled()
     before = world.disk.position
     world.disk.trouble = trouble
--- a/tests/unit/distribution/test_fully_applied.py
+++ b/tests/unit/distribution/test_fully_applied.py
@@ -18,7 +18,7 @@
     return world
 
 
-def test_a_proxy_that_starts_anew_elsewhere_is_not_missed_where_it_was() -> None:
+def test_proxy_restarted_at_another_parent_is_not_unreachable_at_the_previous_one() -> None:
     """Its old parent named it as unreachable for an hour: a new process does not know who had it before."""
     world = settled()
     names = [process.name for process in world.proxies if process.zone == "z1"]
@@ -39,7 +39,7 @@
     assert world.watch.false_everywhere == 0
 
 
-def test_a_proxy_that_is_cut_off_is_missed_though_its_relay_starts_anew() -> None:
+def test_proxy_cut_off_stays_unreachable_after_its_relay_restarts() -> None:
     """The relay had forgotten it, and the origin told a change as everywhere that the proxy did not have."""
     world = settled(*both_ways(8.0, 50.0, ("p00001",), ("control",)))
     world.run(13.0)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_a_proxy_that_changes_its_parent_is_in_one_sum_at_least(seed: int) -> None:
+def test_proxy_that_changes_its_parent_is_always_in_a_summary(seed: int) -> None:
     """Its old relay forgot it before the origin had the new one's sum: a refused change was everywhere."""
     world = FleetWorld(structs.replace(PLAN, seed=seed))
     refusing = [process for process in world.proxies if process.zone == "z1"][:1]
@@ -84,7 +84,7 @@
     assert world.disk.position in world.watch.everywhere
 
 
-def test_who_starts_again_by_another_wall_clock_gets_the_next_change_in_time() -> None:
+def test_process_restarted_with_a_stepped_wall_clock_receives_the_next_change_in_time() -> None:
     """The operators' notes: a wall clock may be stepped, forward or back, by seconds or by an hour."""
     late = []
     for name in ("p00000", "c01"):
--- a/tests/unit/distribution/test_random_schedules.py
+++ b/tests/unit/distribution/test_random_schedules.py
@@ -284,7 +284,7 @@
     play(acts)
 
 
-def test_a_word_that_waited_unread_does_not_make_what_is_in_force_fresh() -> None:
+def test_response_that_waited_unread_does_not_make_the_configuration_fresh() -> None:
     """It counted as of when it was read: after a pause of its relay a proxy was stale unnoticed for 5 s."""
     play(
         [
@@ -295,7 +295,7 @@
     )
 
 
-def test_a_writer_that_is_fenced_tells_nothing_as_everywhere() -> None:
+def test_fenced_writer_reports_nothing_as_fully_applied() -> None:
     """Until its next look at the store it summed up what had not gone over to the new writer yet."""
     play(
         [
--- /dev/null
+++ b/tests/unit/distribution/test_revision_log.py
@@ -0,0 +1,86 @@
+"""The revision log: deltas from every covered position, limited in size."""
+
+from __future__ import annotations
+
+import random
+
+from ironmill.distribution.changes import Changes, packed_size
+from ironmill.distribution.keyspace import Keyspace
+from ironmill.distribution.revision import START, Delta, Position
+from ironmill.distribution.revision_log import MAX_DELTA_BYTES, RevisionLog
+from tests.unit.distribution.keyspaces import applied
+
+
+def steps_of(count: int, size: int = 10) -> list[tuple[Delta, dict[str, bytes]]]:
+    """Steps of one history, with the state after each."""
+    values: dict[str, bytes] = {}
+    steps, keyspace, rng = [], Keyspace(), random.Random(4)
+    for number in range(1, count + 1):
+        changes: Changes = {f"k{rng.randrange(6)}": rng.choice([None, bytes([number % 256]) * size])}
+        base = Position(1, number - 1) if number > 1 else START
+        values = applied(values, changes)
+        keyspace.apply(changes)
+        steps.append(
+            (Delta(base, Position(1, number), keyspace.digest, changes, packed_size(changes)), dict(values))
+        )
+    return steps
+
+
+def test_log_leads_from_each_covered_base_to_the_latest_state() -> None:
+    log, steps = RevisionLog(max_steps=20), steps_of(50)
+    for delta, _ in steps:
+        log.append(delta)
+    assert len(log) == 20
+    for at, (delta, values) in enumerate(steps[:-1]):
+        folded = log.delta_since(delta.target)
+        assert log.covers(delta.target) is (folded is not None) is (at >= 29)
+        if folded is not None:
+            assert (folded.base, folded.target, folded.digest) == (
+                delta.target,
+                steps[-1][0].target,
+                steps[-1][0].digest,
+            )
+            assert applied(values, folded.changes) == steps[-1][1]
+    assert log.delta_since(steps[-1][0].target) is None
+    assert log.delta_since(Position(2, 0)) is None
+
+
+def test_base_within_a_merged_step_gets_all_of_that_step() -> None:
+    log, steps = RevisionLog(), steps_of(30)
+    states = {delta.target: values for delta, values in steps}
+    for at in range(0, 30, 3):  # a relay that took three at a time
+        part = [delta for delta, _ in steps[at : at + 3]]
+        changes: Changes = {}
+        for delta in part:
+            changes |= delta.changes
+        log.append(Delta(part[0].base, part[-1].target, part[-1].digest, changes, packed_size(changes)))
+    for target, values in states.items():
+        folded = log.delta_since(target)
+        if folded is not None:
+            assert folded.base == target
+            assert applied(values, folded.changes) == states[folded.target]
+
+
+def test_log_and_each_delta_are_limited_in_bytes() -> None:
+    log = RevisionLog(max_bytes=100_000)
+    base = START
+    for number in range(1, 2000):
+        changes: Changes = {f"k{number}": bytes(300)}
+        target = Position(1, number)
+        log.append(Delta(base, target, number, changes, packed_size(changes)))
+        base = target
+    assert log.size <= 100_000
+    assert len(log) < 400
+    log = RevisionLog()
+    base = START
+    for number in range(1, 2000):
+        changes = {f"k{number}": bytes(300)}
+        log.append(Delta(base, Position(1, number), number, changes, packed_size(changes)))
+        base = Position(1, number)
+    folded = log.delta_since(START)
+    assert folded is not None
+    assert folded.size <= MAX_DELTA_BYTES
+    assert folded.target < base
+    following = log.delta_since(folded.target)
+    assert following is not None
+    assert following.base == folded.target
--- a/tests/unit/distribution/test_scenarios.py
+++ b/tests/unit/distribution/test_scenarios.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("name", STORIES)
-def test_a_story_keeps_what_is_promised(name: str) -> None:
+def test_scenario_keeps_every_guarantee(name: str) -> None:
     found = play(name, SMALL, quick=True)
     assert found["members_run"] == SMALL.proxies + SMALL.control + 1
     assert found["changes"] > 0
