--- a/ironmill/distribution/catch_up.py
+++ b/ironmill/distribution/catch_up.py
@@ -163,7 +163,7 @@
             elif digest == 0:
                 for leaf in leaves_of(level, prefix):
                     self.staged.replace(leaf, b"")
-            elif own_digest == 0:  # all of it is missing here: a comparison of its parts would tell nothing
+            elif own_digest == 0:  # all of it is missing here: there is nothing to compare
                 spans.append(leaves_of(level, prefix))
             else:
                 self._queue.append((DigestRequest(0, 0, level, prefix), None))
--- a/ironmill/distribution/child_search.py
+++ b/ironmill/distribution/child_search.py
@@ -1,7 +1,7 @@
 """Agreement of control machines on who is the parent of a child.
 
-The new parent tells the previous ones (``ChildMoved``), and a parent asks the others for children that have
-become unreachable (``FindChildRequest``). Without either, a child that has moved would be reported as
+The new parent notifies the previous ones (``ChildMoved``), and a parent queries the others for children that
+have become unreachable (``FindChildRequest``). Without either, a child that has moved would be reported as
 unreachable by its previous parent.
 """
 
@@ -60,7 +60,7 @@
         return name in self._peers
 
     def announce_attached(self, name: str, incarnation: int, attach_count: int, previous: list[str]) -> None:
-        """Tells the previous parents of a child that it is a child of this process now."""
+        """Notifies the previous parents of a child that it is a child of this process now."""
         for peer in previous:
             if peer in self._peers and peer != self._link.identity.name:
                 moved = ChildMoved(name, incarnation, attach_count)
@@ -126,7 +126,7 @@
         return batch
 
     def send_request(self, batch: list[UnreachableChild]) -> None:
-        """Asks all other control machines for the children."""
+        """Queries all other control machines for the children."""
         for peer in self._peers.values():
             if peer.name != self._link.identity.name:
                 self._link.send(peer.name, peer.address, FindChildRequest(batch))
--- a/ironmill/distribution/children.py
+++ b/ironmill/distribution/children.py
@@ -47,7 +47,7 @@
     pushed_position: Position | None = None  # target of the delta that is not acknowledged yet
     pushed_at: float = -math.inf
     is_reachable: bool = True
-    search_at: float = 0.0  # while it is unreachable: when to ask the other control machines next
+    search_at: float = 0.0  # while it is unreachable: when to query the other control machines next
     search_interval: float = MIN_FIND_CHILD_INTERVAL_S
 
 
@@ -91,7 +91,7 @@
         return child
 
     def add(self, envelope: Envelope[Message], poll: Poll, source: Address) -> Child:
-        """Adds the sender of a poll, in place of an earlier process of its name.
+        """Adds the sender of a poll, replacing an earlier process of its name.
 
         Raises ``DroppedError`` if there are ``MAX_CHILDREN`` reachable children.
         """
--- a/ironmill/distribution/delta_assembler.py
+++ b/ironmill/distribution/delta_assembler.py
@@ -31,7 +31,7 @@
 
 
 class DeltaAssembler:
-    """Holds at most one incomplete delta."""
+    """Keeps at most one incomplete delta."""
 
     def __init__(self) -> None:
         """Begins without a delta."""
--- a/ironmill/distribution/keyspace.py
+++ b/ironmill/distribution/keyspace.py
@@ -2,8 +2,8 @@
 
 A key's hash assigns it to one of 65,536 leaves. A leaf is one byte string of packed entries in the order of
 their keys, so that the number of objects does not grow with the number of entries. The digest of a range is
-the sum of its entries' hashes modulo 2**64: a change costs the same whatever the size of the keyspace, and an
-empty range needs no memory.
+the sum of its entries' hashes modulo 2**64: the cost of a change does not depend on the size of the keyspace,
+and an empty range needs no memory.
 """
 
 from __future__ import annotations
--- a/ironmill/distribution/link.py
+++ b/ironmill/distribution/link.py
@@ -17,7 +17,7 @@
 
 
 class NodeContext(Struct, frozen=True):
-    """What the owner of a node gives it, whatever its role."""
+    """What the owner gives to a node of any role."""
 
     identity: MemberIdentity
     codec: Codec
--- a/ironmill/distribution/messages.py
+++ b/ironmill/distribution/messages.py
@@ -72,7 +72,7 @@
 
 
 class Poll(Struct, frozen=True, array_like=True, tag=10, forbid_unknown_fields=True):
-    """From a child to its parent: renews the lease, acknowledges deltas, and asks for news.
+    """From a child to its parent: renews the lease, acknowledges deltas, and requests new ones.
 
     ``echo`` is the parent's token, which proves that the child receives at its address; ``token`` is to be
     echoed by the response.
@@ -80,7 +80,7 @@
 
     echo: int
     token: int
-    is_probe: bool  # only asks for a response; the sender does not become a child
+    is_probe: bool  # only requests a response; the sender does not become a child
     lineage: int
     received_position: Position
     applied_position: Position
@@ -124,7 +124,7 @@
 
 
 class DigestRequest(Struct, frozen=True, array_like=True, tag=13, forbid_unknown_fields=True):
-    """Asks for the digests of a range's parts. Level -1 is the whole keyspace."""
+    """Requests the digests of a range's parts. Level -1 is the whole keyspace."""
 
     echo: int
     token: int
@@ -145,7 +145,7 @@
 
 
 class EntriesRequest(Struct, frozen=True, array_like=True, tag=15, forbid_unknown_fields=True):
-    """Asks for the entries of leaves, from after a key of the first leaf on."""
+    """Requests the entries of leaves, from after a key of the first leaf on."""
 
     echo: int
     token: int
@@ -202,8 +202,8 @@
 
 
 class FindChildRequest(Struct, frozen=True, array_like=True, tag=20, forbid_unknown_fields=True):
-    """Asks the other control machines for children; the parent of one, or of a later process of its name,
-    answers ``ChildMoved``.
+    """Queries the other control machines for children. The parent of one, or of a later process of its
+    name, answers ``ChildMoved``.
 
     It is needed because a restarted proxy does not know its previous parent.
     """
--- a/ironmill/distribution/origin.py
+++ b/ironmill/distribution/origin.py
@@ -68,7 +68,7 @@
         self._relays = relays
         self._store_check_at = context.now + STORE_CHECK_INTERVAL_S
         self._is_store_failing = False
-        self._unrecorded_epoch = 0  # seen in the fleet, and to be recorded by the store; 0 for none
+        self._unrecorded_epoch = 0  # reported by a child, to be recorded by the store; 0 for none
         self._fleet_ahead: Position | None = None  # the fleet's position, if it is later than the store's
         self._unreachable = UnreachableChildren(context.timing.forget_after_s)
         self._fully_applied_position = START
@@ -80,7 +80,7 @@
 
     @property
     def fully_applied_position(self) -> Position:
-        """The latest position that every proxy was seen to have applied. Never goes back."""
+        """The latest position that every proxy is known to have applied. Never goes back."""
         return self._fully_applied_position
 
     # Revisions
@@ -215,7 +215,7 @@
             self.link.notify(FleetAhead(poll.received_position, latest))
 
     def _check_store(self) -> None:
-        """Checks for another writer, and records an epoch seen in the fleet. A failure is reported once."""
+        """Checks for another writer, and records a reported epoch. A failure is notified once."""
         try:
             if self._store.fenced():
                 self._stop()
--- a/ironmill/distribution/parent_selector.py
+++ b/ironmill/distribution/parent_selector.py
@@ -136,7 +136,7 @@
                 or candidate.term > parent.term
                 or parent.latest_position < self._replica.received_position
             )
-        if catching_up:  # another parent would have to be asked for much of it again
+        if catching_up:  # much of it would have to be fetched again
             return False
         return self._candidates.index(candidate) < self._candidates.index(parent)
 
--- a/ironmill/distribution/publisher.py
+++ b/ironmill/distribution/publisher.py
@@ -178,7 +178,7 @@
         self._link.send(envelope.sender, source, ChildMoveAck(moved.name, moved.attach_count))
 
     def _on_find_child(self, envelope: Envelope[Message], request: FindChildRequest, source: Address) -> None:
-        """Answers for each wanted child that is here. A peer that gets no answer asks again."""
+        """Answers for each wanted child that is here. A peer repeats its request without an answer."""
         self._check_peer(envelope)
         for wanted in request.children:
             child = self.children.get(wanted.name)
--- a/ironmill/distribution/subscriber.py
+++ b/ironmill/distribution/subscriber.py
@@ -44,7 +44,7 @@
         timing: Timing,
         make_summary: Callable[[], FleetSummary] | None = None,
     ) -> None:
-        """``make_summary`` returns what a relay reports of its own children."""
+        """``make_summary`` returns what a relay reports of its children."""
         self._link = link
         self._timing = timing
         self._make_summary = make_summary
@@ -98,7 +98,7 @@
         self._send_catch_up_requests()
 
     def leave(self) -> None:
-        """Tells the parent that this process ends."""
+        """Notifies the parent that this process shuts down."""
         parent = self.parent
         if parent is not None:
             self._link.send(parent.endpoint.name, parent.endpoint.address, Leave(parent.token))
--- a/ironmill/distribution/unreachable_children.py
+++ b/ironmill/distribution/unreachable_children.py
@@ -1,7 +1,7 @@
 """The origin's memory of children that a relay could not reach, for the case that the relay restarts.
 
-A relay knows its children only as long as it runs. Without this memory, nobody would miss a proxy that is
-unreachable while its relay restarts.
+A relay knows its children only as long as it runs. Without this memory, a proxy that is unreachable while its
+relay restarts would not be reported.
 """
 
 from __future__ import annotations
