--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -304,7 +304,10 @@
 
     try:
         host, port = parse_address(arguments["CONTROL"], "CONTROL")
-        lines = members.watch(host, port) if arguments["--watch"] else members.table(members.ask(host, port))
+        if arguments["--watch"]:
+            lines = members.watch_view(host, port)
+        else:
+            lines = members.format_view(members.fetch_view(host, port))
         for line in lines:
             print(line, flush=True)
     except (members.MembersError, MalformedError) as error:
