--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -230,15 +230,16 @@
 def _keys_or_token(arguments: Arguments) -> int:
     from pathlib import Path
 
-    from ironmill.commands import keys
+    from ironmill.commands.errors import CommandError
+    from ironmill.commands.keys import KeyStore
 
     try:
-        store = keys.KeyStore(Path(arguments["--store"] or "."))
+        store = KeyStore(Path(arguments["--store"] or "."))
         if arguments["token"]:
             _token_command(store, arguments)
         else:
             _keys_command(store, arguments)
-    except keys.CommandError as error:
+    except CommandError as error:
         return _fail(error)
     return EXIT_OK
 
@@ -261,20 +262,18 @@
 def _token_command(store: KeyStore, arguments: Arguments) -> None:
     import orjson
 
-    from ironmill.commands import keys
+    from ironmill.commands import tokens
 
     if arguments["issue"]:
-        token = keys.issue(
-            store,
-            arguments["SUBJECT"],
-            arguments["--audience"],
-            arguments["--issuer"],
-            _span(arguments["--lifetime"]),
-            arguments["--kid"],
+        request = tokens.TokenRequest(
+            subject=arguments["SUBJECT"],
+            audience=arguments["--audience"],
+            issuer=arguments["--issuer"],
+            lifetime_s=_span(arguments["--lifetime"]),
         )
-        print(token.decode())
+        print(tokens.issue(store, request, arguments["--kid"]).decode())
     else:
-        print(orjson.dumps(keys.inspect(_token(arguments)), option=orjson.OPT_INDENT_2).decode())
+        print(orjson.dumps(tokens.inspect(_token(arguments)), option=orjson.OPT_INDENT_2).decode())
 
 
 def _caller(arguments: Arguments) -> int:
@@ -319,7 +318,7 @@
 
 def _config(arguments: Arguments) -> int:
     from ironmill.commands.config import ConfigError
-    from ironmill.commands.keys import CommandError
+    from ironmill.commands.errors import CommandError
 
     try:
         return _config_command(arguments)
@@ -378,7 +377,7 @@
 
 def _span(text: str) -> float:
     """Parses a span of the command line into seconds. Raises ``CommandError``."""
-    from ironmill.commands.keys import CommandError
+    from ironmill.commands.errors import CommandError
 
     if re.fullmatch(r"[0-9]{1,9}(\.[0-9]{1,6})?(ms|s|m|h|d)", text) is None:
         raise CommandError(f"{text!r} is no span; it is a number and ms, s, m, h or d, as in 90s")
--- a/ironmill/configuration/operator_files.py
+++ b/ironmill/configuration/operator_files.py
@@ -7,7 +7,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ironmill.configuration.settings.model import OperatorSettings, SettingsError
+from ironmill.configuration.settings.errors import SettingsError
+from ironmill.configuration.settings.model import OperatorSettings
 from ironmill.identity.errors import KeyRingError
 from ironmill.identity.keyring import KeyRing, parse_ring
 from ironmill.protocol.json_object import MalformedError
--- a/ironmill/configuration/settings/__init__.py
+++ b/ironmill/configuration/settings/__init__.py
@@ -1,1 +1,5 @@
-"""Operators' settings: XML with a schema, read whole or not at all into immutable values."""
+"""Operators' settings: XML with a schema, read into immutable values or rejected as a whole.
+
+Owns the schema, the mapping of its elements to values, and the checks that a schema cannot express. May
+import ``identity``, ``membership`` and ``runtime``.
+"""
--- a/ironmill/configuration/settings/model.py
+++ b/ironmill/configuration/settings/model.py
@@ -1,4 +1,4 @@
-"""What an operator's settings say, as immutable values."""
+"""Operators' settings as immutable values. Paths are absolute or relative to the working directory."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from ironmill.identity.rules import IdentitySettings
 from ironmill.runtime.logs import LogSettings
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # not needed without membership
     from ironmill.membership.timing import Timing
 
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """A listener for clients that speak TLS. Paths are whole."""
+    """A TLS listener for clients."""
 
     listen: tuple[str, int]
     certificate: str
     key: str
-    clients: str = "none"  # whether they show a certificate: none, optional or required
+    clients: str = "none"  # whether clients present a certificate: none, optional or required
     authorities: str = ""
     crl: str = ""
     minimum: str = "1.2"
@@ -27,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamTls:
-    """TLS to servers. Paths are whole."""
+    """TLS to servers."""
 
     authorities: str
-    name: str = ""  # that their certificates are for; empty: the address that discovery tells
-    certificate: str = ""  # what the proxy shows, if anything
+    name: str = ""  # of their certificates; empty: the address that discovery lists
+    certificate: str = ""  # of the proxy, if it presents one
     key: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """What this proxy and the others tell each other, and where. Paths are whole."""
+    """Membership of the fleet. ``keys`` is the path of a key file."""
 
     cluster: str
     listen: tuple[str, int]
@@ -45,13 +45,13 @@
     zone: str
     region: str
     seeds: tuple[tuple[str, int], ...]
-    peers: tuple[tuple[str, tuple[str, int]], ...]  # names, and addresses where those are not what cards say
+    peers: tuple[tuple[str, tuple[str, int]], ...]  # addresses by name that replace announced ones
     timing: Timing
 
 
 @dataclass(frozen=True, slots=True)
 class ControlMachine:
-    """A control machine, as it is reached from here."""
+    """A control machine, as it is reached from this process."""
 
     name: str
     address: tuple[str, int]
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DistributionSettings:
-    """Where configuration comes from, or who hands it on. Paths are whole, times in seconds."""
+    """Distribution of configuration. Times are in seconds."""
 
     cluster: str
     listen: tuple[str, int]  # UDP
@@ -72,14 +72,14 @@
     region: str = "none"
     role: str = "subscriber"  # a proxy; of control machines: relay or origin
     store: str = ""  # the origin's
-    catch_up_rate: float = 128 * 1024.0  # bytes a second
+    catch_up_rate: float = 128 * 1024.0  # bytes per second
     stale_after: float = 4.0
     forget_after: float = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """One settings file, whole."""
+    """The settings of one file."""
 
     path: str
     log: LogSettings | None = None
@@ -88,10 +88,3 @@
     upstream: UpstreamTls | None = None
     membership: MembershipSettings | None = None
     distribution: DistributionSettings | None = None
-
-
-class SettingsError(Exception):
-    """A settings file that is not fit for use: one line, with what is wrong and what would be right."""
-
-    def __init__(self, path: str, line: int, what: str) -> None:
-        super().__init__(f"{path}:{line}: {what}")
--- a/ironmill/configuration/tls_context.py
+++ b/ironmill/configuration/tls_context.py
@@ -1,4 +1,4 @@
-"""The TLS contexts that settings ask for, made from the files that they name."""
+"""Creates the TLS contexts of the operators' settings from the files that they name."""
 
 from __future__ import annotations
 
@@ -11,52 +11,57 @@
 from ironmill.configuration.settings.model import TlsSettings, UpstreamTls
 from ironmill.protocol.json_object import MalformedError
 
-_MINIMUM = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
+_MINIMUM_VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
 
 
 @dataclass(frozen=True, slots=True)
 class ServerTls:
-    """A context for clients, and a digest of all it was made from."""
+    """A context for the TLS listener, and a digest of the settings and files that it was created from."""
 
     context: ssl.SSLContext
     digest: bytes
 
 
 def upstream_tls(settings: UpstreamTls) -> ssl.SSLContext:
-    """The context to servers; MalformedError, one line, where a file will not do."""
-    _bytes(settings.authorities)
+    """Returns the context for servers. Raises MalformedError, with one line, for an unusable file."""
+    _read(settings.authorities)
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    _trust(context, settings.authorities)
+    _load_authorities(context, settings.authorities)
     if settings.certificate:
-        _show(context, settings.certificate, settings.key)
+        _load_certificate(context, settings.certificate, settings.key)
     return context
 
 
 def server_tls(settings: TlsSettings) -> ServerTls:
-    """The context for clients; MalformedError, one line, where a file will not do."""
-    files = [settings.certificate, settings.key, *filter(None, (settings.authorities, settings.crl))]
-    digest = hashlib.sha256(repr(settings).encode())
-    for path in files:
-        digest.update(_bytes(path))
+    """Returns the context for clients. Raises MalformedError, with one line, for an unusable file."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    context.minimum_version = _MINIMUM[settings.minimum]
+    digest = _digest(settings)
+    context.minimum_version = _MINIMUM_VERSIONS[settings.minimum]
     context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION | ssl.OP_CIPHER_SERVER_PREFERENCE
-    _show(context, settings.certificate, settings.key)
+    _load_certificate(context, settings.certificate, settings.key)
     if settings.clients != "none":
         context.verify_mode = ssl.CERT_REQUIRED if settings.clients == "required" else ssl.CERT_OPTIONAL
         for path in filter(None, (settings.authorities, settings.crl)):
-            _trust(context, path)
+            _load_authorities(context, path)
         if settings.crl:
             context.verify_flags |= ssl.VERIFY_CRL_CHECK_LEAF
-    return ServerTls(context, digest.digest())
+    return ServerTls(context, digest)
+
+
+def _digest(settings: TlsSettings) -> bytes:
+    paths = [settings.certificate, settings.key, *filter(None, (settings.authorities, settings.crl))]
+    digest = hashlib.sha256(repr(settings).encode())
+    for path in paths:
+        digest.update(_read(path))
+    return digest.digest()
 
 
-def _show(context: ssl.SSLContext, certificate: str, key: str) -> None:
-    _bytes(certificate)
-    _bytes(key)
+def _load_certificate(context: ssl.SSLContext, certificate: str, key: str) -> None:
+    _read(certificate)
+    _read(key)
     mode = stat.S_IMODE(Path(key).stat().st_mode)
-    if mode & 0o077:  # guards a secret that others could have read
+    if mode & 0o077:  # others may have read the key, so it must not be used
         raise MalformedError(f"{key}: its mode is {mode:04o}, so others may read the key; it must be 0600")
     try:
         context.load_cert_chain(certificate, key)
@@ -66,14 +71,15 @@
         ) from None
 
 
-def _trust(context: ssl.SSLContext, path: str) -> None:
+def _load_authorities(context: ssl.SSLContext, path: str) -> None:
     try:
         context.load_verify_locations(path)
     except ssl.SSLError as error:
         raise MalformedError(f"{path}: holds nothing in PEM of use ({error.reason})") from None
 
 
-def _bytes(path: str) -> bytes:
+def _read(path: str) -> bytes:
+    """Reads a file, for an error that names it: the functions of ``ssl`` do not."""
     try:
         return Path(path).read_bytes()
     except OSError as error:
--- a/ironmill/identity/keyring.py
+++ b/ironmill/identity/keyring.py
@@ -10,12 +10,18 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, replace
 from enum import Enum
-from typing import Any
+from typing import TYPE_CHECKING, Any, TypeAlias, cast
 
 import orjson
 
 from ironmill.identity.errors import KeyRingError
 
+if TYPE_CHECKING:
+    from cryptography.hazmat.primitives.asymmetric.ec import EllipticCurvePublicKey
+    from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
+
+    PublicKey: TypeAlias = Ed25519PublicKey | EllipticCurvePublicKey
+
 ALGORITHMS = ("EdDSA", "ES256")
 MAX_KEYS = 64
 MAX_RING_BYTES = 256 * 1024
@@ -42,7 +48,7 @@
     kid: str
     algorithm: str
     state: KeyState
-    public_key: Any  # of the type that cryptography uses for the algorithm
+    public_key: PublicKey
     jwk: Mapping[str, str]  # kty, crv, x and, for ES256, y
     valid_from: float = 0.0
     valid_until: float | None = None
@@ -196,11 +202,11 @@
     return jwk
 
 
-def _load_public_key(jwk: dict[str, str], algorithm: str, kid: str) -> Any:
+def _load_public_key(jwk: dict[str, str], algorithm: str, kid: str) -> PublicKey:
     from jwt import PyJWK  # not needed without callers
     from jwt.exceptions import PyJWTError
 
     try:
-        return PyJWK(jwk, algorithm=algorithm).key
+        return cast("PublicKey", PyJWK(jwk, algorithm=algorithm).key)
     except (PyJWTError, ValueError):
         raise KeyRingError(f"key {kid!r} is no point of its curve") from None
--- a/tests/unit/configuration/test_distribution_settings.py
+++ b/tests/unit/configuration/test_distribution_settings.py
@@ -8,8 +8,9 @@
 
 from ironmill.cli import main
 from ironmill.configuration.operator_files import read_operator_files
+from ironmill.configuration.settings.errors import SettingsError
 from ironmill.configuration.settings.load import load_settings
-from ironmill.configuration.settings.model import ControlMachine, DistributionSettings, SettingsError
+from ironmill.configuration.settings.model import ControlMachine, DistributionSettings
 from ironmill.configuration.units import size_rate
 from tests.unit.configuration.test_proxy_config import written
 
--- a/tests/unit/configuration/test_settings.py
+++ b/tests/unit/configuration/test_settings.py
@@ -8,8 +8,10 @@
 import pytest
 
 from ironmill.cli import main
-from ironmill.configuration.settings.load import SIZE_MOST, load_settings
-from ironmill.configuration.settings.model import SettingsError, UpstreamTls
+from ironmill.configuration.settings.document import MAX_FILE_BYTES
+from ironmill.configuration.settings.errors import SettingsError
+from ironmill.configuration.settings.load import load_settings
+from ironmill.configuration.settings.model import UpstreamTls
 from ironmill.runtime.logs import LogSettings
 from tests.unit.configuration.test_proxy_config import written
 
@@ -160,7 +162,7 @@
         (b"<ironmill/>", "ironmill"),
         (b"", "is not XML"),
         (b"\xff\xfe\x00", "is not XML"),
-        (b" " * (SIZE_MOST + 1), "is larger than"),
+        (b" " * (MAX_FILE_BYTES + 1), "is larger than"),
         ('<!DOCTYPE r [<!ENTITY x "y">]><ironmill xmlns="urn:x"/>'.encode("utf-16"), "DOCTYPE"),
     ],
 )
