--- a/tests/support/identity.py
+++ b/tests/support/identity.py
@@ -1,4 +1,4 @@
-"""A key store of the tests' own, and tokens made with it, good and forged."""
+"""Keys, tokens and settings for tests of identity."""
 
 from __future__ import annotations
 
@@ -8,11 +8,16 @@
 from typing import Any
 
 import jwt
+from cryptography.hazmat.primitives import serialization
 
 from ironmill.commands.keys import KeyStore
+from ironmill.identity.authenticator import Authenticator, Rejected
+from ironmill.identity.errors import RejectionReason
 from ironmill.identity.rules import Caller, CallerRule, IdentitySettings, Rights, TokenMatch
 
 ISSUER, AUDIENCE = "https://issuer.example", "ironmill"
+CLAIMS = b'{"iss":"https://issuer.example","aud":"ironmill","sub":"farm-1","exp":9e9}'
+HEADER = b'{"alg":"EdDSA","kid":"a"}'
 
 
 def part(data: bytes) -> bytes:
@@ -20,7 +25,7 @@
 
 
 class Keys(KeyStore):
-    """Keys ``a`` (EdDSA, signing) and ``b`` (ES256, coming), and what an issuer would sign with them."""
+    """Keys ``a`` (EdDSA, signing) and ``b`` (ES256, coming), and tokens signed with them."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
@@ -30,7 +35,7 @@
         self._private = {kid: self.private(kid) for kid in "ab"}
 
     def token(self, kid: str = "a", **changes: Any) -> bytes:
-        """A token that is good for an hour but for the changes; None leaves a claim out."""
+        """Returns a token that is valid for an hour, with claims changed; None omits a claim."""
         now = time.time()
         claims: dict[str, Any] = {"iss": ISSUER, "aud": AUDIENCE, "sub": "farm-1", "exp": now + 3600.0}
         claims = {name: value for name, value in (claims | changes).items() if value is not None}
@@ -38,13 +43,13 @@
         return jwt.encode(claims, self._private[kid], algorithm=algorithm, headers={"kid": kid}).encode()
 
     def raw(self, header: bytes, claims: bytes, kid: str = "a") -> bytes:
-        """Any bytes as header and claims, with a signature that is good."""
+        """Returns a token of arbitrary header and claims with a valid signature."""
         signed = part(header) + b"." + part(claims)
         return signed + b"." + part(self._private[kid].sign(signed))
 
 
 def forged(token: bytes) -> bytes:
-    """The same token with another signature."""
+    """Returns the token with another signature."""
     head, _, signature = token.rpartition(b".")
     flipped = bytes(signature[:1].swapcase() if signature[:1].isalpha() else b"A") + signature[1:]
     return head + b"." + (flipped if flipped != signature else b"B" + signature[1:])
@@ -57,3 +62,70 @@
 
 def identity(*rules: CallerRule, **changes: Any) -> IdentitySettings:
     return IdentitySettings("ring.json", rules or (rule(),), **changes)
+
+
+def authenticator_of(keys: Keys, **changes: Any) -> Authenticator:
+    return Authenticator(identity(**changes), keys.ring(), time.time())
+
+
+def reason(verdict: object) -> RejectionReason:
+    assert isinstance(verdict, Rejected), verdict
+    return verdict.reason
+
+
+def hostile_tokens(keys: Keys) -> dict[str, bytes]:
+    """Returns tokens that try to pass unverified, or to cost much, by what they do."""
+    public = keys.private("a").public_key()
+    pem = public.public_bytes(serialization.Encoding.PEM, serialization.PublicFormat.SubjectPublicKeyInfo)
+    good = keys.token()
+    head, claims, signature = good.split(b".")
+    hs256 = part(b'{"alg":"HS256","kid":"a"}') + b"." + claims
+    return {
+        "none": part(b'{"alg":"none","kid":"a"}') + b"." + claims + b".",
+        "none, signed": part(b'{"alg":"none","kid":"a"}') + b"." + claims + b"." + signature,
+        "HS256 by the public key": hs256
+        + b"."
+        + part(jwt.algorithms.HMACAlgorithm(jwt.algorithms.HMACAlgorithm.SHA256).sign(hs256, pem)),
+        "another key's algorithm": keys.raw(b'{"alg":"ES256","kid":"a"}', CLAIMS),
+        "kid is a path": keys.raw(b'{"alg":"EdDSA","kid":"../../a"}', CLAIMS),
+        "kid is long": keys.raw(b'{"alg":"EdDSA","kid":"' + b"a" * 1_000_000 + b'"}', CLAIMS),
+        "kid is a list": keys.raw(b'{"alg":"EdDSA","kid":["a"]}', CLAIMS),
+        "no kid": keys.raw(b'{"alg":"EdDSA"}', CLAIMS),
+        "crit": keys.raw(b'{"alg":"EdDSA","kid":"a","crit":["exp"]}', CLAIMS),
+        "a claim twice": keys.raw(HEADER, CLAIMS[:-1] + b',"sub":"farm-2"}'),
+        "alg twice": keys.raw(b'{"alg":"none","alg":"EdDSA","kid":"a"}', CLAIMS),
+        "NaN": keys.raw(HEADER, CLAIMS.replace(b"9e9", b"NaN")),
+        "Infinity": keys.raw(HEADER, CLAIMS.replace(b"9e9", b"Infinity")),
+        "1e400": keys.raw(HEADER, CLAIMS.replace(b"9e9", b"1e400")),
+        "a number without end": keys.raw(HEADER, CLAIMS.replace(b"9e9", b"9" * 2000)),
+        "deep lists": keys.raw(HEADER, b"[" * 1400 + b"]" * 1400),
+        "deep objects": keys.raw(HEADER, b'{"a":' * 400 + b"1" + b"}" * 400),
+        "a little too deep": keys.raw(HEADER, CLAIMS[:-1] + b',"x":[[[[[1]]]]]}'),
+        "many names": keys.raw(HEADER, b"{" + b",".join(b'"%d":1' % it for it in range(300)) + b"}"),
+        "claims are a list": keys.raw(HEADER, b"[1]"),
+        "claims are no UTF-8": keys.raw(HEADER, b'{"sub":"\xff"}'),
+        "rubbish": b"%%%.%%%.%%%",
+        "padding": good + b"==",
+        "unused bits": head
+        + b"."
+        + claims
+        + b"."
+        + signature[:-1]
+        + (b"B" if signature[-1:] in b"AQgw" else bytes([signature[-1] + 1])),
+        "two parts": head + b"." + claims,
+        "five parts": good + b".a.b",
+        "empty": b"",
+        "the wrong signature": forged(good),
+        "the signature of another": head + b"." + claims + b"." + keys.token(sub="farm-2").split(b".")[2],
+        "a short signature": head + b"." + claims + b"." + part(b"x"),
+    }
+
+
+class FakeConnection:
+    """An established connection without a socket."""
+
+    def __init__(self) -> None:
+        self.migrated_at: list[float] = []
+
+    def migrate(self) -> None:
+        self.migrated_at.append(time.monotonic())
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers in service: on loopback sockets, with a proxy as a process, and by the commands of an operator."""
+"""Callers on loopback sockets, with a proxy process, and by an operator's commands."""
 
 from __future__ import annotations
 
@@ -16,12 +16,10 @@
 import pytest
 
 from ironmill.cli import main
-from ironmill.identity import callers as callers_module
-from ironmill.identity.authenticator import SUSPECT_CHECK_BURST, Admitted
+from ironmill.identity.authenticator import SUSPECT_CHECK_BURST
 from ironmill.identity.callers import Callers
 from ironmill.identity.keyring import KeyRing
 from ironmill.identity.rules import Caller, IdentitySettings, Rights
-from ironmill.identity.sessions import RETRY_NEVER
 from ironmill.identity.suspect_addresses import SUSPECT_AFTER
 from ironmill.net.key_ring_watcher import KeyRingWatcher
 from ironmill.net.sockets import Stream
@@ -29,10 +27,9 @@
 from ironmill_testbed.fleet import Client, NotServedError, play
 from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from tests.support.identity import AUDIENCE, ISSUER, Keys, forged, identity, rule
+from tests.support.identity import AUDIENCE, ISSUER, Keys, forged, hostile_tokens, identity, rule
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 from tests.support.requests import FakeTimers
-from tests.unit.identity.test_identity import hostile
 
 
 @pytest.fixture(scope="module")
@@ -40,9 +37,9 @@
     return Keys(tmp_path_factory.mktemp("keys"))
 
 
-def town_of(it: IdentitySettings, ring: KeyRing) -> ProxyUnderTest:
+def proxy_with_identity(settings: IdentitySettings, key_ring: KeyRing) -> ProxyUnderTest:
     proxy = ProxyUnderTest()
-    proxy.callers = Callers(it, ring, proxy.scheduler)
+    proxy.callers = Callers(settings, key_ring, proxy.scheduler)
     return proxy
 
 
@@ -57,17 +54,17 @@
     return line
 
 
-def stand(proxy: ProxyUnderTest, token: bytes) -> tuple[Stream, Stream]:
+def establish(proxy: ProxyUnderTest, token: bytes) -> tuple[Stream, Stream]:
     client = proxy.client(auth(token) + OPEN.replace(b"1a", b"%x" % random.getrandbits(60)))
     attempt = proxy.next_attempt()
     first = read_line(attempt)
-    assert first.startswith(b"OPEN ")  # the credential goes no further
+    assert first.startswith(b"OPEN ")  # the credential is not forwarded
     attempt.send(b"UP r1\r\n")
     assert read_line(client) == b"UP r1\r\n"
     return client, attempt
 
 
-def test_a_token_in_segments_of_one_byte_is_served_and_goes_no_further(keys: Keys) -> None:
+def test_token_in_segments_of_one_byte_is_accepted_and_not_forwarded(keys: Keys) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
@@ -81,14 +78,14 @@
         assert proxy.callers is not None
         assert proxy.callers._usage.connections("farms") == 0
 
-    town_of(identity(), keys.ring()).run(scenario)
+    proxy_with_identity(identity(), keys.ring()).run(scenario)
 
 
-def test_who_is_not_known_gets_one_answer_and_no_attempt(keys: Keys) -> None:
+def test_invalid_credential_gets_one_answer_and_no_attempt(keys: Keys) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         assert proxy.callers is not None
         assert answer(proxy, OPEN) == b"ERR\r\n"
-        for name, token in hostile(keys).items():
+        for name, token in hostile_tokens(keys).items():
             if len(token) < 4000:
                 assert answer(proxy, auth(token) + OPEN) == b"ERR\r\n", name
         assert answer(proxy, auth(keys.token(exp=1)), OPEN) == b"ERR\r\n"
@@ -102,11 +99,11 @@
         assert counts["rejected expired"] == 1
         assert counts["rejected signature"] >= 2
 
-    town_of(identity(suspect_checks_per_s=1000.0), keys.ring()).run(scenario)
+    proxy_with_identity(identity(suspect_checks_per_s=1000.0), keys.ring()).run(scenario)
 
 
-def test_a_stranger_has_a_tenant_and_rights_of_its_own(keys: Keys) -> None:
-    stranger = Caller("stranger", "strangers", Rights(frozenset({"read"}), max_connections=1))
+def test_anonymous_caller_has_own_tenant_and_rights(keys: Keys) -> None:
+    anonymous = Caller("stranger", "strangers", Rights(frozenset({"read"}), max_connections=1))
     seen: list[Any] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -121,123 +118,46 @@
         first.close()
         assert attempt.receive(5.0) == b""
         proxy.wait_until(lambda: not proxy.gateway.request_count())
-        client, _ = stand(proxy, keys.token())
+        client, _ = establish(proxy, keys.token())
         client.close()
         tenants = [event.tenant for event in seen if type(event).__name__ == "Request"]
         assert tenants == ["strangers", "tenant-farms"]
 
-    town_of(identity(anonymous=stranger), keys.ring()).run(scenario)
+    proxy_with_identity(identity(anonymous=anonymous), keys.ring()).run(scenario)
 
 
-def test_a_class_that_the_caller_may_not_have(keys: Keys) -> None:
+def test_class_without_right_is_rejected(keys: Keys) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         assert proxy.callers is not None
         assert answer(proxy, auth(keys.token()) + OPEN) == b"ERR\r\n"
         assert proxy.callers.counts()["rejected class not allowed"] == 1
 
-    town_of(identity(rule(classes=frozenset({"write"}))), keys.ring()).run(scenario)
+    proxy_with_identity(identity(rule(classes=frozenset({"write"}))), keys.ring()).run(scenario)
 
 
 @pytest.mark.parametrize("within", [None, 0.05])
-def test_what_stands_when_its_key_retires_is_kept_or_moved(keys: Keys, within: float | None) -> None:
+def test_connections_of_retired_key_stay_or_migrate(keys: Keys, within: float | None) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         assert proxy.callers is not None
-        stood = [stand(proxy, keys.token(kid)) for kid in "aabab"]
+        connections = [establish(proxy, keys.token(kid)) for kid in "aabab"]
         proxy.callers.reconfigure(
             identity(migrate_within_s=within), keys.ring().retired("a", time.time() - 1.0)
         )
         assert answer(proxy, auth(keys.token("a")) + OPEN) == b"ERR\r\n"
         if within is not None:
             for at in (0, 1, 3):
-                assert read_line(stood[at][0]) == b"MOVE\r\n"
+                assert read_line(connections[at][0]) == b"MOVE\r\n"
             proxy.wait_until(lambda: len(proxy.gateway.established()) == 2)
         proxy.scheduler.sleep(0.1)
         for at in range(5) if within is None else (2, 4):
-            client, attempt = stood[at]
+            client, attempt = connections[at]
             client.send(b"hey\r\n")
             assert read_line(attempt) == b"hey\r\n"
 
-    town_of(identity(migrate_within_s=within), keys.ring()).run(scenario)
+    proxy_with_identity(identity(migrate_within_s=within), keys.ring()).run(scenario)
 
 
-class Stands:
-    """A connection that stands, without a socket."""
-
-    def __init__(self) -> None:
-        self.moved: list[float] = []
-
-    def migrate(self) -> None:
-        self.moved.append(time.monotonic())
-
-
-def test_expired_and_denied_callers_are_moved_evenly(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
-    timers = FakeTimers(monkeypatch)
-    offset = time.time() - timers.now
-    it = Callers(
-        identity(migrate_within_s=10.0, clock_skew_s=0.0), keys.ring(), timers, lambda: timers.now + offset
-    )
-    now = timers.now + offset
-    drivers = [Stands() for _ in range(4)]
-    for at, driver in enumerate(drivers):
-        token = keys.token(exp=now + (5.5 if at < 2 else 1000.0), sub=f"farm-{at}")
-        verdict = it.authenticate_token(token, "x")
-        assert isinstance(verdict, Admitted)
-        assert it.open_connection(verdict) is None
-        it.connection_established(verdict, driver)
-    start = timers.now
-    timers.run(5.0)
-    assert [driver.moved for driver in drivers] == [[], [], [], []]
-    timers.run(20.0)
-    first, second = drivers[0].moved[0], drivers[1].moved[0]
-    assert 5.5 <= first - start <= 5.5 + callers_module.EXPIRY_CHECK_INTERVAL_S
-    assert second - first == pytest.approx(5.0)
-    it.reconfigure(
-        identity(migrate_within_s=10.0, clock_skew_s=0.0, denied_subjects=("farm-3",)), keys.ring()
-    )
-    timers.run(1.0)
-    assert [len(driver.moved) for driver in drivers] == [1, 1, 0, 1]
-
-
-def test_a_request_keeps_its_settings_and_is_looked_at_again_once_it_stands(
-    keys: Keys, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    timers = FakeTimers(monkeypatch)
-    offset = time.time() - timers.now
-    it = Callers(identity(migrate_within_s=1.0), keys.ring(), timers, lambda: timers.now + offset)
-    driver = Stands()
-    session = it.new_session(driver, "x")
-    assert session.present_token(keys.token()) is None
-    # Another file between its token and its first line: another tenant, and the caller denied.
-    other = identity(rule("others"), migrate_within_s=1.0, denied_subjects=("farm-1",))
-    it.reconfigure(other, keys.ring())
-    assert session.request_connection("read") is None
-    assert session.tenant == "tenant-farms"
-    later = it.new_session(Stands(), "x")
-    assert later.present_token(keys.token()) == RETRY_NEVER
-    session.connection_established()
-    timers.run(2.0)
-    assert len(driver.moved) == 1
-    # A key is another matter: it is asked at each step, whatever the settings were.
-    third = it.new_session(Stands(), "x")
-    assert third.present_token(keys.token(sub="farm-3")) is None
-    it.reconfigure(other, keys.ring().retired("a", 1.0))
-    assert third.request_connection("read") == RETRY_NEVER
-
-
-def test_what_has_expired_is_not_kept_by_those_that_left(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
-    timers = FakeTimers(monkeypatch)
-    it = Callers(identity(), keys.ring(), timers, lambda: timers.now + 1e9)
-    caller = Admitted(rule().caller, "a", 3e9)
-    for _ in range(500):
-        driver = Stands()
-        it.open_connection(caller)
-        it.connection_established(caller, driver)
-        it.close_connection(caller, driver)
-    timers.run(2.0)
-    assert len(it._expiries) <= 64
-
-
-def test_a_half_written_ring_changes_nothing(
+def test_incomplete_ring_file_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     keys, timers = Keys(tmp_path), FakeTimers(monkeypatch)
@@ -270,8 +190,8 @@
 """
 
 
-class Served:
-    """A proxy with settings, as a process, and clients that show tokens."""
+class ProxyWithClients:
+    """A proxy process with identity settings, and clients that present tokens."""
 
     def __init__(self, folder: Path, neighbours: Neighbours) -> None:
         self.settings = folder / "settings.xml"
@@ -284,15 +204,15 @@
         self.scheduler = Scheduler()
         self.answers: Counter[tuple[str, str]] = Counter()
 
-    def ask(self, kind: str, token: bytes, at: float = 0.0) -> str:
-        """Ask once at that time; the first word of the answer, empty for none."""
+    def open(self, kind: str, token: bytes, at: float = 0.0) -> str:
+        """Opens a connection at that time. Returns the first word of the answer, empty for none."""
         self.scheduler.sleep(at)
         client = Client(self.scheduler, self.proxy.address)
         try:
             client.open(token=token)
             word = "UP"
-            # One answer and no more: what comes next is what was asked. But a probe may stand just when its
-            # key retires, and is then sent away, as move-within says.
+            # There is only one answer: the next line is the reply. But a probe may be established just when
+            # its key retires, and is then migrated.
             assert client.ask(b"line") in ((b"line", b"MOVE") if kind == "probe" else (b"line",))
         except NotServedError as error:
             word = str(error).partition(" ")[0]
@@ -301,13 +221,13 @@
         return word
 
 
-def test_a_rotation_while_clients_reconnect(tmp_path: Path) -> None:
-    """Hard case 1: no valid caller refused, no forged one admitted, one answer each; by files alone."""
+def test_key_rotation_while_clients_reconnect(tmp_path: Path) -> None:
+    """No valid caller is rejected, no forged one admitted, and each gets one answer."""
     keys = Keys(tmp_path)
     rng = random.Random(4)
     now = time.time()
     with Neighbours(tmp_path, 3) as neighbours:
-        it = Served(tmp_path, neighbours)
+        it = ProxyWithClients(tmp_path, neighbours)
         with it.proxy:
             it.proxy.wait_ready()
             bad = {
@@ -317,24 +237,24 @@
                 "audience": lambda kid: keys.token(kid, aud="other"),
             }
 
-            def crowd(count: int, good: str, more: dict[str, Any]) -> None:
+            def reconnect(count: int, good: str, more: dict[str, Any]) -> None:
                 kinds = [*more, *["good"] * 4]
                 for at in range(count):
                     kind = kinds[at % len(kinds)]
                     kid = rng.choice(good)
                     token = keys.token(kid, sub=f"farm-{at}") if kind == "good" else more[kind](kid)
-                    it.scheduler.spawn(it.ask, kind, token, 0.2 + 1.2 * rng.random())
+                    it.scheduler.spawn(it.open, kind, token, 0.2 + 1.2 * rng.random())
 
             def scenario() -> None:
-                crowd(160, "ab", bad)
+                reconnect(160, "ab", bad)
                 it.scheduler.sleep(0.7)
                 keys.write(keys.ring().promoted("b", time.time(), 3600.0))
                 while sum(it.answers.values()) < 160:
                     it.scheduler.sleep(0.02)
                 keys.write(keys.ring().retired("a", time.time()))
-                while it.ask("probe", keys.token("a")) == "UP":
+                while it.open("probe", keys.token("a")) == "UP":
                     it.scheduler.sleep(0.02)
-                crowd(160, "b", bad | {"retired": lambda _: keys.token("a", sub=f"farm-{rng.random()}")})
+                reconnect(160, "b", bad | {"retired": lambda _: keys.token("a", sub=f"farm-{rng.random()}")})
                 while sum(n for (kind, _), n in it.answers.items() if kind != "probe") < 320:
                     it.scheduler.sleep(0.02)
 
@@ -352,8 +272,8 @@
     assert keys.token("a").split(b".")[0].decode() not in log
 
 
-def test_forged_tokens_at_full_speed_and_valid_callers_beside_them(keys: Keys) -> None:
-    """Hard case 4: the flood is checked within its budget, and no valid caller is refused or kept waiting."""
+def test_flood_of_forged_tokens_does_not_delay_valid_callers(keys: Keys) -> None:
+    """Forgeries are verified within their budget, and no valid caller is rejected or throttled."""
     words: Counter[tuple[str, str]] = Counter()
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -369,25 +289,25 @@
 
         proxy.scheduler.spawn(flood)
         for at in range(30):
-            client, attempt = stand(proxy, keys.token(sub=f"farm-{at}"))
+            client, attempt = establish(proxy, keys.token(sub=f"farm-{at}"))
             words["good", "UP"] += 1
             client.close()
             attempt.close()
         proxy.wait_until(lambda: sum(words.values()) == 230)
-        # The valid ones cost a signature each; of the flood only what its budget allows was looked at.
+        # Each valid token costs a signature; of the forged ones only the budget was verified.
         allowed = SUSPECT_AFTER + SUSPECT_CHECK_BURST + 1
         assert 30 < proxy.callers.authenticator.signatures_verified <= 30 + allowed
         assert words["forged", "BUSY"] == proxy.callers.counts()["throttled"] >= 200 - allowed
 
-    town_of(identity(suspect_checks_per_s=0.001), keys.ring()).run(scenario)
+    proxy_with_identity(identity(suspect_checks_per_s=0.001), keys.ring()).run(scenario)
     assert {word for kind, word in words if kind == "forged"} == {"ERR", "BUSY"}
 
 
-def test_settings_are_replaced_under_load_and_a_broken_file_changes_nothing(tmp_path: Path) -> None:
-    """Hard case 6: five in a row, one of them broken; each holds for all or for none."""
+def test_settings_reload_under_load_and_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    """Five reloads, one of an invalid file; each applies to all callers or to none."""
     keys = Keys(tmp_path)
     with Neighbours(tmp_path, 2) as neighbours:
-        it = Served(tmp_path, neighbours)
+        it = ProxyWithClients(tmp_path, neighbours)
         with it.proxy:
             it.proxy.wait_ready()
 
@@ -396,7 +316,7 @@
 
                 def load() -> None:
                     while not ending:
-                        it.ask("load", keys.token(sub="farm-load"))
+                        it.open("load", keys.token(sub="farm-load"))
 
                 for _ in range(4):
                     it.scheduler.spawn(load)
@@ -412,7 +332,7 @@
                     it.settings.write_text(text)
                     os.kill(it.proxy.popen.pid, signal.SIGHUP)
                     it.scheduler.sleep(0.2)
-                    while it.ask("one", keys.token()) != word:
+                    while it.open("one", keys.token()) != word:
                         it.scheduler.sleep(0.02)
                 ending = True
 
@@ -423,7 +343,7 @@
     assert log.count("the old configuration stays in use") == 1
 
 
-def test_an_operators_commands_from_a_key_to_a_caller(
+def test_commands_from_new_key_to_explained_caller(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     store = ["--store", str(tmp_path)]
@@ -464,7 +384,7 @@
     assert run("caller", "explain", "rubbish", *files)[1].startswith("refused: malformed")
 
 
-def test_without_settings_nothing_of_this_is_imported() -> None:
+def test_identity_is_not_imported_without_settings() -> None:
     code = (
         "import sys, ironmill.cli\n"
         "heavy = ('lxml', 'structlog', 'cryptography', 'jwt', 'ironmill.identity', "
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -31,10 +31,9 @@
 from ironmill.runtime.logs import LogSettings
 from ironmill.runtime.timers import TimerQueue
 from ironmill_testbed.certificates import Authority, fingerprint
-from tests.support.identity import AUDIENCE, ISSUER, Keys, identity
+from tests.support.identity import AUDIENCE, ISSUER, FakeConnection, Keys, identity
 from tests.support.identity import rule as rule_of
 from tests.support.requests import FakeTimers
-from tests.system.test_callers import Stands
 
 PRINT = "ab" * 32
 
@@ -175,7 +174,7 @@
     offset = time.time() - timers.now
     callers = callers_of(keys, timers, lambda: timers.now + offset, migrate_within_s=1.0)
     consumer = ConfigurationConsumer(callers, ignore_level)
-    drivers = [Stands() for _ in range(4)]
+    drivers = [FakeConnection() for _ in range(4)]
     for at, driver in enumerate(drivers):
         verdict = callers.authenticate_token(keys.token(sub=f"farm-{at}"), "x")
         assert isinstance(verdict, Admitted)
@@ -184,7 +183,7 @@
 
     def moved() -> list[int]:
         timers.run(2.0)
-        return [len(driver.moved) for driver in drivers]
+        return [len(driver.migrated_at) for driver in drivers]
 
     consumer.apply({"deny/subject/farm-1": b"", "deny/subject/farm-9": b""})
     assert moved() == [0, 1, 0, 0]
@@ -212,14 +211,14 @@
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
     callers = callers_of(keys, timers, lambda: timers.now + offset, migrate_within_s=1.0)
-    driver = Stands()
+    driver = FakeConnection()
     session = callers.new_session(driver, "x")
     assert session.present_token(keys.token()) is None
     ConfigurationConsumer(callers, ignore_level).apply({"deny/subject/farm-1": b""})
     assert session.request_connection("read") is None  # it is judged by the rules as of its beginning
     session.connection_established()
     timers.run(2.0)
-    assert len(driver.moved) == 1
+    assert len(driver.migrated_at) == 1
 
 
 def test_denied_certificate_is_rejected_and_its_connections_migrated(
@@ -234,7 +233,7 @@
     verdict = callers.authenticate_certificate(der, "x")
     assert isinstance(verdict, Admitted)
     assert verdict.certificate is not None
-    driver = Stands()
+    driver = FakeConnection()
     callers.open_connection(verdict)
     callers.connection_established(verdict, driver)
     key = f"deny/fingerprint/{fingerprint(shown)}"
@@ -245,7 +244,7 @@
     assert isinstance(refused, Rejected)
     assert refused.reason is RejectionReason.DENIED
     timers.run(1.0)
-    assert len(driver.moved) == 1
+    assert len(driver.migrated_at) == 1
     consumer.apply({key: None})
     assert isinstance(callers.authenticate_certificate(der, "x"), Admitted)
 
--- a/tests/unit/configuration/test_settings.py
+++ b/tests/unit/configuration/test_settings.py
@@ -27,7 +27,7 @@
     return str(path)
 
 
-def test_the_example_is_taken_whole() -> None:
+def test_example_settings_are_loaded() -> None:
     settings = load_settings(str(EXAMPLE), CLASSES)
     assert settings.log == LogSettings("json", "info")
     identity = settings.identity
@@ -49,7 +49,7 @@
     assert identity.denied_subjects == ("farm-17@*",)
 
 
-def test_what_is_left_out_has_the_schemas_value(tmp_path: Path) -> None:
+def test_omitted_elements_have_defaults_of_schema(tmp_path: Path) -> None:
     settings = load_settings(file(tmp_path, "<log/>" + IDENTITY.format(CALLER.format(""))), CLASSES)
     assert settings.log == LogSettings()
     identity = settings.identity
@@ -85,18 +85,20 @@
         (IDENTITY.format(CALLER.format('<rights openings="5 a second"/>')), 2, "as in 50/s or 10/m"),
     ],
 )
-def test_a_wrong_file_is_one_line(text: str, line: int, wrong: str, tmp_path: Path) -> None:
+def test_invalid_settings_are_one_line_with_expectation(
+    text: str, line: int, wrong: str, tmp_path: Path
+) -> None:
     path = file(tmp_path, text)
     with pytest.raises(SettingsError) as caught:
         load_settings(path, CLASSES)
-    told = str(caught.value)
-    assert told.startswith(f"{path}:{line}: ")
-    assert wrong in told
-    assert "\n" not in told
-    assert "urn:ironmill" not in told
+    message = str(caught.value)
+    assert message.startswith(f"{path}:{line}: ")
+    assert wrong in message
+    assert "\n" not in message
+    assert "urn:ironmill" not in message
 
 
-def test_a_listener_for_tls(tmp_path: Path) -> None:
+def test_tls_listener_is_loaded(tmp_path: Path) -> None:
     text = '<tls listen="127.0.0.1:0" certificate="a" key="/k/a" clients="optional" authorities="ca"/>'
     tls = load_settings(file(tmp_path, text), CLASSES).tls
     assert tls is not None
@@ -116,13 +118,13 @@
         ('listen="127.0.0.1:1" minimum="1.1"', "'1.2', '1.3'"),
     ],
 )
-def test_a_wrong_listener_for_tls_is_one_line(attributes: str, wrong: str, tmp_path: Path) -> None:
+def test_invalid_tls_listener_is_one_line(attributes: str, wrong: str, tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match=r"settings\.xml:2: ") as caught:
         load_settings(file(tmp_path, f'<tls certificate="a" key="b" {attributes}/>'), CLASSES)
     assert wrong in str(caught.value)
 
 
-def test_tls_to_servers(tmp_path: Path) -> None:
+def test_upstream_tls_is_loaded(tmp_path: Path) -> None:
     text = '<issuer-hosts-tls authorities="ca.pem" name="hosts.example"{}/>'
     upstream = load_settings(file(tmp_path, text.format("")), CLASSES).upstream
     assert upstream == UpstreamTls(str(tmp_path / "ca.pem"), "hosts.example")
@@ -132,7 +134,7 @@
         load_settings(file(tmp_path, "<issuer-hosts-tls/>"), CLASSES)
 
 
-def test_rules_by_certificate_and_who_is_denied(tmp_path: Path) -> None:
+def test_certificate_rules_and_denials_are_loaded(tmp_path: Path) -> None:
     print_ = "ab" * 32
     rules = '<caller name="a" tenant="t"><certificate name="dns:*.farm.example"/></caller>'
     text = IDENTITY.format(f'<deny fingerprint="{print_}"/><deny subject="x"/>{rules}')
@@ -140,14 +142,14 @@
     assert identity is not None
     assert identity.rules[0].names == ("dns:*.farm.example",)
     assert (identity.denied_subjects, identity.denied_fingerprints) == (("x",), frozenset({print_}))
-    for wrong, told in (
+    for wrong, expected in (
         (rules.replace("dns:", ""), "as in dns:*.farm.example"),
         ('<deny fingerprint="AB"/>' + rules, "64 digits"),
         ("<deny/>" + rules, "either a subject or a fingerprint"),
     ):
         with pytest.raises(SettingsError) as caught:
             load_settings(file(tmp_path, IDENTITY.format(wrong)), CLASSES)
-        assert told in str(caught.value)
+        assert expected in str(caught.value)
 
 
 @pytest.mark.parametrize(
@@ -166,7 +168,7 @@
         ('<!DOCTYPE r [<!ENTITY x "y">]><ironmill xmlns="urn:x"/>'.encode("utf-16"), "DOCTYPE"),
     ],
 )
-def test_files_that_are_something_else(data: bytes, wrong: str, tmp_path: Path) -> None:
+def test_malformed_files_are_rejected(data: bytes, wrong: str, tmp_path: Path) -> None:
     path = tmp_path / "settings.xml"
     path.write_bytes(data)
     with pytest.raises(SettingsError, match=wrong):
@@ -176,7 +178,7 @@
         load_settings(str(path), CLASSES)
 
 
-def test_check_config_takes_the_example_and_names_what_is_missing(
+def test_check_config_accepts_example_and_names_missing_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     settings = tmp_path / "settings.xml"
