--- a/ironmill/membership/envelope.py
+++ b/ironmill/membership/envelope.py
@@ -72,7 +72,8 @@
 def check_keys(keys: Sequence[bytes]) -> tuple[bytes, ...]:
     """Returns the keys; raises ``ValueError`` if their number or the length of one is out of range."""
     if not 1 <= len(keys) <= MAX_KEYS or not all(MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES for key in keys):
-        raise ValueError(f"one or two keys of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
+        lengths, limits = [len(key) for key in keys], f"{MIN_KEY_BYTES} to {MAX_KEY_BYTES}"
+        raise ValueError(f"keys of {lengths} bytes are invalid; expected one or two of {limits} bytes")
     return tuple(keys)
 
 
@@ -84,7 +85,7 @@
     ) -> None:
         """Raises ``ValueError`` if the cluster's name or the keys are out of range."""
         if not is_name(cluster):
-            raise ValueError(f"the cluster's name has 1 to {MAX_TEXT_BYTES} bytes")
+            raise ValueError(f"cluster name {cluster!r} is invalid; expected 1 to {MAX_TEXT_BYTES} bytes")
         self._cluster = cluster
         self._decoder = decoder
         self.keys = keys
@@ -104,7 +105,7 @@
         body = _ENCODER.encode(envelope)
         data = self._mac(self._keys[0], body) + body
         if len(data) > MAX_DATAGRAM_BYTES:
-            raise ValueError(f"a datagram of {len(data)} bytes")
+            raise ValueError(f"datagram has {len(data)} bytes; expected at most {MAX_DATAGRAM_BYTES}")
         return data
 
     def decode(self, data: bytes) -> Envelope[Message]:
--- a/ironmill/membership/failure_detection.py
+++ b/ironmill/membership/failure_detection.py
@@ -15,6 +15,9 @@
 )
 from ironmill.membership.view_agreement import ViewAgreement
 
+# Of an interval between pings: the first one is early, those to a silent member are more frequent.
+MAX_FIRST_PING_FRACTION, SILENT_PING_FRACTION = 0.5, 0.5
+MIN_JITTER_FACTOR, JITTER_RANGE = 0.9, 0.2  # varies intervals by a tenth in both directions
 TAKEOVER_PING_INTERVAL_S = 2.0 * TICK_INTERVAL_S
 DISSEMINATION_INTERVAL_S = 0.2
 UPDATES_PER_EXTRA_PING, MAX_DISSEMINATION_PINGS = 20, 4
@@ -84,7 +87,8 @@
             peer = state.peer(name)
             if peer.observed_since == NEVER:
                 peer.observed_since = state.now
-                peer.next_ping_at = state.now + state.rng.random() * state.timing.ping_interval_s * 0.5
+                interval_s = state.rng.random() * state.timing.ping_interval_s
+                peer.next_ping_at = state.now + interval_s * MAX_FIRST_PING_FRACTION
         for record in view.removed_members():
             name = record.identity.name
             if state.name in view.observers(name):
@@ -105,9 +109,10 @@
             if suspicion_timeout_s == TAKEOVER_SUSPICION_TIMEOUT_S:
                 ping_interval_s = TAKEOVER_PING_INTERVAL_S
             elif silent_s > indirect_delay_s:
-                ping_interval_s *= 0.5
+                ping_interval_s *= SILENT_PING_FRACTION
             self._ping_and_schedule(name, peer, ping_interval_s)
-        is_indirect_due = state.now - peer.indirect_ping_at >= 0.5 * state.timing.ping_interval_s
+        indirect_interval_s = SILENT_PING_FRACTION * state.timing.ping_interval_s
+        is_indirect_due = state.now - peer.indirect_ping_at >= indirect_interval_s
         if silent_s > indirect_delay_s and is_indirect_due:
             peer.indirect_ping_at = state.now
             self._pinger.ping_indirectly(name)
@@ -135,7 +140,7 @@
         self._agreement.set_opinion(name, ALIVE if is_alive and not withholds else NEUTRAL)
 
     def _ping_and_schedule(self, name: str, peer: Peer, interval_s: float) -> None:
-        """Pings a subject; the next ping is due after the interval, which is varied by a tenth."""
+        """Pings a subject; the next ping is due after the interval, with jitter."""
         state = self._state
-        peer.next_ping_at = state.now + interval_s * (0.9 + 0.2 * state.rng.random())
+        peer.next_ping_at = state.now + interval_s * (MIN_JITTER_FACTOR + JITTER_RANGE * state.rng.random())
         self._pinger.ping(name)
--- a/ironmill/membership/joining.py
+++ b/ironmill/membership/joining.py
@@ -20,6 +20,7 @@
 )
 from ironmill.membership.view_agreement import ViewAgreement
 
+MIN_JITTER_FACTOR, JITTER_RANGE = 0.75, 0.5  # varies intervals by a quarter in both directions
 JOINED_MEMBER_PING_INTERVAL_S = 2.0 * TICK_INTERVAL_S
 
 
@@ -64,7 +65,8 @@
             return
         needs_contact = not state.is_joined or self._health.is_isolated
         interval_s = JOINING_SEED_PING_INTERVAL_S if needs_contact else SEED_PING_INTERVAL_S
-        self._next_seed_ping_at = state.now + interval_s * (0.75 + 0.5 * state.rng.random())
+        jitter = MIN_JITTER_FACTOR + JITTER_RANGE * state.rng.random()
+        self._next_seed_ping_at = state.now + interval_s * jitter
         known = {record.identity.address for record in state.view.members()}
         seeds = [seed for seed in self._seeds if needs_contact or seed not in known]
         if seeds:
