--- a/ironmill/net/admin_server.py
+++ b/ironmill/net/admin_server.py
@@ -36,7 +36,7 @@
         self._scheduler = scheduler
         self._routes = routes
         self._connections: dict[Stream, Task] = {}  # the oldest first
-        self._listener = Listener(scheduler, address, self._accepted, at_once=False)
+        self._listener = Listener(scheduler, address, self._accepted)
         self.address = self._listener.address
 
     def start(self) -> None:
--- a/ironmill/net/listener.py
+++ b/ironmill/net/listener.py
@@ -1,8 +1,8 @@
-"""Accepts clients' connections and starts a driver for each.
+"""Accepts connections and passes each to a callback.
 
-A shared listener takes part in an upgrade: two processes listen at one address (``SO_REUSEPORT``), the
-kernel deals the connections out between them, and the one that ends first asks it to send them all to the
-other. Nothing is handed over and neither process talks to the other.
+Shared listeners take part in an upgrade: two processes listen at one address with ``SO_REUSEPORT``, and the
+kernel distributes connections between them. The process that exits first has the kernel pass all new ones to
+the other. The two processes do not communicate.
 """
 
 from __future__ import annotations
@@ -23,160 +23,172 @@
 from ironmill.runtime.system_calls import RETRY_INTERVAL_S, retry_at_start
 
 BACKLOG = 1024
-AT_ONCE = 16  # accepted in one turn; the others run in between
-# Linux's options of a group of sockets at one address, which Python does not name; a program in classic BPF.
-_ATTACH_PROGRAM, _DETACH_PROGRAM = 51, 68
-_RETURN = 0x06
+MAX_ACCEPTS_PER_TURN = 16
+# Linux's socket options for a program of a SO_REUSEPORT group, which Python does not define, and the opcode
+# of classic BPF that returns a constant.
+_SO_ATTACH_REUSEPORT_CBPF = 51
+_SO_DETACH_REUSEPORT_BPF = 68
+_BPF_RETURN_CONSTANT = 0x06
+_SUCCESSOR_INDEX = 1  # the group orders its sockets by when they began to listen
 
 log = logging.getLogger("ironmill.listener")
 
 
-class Accepted(Enum):
-    """What a try to accept came to."""
+class AcceptResult(Enum):
+    """The result of one call of accept."""
 
-    ONE = auto()
-    NOTHING = auto()  # nobody waits
-    FAILED = auto()  # somebody may wait; it is to be tried again
+    ACCEPTED = auto()
+    EMPTY = auto()  # no connection waits
+    FAILED = auto()  # connections may wait; accept has to be called again
 
 
 class Listener:
-    """The listening socket."""
+    """A listening socket."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         address: tuple[str, int],
-        take: Callable[[Stream], None],
-        make: Callable[[Scheduler, socket.socket], Stream] = Stream,
-        at_once: bool = True,
+        on_connection: Callable[[Stream], None],
+        *,
         shared: bool = False,
+        make_stream: Callable[[Scheduler, socket.socket], Stream] = Stream,
     ) -> None:
-        """What comes before ``start`` waits to be accepted, where it is not to be ``at_once``.
+        """Binds the address; connections wait in the kernel's queue until ``start``.
 
-        ``shared``: another process may listen there, and one that does already serves alone until ``start``.
+        ``shared``: another process may listen at the address; one that does so already is the predecessor and
+        gets all connections until ``start``. Raises ``OSError`` if the address is not available.
         """
         self._scheduler = scheduler
-        self._make = make
-        self._take = take
+        self._make_stream = make_stream
+        self._on_connection = on_connection
         self._shared = shared
-        self.succeeds = shared and _taken(address)  # another process listens there
-        self._failures = LogRateLimiter()
-        self._queued_since: float | None = None  # how long whoever is accepted next may have waited
+        self.has_predecessor = shared and _is_bound(address)
+        self._log_limiter = LogRateLimiter()
+        self._queued_since: float | None = None  # from when the next connection may have waited
+        self._task: Task | None = None
         self._sock = retry_at_start(socket.socket, socket.AF_INET, socket.SOCK_STREAM)
+        self._listening = False
         try:
-            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            if shared:
-                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            retry_at_start(self._sock.bind, address)
-            self._listens = not self.succeeds
-            if self._listens:
-                self._listen()
+            self._bind(address)
         except OSError:
             self._sock.close()
             raise
         self._sock.setblocking(False)
-        self._task: Task | None = None
-        if at_once:
-            self.start()
-
-    def start(self) -> None:
-        """Accept from now on. A second time, or after the close, changes nothing."""
-        if self._task is None and self._sock.fileno() >= 0:
-            if self.succeeds:
-                # Not before: what the kernel sent here would be reset if the start failed.
-                self._listen()
-                self._listens = True
-                self._ask_kernel(_DETACH_PROGRAM, struct.pack("i", 0))  # what an earlier upgrade left
-            self._task = self._scheduler.spawn(self._accept)
-
-    def _listen(self) -> None:
-        retry_at_start(self._sock.listen, BACKLOG)
-        self._queued_since = time.monotonic()
-
-    def give_way(self) -> None:
-        """From now on all new connections go to the process that was started after this one, if there is one.
-
-        Guards those under way against the close: the kernel resets what waits at a listener that closes, and
-        goes on sending it connections until then. The group keeps its sockets in the order in which they
-        began to listen, so the successor is the second; where there is none all goes on as before.
-        """
-        if self._shared and self._sock.fileno() >= 0:
-            code = array("B", struct.pack("=HBBI", _RETURN, 0, 0, 1))
-            self._ask_kernel(_ATTACH_PROGRAM, struct.pack("@HP", 1, code.buffer_info()[0]))
-
-    def _ask_kernel(self, option: int, value: bytes) -> None:
-        with contextlib.suppress(OSError):  # not to be had: the last connections before a close may be reset
-            self._sock.setsockopt(socket.SOL_SOCKET, option, value)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address that it is bound to."""
         host, port = self._sock.getsockname()
         return host, port
 
+    def start(self) -> None:
+        """Accepts from now on. Does nothing if it accepts already or is closed."""
+        if self._task is not None or self._sock.fileno() < 0:
+            return
+        if self.has_predecessor:
+            # Not in the constructor: the kernel would reset the connections queued here if the start failed.
+            self._listen()
+            # A program that an earlier upgrade left would pass this process's connections on.
+            self._set_group_option(_SO_DETACH_REUSEPORT_BPF, struct.pack("i", 0))
+        self._task = self._scheduler.spawn(self._accept)
+
+    def yield_to_successor(self) -> None:
+        """Passes all new connections to the process that was started after this one, if there is one.
+
+        The kernel resets connections that are queued at a listener when it closes, and queues new ones there
+        until then.
+        """
+        if self._shared and self._sock.fileno() >= 0:
+            program = array("B", struct.pack("=HBBI", _BPF_RETURN_CONSTANT, 0, 0, _SUCCESSOR_INDEX))
+            value = struct.pack("@HP", 1, program.buffer_info()[0])
+            self._set_group_option(_SO_ATTACH_REUSEPORT_CBPF, value)
+
     def close(self, within: float = 0.0) -> None:
-        """Take no more. What waits to be accepted is taken first, or it would be reset.
+        """Accepts what is queued, which a close would reset, and closes. Further calls do nothing.
 
-        An accept that fails is tried again for so many seconds; this parks then.
+        Retries an accept that fails for ``within`` seconds, and parks then.
         """
         if self._sock.fileno() < 0:
-            return  # guards against an accept that fails for ever: the second close found no socket
+            return
         self._scheduler.kill(self._task)
-        until = time.monotonic() + within
-        while self._listens:
-            accepted = self._accept_one()
-            if accepted is Accepted.NOTHING:
-                break
-            if accepted is Accepted.FAILED:
-                if time.monotonic() >= until:
-                    break
-                self._scheduler.sleep(RETRY_INTERVAL_S)
+        if self._listening:
+            self._empty_queue(time.monotonic() + within)
         self._scheduler.forget(self._sock.fileno())
         self._sock.close()
 
+    def _bind(self, address: tuple[str, int]) -> None:
+        self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        if self._shared:
+            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        retry_at_start(self._sock.bind, address)
+        if not self.has_predecessor:
+            self._listen()
+
+    def _listen(self) -> None:
+        retry_at_start(self._sock.listen, BACKLOG)
+        self._queued_since = time.monotonic()
+        self._listening = True
+
+    def _set_group_option(self, option: int, value: bytes) -> None:
+        with contextlib.suppress(OSError):  # without it the last connections before a close may be reset
+            self._sock.setsockopt(socket.SOL_SOCKET, option, value)
+
     def _accept(self) -> None:
         while True:
             self._scheduler.wait(self._sock.fileno(), READ)
-            for _ in range(AT_ONCE):
-                accepted = self._accept_one()
-                if accepted is Accepted.NOTHING:
+            for _ in range(MAX_ACCEPTS_PER_TURN):
+                result = self._accept_one()
+                if result is AcceptResult.EMPTY:
                     break
-                if accepted is Accepted.FAILED:
-                    # Guards against a busy loop: the waiting connection keeps the listener readable. No
-                    # longer, for whoever waits there waits for its answer, too.
+                if result is AcceptResult.FAILED:
+                    # The queued connection keeps the socket readable, so the loop would not park otherwise.
                     self._scheduler.sleep(RETRY_INTERVAL_S)
 
-    def _accept_one(self) -> Accepted:
+    def _empty_queue(self, deadline: float) -> None:
+        while True:
+            result = self._accept_one()
+            if result is AcceptResult.EMPTY:
+                return
+            if result is AcceptResult.FAILED:
+                if time.monotonic() >= deadline:
+                    return
+                self._scheduler.sleep(RETRY_INTERVAL_S)
+
+    def _accept_one(self) -> AcceptResult:
         try:
             sock, _ = self._sock.accept()
         except BlockingIOError:
             self._queued_since = None
-            return Accepted.NOTHING
+            return AcceptResult.EMPTY
         except OSError as error:
-            # Descriptors or memory have run out, or that one connection broke before it was accepted. Neither
-            # says anything about those behind it.
-            left_out = self._failures.allow()
-            if left_out is not None:
-                log.warning("cannot accept: %s (%d more since the last such line)", error.strerror, left_out)
+            # Descriptors or memory are exhausted, or this connection broke; others may be queued behind it.
+            skipped = self._log_limiter.allow()
+            if skipped is not None:
+                log.warning("cannot accept: %s (%d more since the last such line)", error.strerror, skipped)
             if self._queued_since is None:
                 self._queued_since = time.monotonic()
-            return Accepted.FAILED
+            return AcceptResult.FAILED
+        self._pass_on(sock)
+        return AcceptResult.ACCEPTED
+
+    def _pass_on(self, sock: socket.socket) -> None:
         try:
-            stream = self._make(self._scheduler, sock)
+            stream = self._make_stream(self._scheduler, sock)
             if self._queued_since is not None and stream.has_unread():
                 stream.queued_since = self._queued_since
-            self._take(stream)
-        except OSError as error:  # guards the accepting task: the connection broke at once
+            self._on_connection(stream)
+        except OSError as error:
             log.info("a connection broke when it was accepted: %s", error)
             sock.close()
-        except Exception:  # guards all connections that come later against one at which the program fails
+        except Exception:
+            # The accepting task serves all later connections and must go on.
             log.exception("a connection failed when it was accepted")
             sock.close()
-        return Accepted.ONE
 
 
-def _taken(address: tuple[str, int]) -> bool:
-    """True if another process listens at the address: without sharing it cannot be had."""
+def _is_bound(address: tuple[str, int]) -> bool:
+    """Returns True if another process listens at the address, which cannot be bound without sharing then."""
     with retry_at_start(socket.socket, socket.AF_INET, socket.SOCK_STREAM) as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/ironmill/net/operator_features.py
+++ b/ironmill/net/operator_features.py
@@ -87,7 +87,7 @@
             return TlsStream(scheduler, sock, self._files.tls.context)
 
         self.tls_listener = Listener(
-            self._scheduler, settings.listen, on_connection, make_stream, at_once=False, shared=True
+            self._scheduler, settings.listen, on_connection, shared=True, make_stream=make_stream
         )
 
     def add_routes(self, api: ProxyApi) -> None:
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -68,8 +68,8 @@
         self.scheduler = Scheduler(options.poller)
         self.lifecycle = Lifecycle()
         self.gateway = self._build_gateway()
-        self.listener = Listener(self.scheduler, config.listen, self._accepted, at_once=False, shared=True)
-        if self.listener.succeeds:
+        self.listener = Listener(self.scheduler, config.listen, self._accepted, shared=True)
+        if self.listener.has_predecessor:
             self.gateway.on_predecessor(MAX_SUCCESSION_S)
         self.discovery = self._build_discovery()
         self.admission = Admission(config.sockets)
@@ -99,7 +99,7 @@
             config.settings.proxies,
             random.Random(config.seed),
             config.settings.subscribes_to_discovery,
-            first_at_once=self.listener.succeeds,
+            first_at_once=self.listener.has_predecessor,
         )
         return Discovery(
             self.scheduler,
@@ -179,14 +179,14 @@
 
     def _log_start(self) -> None:
         log.info("listening on %s:%d", *self.listener.address)
-        if self.listener.succeeds:
+        if self.listener.has_predecessor:
             log.info("another process listens there: clients are accepted once discovery has answered")
         for listener in self._listeners[1:]:
             log.info("listening for TLS on %s:%d", *listener.address)
         log.info("of %d descriptors %d are for clients", self._config.sockets, self.admission.max_descriptors)
 
     def _first_poll_timeout_s(self) -> float:
-        if self.listener.succeeds:
+        if self.listener.has_predecessor:
             return SUCCESSOR_FIRST_POLL_TIMEOUT_S
         # Where discovery is polled a change counts as notified only when it was answered. The first polls of
         # a large fleet are spread over seconds, and restarted proxies must serve in the meantime.
@@ -198,10 +198,10 @@
             listener.start()
         self.lifecycle.handle(LifecycleEvent.STARTED)
 
-    def give_way(self) -> None:
+    def yield_to_successor(self) -> None:
         """Leaves new connections to a process that was started after this one, if there is one."""
         for listener in self._listeners:
-            listener.give_way()
+            listener.yield_to_successor()
 
     def close(self, within: float = 0.0) -> None:
         """Leaves the cluster and stops accepting. ``within``: as for ``Listener.close``."""
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -60,7 +60,7 @@
 class ConnectionAcceptor(Protocol):
     """Accepts new connections of clients."""
 
-    def give_way(self) -> None:
+    def yield_to_successor(self) -> None:
         """Leaves new connections to a successor, if there is one."""
 
     def close(self, within: float) -> None:
@@ -108,9 +108,9 @@
         """Stops accepting, serves what is left, and migrates established connections."""
         started_at = time.monotonic()
         flush_at = started_at + schedule.end_at - FINAL_FLUSH_S
-        self._acceptor.give_way()
+        self._acceptor.yield_to_successor()
         self._scheduler.sleep(schedule.close_at)
-        self._acceptor.give_way()  # again: a successor may have begun to listen only now
+        self._acceptor.yield_to_successor()  # again: a successor may have begun to listen only now
         self._acceptor.close(max(0.0, min(MAX_ACCEPT_RETRY_S, flush_at - time.monotonic())))
         self._scheduler.sleep(max(0.0, started_at + schedule.migrate_at - time.monotonic()))
         Migration(self._scheduler, self._gateway).migrate_all(flush_at)
--- a/ironmill_testbed/discovery.py
+++ b/ironmill_testbed/discovery.py
@@ -25,6 +25,7 @@
         self.revision = 1
         self.asked = 0
         self._listener = Listener(scheduler, ("127.0.0.1", 0), self._take)
+        self._listener.start()
 
     @property
     def address(self) -> tuple[str, int]:
--- a/ironmill_testbed/floors.py
+++ b/ironmill_testbed/floors.py
@@ -113,5 +113,6 @@
         scheduler.spawn(relay, stream)
 
     listener = Listener(scheduler, ("127.0.0.1", 0), take)
+    listener.start()
     _say_port(listener.address)
     scheduler.run()
--- a/ironmill_testbed/hosts.py
+++ b/ironmill_testbed/hosts.py
@@ -94,6 +94,7 @@
         self._tasks: dict[Stream, Task] = {}
         self._standing: dict[Stream, None] = {}
         self._listener = Listener(scheduler, ("127.0.0.1", 0), self._take)
+        self._listener.start()
         self.address = self._listener.address
 
     @property
--- a/tests/support/proxy_under_test.py
+++ b/tests/support/proxy_under_test.py
@@ -42,6 +42,8 @@
         self.callers: Callers | None = None
         self.dial: Dial | None = None
         self.listener = Listener(self.scheduler, ("127.0.0.1", 0), self._take)
+        for listener in [*self.listeners, self.listener]:
+            listener.start()
 
     def _take(self, stream: Stream) -> None:
         ClientService(
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -814,8 +814,8 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         taken: list[Stream] = []
-        take = proxy.listener._take
-        proxy.listener._take = lambda stream: (taken.append(stream), take(stream))[1]
+        take = proxy.listener._on_connection
+        proxy.listener._on_connection = lambda stream: (taken.append(stream), take(stream))[1]
         client, attempt = proxy.established_pair()
         (stream,) = taken
         stream._sock = Broken(stream._sock, **{call: code})  # type: ignore[assignment]
@@ -890,7 +890,7 @@
     """PROTOCOL: ``d`` counts from the moment the client sent the line, also while nobody accepts it yet."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        late = Listener(proxy.scheduler, ("127.0.0.1", 0), proxy._take, at_once=False)
+        late = Listener(proxy.scheduler, ("127.0.0.1", 0), proxy._take)
 
         def left() -> float:
             """Until the last request is given up."""
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -75,8 +75,9 @@
             self.scheduler,
             ("127.0.0.1", 0),
             self._take,
-            lambda scheduler, sock: TlsStream(scheduler, sock, self.context),
+            make_stream=lambda scheduler, sock: TlsStream(scheduler, sock, self.context),
         )
+        self.listener.start()
 
     def secure(self, *shown: str, context: ssl.SSLContext | None = None) -> TlsStream:
         """A client's stream after its handshake."""
@@ -437,7 +438,7 @@
         super().__init__()
         context = server_tls(settings(authority)).context
         for listener in self.listeners:
-            listener._make = lambda scheduler, sock: TlsStream(scheduler, sock, context)
+            listener._make_stream = lambda scheduler, sock: TlsStream(scheduler, sock, context)
         upstream = upstream_tls(UpstreamTls(str(authority.path)))
         self.dialled = 0
 
--- a/tests/system/test_upgrade.py
+++ b/tests/system/test_upgrade.py
@@ -19,13 +19,9 @@
     def __init__(self) -> None:
         self.scheduler = Scheduler()
         self.accepted: dict[str, list[Stream]] = {"old": [], "new": []}
-        self.old = Listener(
-            self.scheduler, ("127.0.0.1", 0), self.accepted["old"].append, at_once=False, shared=True
-        )
+        self.old = Listener(self.scheduler, ("127.0.0.1", 0), self.accepted["old"].append, shared=True)
         self.address = self.old.address
-        self.new = Listener(
-            self.scheduler, self.address, self.accepted["new"].append, at_once=False, shared=True
-        )
+        self.new = Listener(self.scheduler, self.address, self.accepted["new"].append, shared=True)
         self.clients: list[socket.socket] = []
 
     def connect(self, count: int) -> None:
@@ -56,7 +52,7 @@
     pair = Pair()
 
     def scenario() -> None:
-        assert (pair.old.succeeds, pair.new.succeeds) == (False, True)
+        assert (pair.old.has_predecessor, pair.new.has_predecessor) == (False, True)
         pair.old.start()
         pair.connect(40)
         assert pair.counts() == (40, 0)
@@ -76,7 +72,7 @@
         pair.old.start()
         pair.new.start()
         pair.connect(50)  # some are queued at the old one when it gives way
-        pair.old.give_way()
+        pair.old.yield_to_successor()
         before = pair.counts()
         pair.connect(100)
         assert pair.counts() == (before[0], before[1] + 100)
@@ -85,9 +81,7 @@
         pair.connect(20)
         assert pair.counts() == (before[0], before[1] + 140)
         # The steering of the closed listener does not outlive it: a third one shares with the second.
-        third = Listener(
-            pair.scheduler, pair.address, pair.accepted["old"].append, at_once=False, shared=True
-        )
+        third = Listener(pair.scheduler, pair.address, pair.accepted["old"].append, shared=True)
         third.start()
         pair.connect(200)
         old, new = pair.counts()
@@ -103,7 +97,7 @@
 
     def scenario() -> None:
         pair.old.start()
-        pair.old.give_way()
+        pair.old.yield_to_successor()
         pair.connect(20)
         assert pair.counts() == (20, 0)
 
