--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: the whole list once, then one call for changes after another."""
+"""The watch on discovery: the complete endpoint list once, then one poll for changes after another."""
 
 from __future__ import annotations
 
@@ -6,86 +6,94 @@
 import time
 from collections.abc import Callable
 
-from msgspec import structs
+from msgspec import Struct, structs
 
 from ironmill.configuration.proxy_config import Address
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.discovery import EndpointUpdate, parse_endpoint_update
 from ironmill.protocol.http import HttpError, Response, ResponseParser
 from ironmill.protocol.json_object import JsonObject, MalformedError, parse_json
-from ironmill.requests.discovery_backoff import CALL_MOST, CallPace
+from ironmill.requests.discovery_backoff import MAX_CALL_S, DiscoveryBackoff
 from ironmill.runtime.scheduler import Scheduler, Task
 
-# How long a call for changes may wait at the agent. Short, though the agent would wait for a minute: a call
-# that is lost on its way, or held by an agent that has gone deaf, is only found out when its time is over.
-WAIT_MS = 1_000
-# For all of a call beyond that, from its connect to the last byte of its answer. Guards the watch against an
-# answer that drips or never ends; after 2 s what it had to tell counts as told.
-ANSWER_WAIT = CALL_MOST
-# A whole list that names nobody, where there were servers a moment before, is more likely a fault of
-# discovery than the truth, and is asked for once more before it is believed. Not for longer: it has told that
-# all are gone, and from 250 ms after that (less 150 ms of the gateway's own) nothing new may go to them.
-# The rule counts from the first answer, so what is opened meanwhile still has 0.02 s to begin.
-AGAIN_WAIT = 0.08
-
-WHOLE = "/api/targets"
-FAULTS = (OSError, TimedOutError, HttpError, MalformedError)
+# How long a poll waits for changes. Short, because a poll that is lost, or held by a hung agent, is noticed
+# only after it.
+POLL_WAIT_MS = 1_000
+CALL_TIMEOUT_S = MAX_CALL_S  # of a call beyond that wait, from its connect to the last byte of its answer
+# An empty list in place of servers is requested once more before it is applied, because it is more likely a
+# fault of discovery. A longer wait would delay a true one past the grace period of draining servers, of which
+# the gateway leaves 0.1 s.
+CONFIRMATION_TIMEOUT_S = 0.08
+
+FULL_LIST_PATH = "/api/targets"
+CALL_ERRORS = (OSError, TimedOutError, HttpError, MalformedError)
 
 log = logging.getLogger("ironmill.discovery")
 
 
-def _nothing() -> None:
-    """Nobody waits for the calls."""
+def _ignore_call() -> None:
+    """The default of ``DiscoveryListener.on_call``."""
 
 
-def _none() -> int:
-    """No server is known."""
+def _no_servers() -> int:
+    """The default of ``DiscoveryListener.server_count``."""
     return 0
 
 
+class DiscoveryListener(Struct, frozen=True, eq=False):
+    """What a watch calls. No callback may park."""
+
+    on_update: Callable[[EndpointUpdate], None]
+    on_call: Callable[[], object] = _ignore_call  # after each call, whether it was answered or failed
+    server_count: Callable[[], int] = _no_servers  # of the endpoint list in use
+
+
 class Discovery:
-    """Keeps the routing table up to date from one address, and changes over to another when told to."""
+    """Watches one address, and changes to another without a gap."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         address: Address,
-        take: Callable[[EndpointUpdate], None],
-        pace: Callable[[], CallPace],
-        known: int | None = None,
-        called: Callable[[], object] = _nothing,
-        held: Callable[[], int] = _none,
+        listener: DiscoveryListener,
+        new_backoff: Callable[[], DiscoveryBackoff],
+        known_revision: int | None = None,
     ) -> None:
-        """``known`` is the revision of the list that serves until an answer comes, if there is one.
-
-        ``called`` is told whenever a call was answered or has failed; ``held`` tells how many servers
-        are in the list at hand.
-        """
+        """``known_revision`` is that of the list in use until an answer comes, if there is one."""
         self._scheduler = scheduler
-        self._take = take
-        self._pace = pace
-        self._held = held
-        self._current = Watch(scheduler, address, self._told, pace(), known, called, held)
+        self._listener = listener
+        self._new_backoff = new_backoff
+        self._current = self._make_watch(address, listener.on_call, known_revision)
         self._next: Watch | None = None
 
     def start(self) -> None:
-        """Begin the watch."""
+        """Begins the watch."""
         self._current.start()
 
     def watch_at(self, address: Address) -> None:
-        """Watch at another address. The old watch ends when the new one has brought the whole list."""
+        """Watches another address. The old watch ends when the new one has the complete list."""
         if self._next is not None:
             self._next.stop()
             self._next = None
         if address != self._current.address:
-            self._next = Watch(self._scheduler, address, self._told, self._pace(), held=self._held)
+            self._next = self._make_watch(address, _ignore_call)
             self._next.start()
 
-    def _told(self, watch: Watch, routing: EndpointUpdate) -> None:
+    def _make_watch(
+        self, address: Address, on_call: Callable[[], object], known_revision: int | None = None
+    ) -> Watch:
+        listener = DiscoveryListener(
+            lambda update: self._on_update(watch, update), on_call, self._listener.server_count
+        )
+        watch = Watch(self._scheduler, address, listener, self._new_backoff(), known_revision)
+        return watch
+
+    def _on_update(self, watch: Watch, update: EndpointUpdate) -> None:
         if watch is self._next:
             self._current.stop()
-            self._current, self._next = watch, None
-        self._take(routing)
+            self._current = watch
+            self._next = None
+        self._listener.on_update(update)
 
 
 class Watch:
@@ -95,124 +103,148 @@
         self,
         scheduler: Scheduler,
         address: Address,
-        take: Callable[[Watch, EndpointUpdate], None],
-        pace: CallPace,
-        known: int | None = None,
-        called: Callable[[], object] = _nothing,
-        held: Callable[[], int] = _none,
+        listener: DiscoveryListener,
+        backoff: DiscoveryBackoff,
+        known_revision: int | None = None,
     ) -> None:
+        """Does nothing until ``start``."""
         self.address = address
         self._scheduler = scheduler
-        self._take = take
-        self._called = called
-        self._held = held
-        self._revision = known  # none until the whole list has come
-        self._stream: Stream | None = None
-        self._parser = ResponseParser()
-        self._answered = False
-        self._failing = False
+        self._listener = listener
+        self._backoff = backoff
+        self._revision = known_revision  # None until the complete list has been received
+        self._connection = HttpConnection(scheduler, address)
+        self._has_answered = False
+        self._is_failing = False
         self._task: Task | None = None
-        self._pace = pace
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Begins to poll."""
         self._task = self._scheduler.spawn(self._watch)
 
     def stop(self) -> None:
-        """Ask no more, and take no answer that is on its way."""
+        """Ends the watch; an answer on its way is dropped."""
         self._scheduler.kill(self._task)
-        self._hang_up()
+        self._connection.close()
 
     def _watch(self) -> None:
-        if self._revision is not None:  # the list at hand serves meanwhile
-            self._scheduler.sleep(self._pace.first())
+        if self._revision is not None:  # the known list is in use meanwhile
+            self._scheduler.sleep(self._backoff.first_delay())
         while True:
-            began = time.monotonic()
+            started_at = time.monotonic()
             try:
-                self._call()
-                self._pace.answered()
-                self._failing = False
-                self._called()
+                self._poll()
+                self._backoff.succeeded()
+                self._is_failing = False
+                self._listener.on_call()
             except Exception as error:
-                # Guards the watch, without which nothing is ever heard again, also against faults of our own.
-                if not isinstance(error, FAULTS):
-                    log.exception("discovery: a call failed")
-                elif not self._failing:
-                    log.warning("discovery: %s %s", type(error).__name__, error)
-                self._failing = True
-                self._hang_up()
-                self._called()
-                self._scheduler.sleep(self._pace.failed(time.monotonic() - began))
-
-    def _call(self) -> None:
+                # The watch must go on, also after a programming error: without it no change arrives any more.
+                self._log_failure(error)
+                self._is_failing = True
+                self._connection.close()
+                self._listener.on_call()
+                self._scheduler.sleep(self._backoff.failed(time.monotonic() - started_at))
+
+    def _log_failure(self, error: Exception) -> None:
+        if not isinstance(error, CALL_ERRORS):
+            log.exception("discovery: a call failed")
+        elif not self._is_failing:
+            log.warning("discovery: %s %s", type(error).__name__, error)
+
+    def _poll(self) -> None:
         if self._revision is None:
-            routing = self._ask(WHOLE, ANSWER_WAIT)
+            update = self._request(FULL_LIST_PATH, CALL_TIMEOUT_S)
         else:
-            # The first tells what the agent holds already, perhaps nothing: clients wait for it. After a
-            # failure the next does not wait either: it is soon known to have come to nothing
-            # (``discovery_backoff.PAUSE_MOST``).
-            wait = 0 if self._failing or (self._pace.at_once and not self._answered) else WAIT_MS
-            path = f"/api/targets?after={self._revision}&wait_ms={wait}"
-            routing = self._ask(path, wait / 1000.0 + ANSWER_WAIT)
-        if routing.full and not routing.servers and self._held():
-            routing = self._once_more(routing)
-        if routing.full or self._revision is not None:
-            self._take(self, routing)
-            self._revision = routing.revision  # not before: what was not taken is asked for again
-
-    def _once_more(self, empty: EndpointUpdate) -> EndpointUpdate:
-        """The whole list as it is told now, if it names anybody; else the one that named nobody."""
-        told_at = time.monotonic()
-        log.warning("discovery: an empty list; asking once more")
+            wait_ms = self._poll_wait_ms()
+            path = f"/api/targets?after={self._revision}&wait_ms={wait_ms}"
+            update = self._request(path, wait_ms / 1000.0 + CALL_TIMEOUT_S)
+        if update.full and not update.servers and self._listener.server_count():
+            update = self._confirm_empty(update)
+        if update.full or self._revision is not None:
+            self._listener.on_update(update)
+            self._revision = update.revision  # not before: an update that was not applied is polled again
+
+    def _poll_wait_ms(self) -> int:
+        """Returns 0 for the first poll, which clients wait for, and after a failure."""
+        is_first = self._backoff.answers_immediately and not self._has_answered
+        return 0 if self._is_failing or is_first else POLL_WAIT_MS
+
+    def _confirm_empty(self, empty: EndpointUpdate) -> EndpointUpdate:
+        """Requests the list again; returns it if it names servers, otherwise the empty one."""
+        received_at = time.monotonic()
+        log.warning("discovery: an empty list; requesting it again")
         try:
-            routing = self._ask(WHOLE, AGAIN_WAIT)
-        except FAULTS:
-            self._hang_up()
+            update = self._request(FULL_LIST_PATH, CONFIRMATION_TIMEOUT_S)
+        except CALL_ERRORS:
+            self._connection.close()
         else:
-            if routing.full and routing.servers:
-                return routing
-        return structs.replace(empty, age=time.monotonic() - told_at)
-
-    def _ask(self, path: str, within: float) -> EndpointUpdate:
-        """The answer of 200, from the connect to its last byte within so many seconds."""
-        kept = self._stream is not None
-        response = self._response(path, time.monotonic() + within)
-        self._answered = True
+            if update.full and update.servers:
+                return update
+        return structs.replace(empty, age=time.monotonic() - received_at)
+
+    def _request(self, path: str, timeout_s: float) -> EndpointUpdate:
+        """Returns the answer with status 200, from the connect to its last byte within the timeout."""
+        was_open = self._connection.is_open
+        response = self._connection.get(path, time.monotonic() + timeout_s)
+        self._has_answered = True
         if response.status != 200:
             raise HttpError(f"status {response.status}")
-        value = parse_json(response.body, "routing table:")
-        routing = parse_endpoint_update(JsonObject(value, "", "routing table"))
-        if kept and self._revision is not None and routing.revision < self._revision:
-            # Guards the table against a second answer to an earlier call: it would bring back what has left.
-            # A discovery that begins anew is believed on a new connection.
-            raise HttpError(f"revision {routing.revision} after {self._revision}")
-        return routing
-
-    def _response(self, path: str, end: float) -> Response:
-        if self._stream is not None and self._stream.is_stale():
-            self._hang_up()
-        if self._stream is None:
-            self._stream = Stream.connect(self._scheduler, self.address, self._left(end))
-            self._parser = ResponseParser()
-        host, port = self.address
-        self._stream.send(f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode(), self._left(end))
+        message = JsonObject(parse_json(response.body, "routing table:"), "", "routing table")
+        update = parse_endpoint_update(message)
+        if was_open and self._revision is not None and update.revision < self._revision:
+            # A duplicate answer to an earlier call would bring back servers that have left. A discovery that
+            # restarts its revisions does so on a new connection.
+            raise HttpError(f"revision {update.revision} after {self._revision}")
+        return update
+
+
+class HttpConnection:
+    """A connection for GET requests, reused while the peer keeps it open."""
+
+    def __init__(self, scheduler: Scheduler, address: Address) -> None:
+        """Connects at the first request."""
+        self._scheduler = scheduler
+        self._address = address
+        self._stream: Stream | None = None
+        self._parser = ResponseParser()
+
+    @property
+    def is_open(self) -> bool:
+        """True if the next request may reuse a connection."""
+        return self._stream is not None
+
+    def get(self, path: str, deadline: float) -> Response:
+        """Returns the response. After ``OSError``, ``HttpError`` or ``TimedOutError``, call ``close``."""
+        stream = self._connect(deadline)
+        host, port = self._address
+        request = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
+        stream.send(request.encode(), _remaining(deadline))
         while True:
-            data = self._stream.receive(self._left(end))
+            data = stream.receive(_remaining(deadline))
             responses = self._parser.feed(data) if data else [self._parser.end_of_stream()]
             for response in responses:
                 if response is None:
                     raise HttpError("the connection ended before the answer")
                 if not response.keep_alive or len(responses) > 1 or not self._parser.at_message_boundary:
-                    self._hang_up()  # what comes behind the answer must not pass for the next one
+                    self.close()  # further bytes must not count as the next response
                 return response
-            if time.monotonic() >= end:  # guards against an answer that drips, each piece of it in time
+            if time.monotonic() >= deadline:  # the timeout of a read does not bound bytes that arrive singly
                 raise TimedOutError
 
-    @staticmethod
-    def _left(end: float) -> float:
-        return max(0.0, end - time.monotonic())
-
-    def _hang_up(self) -> None:
+    def close(self) -> None:
+        """Closes the connection, if there is one."""
         if self._stream is not None:
             self._stream.close()
             self._stream = None
+
+    def _connect(self, deadline: float) -> Stream:
+        if self._stream is not None and self._stream.is_stale():
+            self.close()
+        if self._stream is None:
+            self._stream = Stream.connect(self._scheduler, self._address, _remaining(deadline))
+            self._parser = ResponseParser()
+        return self._stream
+
+
+def _remaining(deadline: float) -> float:
+    return max(0.0, deadline - time.monotonic())
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -14,7 +14,7 @@
 
 from ironmill.configuration.proxy_config import Address, Config
 from ironmill.net.clients.service import ClientDependencies, ClientService
-from ironmill.net.discovery import Discovery
+from ironmill.net.discovery import Discovery, DiscoveryListener
 from ironmill.net.drain import Drain
 from ironmill.net.health_check import HealthCheckDriver
 from ironmill.net.listener import Listener
@@ -23,7 +23,7 @@
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import Stream
 from ironmill.requests.admission import Admission
-from ironmill.requests.discovery_backoff import CallPace
+from ironmill.requests.discovery_backoff import DiscoveryBackoff
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.gc_schedule import GcSchedule
 from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent
@@ -95,20 +95,18 @@
     def _build_discovery(self) -> Discovery:
         config = self._config
         backoff = partial(
-            CallPace,
+            DiscoveryBackoff,
             config.settings.proxies,
             random.Random(config.seed),
-            config.settings.subscribes_to_discovery,
-            first_at_once=self.listener.has_predecessor,
+            polls_discovery=config.settings.subscribes_to_discovery,
+            first_immediately=self.listener.has_predecessor,
         )
         return Discovery(
             self.scheduler,
             config.discovery,
-            self.gateway.on_endpoints,
+            DiscoveryListener(self.gateway.on_endpoints, self._start_accepting, self.gateway.known_servers),
             backoff,
             config.known.revision if config.known.servers else None,
-            self._start_accepting,
-            self.gateway.known_servers,
         )
 
     def _build_features(self, options: ProxyOptions) -> OperatorFeatures | None:
--- a/ironmill/requests/response_delay.py
+++ b/ironmill/requests/response_delay.py
@@ -1,8 +1,9 @@
-"""How long a line sent to a server takes to come back: no line on the wire tells it.
+"""Measures how long lines sent to a server take to be answered; no line on the wire states it.
 
-One meter for each server. While the delay is over the threshold it tells of it at once and then
-once a second, on one connection; once more when it is back under. A line that is still unanswered
-counts with the time it has waited. The same lines show a connection that has gone silent.
+There is one meter for each server. While the delay exceeds the threshold the meter reports it at once and
+then every ``REPORT_INTERVAL_S``, for one connection, and once more when it is below again. A line without an
+answer counts with the time it has waited. The same lines reveal a connection whose server has become
+unresponsive.
 """
 
 from __future__ import annotations
@@ -14,148 +15,153 @@
 from ironmill.runtime.scheduler import Timers
 from ironmill.runtime.timers import Timer
 
-PERIOD = 1.0  # between two tellings, and how far back answered lines count
-# A sound connection brings a line back at once, and clients send one every 2 s. A silent server must be
-# given up on within 7 s of falling silent, which is up to 2 s before the first line that is not answered.
-SILENT_AFTER = 2.5
-# Unanswered lines of one connection that are timed. Guards memory against a client that sends at full speed
-# what is not answered; those beyond are counted alone, until the timed ones have come back.
-TIMED_MOST = 256
+REPORT_INTERVAL_S = 1.0  # also the time for which answered lines count
+# Clients send a line every 2 s, and an unresponsive server must be given up within 7 s, which begin up to 2 s
+# before the first line without an answer.
+UNRESPONSIVE_TIMEOUT_S = 2.5
+# Unanswered lines of one connection that are timed; further ones are only counted, which bounds the memory.
+MAX_TIMED_LINES = 256
 
 
-class _Lines:
+class _ConnectionLines:
     """The unanswered lines of one connection."""
 
-    __slots__ = ("sent", "timer", "untimed")
+    __slots__ = ("sent_at", "timer", "untimed")
 
     def __init__(self) -> None:
-        self.sent: list[float] = []  # TIMED_MOST at the most; an empty deque weighs ten times as much
+        # At most MAX_TIMED_LINES. A list: an empty deque takes ten times the memory.
+        self.sent_at: list[float] = []
         self.untimed = 0
         self.timer: Timer | None = None
 
 
 class DelayMeter:
-    """Measures one server on all connections of this proxy that stand there."""
+    """Measures one server, on all connections of this proxy that are established there."""
 
     def __init__(
         self,
         timers: Timers,
-        threshold: float,
-        tell: Callable[[str, float], object],
-        silent: Callable[[str], object],
+        threshold_s: float,
+        on_delay: Callable[[str, float], object],
+        on_unresponsive: Callable[[str], object],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
+        """``on_delay`` gets a connection's id and the delay in seconds; ``on_unresponsive`` the id."""
         self._timers = timers
-        self._threshold = threshold
-        self._tell = tell
-        self._silent = silent
+        self._threshold_s = threshold_s
+        self._on_delay = on_delay
+        self._on_unresponsive = on_unresponsive
         self._clock = clock
-        self._open: dict[str, _Lines] = {}
-        # In the order of their times, for the clock does not go back: what is asked of all connections at
-        # each line must not cost more the more of them stand.
-        self._samples: deque[tuple[float, float]] = deque()  # when a line was answered, what it took
-        self._sum = 0.0  # of what they took
-        self._sent: deque[tuple[float, _Lines]] = deque()  # timed lines, answered ones among them
-        self._last = ""  # the connection that the latest measurement came from
-        self._telling: Timer | None = None
+        self._connections: dict[str, _ConnectionLines] = {}
+        # Ordered by time, so that the cost of a line does not depend on the number of connections.
+        self._answered: deque[tuple[float, float]] = deque()  # when a line was answered, and its delay
+        self._answered_sum_s = 0.0  # of the delays in ``_answered``
+        self._sent: deque[tuple[float, _ConnectionLines]] = deque()  # timed lines, some answered already
+        self._last_measured = ""  # the connection of the newest measurement
+        self._report_timer: Timer | None = None
 
     def add_connection(self, connection: str) -> None:
-        """The connection stands here now."""
-        self._open[connection] = _Lines()
+        """Begins to measure an established connection."""
+        self._connections[connection] = _ConnectionLines()
 
     def remove_connection(self, connection: str) -> None:
-        """The connection stands here no more."""
-        lines = self._open.pop(connection, None)
+        """Ends the measurement of a connection; does nothing if there is none."""
+        lines = self._connections.pop(connection, None)
         if lines is not None:
             self._timers.cancel(lines.timer)
-            lines.sent.clear()
-        if not self._open:
-            self._timers.cancel(self._telling)
-            self._telling = None
-            self._samples.clear()
-            self._sent.clear()
-            self._sum = 0.0
+            lines.sent_at.clear()
+        if not self._connections:
+            self._reset()
 
     def lines_sent(self, connection: str, count: int) -> None:
-        """So many lines went to the server."""
-        lines = self._open.get(connection)
+        """Records that so many lines were sent to the server."""
+        lines = self._connections.get(connection)
         if lines is None or count == 0:
             return
-        timed = min(count, TIMED_MOST - len(lines.sent))
+        timed = min(count, MAX_TIMED_LINES - len(lines.sent_at))
         if lines.untimed or timed < count:
             timed = 0 if lines.untimed else timed
             lines.untimed += count - timed
         now = self._clock()
         for _ in range(timed):
-            lines.sent.append(now)
+            lines.sent_at.append(now)
             self._sent.append((now, lines))
         if lines.timer is None:
             self._watch(connection, lines)
 
     def lines_answered(self, connection: str, count: int) -> None:
-        """So many lines came back, in the order in which theirs went."""
-        lines = self._open.get(connection)
+        """Records that so many lines were answered, in the order in which they were sent."""
+        lines = self._connections.get(connection)
         if lines is None:
             return
         now = self._clock()
-        timed = min(count, len(lines.sent))
+        timed = min(count, len(lines.sent_at))
         for _ in range(timed):
-            took = now - lines.sent.pop(0)
-            self._samples.append((now, took))
-            self._sum += took
-            self._last = connection
+            delay_s = now - lines.sent_at.pop(0)
+            self._answered.append((now, delay_s))
+            self._answered_sum_s += delay_s
+            self._last_measured = connection
         lines.untimed = max(0, lines.untimed - (count - timed))
-        if lines.untimed and not lines.sent:
-            # Guards the watch for silence: one that was not timed is taken as sent now.
+        if lines.untimed and not lines.sent_at:
+            # Without a timed line an unresponsive server would go unnoticed: one counts as sent now.
             lines.untimed -= 1
-            lines.sent.append(now)
+            lines.sent_at.append(now)
             self._sent.append((now, lines))
         self._timers.cancel(lines.timer)
         lines.timer = None
-        if lines.sent:
+        if lines.sent_at:
             self._watch(connection, lines)
-        if self._telling is None and self.delay() > self._threshold:
+        if self._report_timer is None and self.delay_s() > self._threshold_s:
             self._report()
 
-    def delay(self) -> float:
-        """What a line takes now, in seconds."""
+    def delay_s(self) -> float:
+        """Returns the present delay: the mean of recent answers, or the longest wait if that is longer."""
         now = self._clock()
-        while self._samples and self._samples[0][0] < now - PERIOD:
-            self._sum -= self._samples.popleft()[1]
-        if not self._samples:
-            self._sum = 0.0  # what rounding has left
+        while self._answered and self._answered[0][0] < now - REPORT_INTERVAL_S:
+            self._answered_sum_s -= self._answered.popleft()[1]
+        if not self._answered:
+            self._answered_sum_s = 0.0  # without the rounding errors
         sent = self._sent
-        while sent and (not sent[0][1].sent or sent[0][1].sent[0] > sent[0][0]):
-            sent.popleft()  # answered, or its connection is gone
-        waiting = now - sent[0][0] if sent else 0.0
-        return max(self._sum / max(1, len(self._samples)), waiting)
-
-    def _watch(self, connection: str, lines: _Lines) -> None:
-        """A timer for the oldest unanswered line: first for slowness, then for silence."""
-        left = max(0.0, self._threshold - (self._clock() - lines.sent[0]))
-        lines.timer = self._timers.call_later(left, self._slow, connection, lines)
-
-    def _slow(self, connection: str, lines: _Lines) -> None:
-        # Not by way of _watch: a timer that is early by a rounding would be set again and again.
-        left = max(0.0, SILENT_AFTER - (self._clock() - lines.sent[0]))
-        lines.timer = self._timers.call_later(left, self._give_up, connection, lines)
-        self._last = connection
-        if self._telling is None:
-            # Told without asking whether it is over: at this moment it lies just on the threshold.
-            self._telling = self._timers.call_later(PERIOD, self._report)
-            self._tell(connection, self.delay())
-
-    def _give_up(self, connection: str, lines: _Lines) -> None:
+        while sent and (not sent[0][1].sent_at or sent[0][1].sent_at[0] > sent[0][0]):
+            sent.popleft()  # answered, or its connection is closed
+        waiting_s = now - sent[0][0] if sent else 0.0
+        return max(self._answered_sum_s / max(1, len(self._answered)), waiting_s)
+
+    def _reset(self) -> None:
+        self._timers.cancel(self._report_timer)
+        self._report_timer = None
+        self._answered.clear()
+        self._sent.clear()
+        self._answered_sum_s = 0.0
+
+    def _watch(self, connection: str, lines: _ConnectionLines) -> None:
+        """Sets a timer for the oldest unanswered line: first for the threshold, then for the timeout."""
+        left = max(0.0, self._threshold_s - (self._clock() - lines.sent_at[0]))
+        lines.timer = self._timers.call_later(left, self._on_threshold, connection, lines)
+
+    def _on_threshold(self, connection: str, lines: _ConnectionLines) -> None:
+        # Not by _watch: a timer that fires early by a rounding error would be set again and again.
+        left = max(0.0, UNRESPONSIVE_TIMEOUT_S - (self._clock() - lines.sent_at[0]))
+        lines.timer = self._timers.call_later(left, self._on_timeout, connection, lines)
+        self._last_measured = connection
+        if self._report_timer is None:
+            # Reported without a comparison: at this moment the delay equals the threshold but for rounding.
+            self._report_timer = self._timers.call_later(REPORT_INTERVAL_S, self._report)
+            self._on_delay(connection, self.delay_s())
+
+    def _on_timeout(self, connection: str, lines: _ConnectionLines) -> None:
         lines.timer = None
-        self._silent(connection)
+        self._on_unresponsive(connection)
 
     def _report(self) -> None:
-        """Tell the delay on one connection, and again after a second while it is over the threshold."""
-        self._telling = None
-        if not self._open:
+        """Reports the delay for one connection, and again later while it exceeds the threshold."""
+        self._report_timer = None
+        if not self._connections:
             return
-        connection = self._last if self._last in self._open else next(iter(self._open))
-        delay = self.delay()
-        if delay > self._threshold:
-            self._telling = self._timers.call_later(PERIOD, self._report)
-        self._tell(connection, delay)
+        connection = self._last_measured
+        if connection not in self._connections:
+            connection = next(iter(self._connections))
+        delay_s = self.delay_s()
+        if delay_s > self._threshold_s:
+            self._report_timer = self._timers.call_later(REPORT_INTERVAL_S, self._report)
+        self._on_delay(connection, delay_s)
--- a/ironmill/requests/routing_table.py
+++ b/ironmill/requests/routing_table.py
@@ -1,4 +1,4 @@
-"""The routing table: discovery's list of servers, and what its changes mean to the decisions."""
+"""The routing table: the servers of discovery's endpoint list, and what a change means to the balancer."""
 
 from __future__ import annotations
 
@@ -11,86 +11,93 @@
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.requests.start_times import StartTimes
 
+SERVER_NUMBER_BYTES = 6
+
 log = logging.getLogger("ironmill.requests.routing_table")
 
 
 class Server(Struct):
-    """What is held of one server. It stays known once it has been told, also after it left."""
+    """A server that discovery has listed; it stays known after it has left the list."""
 
     number: int
     uid: str
     address: tuple[str, int]
-    leaving_since: float | None = None  # when this proxy was told that it drains or is gone
-    listed: bool = True  # in the list as last told
+    leaving_since: float | None = None  # when this proxy was notified that it drains or has left
+    listed: bool = True  # in the newest list
 
 
 class RoutingTable:
-    """Numbers for uids, endpoints, and the age of what was told of a leaving server."""
+    """Maps server ids to numbers and addresses, and records since when a server is leaving."""
 
     def __init__(self) -> None:
+        """Starts empty."""
         self.revision = 0
         self._by_uid: dict[str, Server] = {}
         self._by_number: dict[int, Server] = {}
-        self._starts = StartTimes()
+        self._start_times = StartTimes()
 
-    def apply(self, routing: EndpointUpdate, now: float, answered: bool = True) -> WatchEvent:
-        """Take in a list; what it means to the decisions.
+    def apply(self, update: EndpointUpdate, now: float, *, from_discovery: bool = True) -> WatchEvent:
+        """Takes a list or changes to it; returns the event for the balancer.
 
-        ``answered``: discovery has told it now. Else it is from before the start of this process.
+        ``from_discovery``: discovery has sent it now; otherwise it is from before this process started.
         """
-        now -= routing.age
-        self.revision = routing.revision
-        for listed in routing.servers:
-            self._starts.see(listed.started_at, now)
-        entries = tuple(self._entry(listed, now) for listed in routing.servers)
-        if routing.full:
-            # A full list drops whatever it does not name.
-            present = {listed.uid for listed in routing.servers}
-            for server in self._by_uid.values():
-                if server.uid not in present:
-                    server.listed = False
-                    self._leave(server, now)
-        if answered:
-            self._starts.answered(now)
-        return WatchEvent(WatchEventKind.FULL if routing.full else WatchEventKind.DELTA, entries)
+        now -= update.age
+        self.revision = update.revision
+        for listed in update.servers:
+            self._start_times.observe(listed.started_at, now)
+        entries = tuple(self._take(listed, now) for listed in update.servers)
+        if update.full:
+            self._drop_absent(update, now)
+        if from_discovery:
+            self._start_times.on_response(now)
+        return WatchEvent(WatchEventKind.FULL if update.full else WatchEventKind.DELTA, entries)
 
     def listed(self) -> list[Server]:
-        """The servers in the list, the draining ones among them."""
+        """Returns the servers in the list, draining ones included."""
         return [server for server in self._by_uid.values() if server.listed]
 
     def by_uid(self, uid: str) -> Server | None:
-        """The server of that uid, if it has ever been told."""
+        """Returns the server with that id, if it has ever been listed."""
         return self._by_uid.get(uid)
 
     def by_number(self, number: int) -> Server | None:
-        """The server that the decisions know by this number."""
+        """Returns the server that the balancer knows by this number."""
         return self._by_number.get(number)
 
-    def _entry(self, listed: ListedServer, now: float) -> EndpointEntry:
+    def _take(self, listed: ListedServer, now: float) -> EndpointEntry:
         address = (listed.host, listed.port)
         server = self._by_uid.get(listed.uid)
         if server is None:
-            log.info("server %s: first told, %s", listed.uid, listed.stage.value)
-            server = Server(self._number(listed.uid), listed.uid, address)
-            self._by_uid[listed.uid] = self._by_number[server.number] = server
+            log.info("server %s: first listed, %s", listed.uid, listed.stage.value)
+            server = Server(self._allocate_number(listed.uid), listed.uid, address)
+            self._by_uid[listed.uid] = server
+            self._by_number[server.number] = server
         server.address = address
         server.listed = listed.stage is not Stage.GONE
         if listed.stage is Stage.READY:
             server.leaving_since = None
         else:
-            self._leave(server, now)
-        start = self._starts.start_of(listed.uid, listed.started_at, now)
+            self._mark_leaving(server, now)
+        start = self._start_times.start_of(listed.uid, listed.started_at, now)
         return EndpointEntry(server.number, listed.stage, listed.zone, listed.cell, start, listed.weight)
 
-    def _number(self, uid: str) -> int:
-        """From the uid alone, so that every proxy, also one that restarted, gives it the same."""
-        number = int.from_bytes(hashlib.blake2b(uid.encode(), digest_size=6).digest())
+    def _drop_absent(self, update: EndpointUpdate, now: float) -> None:
+        present = {listed.uid for listed in update.servers}
+        for server in self._by_uid.values():
+            if server.uid not in present:
+                server.listed = False
+                self._mark_leaving(server, now)
+
+    def _allocate_number(self, uid: str) -> int:
+        """Derives the number from the id, so that it is the same in every proxy and after a restart."""
+        digest = hashlib.blake2b(uid.encode(), digest_size=SERVER_NUMBER_BYTES).digest()
+        number = int.from_bytes(digest)
         while number in self._by_number:
             number += 1
         return number
 
     @staticmethod
-    def _leave(server: Server, now: float) -> None:
+    def _mark_leaving(server: Server, now: float) -> None:
         if server.leaving_since is None:
-            log.info("server %s: leaves", server.uid)
+            log.info("server %s: leaving", server.uid)
             server.leaving_since = now
--- a/ironmill/requests/start_times.py
+++ b/ironmill/requests/start_times.py
@@ -1,50 +1,51 @@
-"""When servers started, on this process's own steady clock. No I/O.
+"""Estimates when servers started, on this process's own steady clock.
 
-Discovery tells a start as Unix time of some other machine, and a machine's wall clock may be wrong by seconds
-or by an hour, this one's too. So a told time is believed only as far as it makes a server younger than
-something else shows it to be; a server that is taken for younger than it is merely gets less for a while.
+Discovery lists a start as Unix time of another machine, and the wall clock of any machine may be wrong by
+seconds or by an hour. A listed start is therefore believed only as far as it makes a server younger than
+other observations show it to be: a server that is taken for too young merely gets less for a while.
 """
 
 from __future__ import annotations
 
 import math
 
-LONG_AGO = 0.0
+LONG_AGO = 0.0  # the listed start of a server that did not start recently
 
 
 class StartTimes:
-    """Turns told starts into times of the own clock, once for each start. Times are in seconds."""
+    """Converts each listed start to a time on the own clock, once. Times are in seconds."""
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[float, float]] = {}  # by uid: the start as told, and on the own clock
-        self._ahead = -math.inf  # the machines' clock less the own, at least
-        self._answered_at = -math.inf
+        """Knows no server and no response yet."""
+        self._starts: dict[str, tuple[float, float]] = {}  # by uid: as listed, and on the own clock
+        self._min_offset = -math.inf  # a lower bound of the machines' clock minus the own
+        self._last_response_at = -math.inf
 
-    def answered(self, now: float) -> None:
-        """Discovery has answered: what is told later for the first time started after that, or was late."""
-        self._answered_at = now
+    def on_response(self, now: float) -> None:
+        """Records that discovery has answered: a server first listed later was not in that answer."""
+        self._last_response_at = now
 
-    def see(self, told: float, now: float) -> None:
-        """A start is listed: the machines' clock is past it.
+    def observe(self, listed_start: float, now: float) -> None:
+        """Records a listed start, which the machines' clock has passed.
 
-        The own clock is an upper bound: one machine that is ahead must not make all others look old.
+        The own clock is an upper bound, so that one machine whose clock is ahead does not make all others
+        old.
         """
-        if told != LONG_AGO:
-            self._ahead = max(self._ahead, min(0.0, told - now))
+        if listed_start != LONG_AGO:
+            self._min_offset = max(self._min_offset, min(0.0, listed_start - now))
 
-    def start_of(self, uid: str, told: float, now: float) -> float:
-        """When the server started, on the own clock: not before what this process has seen shows.
+    def start_of(self, uid: str, listed_start: float, now: float) -> float:
+        """Returns when the server started, on the own clock.
 
-        Its age when it is first seen is at most what has passed since the newest start in any list, and since
-        the last answer in which it was not listed. ``see`` comes first for all of a list.
+        Its age when it is first listed is at most the time since the newest start in any list, and since the
+        last response in which it was not listed. ``observe`` must be called first for all of a list.
         """
-        known = self._told.get(uid)
-        if known is not None and known[0] == told:
+        known = self._starts.get(uid)
+        if known is not None and known[0] == listed_start:
             return known[1]
-        if told == LONG_AGO:
-            start = LONG_AGO
-        else:
-            age = min(now + self._ahead - told, now - self._answered_at)
+        start = LONG_AGO
+        if listed_start != LONG_AGO:
+            age = min(now + self._min_offset - listed_start, now - self._last_response_at)
             start = now - max(0.0, age)
-        self._told[uid] = told, start
+        self._starts[uid] = (listed_start, start)
         return start
--- a/tests/support/proxy_under_test.py
+++ b/tests/support/proxy_under_test.py
@@ -14,7 +14,7 @@
 from ironmill.net.sockets import Stream
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.requests.admission import Admission
-from ironmill.requests.discovery_backoff import CallPace
+from ironmill.requests.discovery_backoff import DiscoveryBackoff
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.scheduler import Scheduler
 from tests.support.requests import config
@@ -106,9 +106,9 @@
         return client, attempt
 
 
-def pace() -> CallPace:
+def pace() -> DiscoveryBackoff:
     """Returns the backoff of one proxy of four."""
-    return CallPace(4, random.Random(1))
+    return DiscoveryBackoff(4, random.Random(1))
 
 
 def read_line(stream: Stream) -> bytes:
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -16,7 +16,7 @@
 from ironmill.net.clients import intake as intake_module
 from ironmill.net.clients import migration as migration_module
 from ironmill.net.clients import reading as reading_module
-from ironmill.net.discovery import Discovery
+from ironmill.net.discovery import Discovery, DiscoveryListener
 from ironmill.net.shutdown import Shutdown, ShutdownContext, ShutdownSchedule
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
@@ -288,7 +288,7 @@
 
 def test_a_silent_server_is_given_up_and_its_client_moved(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against machines that vanish: no end ever comes from them."""
-    monkeypatch.setattr("ironmill.requests.response_delay.SILENT_AFTER", 0.2)
+    monkeypatch.setattr("ironmill.requests.response_delay.UNRESPONSIVE_TIMEOUT_S", 0.2)
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client, _ = proxy.established_pair()
@@ -330,7 +330,7 @@
 def test_a_client_that_does_not_read_is_not_taken_for_a_silent_server(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("ironmill.requests.response_delay.SILENT_AFTER", 0.6)
+    monkeypatch.setattr("ironmill.requests.response_delay.UNRESPONSIVE_TIMEOUT_S", 0.6)
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
@@ -398,12 +398,12 @@
 
 
 def test_discovery_takes_the_whole_list_then_changes_and_comes_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_backoff, "REJOIN", 0.01)
+    monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
     empty = b'{"rev":%d,"all":%s,"targets":[]}'
     told: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, told.append, pace).start()
+        Discovery(proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(told.append), pace).start()
         agent = proxy.next_attempt()
         asked = []
         for body in (empty % (41, b"true"), empty % (43, b"false"), b"{"):
@@ -430,10 +430,9 @@
         Discovery(
             proxy.scheduler,
             proxy.listeners[0].address,
-            told.append,
+            DiscoveryListener(told.append, server_count=proxy.gateway.known_servers),
             pace,
             15,
-            held=proxy.gateway.known_servers,
         ).start()
         agent = proxy.next_attempt()
         asked = [read_line(agent).split(b" ")[1]]
@@ -464,7 +463,9 @@
     told: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, told.append, pace, 15).start()
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(told.append), pace, 15
+        ).start()
         answer_discovery(proxy.next_attempt(), 16)
         proxy.wait_until(lambda: bool(told))
 
@@ -477,25 +478,25 @@
 
     Only a call that is not to be answered has little time: others may be answered late by a busy machine.
     """
-    assert discovery_module.WAIT_MS / 1000.0 + discovery_module.ANSWER_WAIT <= 2.5
-    monkeypatch.setattr(discovery_module, "WAIT_MS", 20)
-    monkeypatch.setattr(discovery_module, "ANSWER_WAIT", 30.0)
+    assert discovery_module.POLL_WAIT_MS / 1000.0 + discovery_module.CALL_TIMEOUT_S <= 2.5
+    monkeypatch.setattr(discovery_module, "POLL_WAIT_MS", 20)
+    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 30.0)
     revisions: list[int] = []
     ended = [0, 0]  # calls that were answered, and all that ended
 
     def take(routing: EndpointUpdate) -> None:
         revisions.append(routing.revision)
         ended[0] += 1
-        monkeypatch.setattr(discovery_module, "ANSWER_WAIT", 0.05)  # of the next call
+        monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)  # of the next call
 
     def called() -> None:
         ended[1] += 1
         if ended[1] > ended[0] * 2 - 1:  # a silent call behind each answered one
-            monkeypatch.setattr(discovery_module, "ANSWER_WAIT", 30.0)
+            monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 30.0)
 
     def scenario(proxy: ProxyUnderTest) -> None:
         address = proxy.listeners[0].address
-        Discovery(proxy.scheduler, address, take, pace, called=called).start()
+        Discovery(proxy.scheduler, address, DiscoveryListener(take, called), pace).start()
         agent = proxy.next_attempt()
         read_line(agent)
         for revision in (41, 42):
@@ -512,13 +513,15 @@
 def test_a_proxy_with_a_list_watches_from_it_and_a_refused_call_is_one_line_in_the_log(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(discovery_backoff, "REJOIN", 0.01)
-    monkeypatch.setattr(discovery_backoff, "SPACING", 0.01)
+    monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
+    monkeypatch.setattr(discovery_backoff, "MEAN_CALL_INTERVAL_S", 0.01)
     told: list[EndpointUpdate] = []
     seen: list[Stream] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, told.append, pace, 15).start()
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(told.append), pace, 15
+        ).start()
         for answer in (
             b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
             b"HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy",
@@ -547,7 +550,10 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         discovery = Discovery(
-            proxy.scheduler, proxy.listeners[0].address, lambda routing: told.append(routing.revision), pace
+            proxy.scheduler,
+            proxy.listeners[0].address,
+            DiscoveryListener(lambda update: told.append(update.revision)),
+            pace,
         )
         discovery.start()
         old = proxy.next_attempt()
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -35,7 +35,7 @@
 from ironmill.net.clients import reading as reading_module
 from ironmill.net.clients.attempts import ClientAttempt
 from ironmill.net.clients.connection import ClientConnection
-from ironmill.net.discovery import Discovery
+from ironmill.net.discovery import Discovery, DiscoveryListener
 from ironmill.net.health_check import MAX_CONNECTIONS, HealthCheckDriver
 from ironmill.net.listener import Listener
 from ironmill.net.migration import Migration
@@ -331,11 +331,13 @@
     monkeypatch: pytest.MonkeyPatch, part: str
 ) -> None:
     """Each piece of it comes in time."""
-    monkeypatch.setattr(discovery_module, "ANSWER_WAIT", 0.1)
-    monkeypatch.setattr(discovery_backoff, "REJOIN", 0.01)
+    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, lambda _: None, pace).start()
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
+        ).start()
         agent = proxy.next_attempt()
         agent.send(b"HTTP/1.1 200 OK\r\n" + (b"Content-Length: 9999\r\n\r\n" if part == "body" else b""))
 
@@ -357,7 +359,7 @@
     told: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, told.append, pace).start()
+        Discovery(proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(told.append), pace).start()
         agent = proxy.next_attempt()
         asked(agent)
         if late:
@@ -388,7 +390,7 @@
             raise ZeroDivisionError
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, take, pace).start()
+        Discovery(proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(take), pace).start()
         for _ in range(2):
             agent = proxy.next_attempt()
             assert asked(agent) == b"/api/targets"
@@ -403,7 +405,9 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, lambda _: None, pace).start()
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
+        ).start()
         agent = proxy.next_attempt()
         asked(agent)
         answer_discovery(agent, 41)
@@ -592,7 +596,9 @@
         monkeypatch.setattr(Stream, "connect", full)
         prober(proxy, told).check(host)
         proxy.wait_until(lambda: bool(told))
-        Discovery(proxy.scheduler, proxy.listeners[0].address, lambda _: None, pace).start()
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
+        ).start()
         assert asked(proxy.next_attempt()) == b"/api/targets"
 
     ProxyUnderTest().run(scenario)
--- a/tests/unit/requests/test_discovery_backoff.py
+++ b/tests/unit/requests/test_discovery_backoff.py
@@ -7,19 +7,24 @@
 
 import pytest
 
-from ironmill.net.discovery import ANSWER_WAIT, WAIT_MS
-from ironmill.requests.discovery_backoff import CALL_MOST, SPARE, TOLD_AFTER, CallPace
+from ironmill.net.discovery import CALL_TIMEOUT_S, POLL_WAIT_MS
+from ironmill.requests.discovery_backoff import (
+    MAX_CALL_S,
+    NOTIFICATION_TIMEOUT_S,
+    TIMING_MARGIN_S,
+    DiscoveryBackoff,
+)
 
 
 def calls(
-    proxies: int, seconds: float, answered: float = 0.0, capacity: float = 0.0, took: float = CALL_MOST
+    proxies: int, seconds: float, answered: float = 0.0, capacity: float = 0.0, duration: float = MAX_CALL_S
 ) -> tuple[list[float], int]:
     """When all of them call, and how many were answered: none before ``answered``, then so many a second.
 
-    ``took``: the pauses are those after calls that took so long; here they take no time.
+    ``duration``: the pauses are those after calls that duration so long; here they take no time.
     """
-    paces = [CallPace(proxies, random.Random(seed)) for seed in range(proxies)]
-    due = [(pace.first(), number) for number, pace in enumerate(paces)]
+    backoffs = [DiscoveryBackoff(proxies, random.Random(seed)) for seed in range(proxies)]
+    due = [(backoff.first_delay(), number) for number, backoff in enumerate(backoffs)]
     heapq.heapify(due)
     at: list[float] = []
     done, free = 0, answered
@@ -28,9 +33,9 @@
         at.append(now)
         if capacity > 0.0 and now >= free:
             done, free = done + 1, now + 1.0 / capacity
-            paces[number].answered()
+            backoffs[number].succeeded()
         else:
-            heapq.heappush(due, (now + paces[number].failed(took), number))
+            heapq.heappush(due, (now + backoffs[number].failed(duration), number))
     return at, done
 
 
@@ -50,16 +55,16 @@
     The call under way at that moment comes to nothing, then comes the pause, then the call that tells.
     """
     for number in range(200):
-        pace = CallPace(200, random.Random(number))
-        assert pace.first() + CALL_MOST < TOLD_AFTER
-        first, *others = (pace.failed() for _ in range(40))
+        backoff = DiscoveryBackoff(200, random.Random(number))
+        assert backoff.first_delay() + MAX_CALL_S < NOTIFICATION_TIMEOUT_S
+        first, *others = (backoff.failed() for _ in range(40))
         # The first failure is that of a call that waits for news, the others are of calls that do not.
-        assert WAIT_MS / 1000.0 + ANSWER_WAIT + first + CALL_MOST < TOLD_AFTER
-        assert CALL_MOST + max(others) + CALL_MOST <= TOLD_AFTER - SPARE
+        assert POLL_WAIT_MS / 1000.0 + CALL_TIMEOUT_S + first + MAX_CALL_S < NOTIFICATION_TIMEOUT_S
+        assert MAX_CALL_S + max(others) + MAX_CALL_S <= NOTIFICATION_TIMEOUT_S - TIMING_MARGIN_S
 
 
 def test_proxies_that_start_together_spread_their_first_calls() -> None:
-    firsts = [CallPace(40, random.Random(seed)).first() for seed in range(40)]
+    firsts = [DiscoveryBackoff(40, random.Random(seed)).first_delay() for seed in range(40)]
     assert max(firsts) <= 4.0
     assert max(sum(1 for first in firsts if start <= first < start + 0.5) for start in range(4)) <= 12
 
@@ -72,38 +77,38 @@
 def test_a_watch_that_broke_is_taken_up_in_time_and_pauses_grow_with_jitter() -> None:
     pauses = []
     for seed in range(20):
-        pace = CallPace(40, random.Random(seed))
-        own = [pace.failed() for _ in range(9)]
+        backoff = DiscoveryBackoff(40, random.Random(seed))
+        own = [backoff.failed() for _ in range(9)]
         assert own[0] < 0.2
         assert own[0] < own[2] < own[4] <= own[6] * 2.0
         assert max(own) <= 8.0
-        pace.answered()
-        assert pace.failed() == own[0]
+        backoff.succeeded()
+        assert backoff.failed() == own[0]
         pauses.append(own[4])
     assert len(set(pauses)) == 20
 
 
 def test_one_proxy_alone_never_waits_long() -> None:
-    pace = CallPace(1, random.Random(1))
-    assert all(pace.failed() <= 0.2 for _ in range(50))
+    backoff = DiscoveryBackoff(1, random.Random(1))
+    assert all(backoff.failed() <= 0.2 for _ in range(50))
 
 
 def test_what_was_sent_unasked_is_asked_for_at_once() -> None:
     """It counts as told, so a list from before the start must not be served from any longer."""
-    pace = CallPace(40, random.Random(1), asks=False)
-    assert pace.first() == 0.0
-    assert all(pace.failed() < 0.2 for _ in range(20))
+    backoff = DiscoveryBackoff(40, random.Random(1), polls_discovery=False)
+    assert backoff.first_delay() == 0.0
+    assert all(backoff.failed() < 0.2 for _ in range(20))
 
 
 def test_a_start_that_is_no_part_of_a_crowd_asks_at_once() -> None:
-    assert CallPace(200, random.Random(1), first_at_once=True).first() == 0.0
-    assert CallPace(200, random.Random(1)).first() > 0.0
+    assert DiscoveryBackoff(200, random.Random(1), first_immediately=True).first_delay() == 0.0
+    assert DiscoveryBackoff(200, random.Random(1)).first_delay() > 0.0
 
 
-@pytest.mark.parametrize("took", [0.0, 0.4, CALL_MOST])
-def test_the_next_call_begins_in_time_however_long_the_failed_one_took(took: float) -> None:
+@pytest.mark.parametrize("duration", [0.0, 0.4, MAX_CALL_S])
+def test_the_next_call_begins_in_time_however_long_the_failed_one_took(duration: float) -> None:
     """What discovery had just after a call began is told by the next one, within 6 s."""
     for number in range(200):
-        pace = CallPace(2800, random.Random(number))
-        pauses = [pace.failed(took) for _ in range(40)]
-        assert took + max(pauses) + CALL_MOST <= TOLD_AFTER - SPARE
+        backoff = DiscoveryBackoff(2800, random.Random(number))
+        pauses = [backoff.failed(duration) for _ in range(40)]
+        assert duration + max(pauses) + MAX_CALL_S <= NOTIFICATION_TIMEOUT_S - TIMING_MARGIN_S
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -16,7 +16,7 @@
 from ironmill.protocol.request import RequestAttributes
 from ironmill.requests.gateway import Gateway
 from ironmill.requests.request_registry import OVERDUE_DELAY_S
-from ironmill.requests.response_delay import SILENT_AFTER, DelayMeter
+from ironmill.requests.response_delay import UNRESPONSIVE_TIMEOUT_S, DelayMeter
 from ironmill.requests.routing_table import RoutingTable
 from ironmill.requests.tracked_request import Attempt, IncomingRequest
 from tests.support.balancing import SETTINGS
@@ -238,9 +238,9 @@
     it = Meter(timers)
     it.meter.add_connection("a")
     it.meter.lines_sent("a", 1)
-    timers.run(SILENT_AFTER - 0.1)
+    timers.run(UNRESPONSIVE_TIMEOUT_S - 0.1)
     assert [delay for _, delay in it.told] == [0.05, 1.05, 2.05]
-    assert SILENT_AFTER + 2.0 < 6.0  # a line every 2 s, and 7 s from the silence on
+    assert UNRESPONSIVE_TIMEOUT_S + 2.0 < 6.0  # a line every 2 s, and 7 s from the silence on
     assert it.silent == []
     timers.run(0.2)
     assert it.silent == ["a"]
--- a/tests/unit/requests/test_response_delay.py
+++ b/tests/unit/requests/test_response_delay.py
@@ -1,4 +1,4 @@
-"""The delay meter against a plain model that searches all connections, and what it holds of one client."""
+"""The delay meter against a model that searches all connections, and its bounds for one client."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-from ironmill.requests.response_delay import PERIOD, TIMED_MOST, DelayMeter
+from ironmill.requests.response_delay import MAX_TIMED_LINES, REPORT_INTERVAL_S, DelayMeter
 from ironmill.runtime.timers import TimerQueue
 
 
@@ -51,10 +51,10 @@
     @rule(span=st.sampled_from([0.01, 0.3, 1.0]))
     def step(self, span: float) -> None:
         self.now += span
-        recent = [delay for at, delay in self.samples if at >= self.now - PERIOD]
+        recent = [delay for at, delay in self.samples if at >= self.now - REPORT_INTERVAL_S]
         mean = sum(recent) / max(1, len(recent))
         waiting = max((self.now - lines[0] for lines in self.sent.values() if lines), default=0.0)
-        assert self.meter.delay() == pytest.approx(max(mean, waiting))
+        assert self.meter.delay_s() == pytest.approx(max(mean, waiting))
 
 
 TestMeterModel = MeterModel.TestCase
@@ -67,12 +67,12 @@
     meter.add_connection("a")
     for _ in range(100):
         meter.lines_sent("a", 1000)
-    lines = meter._open["a"]
-    assert (len(lines.sent), lines.untimed) == (TIMED_MOST, 100_000 - TIMED_MOST)
-    assert len(meter._sent) == TIMED_MOST
+    lines = meter._connections["a"]
+    assert (len(lines.sent_at), lines.untimed) == (MAX_TIMED_LINES, 100_000 - MAX_TIMED_LINES)
+    assert len(meter._sent) == MAX_TIMED_LINES
     now = 1.0
-    meter.lines_answered("a", TIMED_MOST + 10)
+    meter.lines_answered("a", MAX_TIMED_LINES + 10)
     # What was counted alone is still owed: one of it is watched for silence.
-    assert (len(lines.sent), lines.untimed) == (1, 100_000 - TIMED_MOST - 11)
+    assert (len(lines.sent_at), lines.untimed) == (1, 100_000 - MAX_TIMED_LINES - 11)
     meter.lines_answered("a", 100_000)
-    assert (len(lines.sent), lines.untimed) == (0, 0)
+    assert (len(lines.sent_at), lines.untimed) == (0, 0)
--- a/tests/unit/requests/test_start_times.py
+++ b/tests/unit/requests/test_start_times.py
@@ -1,4 +1,4 @@
-"""When servers started, as one process may believe it."""
+"""When servers started, as one process estimates it."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 NOW = 1_000_000.0  # the own clock, Unix time as this machine has it
 
 
-def first_list(told: list[float], now: float = NOW) -> StartTimes:
+def first_list(listed: list[float], now: float = NOW) -> StartTimes:
     starts = StartTimes()
-    for start in told:
-        starts.see(start, now)
+    for start in listed:
+        starts.observe(start, now)
     return starts
 
 
 @pytest.mark.parametrize("ahead", [-3600.0, -5.0, 0.0, 5.0, 3600.0])
 def test_a_start_that_is_seen_to_happen_is_no_older_than_the_answer_before(ahead: float) -> None:
     starts = first_list([NOW - ahead - 500.0])
-    starts.answered(NOW)
-    starts.see(NOW - ahead + 9.0, NOW + 10.0)
-    starts.answered(NOW + 9.5)
+    starts.on_response(NOW)
+    starts.observe(NOW - ahead + 9.0, NOW + 10.0)
+    starts.on_response(NOW + 9.5)
     assert 9.5 <= starts.start_of("new", NOW - ahead + 9.0, NOW + 10.0) - NOW <= 10.0
 
 
 def test_a_machine_whose_own_clock_is_behind_is_no_older_either() -> None:
     starts = first_list([NOW - 500.0])
-    starts.answered(NOW + 9.5)
+    starts.on_response(NOW + 9.5)
     assert starts.start_of("new", NOW - 3600.0, NOW + 10.0) >= NOW + 9.5
 
 
 @pytest.mark.parametrize("ahead", [0.0, 5.0, 3600.0])
 def test_in_the_first_list_the_newest_start_counts_as_now_and_the_others_by_it(ahead: float) -> None:
-    told = [NOW - ahead - 2.0, NOW - ahead - 5.0, NOW - ahead - 900.0]
-    starts = first_list(told)
-    assert [starts.start_of(str(at), start, NOW) for at, start in enumerate(told)] == [
+    listed = [NOW - ahead - 2.0, NOW - ahead - 5.0, NOW - ahead - 900.0]
+    starts = first_list(listed)
+    assert [starts.start_of(str(at), start, NOW) for at, start in enumerate(listed)] == [
         NOW,
         NOW - 3.0,
         NOW - 898.0,
@@ -43,9 +43,9 @@
 
 
 def test_where_the_own_clock_is_behind_nobody_is_older_than_it_says() -> None:
-    told = [NOW + 3600.0, NOW + 3590.0, NOW - 5.0]
-    starts = first_list(told)
-    assert [starts.start_of(str(at), start, NOW) for at, start in enumerate(told)] == [NOW, NOW, NOW - 5.0]
+    listed = [NOW + 3600.0, NOW + 3590.0, NOW - 5.0]
+    starts = first_list(listed)
+    assert [starts.start_of(str(at), start, NOW) for at, start in enumerate(listed)] == [NOW, NOW, NOW - 5.0]
 
 
 def test_one_machine_that_is_ahead_does_not_make_the_others_old() -> None:
@@ -55,19 +55,19 @@
 
 def test_a_start_is_placed_once_and_anew_when_another_is_told() -> None:
     starts = first_list([NOW - 5.0])
-    starts.answered(NOW)
+    starts.on_response(NOW)
     assert starts.start_of("a", NOW - 5.0, NOW) == NOW
     assert starts.start_of("a", NOW - 5.0, NOW + 100.0) == NOW
-    starts.answered(NOW + 99.0)
-    starts.see(NOW + 97.0, NOW + 100.0)
+    starts.on_response(NOW + 99.0)
+    starts.observe(NOW + 97.0, NOW + 100.0)
     assert starts.start_of("a", NOW + 97.0, NOW + 100.0) == NOW + 100.0
     assert starts.start_of("a", 0.0, NOW + 101.0) == 0.0  # long ago
 
 
 def test_after_a_gap_a_start_may_be_as_old_as_the_gap() -> None:
     starts = first_list([NOW - 500.0])
-    starts.answered(NOW)
-    for told in (NOW + 1.0, NOW + 7.0):
-        starts.see(told, NOW + 8.0)
+    starts.on_response(NOW)
+    for listed in (NOW + 1.0, NOW + 7.0):
+        starts.observe(listed, NOW + 8.0)
     assert starts.start_of("early", NOW + 1.0, NOW + 8.0) == NOW + 2.0  # by the newest, which counts as now
     assert starts.start_of("ancient", NOW - 3600.0, NOW + 8.0) == NOW
--- a/tests/unit/testbed/test_capacity.py
+++ b/tests/unit/testbed/test_capacity.py
@@ -568,9 +568,9 @@
     assert today.delta_bytes == DELTA_BYTES_MOST
     assert today.revision_changes == MAX_REVISION_CHANGES
     assert (today.call_spacing_s, today.call_pause_most_s, today.call_pause_least) == (
-        discovery_backoff.SPACING,
-        discovery_backoff.PAUSE_MOST,
-        discovery_backoff.SHORTEST,
+        discovery_backoff.MEAN_CALL_INTERVAL_S,
+        discovery_backoff.MAX_PAUSE_S,
+        discovery_backoff.MIN_PAUSE_FRACTION,
     )
 
 
