--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -21,7 +21,7 @@
 from ironmill.configuration.tls_context import server_tls, upstream_tls
 from ironmill.identity.callers import Callers
 from ironmill.identity.keyring import KeyRing
-from ironmill.identity.rules import Caller, CallerRule, Identity, Rights
+from ironmill.identity.rules import Caller, CallerRule, IdentitySettings, Rights
 from ironmill.net.clients import reading as reading_module
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream, TimedOutError
@@ -64,7 +64,7 @@
 class TlsProxyUnderTest(ProxyUnderTest):
     """A proxy that speaks TLS to its clients."""
 
-    def __init__(self, authority: Authority, callers: Identity | None = None, **changes: Any) -> None:
+    def __init__(self, authority: Authority, callers: IdentitySettings | None = None, **changes: Any) -> None:
         super().__init__()
         self.listener.close()
         self.authority = authority
@@ -331,7 +331,7 @@
 
 
 def test_who_a_certificate_is(authority: Authority, shown: dict[str, tuple[str, str]]) -> None:
-    identity = Identity("", RULES, denied_certificates=frozenset({fingerprint(shown["denied"][0])}))
+    identity = IdentitySettings("", RULES, denied_fingerprints=frozenset({fingerprint(shown["denied"][0])}))
     told: dict[str, str] = {}
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -340,7 +340,7 @@
         for name, pair in shown.items():
             told[name] = answers(proxy, pair)
         counts = proxy.callers.counts()
-        assert [counts[f"refused {it}"] for it in ("denied", "no caller", "malformed")] == [1, 1, 1]
+        assert [counts[f"rejected {it}"] for it in ("denied", "no caller", "malformed")] == [1, 1, 1]
         until_gone(proxy)
 
     TlsProxyUnderTest(
@@ -364,17 +364,17 @@
 def test_a_certificate_is_denied_while_its_connection_stands(
     authority: Authority, shown: dict[str, tuple[str, str]]
 ) -> None:
-    identity = Identity("", RULES, move_within=0.05)
+    identity = IdentitySettings("", RULES, migrate_within_s=0.05)
 
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, TlsProxyUnderTest)
         assert proxy.callers is not None
         denied, _ = proxy.stand(*shown["denied"])
         good, attempt = proxy.stand(*shown["good"])
-        without = Identity(
-            "", RULES, move_within=0.05, denied_certificates=frozenset({fingerprint(shown["denied"][0])})
+        without = IdentitySettings(
+            "", RULES, migrate_within_s=0.05, denied_fingerprints=frozenset({fingerprint(shown["denied"][0])})
         )
-        proxy.callers.replace(without, KeyRing())
+        proxy.callers.reconfigure(without, KeyRing())
         assert read_line(denied) == b"MOVE\r\n"
         good.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
