--- a/ironmill/distribution/replica.py
+++ b/ironmill/distribution/replica.py
@@ -107,7 +107,7 @@
             if rejection is None:
                 consumer.apply(changes)
                 return None
-        except Exception as error:  # any fault of a consumer: the previous configuration stays in force
+        except Exception as error:  # noqa: BLE001 (a fault of the consumer must not end the process)
             rejection = Rejection("", f"{type(error).__name__}: {error}")
         return Rejection(rejection.key, rejection.reason[:MAX_REASON_LENGTH])
 
--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -137,7 +137,7 @@
                 self._backoff.succeeded()
                 self._is_failing = False
                 self._listener.on_call()
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001 (it is logged by _log_failure)
                 # The watch must go on, also after a programming error: without it no change arrives any more.
                 self._log_failure(error)
                 self._is_failing = True
--- a/ironmill/net/tls.py
+++ b/ironmill/net/tls.py
@@ -28,7 +28,7 @@
 
     __slots__ = ("_buffer", "_tls")
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 (the parameters of SSLContext.wrap_bio, beside those of Stream)
         self,
         scheduler: Scheduler,
         sock: socket.socket,
--- a/ironmill/simulator/loop.py
+++ b/ironmill/simulator/loop.py
@@ -93,7 +93,7 @@
             return
         try:
             actions = balancer.handle(event, self._now)
-        except Exception as error:  # the simulator expects the text of any exception
+        except Exception as error:  # noqa: BLE001 (the simulator expects the text of any exception)
             reply.append(format_exception(proxy, error))
             return
         reply.extend(format_action(proxy, action) for action in actions)
