--- a/ironmill_testbed/capacity/sweep_membership.py
+++ b/ironmill_testbed/capacity/sweep_membership.py
@@ -50,7 +50,7 @@
     return cluster
 
 
-def rest(size: int, quick: bool, seed: int) -> dict[str, float]:
+def measure_idle(size: int, quick: bool, seed: int) -> dict[str, float]:
     """Measures what the mean member sends and computes a second while nothing happens."""
     cluster = _converged_cluster(size, seed)
     span_s = QUICK_IDLE_SPAN_S if quick else IDLE_SPAN_S
@@ -67,7 +67,7 @@
     }
 
 
-def zone(size: int, quick: bool, seed: int) -> dict[str, float]:
+def measure_zone_failure(size: int, quick: bool, seed: int) -> dict[str, float]:
     """Kills one of eleven zones; measures what the survivors send and when all dead members are removed."""
     del quick
     cluster = _converged_cluster(size, seed)
@@ -122,7 +122,7 @@
         self._read = len(self._cluster.events)
 
 
-def memory(size: int, quick: bool, seed: int) -> dict[str, float]:
+def measure_memory(size: int, quick: bool, seed: int) -> dict[str, float]:
     """Measures the bytes of one member whose view has so many, each record as it comes off the wire."""
     del quick
     data = [encode_update(MemberRecord(_identity(at), 2)) for at in range(size)]
@@ -156,7 +156,7 @@
 
 RUNS = (
     Runs(
-        zone,
+        measure_zone_failure,
         (
             _sweep(
                 "membership_zone_bytes",
@@ -182,7 +182,7 @@
         repeats=3,
     ),
     Runs(
-        rest,
+        measure_idle,
         (
             _sweep(
                 "membership_rest_bytes",
@@ -203,7 +203,7 @@
         repeats=3,
     ),
     Runs(
-        memory,
+        measure_memory,
         (
             _sweep(
                 "membership_memory",
--- a/tests/unit/testbed/test_sweeps.py
+++ b/tests/unit/testbed/test_sweeps.py
@@ -50,21 +50,21 @@
     assert 200.0 < fit.slope < 5000.0, "bytes an entry"
 
 
-def test_members_at_rest_send_and_compute() -> None:
+def test_idle_members_have_a_positive_cost_at_each_size() -> None:
     found = sweep_membership.RUNS[1].alone(quick=True, sizes=SIZES)
     for sweep in found.values():
         assert [size for size, _ in sweep.points] == list(SIZES)
         assert all(cost > 0.0 for _, cost in sweep.points)
-    # An observer pings six others each 0.6 s and answers as many: whatever the size, from ten members on.
+    # An observer pings six others each 0.6 s and answers as many, at every size from ten members on.
     assert all(500.0 < cost < 2000.0 for _, cost in found["membership_rest_bytes"].points)
 
 
-def test_all_of_a_killed_zone_are_found_gone() -> None:
-    costs = sweep_membership.zone(33, True, 1)
+def test_all_members_of_a_killed_zone_are_removed() -> None:
+    costs = sweep_membership.measure_zone_failure(33, True, 1)
     assert 2.0 < costs["membership_zone_gone"] < sweep_membership.ZONE_FAILURE_SPAN_S
     assert costs["membership_zone_bytes"] > 1000.0
     assert costs["membership_zone_span"] >= 0.0
-    assert costs == sweep_membership.zone(33, True, 1), "by the seed alone"
+    assert costs == sweep_membership.measure_zone_failure(33, True, 1), "by the seed alone"
 
 
 def test_what_is_not_found_is_left_out_and_told() -> None:
@@ -74,7 +74,7 @@
     assert sweep.what.endswith("Not found, and left out, at 30.")
 
 
-def test_a_view_of_more_members_holds_more() -> None:
+def test_memory_of_a_view_grows_with_its_members() -> None:
     (sweep,) = sweep_membership.RUNS[2].alone(quick=True, sizes=(20, 40, 60, 80, 100)).values()
     assert 500.0 < sweep.fit().slope < 4000.0, "bytes a member"
 
