--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -14,7 +14,7 @@
 
 from ironmill.configuration.proxy_config import Address, Config
 from ironmill.net.clients.service import ClientDependencies, ClientService
-from ironmill.net.discovery import Discovery
+from ironmill.net.discovery import Discovery, DiscoveryListener
 from ironmill.net.drain import Drain
 from ironmill.net.health_check import HealthCheckDriver
 from ironmill.net.listener import Listener
@@ -23,7 +23,7 @@
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import Stream
 from ironmill.requests.admission import Admission
-from ironmill.requests.discovery_backoff import CallPace
+from ironmill.requests.discovery_backoff import DiscoveryBackoff
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.gc_schedule import GcSchedule
 from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent
@@ -68,8 +68,8 @@
         self.scheduler = Scheduler(options.poller)
         self.lifecycle = Lifecycle()
         self.gateway = self._build_gateway()
-        self.listener = Listener(self.scheduler, config.listen, self._accepted, at_once=False, shared=True)
-        if self.listener.succeeds:
+        self.listener = Listener(self.scheduler, config.listen, self._accepted, shared=True)
+        if self.listener.has_predecessor:
             self.gateway.on_predecessor(MAX_SUCCESSION_S)
         self.discovery = self._build_discovery()
         self.admission = Admission(config.sockets)
@@ -95,20 +95,18 @@
     def _build_discovery(self) -> Discovery:
         config = self._config
         backoff = partial(
-            CallPace,
+            DiscoveryBackoff,
             config.settings.proxies,
             random.Random(config.seed),
-            config.settings.subscribes_to_discovery,
-            first_at_once=self.listener.succeeds,
+            polls_discovery=config.settings.subscribes_to_discovery,
+            first_immediately=self.listener.has_predecessor,
         )
         return Discovery(
             self.scheduler,
             config.discovery,
-            self.gateway.on_endpoints,
+            DiscoveryListener(self.gateway.on_endpoints, self._start_accepting, self.gateway.known_servers),
             backoff,
             config.known.revision if config.known.servers else None,
-            self._start_accepting,
-            self.gateway.known_servers,
         )
 
     def _build_features(self, options: ProxyOptions) -> OperatorFeatures | None:
@@ -179,14 +177,14 @@
 
     def _log_start(self) -> None:
         log.info("listening on %s:%d", *self.listener.address)
-        if self.listener.succeeds:
+        if self.listener.has_predecessor:
             log.info("another process listens there: clients are accepted once discovery has answered")
         for listener in self._listeners[1:]:
             log.info("listening for TLS on %s:%d", *listener.address)
         log.info("of %d descriptors %d are for clients", self._config.sockets, self.admission.max_descriptors)
 
     def _first_poll_timeout_s(self) -> float:
-        if self.listener.succeeds:
+        if self.listener.has_predecessor:
             return SUCCESSOR_FIRST_POLL_TIMEOUT_S
         # Where discovery is polled a change counts as notified only when it was answered. The first polls of
         # a large fleet are spread over seconds, and restarted proxies must serve in the meantime.
@@ -198,10 +196,10 @@
             listener.start()
         self.lifecycle.handle(LifecycleEvent.STARTED)
 
-    def give_way(self) -> None:
+    def yield_to_successor(self) -> None:
         """Leaves new connections to a process that was started after this one, if there is one."""
         for listener in self._listeners:
-            listener.give_way()
+            listener.yield_to_successor()
 
     def close(self, within: float = 0.0) -> None:
         """Leaves the cluster and stops accepting. ``within``: as for ``Listener.close``."""
