--- a/ironmill_testbed/__init__.py
+++ b/ironmill_testbed/__init__.py
@@ -1,4 +1,4 @@
-"""The project's own laboratory: emulated neighbours of a proxy, fleets of clients, and measurements.
+"""The project's own laboratory: emulated dependencies of a proxy, fleets of clients, and measurements.
 
 The proxy never imports it. Everything stays on loopback and ends by itself.
 """
--- a/ironmill_testbed/__main__.py
+++ b/ironmill_testbed/__main__.py
@@ -48,7 +48,7 @@
     words = docopt(__doc__, argv=list(sys.argv[1:] if argv is None else argv))
     # Also when it is told to end it leaves no process behind: the ends of its blocks are run.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(128 + signal.SIGTERM))
-    # Imported where used: the emulated neighbours need not carry what the measurements do.
+    # Imported where used: the emulated dependencies need not carry what the measurements do.
     if words["emulate"]:
         from ironmill_testbed import emulate
 
--- a/ironmill_testbed/call.py
+++ b/ironmill_testbed/call.py
@@ -10,7 +10,7 @@
 from ironmill.net.sockets import TimedOutError
 from ironmill.net.tls import TlsStream
 from ironmill.runtime.scheduler import Scheduler
-from ironmill_testbed.fleet import Client, NotServedError, play
+from ironmill_testbed.fleet import Client, NotServedError, run_scenario
 
 LIMIT = 15.0  # seconds
 
@@ -40,7 +40,7 @@
                 )
                 stream.handshake(time.monotonic() + LIMIT)
             client.open(token=shown.strip().encode())
-            print(f"UP at {client.host}; a line came back: {client.ask(b'hello').decode()}")
+            print(f"UP at {client.server_id}; a line came back: {client.exchange(b'hello').decode()}")
         except NotServedError as error:
             print(str(error) or "closed without an answer")
             return 1
@@ -51,5 +51,5 @@
             client.close()
         return 0
 
-    status: int = play(scheduler, story, LIMIT)
+    status: int = run_scenario(scheduler, story, LIMIT)
     return status
--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -189,7 +189,7 @@
 
 def _sent(fleet: Fleet) -> dict[str, int]:
     """Bytes of datagrams that each has sent so far, and that hollow proxies have received."""
-    told = [process.ask("told") for process in fleet.hollow]
+    told = [process.execute("told") for process in fleet.hollow]
     found = {
         "hollow": sum(one["sent"] for one in told),
         "received": sum(one["received"] for one in told),
@@ -203,7 +203,9 @@
 
 def _spent(before: dict[str, Usage], after: dict[str, Usage], took: float) -> dict[str, float]:
     """Percent of a core that each process used."""
-    return {name: 100.0 * (after[name].cpu - was.cpu) / took for name, was in before.items() if name in after}
+    return {
+        name: 100.0 * (after[name].cpu_s - was.cpu_s) / took for name, was in before.items() if name in after
+    }
 
 
 def _cores(fleet: Fleet, before: tuple[dict[str, Usage], float], prefix: str) -> dict[str, float]:
@@ -222,7 +224,7 @@
 def _memory(fleet: Fleet) -> float:
     """MiB resident of the control machine that has most."""
     usage = fleet.usage()
-    return max(usage[name].resident for name in fleet.controls) / 2**20
+    return max(usage[name].resident_bytes for name in fleet.controls) / 2**20
 
 
 # What goes wrong
@@ -277,7 +279,7 @@
     until = at + STALE_WITHIN + HEALED
     while fleet.state()["stale"] < fleet.proxies and time.monotonic() < until:
         time.sleep(LOOK)
-    told = [moment for process in fleet.hollow for moment in process.ask("moments", 0, -1)["stale"]]
+    told = [moment for process in fleet.hollow for moment in process.execute("moments", 0, -1)["stale"]]
     told = [moment for moment in told if moment >= at]
     fleet.resume(ORIGIN)
     staff.once("contact")
@@ -293,7 +295,7 @@
 
 def _kept(fleet: Fleet, staff: Staff) -> dict[str, Any]:
     """Changes that are not in force, out of order or in pieces, and how long they took. None of none."""
-    told = [process.ask("told") for process in fleet.hollow]
+    told = [process.execute("told") for process in fleet.hollow]
     seen = fleet.seen()
     last = staff.pushed[-1].position if staff.pushed else START
     hollow = [(to_position(at), count) for one in told for at, count in one["in_force"].items()]
@@ -340,7 +342,7 @@
     if pushed:
         first, last = pushed[0].position.number, pushed[-1].position.number
         for process in fleet.hollow:
-            for number, some in process.ask("moments", first, last)["reached"].items():
+            for number, some in process.execute("moments", first, last)["reached"].items():
                 found.setdefault(int(number), []).extend(some)
     return found
 
--- a/ironmill_testbed/capacity/sweep_core.py
+++ b/ironmill_testbed/capacity/sweep_core.py
@@ -1,6 +1,6 @@
 """Sweeps of a standing connection's costs: a real proxy, and the bare epoll floor beside it, in turns.
 
-Four processes: this one with the clients, the emulated neighbours, the proxy, the floor. The two are
+Four processes: this one with the clients, the emulated dependencies, the proxy, the floor. The two are
 started anew for each size, for a proxy that has had connections before takes less for more of them: 5.5 KiB
 each at 5,000 in steps over 500 and 2,500, 7.3 at once. They are measured by the code of ``measure core``.
 """
@@ -17,9 +17,9 @@
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.capacity.data import Sign, Sweep
 from ironmill_testbed.capacity.runs import fill
-from ironmill_testbed.fleet import play
+from ironmill_testbed.fleet import run_scenario
 from ironmill_testbed.measures.core import HOSTS, LIMIT, Bench, Figures, make_subject
-from ironmill_testbed.processes import Neighbours
+from ironmill_testbed.processes import Dependencies
 
 SIZES = (500, 1000, 2000, 3000, 4000, 5000)
 SIZES_QUICK = (500, 1000, 1500, 2000, 2500)
@@ -66,10 +66,10 @@
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
         room = stack.enter_context(_descriptors())
         folder = Path(name)
-        neighbours = stack.enter_context(Neighbours(folder, HOSTS))
+        dependencies = stack.enter_context(Dependencies(folder, HOSTS))
         scheduler, benches = Scheduler(), dict[str, Bench]()
         for kind in kinds:
-            subject = make_subject(f"{kind}-{size}", neighbours, folder, room, "epoll", None)
+            subject = make_subject(f"{kind}-{size}", dependencies, folder, room, "epoll", None)
             stack.enter_context(subject.process)
             benches[kind] = Bench(scheduler, subject, Figures(size))
 
@@ -82,7 +82,7 @@
             for bench in benches.values():
                 bench.close()
 
-        play(scheduler, story, LIMIT)
+        run_scenario(scheduler, story, LIMIT)
         return {kind: bench.figures for kind, bench in benches.items()}
 
 
--- a/ironmill_testbed/client_load.py
+++ b/ironmill_testbed/client_load.py
@@ -9,7 +9,7 @@
 
 from ironmill.membership.identity import Address
 from ironmill.runtime.scheduler import Scheduler
-from ironmill_testbed.fleet import Fleet, play
+from ironmill_testbed.fleet import Fleet, run_scenario
 
 CLIENTS = 60
 MAX_RUN_S = 600.0
@@ -47,8 +47,8 @@
             while not self._is_stopping:
                 scheduler.sleep(STOP_CHECK_INTERVAL_S)
             counts = fleet.counts
-            lost = counts.lost + counts.unanswered + counts.failed + counts.unreached
+            lost = counts.lost + counts.unanswered + counts.failed + counts.unreachable
             self._result = ClientLoadResult(lost, counts.lines)
             fleet.end()
 
-        play(scheduler, run_clients, MAX_RUN_S)
+        run_scenario(scheduler, run_clients, MAX_RUN_S)
--- a/ironmill_testbed/demo.py
+++ b/ironmill_testbed/demo.py
@@ -1,6 +1,6 @@
-"""The demonstration: one proxy among emulated neighbours, told as it goes.
+"""The demonstration: one proxy among emulated dependencies, with a line of output for every step.
 
-A server drains, the proxy is started again, a new version takes over beside it, and staff drain it.
+A server drains, the proxy is restarted, a new version takes over beside it, and an operator drains it.
 """
 
 from __future__ import annotations
@@ -9,187 +9,209 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from dataclasses import astuple, fields
 from pathlib import Path
 from typing import Any
 
+from msgspec import Struct
+
+from ironmill.membership.identity import Address, format_address
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.admin_client import call
-from ironmill_testbed.fleet import Fleet, FleetCounts, play
-from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.dependency_status import DependenciesStatus
+from ironmill_testbed.fleet import Fleet, FleetCounts, run_scenario
+from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
-HOSTS = 6
+SERVER_COUNT = 6
 SOCKETS = 4096
-# When what happens, in seconds from the start of the fleet.
-DRAIN_AT, RESTART_AT, UPGRADE_AT, QUIESCE_AT, RESUME_AT, END_AT = 3.0, 8.0, 14.0, 20.0, 23.5, 27.0
-DRAINED = "s-0"
-LIMIT = 90.0
-START_WAIT = 20.0
+DRAINED_SERVER = "s-0"
+# Seconds from the start of the fleet.
+DRAIN_AT_S, RESTART_AT_S, UPGRADE_AT_S, PROXY_DRAIN_AT_S = 3.0, 8.0, 14.0, 20.0
+RESUME_AT_S, END_AT_S = 23.5, 27.0
+FINAL_DELAY_S = 1.0  # lets the clients close their connections
+TIMEOUT_S = 90.0
+STAY_TIMEOUT_S = 1e6
+START_TIMEOUT_S = 20.0
+START_CHECK_INTERVAL_S = 0.02
+EXIT_CHECK_INTERVAL_S = 0.05
+REPORT_INTERVAL_S = 1.0
+PING_TIMEOUT_S = 1.0
+
+
+class Deployment(Struct, frozen=True):
+    """What every process of the proxy is started with."""
+
+    folder: Path
+    value: dict[str, Any]  # of the configuration file, without the admin API's address
+    options: list[str]
 
 
 def run(clients: int, stay: bool, settings: Path | None) -> int:
-    """Play it; status 1 if a request went unanswered, a connection was lost or a drain was violated."""
-    more = [] if settings is None else [f"--settings={settings}"]
+    """Runs the demonstration; returns 1 if a request or connection was lost, or a request was late."""
+    options = [] if settings is None else [f"--settings={settings}"]
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        with Neighbours(folder, HOSTS) as neighbours:
+        with Dependencies(folder, SERVER_COUNT) as dependencies:
             address = ("127.0.0.1", free_port())
-            value = proxy_config("demo", address, neighbours.discovery, SOCKETS, platform_settings())
-            config = _at_control(folder, value)
-            print(f"discovery and {HOSTS} emulated servers are up")
-            with ProxyProcess(config, folder, more=more) as proxy:
-                proxy.wait_ready()
-                scheduler = Scheduler()
-                demo = Demo(scheduler, neighbours, proxy, config, folder, clients, more, value)
-                try:
-                    good: bool = play(scheduler, demo.story, LIMIT)
-                    if stay:
-                        print(
-                            f"the proxy stays at 127.0.0.1 port {address[1]}; connect with telnet, type\n"
-                            "    OPEN 1 2 c=index-sync,d=2000\n"
-                            "and then any line, which comes back; interrupt to end",
-                            flush=True,
-                        )
-                        play(scheduler, lambda: scheduler.sleep(1e6), 1e6)
-                except KeyboardInterrupt:
-                    return 0
-                finally:
-                    demo.close()
-    return 0 if good else 1
-
-
-def _at_control(folder: Path, value: dict[str, Any]) -> Path:
-    """The configuration's file, with a second address of its own for staff."""
-    value["control"] = f"127.0.0.1:{free_port()}"
-    return write_config(folder, value)
+            value = proxy_config("demo", address, dependencies.discovery, SOCKETS, platform_settings())
+            print(f"discovery and {SERVER_COUNT} emulated servers are up")
+            demo = Demo(dependencies, Deployment(folder, value, options), clients)
+            try:
+                is_complete: bool = demo.run()
+                if stay:
+                    demo.stay()
+            except KeyboardInterrupt:
+                return 0
+            finally:
+                demo.close()
+    return 0 if is_complete else 1
 
 
 class Demo:
-    """The story and what it prints."""
-
-    def __init__(
-        self,
-        scheduler: Scheduler,
-        neighbours: Neighbours,
-        proxy: ProxyProcess,
-        config: Path,
-        folder: Path,
-        clients: int,
-        more: list[str],
-        value: dict[str, Any],
-    ) -> None:
-        self._scheduler = scheduler
-        self._neighbours = neighbours
-        self._proxy = proxy
-        self._config, self._folder = config, folder
-        self._size = clients
-        self._more = more
-        self._value = value
-        self._fleet = Fleet(scheduler, [proxy.address], 0)
-        self._began = time.monotonic()
+    """The demonstration's scenario and what it prints."""
+
+    def __init__(self, dependencies: Dependencies, deployment: Deployment, client_count: int) -> None:
+        """Starts the proxy."""
+        self._scheduler = Scheduler()
+        self._dependencies = dependencies
+        self._deployment = deployment
+        self._client_count = client_count
+        self._admin_address: Address = ("127.0.0.1", 0)
+        self._config = self._write_config()
+        self._proxy = self._start_proxy()
+        self._fleet = Fleet(self._scheduler, [self._proxy.address], 0)
+        self._started_at = time.monotonic()
+
+    def run(self) -> bool:
+        """Waits for the proxy and runs the scenario to its end; returns True if nothing was lost."""
+        self._proxy.wait_ready()
+        is_complete: bool = run_scenario(self._scheduler, self._scenario, TIMEOUT_S)
+        return is_complete
+
+    def stay(self) -> None:
+        """Keeps the proxy up until the process is interrupted."""
+        print(
+            f"the proxy stays at 127.0.0.1 port {self._proxy.address[1]}; connect with telnet, type\n"
+            "    OPEN 1 2 c=index-sync,d=2000\n"
+            "and then any line, which comes back; interrupt to end",
+            flush=True,
+        )
+        run_scenario(self._scheduler, lambda: self._scheduler.sleep(STAY_TIMEOUT_S), STAY_TIMEOUT_S)
 
     def close(self) -> None:
-        """End the proxy that runs now."""
+        """Kills the proxy that runs now."""
         self._proxy.end(signal.SIGKILL)
 
-    def story(self) -> bool:
-        """The whole of it; True if nothing was lost."""
-        self._began = time.monotonic()
-        self._fleet = Fleet(self._scheduler, [self._proxy.address], self._size)
-        self._say(f"{self._size} clients arrive")
-        self._until(DRAIN_AT)
-        told = self._neighbours.ask("drain", DRAINED)
-        held = next(host["standing"] for host in told["hosts"] if host["uid"] == DRAINED)
-        self._say(f"server {DRAINED} drains, {held} connections stand there")
-        self._until(RESTART_AT)
+    def _scenario(self) -> bool:
+        self._started_at = time.monotonic()
+        self._fleet = Fleet(self._scheduler, [self._proxy.address], self._client_count)
+        self._report(f"{self._client_count} clients connect")
+        self._run_until(DRAIN_AT_S)
+        established = self._dependencies.drain(DRAINED_SERVER).established
+        self._report(f"server {DRAINED_SERVER} drains {established} established connections")
+        self._run_until(RESTART_AT_S)
         self._restart()
-        self._until(UPGRADE_AT)
+        self._run_until(UPGRADE_AT_S)
         self._upgrade()
-        self._until(QUIESCE_AT)
-        self._say(f"staff drain it: POST /admin/quiesce: {self._ask('POST', 'quiesce')}")
-        self._until(RESUME_AT)
-        self._say(f"and end that: POST /admin/resume: {self._ask('POST', 'resume')}")
-        self._until(END_AT)
+        self._run_until(PROXY_DRAIN_AT_S)
+        self._report(f"an operator drains it: POST /admin/quiesce: {self._call_api('POST', 'quiesce')}")
+        self._run_until(RESUME_AT_S)
+        self._report(f"and ends the drain: POST /admin/resume: {self._call_api('POST', 'resume')}")
+        self._run_until(END_AT_S)
         self._fleet.end()
-        self._scheduler.sleep(1.0)
-        return self._sum_up(self._neighbours.ask("told"))
+        self._scheduler.sleep(FINAL_DELAY_S)
+        return self._print_summary(self._dependencies.status())
+
+    def _write_config(self) -> Path:
+        """Writes the configuration with a new address for the admin API, so that two processes can run."""
+        self._admin_address = ("127.0.0.1", free_port())
+        value = self._deployment.value | {"control": format_address(self._admin_address)}
+        return write_config(self._deployment.folder, value)
+
+    def _start_proxy(self) -> ProxyProcess:
+        return ProxyProcess(self._config, self._deployment.folder, options=self._deployment.options)
 
-    def _until(self, at: float) -> None:
-        while (left := self._began + at - time.monotonic()) > 0.0:
-            self._scheduler.sleep(min(1.0, left))
-            self._say("")
+    def _run_until(self, at_s: float) -> None:
+        while (left := self._started_at + at_s - time.monotonic()) > 0.0:
+            self._scheduler.sleep(min(REPORT_INTERVAL_S, left))
+            self._report("")
 
-    def _say(self, what: str) -> None:
+    def _report(self, step: str) -> None:
         counts = self._fleet.counts
         print(
-            f"{time.monotonic() - self._began:5.1f} s  opened {counts.opened:4}  served {counts.served:4}  "
-            f"refused {counts.refused:3}  moved {counts.moved:4}  lost {counts.lost:3}  "
-            f"standing {len(self._fleet.standing):4}  {what}".rstrip(),
+            f"{time.monotonic() - self._started_at:5.1f} s  opened {counts.opened:4}  "
+            f"served {counts.served:4}  rejected {counts.rejected:3}  migrated {counts.migrated:4}  "
+            f"lost {counts.lost:3}  established {len(self._fleet.established):4}  {step}".rstrip(),
             flush=True,
         )
 
+    def _restart(self) -> None:
+        self._report("the proxy gets SIGTERM and migrates its clients")
+        self._proxy.popen.send_signal(signal.SIGTERM)
+        status = self._wait_for_exit(self._proxy)
+        self._report(f"it has ended with status {status} and is started again")
+        self._proxy = self._start_proxy()
+        self._wait_for_start(self._answers_ping)
+        self._report("it answers again")
+
     def _upgrade(self) -> None:
         old = self._proxy
-        self._config = _at_control(self._folder, self._value)
-        self._proxy = ProxyProcess(self._config, self._folder, more=self._more)
-        self._say("a new version is started beside it, at the same address")
-        until = time.monotonic() + START_WAIT
-        while time.monotonic() < until and not self._serves():
-            self._scheduler.sleep(0.02)
-        self._say(f"it serves: GET /admin/health: {self._ask('GET', 'health')}; the old one is told to end")
+        self._config = self._write_config()
+        self._proxy = self._start_proxy()
+        self._report("a new version is started beside it, at the same address")
+        self._wait_for_start(self._is_healthy)
+        self._report(
+            f"it serves: GET /admin/health: {self._call_api('GET', 'health')}; the old one gets SIGTERM"
+        )
         old.popen.send_signal(signal.SIGTERM)
-        while old.popen.poll() is None:
-            self._scheduler.sleep(0.05)
-        self._say(f"the old one has ended with status {old.end()}")
+        self._report(f"the old one has ended with status {self._wait_for_exit(old)}")
 
-    def _serves(self) -> bool:
+    def _wait_for_exit(self, proxy: ProxyProcess) -> int:
+        while proxy.popen.poll() is None:
+            self._scheduler.sleep(EXIT_CHECK_INTERVAL_S)
+        return proxy.end()
+
+    def _wait_for_start(self, is_started: Callable[[], bool]) -> None:
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline and not is_started():
+            self._scheduler.sleep(START_CHECK_INTERVAL_S)
+
+    def _is_healthy(self) -> bool:
         try:
-            return self._ask("GET", "health") == 200
+            return self._call_api("GET", "health") == 200
         except (OSError, TimedOutError):
             return False  # it does not listen there yet
 
-    def _ask(self, method: str, path: str) -> int:
-        host, _, port = str(self._value["control"]).rpartition(":")
-        return call(self._scheduler, (host, int(port)), method, f"/admin/{path}")[0]
+    def _call_api(self, method: str, path: str) -> int:
+        return call(self._scheduler, self._admin_address, method, f"/admin/{path}")[0]
 
-    def _restart(self) -> None:
-        self._say("the proxy is told to end (SIGTERM); it sends its clients away first")
-        self._proxy.popen.send_signal(signal.SIGTERM)
-        while self._proxy.popen.poll() is None:
-            self._scheduler.sleep(0.05)
-        self._say(f"it has ended with status {self._proxy.popen.returncode} and is started again")
-        self._proxy.end()
-        self._proxy = ProxyProcess(self._config, self._folder, more=self._more)
-        until = time.monotonic() + START_WAIT
-        while time.monotonic() < until and not self._answers():
-            self._scheduler.sleep(0.02)
-        self._say("it answers again")
-
-    def _answers(self) -> bool:
+    def _answers_ping(self) -> bool:
         try:
-            stream = Stream.connect(self._scheduler, self._proxy.address, 1.0)
+            stream = Stream.connect(self._scheduler, self._proxy.address, PING_TIMEOUT_S)
         except (OSError, TimedOutError):
             return False
         try:
-            stream.send(b"PING\r\n", 1.0)
-            return stream.receive(1.0) == b"PONG\r\n"
+            stream.send(b"PING\r\n", PING_TIMEOUT_S)
+            return stream.receive(PING_TIMEOUT_S) == b"PONG\r\n"
         except (OSError, TimedOutError):
             return False
         finally:
             stream.close()
 
-    def _sum_up(self, told: dict[str, Any]) -> bool:
+    def _print_summary(self, status: DependenciesStatus) -> bool:
         counts = self._fleet.counts
-        late: int = sum(host["late"] for host in told["hosts"])
+        late = sum(server.counts.late for server in status.servers)
         print("\nin the end")
         for field, value in zip(fields(FleetCounts), astuple(counts), strict=True):
             print(f"  {field.name:<11} {value:>6}")
-        print(f"  {'sent late':<11} {late:>6}   to the draining server, beyond 250 ms")
-        for host in told["hosts"]:
-            print(f"  {host['uid']}: took {host['opened']} connections, sent away {host['moved']} by itself")
-        good = late + counts.unanswered + counts.lost + counts.failed == 0
-        print("nothing was lost" if good else "something was lost: see above")
+        print(f"  {'late':<11} {late:>6}   requests to the draining server, beyond 250 ms")
+        for server in status.servers:
+            opened, migrated = server.counts.opened, server.counts.migrated
+            print(f"  {server.server_id}: accepted {opened} connections, migrated {migrated} itself")
+        is_complete = late + counts.unanswered + counts.lost + counts.failed == 0
+        print("nothing was lost" if is_complete else "something was lost: see above")
         sys.stdout.flush()
-        return good
+        return is_complete
--- a/ironmill_testbed/emulate.py
+++ b/ironmill_testbed/emulate.py
@@ -1,7 +1,7 @@
-"""The process of the emulated neighbours: servers and discovery, told what to do in JSON lines.
+"""The process of the emulated dependencies: servers and discovery, driven by commands in JSON lines.
 
-It reads one command a line from standard input, ``["drain", "s-2"]`` for one, and writes one line with the
-answer. It ends when its input does, so it never outlives the process that started it.
+It reads one command a line from standard input, for instance ``["drain", "s-2"]``, and writes one line with
+the response. It ends when its input does, so it never outlives the process that started it.
 """
 
 from __future__ import annotations
@@ -9,102 +9,94 @@
 import os
 import sys
 from collections.abc import Callable, Mapping
-from typing import Any
 
+import msgspec
 import orjson
 
 from ironmill.net.sockets import READ_BYTES
 from ironmill.runtime.scheduler import READ, Scheduler
-from ironmill_testbed.discovery import EmulatedDiscovery
-from ironmill_testbed.hosts import Attempts, EmulatedHost, Mode
+from ironmill_testbed.dependency_status import AttemptHistory, DependenciesStatus, ServerStatus
+from ironmill_testbed.emulated_discovery import EmulatedDiscovery
+from ironmill_testbed.emulated_servers import AttemptRecorder, EmulatedServer, Mode
 
 ZONES = "ab"
 
 
-class Neighbourhood:
+class EmulatedDependencies:
     """Servers ``s-0`` and so on, listed by one discovery."""
 
-    def __init__(self, scheduler: Scheduler, hosts: int) -> None:
+    def __init__(self, scheduler: Scheduler, server_count: int) -> None:
         self._scheduler = scheduler
         self.discovery = EmulatedDiscovery(scheduler)
-        self.attempts = Attempts()
-        self.hosts: dict[str, EmulatedHost] = {}
-        for at in range(hosts):
-            self.add(f"s-{at}")
-
-    def add(self, uid: str, boot: float = 0.0) -> None:
-        """One more server, listed as up."""
-        host = EmulatedHost(self._scheduler, uid, ZONES[len(self.hosts) % len(ZONES)], attempts=self.attempts)
-        self.hosts[uid] = host
-        self.discovery.put(uid, host.address, host.zone, "up", boot)
-
-    def drain(self, uid: str, stay: float = 2.0, over: float = 2.0) -> None:
-        """Tell discovery, wait so long, send away what is left over so many seconds, then be gone."""
-        host = self.hosts[uid]
-        host.drain()
-        self.discovery.put(uid, host.address, host.zone, "draining")
-        self._scheduler.spawn(self._leave, host, stay, over)
-
-    def _leave(self, host: EmulatedHost, stay: float, over: float) -> None:
-        self._scheduler.sleep(stay)
-        host.send_away(over)
-        host.close()
-        self.discovery.put(host.uid, host.address, host.zone, "removed")
-
-    def treat(self, uid: str, mode: str) -> None:
-        """From now on the server treats first lines so."""
-        self.hosts[uid].mode = Mode(mode)
-
-    def crash(self, uid: str) -> None:
-        """The server's process dies, and discovery tells that it is gone."""
-        host = self.hosts[uid]
-        host.crash()
-        self.discovery.put(uid, host.address, host.zone, "removed")
-
-    def seen(self) -> dict[str, Any]:
-        """What the servers have seen of each request."""
-        return {"began": self.attempts.began, "overlaps": self.attempts.overlaps}
-
-    def told(self) -> dict[str, Any]:
-        """What the servers have seen."""
-        return {
-            "discovery": self.discovery.address,
-            "asked": self.discovery.asked,
-            "hosts": [host.told() for host in self.hosts.values()],
-        }
-
-
-def run(hosts: int) -> int:
-    """Serve until standard input ends; the exit status."""
+        self.recorder = AttemptRecorder()
+        self.servers: dict[str, EmulatedServer] = {}
+        for number in range(server_count):
+            self.add(f"s-{number}")
+
+    def add(self, server_id: str, boot: float = 0.0) -> None:
+        """Starts one more server and lists it as up; ``boot`` is its start as Unix time."""
+        zone = ZONES[len(self.servers) % len(ZONES)]
+        server = EmulatedServer(self._scheduler, server_id, zone, recorder=self.recorder)
+        self.servers[server_id] = server
+        self.discovery.put(server_id, server.address, server.zone, "up", boot)
+
+    def drain(self, server_id: str, delay_s: float = 2.0, duration_s: float = 2.0) -> ServerStatus:
+        """Announces the drain; after the delay migrates connections over the duration, then removes it.
+
+        Returns the server's status at the announcement.
+        """
+        server = self.servers[server_id]
+        server.drain()
+        self.discovery.put(server_id, server.address, server.zone, "draining")
+        self._scheduler.spawn(self._remove, server, delay_s, duration_s)
+        return server.status()
+
+    def _remove(self, server: EmulatedServer, delay_s: float, duration_s: float) -> None:
+        self._scheduler.sleep(delay_s)
+        server.migrate_all(duration_s)
+        server.close()
+        self.discovery.put(server.server_id, server.address, server.zone, "removed")
+
+    def set_mode(self, server_id: str, mode: str) -> None:
+        """Changes how the server answers request lines. Raises ``ValueError`` for an unknown mode."""
+        self.servers[server_id].mode = Mode(mode)
+
+    def crash(self, server_id: str) -> None:
+        """Crashes the server, and removes it from the endpoint list."""
+        server = self.servers[server_id]
+        server.crash()
+        self.discovery.put(server_id, server.address, server.zone, "removed")
+
+    def attempts(self) -> AttemptHistory:
+        """Returns the attempts that all servers have received."""
+        return self.recorder.history
+
+    def status(self) -> DependenciesStatus:
+        """Returns counters of discovery and of all servers."""
+        servers = tuple(server.status() for server in self.servers.values())
+        return DependenciesStatus(self.discovery.address, self.discovery.calls, servers)
+
+
+def run(server_count: int) -> int:
+    """Serves until standard input ends; returns the exit status."""
     scheduler = Scheduler()
-    neighbourhood = Neighbourhood(scheduler, hosts)
-
-    def told_after(action: Callable[..., object]) -> Callable[..., object]:
-        def answer(*args: object) -> object:
-            action(*args)
-            return neighbourhood.told()
-
-        return answer
-
-    scheduler.spawn(
-        answer_commands,
-        scheduler,
-        {
-            "told": neighbourhood.told,
-            "seen": neighbourhood.seen,
-            "treat": told_after(neighbourhood.treat),
-            "crash": told_after(neighbourhood.crash),
-            "add": told_after(neighbourhood.add),
-            "drain": told_after(neighbourhood.drain),
-        },
-    )
+    dependencies = EmulatedDependencies(scheduler, server_count)
+    commands: dict[str, Callable[..., object]] = {
+        "status": dependencies.status,
+        "attempts": dependencies.attempts,
+        "set_mode": dependencies.set_mode,
+        "crash": dependencies.crash,
+        "add": dependencies.add,
+        "drain": dependencies.drain,
+    }
+    scheduler.spawn(answer_commands, scheduler, commands)
     scheduler.run()
     return 0
 
 
 def answer_commands(scheduler: Scheduler, commands: Mapping[str, Callable[..., object]]) -> None:
-    """A task: read a command a line from standard input and write its answer, until that ends; then stop."""
-    descriptor, held = sys.stdin.fileno(), b""
+    """Executes commands from standard input until it ends, and then stops the scheduler."""
+    descriptor, buffer = sys.stdin.fileno(), b""
     os.set_blocking(descriptor, False)
     try:
         while True:
@@ -112,10 +104,11 @@
             data = os.read(descriptor, READ_BYTES)
             if not data:
                 break
-            *lines, held = (held + data).split(b"\n")
+            *lines, buffer = (buffer + data).split(b"\n")
             for line in lines:
-                word, *args = orjson.loads(line)
-                sys.stdout.buffer.write(orjson.dumps(commands[word](*args)) + b"\n")
+                command, *args = orjson.loads(line)
+                response = commands[command](*args)
+                sys.stdout.buffer.write(orjson.dumps(response, default=msgspec.to_builtins) + b"\n")
                 sys.stdout.buffer.flush()
     finally:
-        scheduler.stop()  # also after a failure: who asked must not wait for ever
+        scheduler.stop()  # also after a failure: the calling process must not wait for a response
--- a/ironmill_testbed/faults/control_town.py
+++ b/ironmill_testbed/faults/control_town.py
@@ -69,7 +69,7 @@
     def _process(self, name: str) -> Process:
         settings = f"--settings={self.folder / f'{name}.xml'}"
         if name in self.proxies:
-            return ProxyProcess(self.folder / f"{name}.json", self.folder, more=[settings])
+            return ProxyProcess(self.folder / f"{name}.json", self.folder, options=[settings])
         words = [
             "-m",
             "ironmill",
--- a/ironmill_testbed/faults/process_cluster.py
+++ b/ironmill_testbed/faults/process_cluster.py
@@ -16,7 +16,7 @@
 from ironmill_testbed.faults.checker import LoggedEvent, read_logs
 from ironmill_testbed.faults.schedule import Fault, Links
 from ironmill_testbed.faults.switch import Switch
-from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
+from ironmill_testbed.processes import Dependencies, Process, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 SEED_MEMBERS = 2
@@ -55,7 +55,7 @@
 
     def __enter__(self) -> Self:
         """Starts the processes' dependencies and the switch, and writes the settings."""
-        self.neighbours = self._stack.enter_context(Neighbours(self.folder, self._hosts))
+        self.dependencies = self._stack.enter_context(Dependencies(self.folder, self._hosts))
         for name in self.names:
             self.switch.set_address(name, self.member_addresses[name])
             self.admin_addresses[name] = ("127.0.0.1", free_port())
@@ -76,7 +76,7 @@
     def _write_config(self, name: str, proxies: int) -> None:
         settings = platform_settings(proxies)
         address = self.client_addresses[name]
-        value = proxy_config(name, address, self.neighbours.discovery, 1024, settings)
+        value = proxy_config(name, address, self.dependencies.discovery, 1024, settings)
         value["control"] = format_address(self.admin_addresses[name])
         write_config(self.folder, value)
 
@@ -121,7 +121,7 @@
 
     def _process(self, name: str) -> Process:
         more = [f"--settings={self.folder / f'{name}.xml'}"]
-        return ProxyProcess(self.folder / f"{name}.json", self.folder, more=more)
+        return ProxyProcess(self.folder / f"{name}.json", self.folder, options=more)
 
     def kill(self, *names: str) -> float:
         """Ends processes by SIGKILL; returns the time before."""
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -19,7 +19,7 @@
 from ironmill.membership.identity import format_address
 from ironmill_testbed.faults.checker import LoggedEvent, read_logs
 from ironmill_testbed.faults.hollow import region, zone
-from ironmill_testbed.processes import CommandedProcess, Neighbours, Process, ProxyProcess, Usage, free_port
+from ironmill_testbed.processes import CommandedProcess, Dependencies, Process, ProxyProcess, Usage, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 ORIGIN = "c00"
@@ -56,7 +56,7 @@
     def __enter__(self) -> Self:
         try:
             (self.folder / "members.keys").write_text(KEY + "\n")
-            self.neighbours = self._stack.enter_context(Neighbours(self.folder, 2))
+            self.dependencies = self._stack.enter_context(Dependencies(self.folder, 2))
             for name in self.controls:
                 self._write(name, "origin" if name == ORIGIN else "relay")
             for name in self.real:
@@ -137,10 +137,10 @@
             return Process(words, self.folder, name)
         settings = f"--settings={self.folder / ('plain.xml' if name in self.plain else f'{name}.xml')}"
         value = proxy_config(
-            name, self.clients[name], self.neighbours.discovery, 1024, platform_settings(len(self.real))
+            name, self.clients[name], self.dependencies.discovery, 1024, platform_settings(len(self.real))
         )
         value["control"] = format_address(self.staff[name])
-        return ProxyProcess(write_config(self.folder, value), self.folder, more=[settings])
+        return ProxyProcess(write_config(self.folder, value), self.folder, options=[settings])
 
     def all(self) -> list[Process]:
         """All processes there are."""
@@ -197,7 +197,7 @@
 
     def state(self) -> dict[str, Any]:
         """Of all hollow proxies: what is in force, by count; parents, by count; how many are stale."""
-        told = [process.ask("state") for process in self.hollow]
+        told = [process.execute("state") for process in self.hollow]
         return {
             "in_force": summed(one["in_force"] for one in told),
             "parents": summed(one["parents"] for one in told),
@@ -214,7 +214,7 @@
 
     def moved(self, parent: str, since: float) -> tuple[int, float | None]:
         """How many hollow proxies have left that parent for another since then, and when the last one has."""
-        told = [process.ask("moved", parent, since) for process in self.hollow]
+        told = [process.execute("moved", parent, since) for process in self.hollow]
         moments = [one["last"] for one in told if one["last"] is not None]
         return sum(one["count"] for one in told), max(moments, default=None)
 
--- a/ironmill_testbed/fleet.py
+++ b/ironmill_testbed/fleet.py
@@ -7,86 +7,104 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 from types import MappingProxyType
-from typing import Any
+from typing import Any, TypeVar
 
+from ironmill.errors import IronmillError
+from ironmill.membership.identity import Address
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.protocol.lines import LINE_END, LineReader
 from ironmill.runtime.scheduler import Scheduler
 
-CONNECT_WAIT = 5.0
-ANSWER_MORE = 3.0  # beyond what the client has said it would wait
-_serial = itertools.count(1)
+CONNECT_TIMEOUT_S = 5.0
+ANSWER_GRACE_S = 3.0  # beyond the request's deadline
+LINE_TIMEOUT_S = 5.0
+JOIN_CHECK_INTERVAL_S = 0.002
+MIN_RECONNECT_DELAY_S, RECONNECT_JITTER_S = 0.05, 0.15
+STICKY_GROUP_SIZE = 4  # clients of a fleet whose requests name the same group
+CLASS_NAMES = ("index-sync", "archive-fetch")
+NUMBER_MULTIPLIER = 2654435761  # Knuth's: distributes the request line's second number over 32 bits
 
+Item = TypeVar("Item")
+_request_numbers = itertools.count(1)
 
-class NotServedError(Exception):
-    """The first line was answered by something other than UP, which is the text."""
+
+class NotServedError(IronmillError):
+    """A request got an answer other than UP. The text is the answer, empty if the connection was closed."""
 
 
 class Client:
     """One connection through a proxy."""
 
-    def __init__(
-        self, scheduler: Scheduler, address: tuple[str, int], class_name: str = "index-sync"
-    ) -> None:
+    def __init__(self, scheduler: Scheduler, address: Address, class_name: str = "index-sync") -> None:
         self._scheduler = scheduler
         self._address = address
-        self._class = class_name
-        self._lines = LineReader()
-        self._came: list[bytes] = []
+        self._class_name = class_name
+        self._reader = LineReader()
+        self._received: list[bytes] = []  # lines that were not returned yet
         self.stream: Stream | None = None
-        self.host = ""  # the server that took it, as its UP line told
+        self.server_id = ""  # the server that accepted the request, by its UP line
 
     def open(
-        self, wait: float = 2.0, fields: Mapping[str, object] = MappingProxyType({}), token: bytes = b""
+        self,
+        deadline_s: float = 2.0,
+        fields: Mapping[str, object] = MappingProxyType({}),
+        token: bytes = b"",
     ) -> None:
-        """Ask and wait for UP. NotServedError for another answer, OSError or TimedOutError for none."""
-        number = next(_serial)
-        listed = "".join(f",{name}={value}" for name, value in fields.items())
-        if self.stream is None:  # else it was connected, and made secure, before
-            self.stream = Stream.connect(self._scheduler, self._address, CONNECT_WAIT)
-        first = f"OPEN {number:x} {number * 2654435761 % 2**32:x} c={self._class},d={wait * 1000:.0f}{listed}"
-        shown = b"AUTH " + token + LINE_END if token else b""
-        self.stream.send(shown + first.encode() + LINE_END, CONNECT_WAIT)
-        answer = self.line(wait + ANSWER_MORE)
+        """Sends a request and waits for UP; uses ``stream`` if one is set, and connects otherwise.
+
+        Raises ``NotServedError`` for another answer, ``OSError`` or ``TimedOutError`` for none.
+        """
+        if self.stream is None:
+            self.stream = Stream.connect(self._scheduler, self._address, CONNECT_TIMEOUT_S)
+        credential = b"AUTH " + token + LINE_END if token else b""
+        request = self._request_line(deadline_s, fields)
+        self.stream.send(credential + request.encode() + LINE_END, CONNECT_TIMEOUT_S)
+        answer = self.receive_line(deadline_s + ANSWER_GRACE_S)
         if not answer.startswith(b"UP"):
             self.close()
             raise NotServedError(answer.decode("ascii", "replace"))
-        self.host = answer[3:].decode()
+        self.server_id = answer[3:].decode()
 
-    def line(self, timeout: float | None = None) -> bytes:
-        """The next line; empty at the end of the connection."""
-        while not self._came:
+    def _request_line(self, deadline_s: float, fields: Mapping[str, object]) -> str:
+        number = next(_request_numbers)
+        ids = f"{number:x} {number * NUMBER_MULTIPLIER % 2**32:x}"
+        further = "".join(f",{name}={value}" for name, value in fields.items())
+        return f"OPEN {ids} c={self._class_name},d={deadline_s * 1000:.0f}{further}"
+
+    def receive_line(self, timeout_s: float | None = None) -> bytes:
+        """Returns the next line; empty at the end of the connection. Parks."""
+        while not self._received:
             assert self.stream is not None
-            data = self.stream.receive(timeout)
+            data = self.stream.receive(timeout_s)
             if not data:
                 return b""
-            self._came = self._lines.feed(data)
-        return self._came.pop(0)
+            self._received = self._reader.feed(data)
+        return self._received.pop(0)
 
-    def ask(self, line: bytes, timeout: float = 5.0) -> bytes:
-        """Send a line and wait for the one that comes back."""
+    def exchange(self, line: bytes, timeout_s: float = LINE_TIMEOUT_S) -> bytes:
+        """Sends a line and returns the next one that arrives; empty at the end of the connection. Parks."""
         assert self.stream is not None
-        self.stream.send(line + LINE_END, timeout)
-        return self.line(timeout)
+        self.stream.send(line + LINE_END, timeout_s)
+        return self.receive_line(timeout_s)
 
     def close(self) -> None:
-        """End the connection."""
+        """Closes the connection."""
         if self.stream is not None and not self.stream.closed:
             self.stream.close()
 
 
 def in_parallel(
-    scheduler: Scheduler, at_once: int, items: Iterable[Any], action: Callable[[Any], object]
+    scheduler: Scheduler, parallelism: int, items: Iterable[Item], action: Callable[[Item], object]
 ) -> None:
-    """Call the action for each item, so many at once, and wait for the last. Parks; raises the first."""
-    left = iter(items)
+    """Calls the action for each item in so many tasks, and waits for all. Parks; raises the first error."""
+    remaining = iter(items)
     failed: list[Exception] = []
-    running = at_once
+    running = parallelism
 
     def work() -> None:
         nonlocal running
         try:
-            for item in left:
+            for item in remaining:
                 if failed:
                     break
                 action(item)
@@ -94,30 +112,33 @@
             failed.append(error)
         running -= 1
 
-    for _ in range(at_once):
+    for _ in range(parallelism):
         scheduler.spawn(work)
     while running:
-        scheduler.sleep(0.002)
+        scheduler.sleep(JOIN_CHECK_INTERVAL_S)
     if failed:
         raise failed[0]
 
 
-def play(scheduler: Scheduler, story: Callable[[], Any], limit: float) -> Any:
-    """Run the story as a task until it ends; what it returned. TimedOutError past the limit, in seconds."""
+def run_scenario(scheduler: Scheduler, scenario: Callable[[], Any], timeout_s: float) -> Any:
+    """Runs a scenario as a task of the scheduler and returns its result.
+
+    Raises what the scenario raises, and ``TimedOutError`` if it does not end in time.
+    """
     result: list[Any] = []
     failed: list[BaseException] = []
 
-    def told() -> None:
+    def run() -> None:
         try:
-            result.append(story())
+            result.append(scenario())
         except Exception as error:
             failed.append(error)
         scheduler.stop()
 
-    scheduler.spawn(told)
-    guard = scheduler.call_later(limit, scheduler.stop)
+    scheduler.spawn(run)
+    timer = scheduler.call_later(timeout_s, scheduler.stop)
     scheduler.run()
-    scheduler.cancel(guard)
+    scheduler.cancel(timer)
     if failed:
         raise failed[0]
     if not result:
@@ -127,74 +148,80 @@
 
 @dataclass(slots=True)
 class FleetCounts:
-    """What happened to a fleet's requests: each one opened is served, refused, failed or unanswered."""
+    """Outcomes of a fleet's requests: each one that was opened is served, rejected, failed or unanswered."""
 
     opened: int = 0
     served: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
     unanswered: int = 0
-    unreached: int = 0  # connections that no proxy took; not counted as opened
-    moved: int = 0  # of the served ones: sent away with MOVE
-    lost: int = 0  # of the served ones: cut off without a word
+    unreachable: int = 0  # connections that no proxy accepted; not counted as opened
+    migrated: int = 0  # of the served ones: ended with MOVE
+    lost: int = 0  # of the served ones: ended by the proxy without MOVE
     lines: int = 0
 
 
 class Fleet:
-    """Clients that stay: each opens, sends a line now and then, and comes again when it is sent away."""
+    """Clients that stay connected: each opens, sends lines with pauses, and reconnects when migrated."""
 
     def __init__(
         self,
         scheduler: Scheduler,
-        addresses: list[tuple[str, int]],
+        addresses: list[Address],
         size: int,
         pause: float = 0.5,
         seed: int = 1,
     ) -> None:
+        """Starts the clients. ``pause`` is the mean time in seconds between two lines of a client."""
         self._scheduler = scheduler
         self._addresses = addresses
-        self._pause = pause
+        self._pause_s = pause
         self._rng = random.Random(seed)
-        self._ending = False
+        self._is_ending = False
         self.counts = FleetCounts()
-        self.standing: dict[Client, None] = {}
+        self.established: dict[Client, None] = {}
         for number in range(size):
-            scheduler.spawn(self._live, number)
+            scheduler.spawn(self._run_client, number)
 
     def end(self) -> None:
-        """Open nothing more; what stands is closed by its client."""
-        self._ending = True
-
-    def _live(self, number: int) -> None:
-        self._scheduler.sleep(self._rng.random() * self._pause)
-        fields: dict[str, object] = {"g": f"{number // 4:x}"}
-        while not self._ending:
-            class_name = ("index-sync", "archive-fetch")[number % 2]
+        """Opens nothing more; each client closes its established connection after its current pause."""
+        self._is_ending = True
+
+    def _run_client(self, number: int) -> None:
+        self._scheduler.sleep(self._rng.random() * self._pause_s)
+        fields: dict[str, object] = {"g": f"{number // STICKY_GROUP_SIZE:x}"}
+        while not self._is_ending:
+            class_name = CLASS_NAMES[number % len(CLASS_NAMES)]
             client = Client(self._scheduler, self._rng.choice(self._addresses), class_name)
-            pause = 0.05 + 0.15 * self._rng.random()
+            delay_s = MIN_RECONNECT_DELAY_S + RECONNECT_JITTER_S * self._rng.random()
             try:
                 self._open(client, fields)
-                self._stay(client)
+                self._exchange_lines(client)
                 fields["again"] = 1
             except NotServedError as error:
-                word, _, more = str(error).partition(" ")
-                self.counts.refused += word == "BUSY"
-                self.counts.failed += word not in ("BUSY", "")
-                self.counts.unanswered += word == ""
-                pause = int(more) / 1000.0 if more.isdigit() else pause
+                retry_after_s = self._count_answer(str(error))
+                delay_s = delay_s if retry_after_s is None else retry_after_s
                 fields["r"] = 1
             except (OSError, TimedOutError):
                 pass
             finally:
                 client.close()
-            self._scheduler.sleep(pause)
+            self._scheduler.sleep(delay_s)
+
+    def _count_answer(self, answer: str) -> float | None:
+        """Counts an answer other than UP; returns its Retry-After in seconds, if it has one."""
+        word, _, retry_after_ms = answer.partition(" ")
+        self.counts.rejected += word == "BUSY"
+        self.counts.failed += word not in ("BUSY", "")
+        self.counts.unanswered += word == ""
+        return int(retry_after_ms) / 1000.0 if retry_after_ms.isdigit() else None
 
     def _open(self, client: Client, fields: dict[str, object]) -> None:
         try:
             client.open(fields=fields)
         except (OSError, TimedOutError):
             if client.stream is None:
-                self.counts.unreached += 1
+                self.counts.unreachable += 1
             else:
                 self.counts.opened += 1
                 self.counts.unanswered += 1
@@ -205,20 +232,20 @@
         self.counts.opened += 1
         self.counts.served += 1
 
-    def _stay(self, client: Client) -> None:
-        self.standing[client] = None
+    def _exchange_lines(self, client: Client) -> None:
+        self.established[client] = None
         try:
-            while not self._ending:
-                answer = client.ask(b"line")
+            while not self._is_ending:
+                answer = client.exchange(b"line")
                 if answer == b"MOVE":
-                    self.counts.moved += 1
+                    self.counts.migrated += 1
                     return
                 if not answer:
                     self.counts.lost += 1
                     return
                 self.counts.lines += 1
-                self._scheduler.sleep(self._pause * (0.5 + self._rng.random()))
+                self._scheduler.sleep(self._pause_s * (0.5 + self._rng.random()))
         except (OSError, TimedOutError):
             self.counts.lost += 1
         finally:
-            del self.standing[client]
+            del self.established[client]
--- a/ironmill_testbed/measures/core.py
+++ b/ironmill_testbed/measures/core.py
@@ -20,8 +20,8 @@
 
 from ironmill.net.sockets import TimedOutError
 from ironmill.runtime.scheduler import Scheduler
-from ironmill_testbed.fleet import Client, NotServedError, in_parallel, play
-from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
+from ironmill_testbed.fleet import Client, NotServedError, in_parallel, run_scenario
+from ironmill_testbed.processes import Dependencies, Process, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 HOSTS = 6
@@ -65,7 +65,7 @@
         self._subject = subject
         self._rng = random.Random(5)
         self._clients: list[Client] = []
-        self._at_start = subject.process.usage().resident
+        self._at_start = subject.process.usage().resident_bytes
         self._costs: dict[str, list[float]] = {"line": [], "setup": []}
         self._system: dict[str, float] = {"line": 0.0, "setup": 0.0}
         self.figures = figures
@@ -76,7 +76,7 @@
         self._grow(self.figures.size)
         in_parallel(self._scheduler, LINES_AT_ONCE, self._clients, self._ask)
         self._scheduler.sleep(0.5)
-        grown = self._subject.process.usage().resident - self._at_start
+        grown = self._subject.process.usage().resident_bytes - self._at_start
         self.figures.kib = grown / 1024.0 / self.figures.size
 
     def round(self, lines: int, setups: int) -> None:
@@ -104,8 +104,8 @@
         before = self._subject.process.usage()
         action(count)
         after = self._subject.process.usage()
-        self._costs[what].append((after.cpu - before.cpu) * 1000.0 / count)
-        self._system[what] += (after.system - before.system) * 1000.0 / count
+        self._costs[what].append((after.cpu_s - before.cpu_s) * 1000.0 / count)
+        self._system[what] += (after.system_s - before.system_s) * 1000.0 / count
 
     def _grow(self, size: int) -> None:
         missing = range(size - len(self._clients))
@@ -136,7 +136,7 @@
             count -= len(part)
 
     def _ask(self, client: Client) -> None:
-        if client.ask(b"a line as clients send them") != b"a line as clients send them":
+        if client.exchange(b"a line as clients send them") != b"a line as clients send them":
             raise RuntimeError("a line did not come back")
 
 
@@ -156,11 +156,11 @@
             folder = Path(name) / kind
             folder.mkdir()
             with ExitStack() as stack:
-                neighbours = stack.enter_context(Neighbours(folder, HOSTS))
+                dependencies = stack.enter_context(Dependencies(folder, HOSTS))
                 scheduler = Scheduler()
                 benches = []
                 for size in sizes:
-                    subject = make_subject(f"{kind}-{size}", neighbours, folder, room, poller, program)
+                    subject = make_subject(f"{kind}-{size}", dependencies, folder, room, poller, program)
                     stack.enter_context(subject.process)
                     benches.append(Bench(scheduler, subject, Figures(size)))
 
@@ -176,7 +176,7 @@
                         benches[-1].hold(most)
                     benches[-1].close()
 
-                play(scheduler, story, LIMIT)
+                run_scenario(scheduler, story, LIMIT)
                 found[kind] = [bench.figures for bench in benches]
                 refused += sum(bench.refused for bench in benches)
     _print(found)
@@ -197,20 +197,20 @@
 
 
 def make_subject(
-    name: str, neighbours: Neighbours, folder: Path, room: int, poller: str, program: Path | None
+    name: str, dependencies: Dependencies, folder: Path, room: int, poller: str, program: Path | None
 ) -> Subject:
     """A process of the kind that the name begins with, ready; ``room`` is how many sockets a proxy has."""
     kind = name.partition("-")[0]
     if kind == "proxy":
         config = proxy_config(
-            name, ("127.0.0.1", free_port()), neighbours.discovery, room, platform_settings()
+            name, ("127.0.0.1", free_port()), dependencies.discovery, room, platform_settings()
         )
         words = [] if poller == "epoll" else [f"--poller={poller}"]
         proxy = ProxyProcess(write_config(folder, config), folder, program, words)
         proxy.wait_ready()
         return Subject(proxy, proxy.address)
-    host = neighbours.ask("told")["hosts"][0]
-    words = ["-m", "ironmill_testbed", "floor", kind, f"--target={host['address'][0]}:{host['address'][1]}"]
+    host, port = dependencies.status().servers[0].address
+    words = ["-m", "ironmill_testbed", "floor", kind, f"--target={host}:{port}"]
     floor = Process(words, folder, name)
     assert floor.popen.stdout is not None
     return Subject(floor, ("127.0.0.1", int(floor.popen.stdout.readline())))
--- a/ironmill_testbed/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -26,8 +26,8 @@
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.certificates import write_all
 from ironmill_testbed.credentials import AUDIENCE, BAD, ISSUER, Issuer
-from ironmill_testbed.fleet import Client, NotServedError, in_parallel, play
-from ironmill_testbed.processes import Neighbours, Process, ProxyProcess, free_port
+from ironmill_testbed.fleet import Client, NotServedError, in_parallel, run_scenario
+from ironmill_testbed.processes import Dependencies, Process, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 HOSTS = 6
@@ -48,15 +48,15 @@
         folder = Path(name)
         issuer = Issuer(folder)
         found |= _checks(issuer, CHECKS_QUICK if quick else CHECKS)
-        neighbours = stack.enter_context(Neighbours(folder, HOSTS))
-        plain = _proxy("plain", neighbours, folder, [], stack)
-        asked = _proxy("asked", neighbours, folder, [f"--settings={issuer.settings}"], stack)
-        found["start_mib_plain"] = round(plain.usage().resident / 2**20, 1)
-        found["start_mib_settings"] = round(asked.usage().resident / 2**20, 1)
+        dependencies = stack.enter_context(Dependencies(folder, HOSTS))
+        plain = _proxy("plain", dependencies, folder, [], stack)
+        asked = _proxy("asked", dependencies, folder, [f"--settings={issuer.settings}"], stack)
+        found["start_mib_plain"] = round(plain.usage().resident_bytes / 2**20, 1)
+        found["start_mib_settings"] = round(asked.usage().resident_bytes / 2**20, 1)
         found |= _latencies("plain", plain, [b""], setups)
         tokens = [issuer.token("old", f"farm-{at}") for at in range(setups)]
         found |= _latencies("token", asked, tokens, setups)
-        found |= _tls(neighbours, folder, setups // 2, stack)
+        found |= _tls(dependencies, folder, setups // 2, stack)
         found |= _flood(issuer, asked, setups)
         found |= _rotation(issuer, asked, CROWD_QUICK if quick else CROWD)
     for key, value in found.items():
@@ -65,10 +65,10 @@
 
 
 def _proxy(
-    name: str, neighbours: Neighbours, folder: Path, more: list[str], stack: ExitStack
+    name: str, dependencies: Dependencies, folder: Path, more: list[str], stack: ExitStack
 ) -> ProxyProcess:
-    config = proxy_config(name, ("127.0.0.1", free_port()), neighbours.discovery, 8192, platform_settings())
-    proxy = stack.enter_context(ProxyProcess(write_config(folder, config), folder, more=more))
+    config = proxy_config(name, ("127.0.0.1", free_port()), dependencies.discovery, 8192, platform_settings())
+    proxy = stack.enter_context(ProxyProcess(write_config(folder, config), folder, options=more))
     proxy.wait_ready()
     return proxy
 
@@ -100,9 +100,9 @@
         took.append((time.monotonic() - start) * 1000.0)
         client.close()
 
-    before = proxy.usage().cpu
-    play(scheduler, lambda: in_parallel(scheduler, AT_ONCE, left, one), LIMIT)
-    cpu = (proxy.usage().cpu - before) * 1000.0 / count
+    before = proxy.usage().cpu_s
+    run_scenario(scheduler, lambda: in_parallel(scheduler, AT_ONCE, left, one), LIMIT)
+    cpu = (proxy.usage().cpu_s - before) * 1000.0 / count
     cuts = statistics.quantiles(took, n=100)
     return {
         f"setup_p50_ms_{name}": round(cuts[49], 3),
@@ -117,13 +117,13 @@
 """
 
 
-def _tls(neighbours: Neighbours, folder: Path, count: int, stack: ExitStack) -> dict[str, Any]:
+def _tls(dependencies: Dependencies, folder: Path, count: int, stack: ExitStack) -> dict[str, Any]:
     """Handshakes a second of the proxy's CPU, full and resumed, beside a bare echo server's, and memory."""
     write_all(folder)
     port = free_port()
     settings = folder / "tls.xml"
     settings.write_text(TLS_SETTINGS.format(port))
-    proxy = _proxy("tls", neighbours, folder, [f"--settings={settings}"], stack)
+    proxy = _proxy("tls", dependencies, folder, [f"--settings={settings}"], stack)
     words = ["-m", "ironmill_testbed", "floor", "tls", f"--target={folder}:0"]
     floor = stack.enter_context(Process(words, folder, "floor-tls"))
     assert floor.popen.stdout is not None
@@ -145,29 +145,29 @@
         first = shaken(at, None)
         session = first.tls.session if resume else None
         first.close()
-        before = process.usage().cpu
+        before = process.usage().cpu_s
         for _ in range(count):
             stream = shaken(at, session)
             if stream.tls.resumed is not resume:
                 raise RuntimeError("a session was not resumed, or was where none should be")
             stream.close()
-        return round(count / (process.usage().cpu - before))
+        return round(count / (process.usage().cpu_s - before))
 
     def story() -> None:
         for name, process, at in (("proxy", proxy, port), ("floor", floor, floor_port)):
             for kind, resume in (("full", False), ("resumed", True)):
                 found[f"handshakes_per_cpu_s_{kind}_{name}"] = shakes(process, at, resume)
-        before, clients = proxy.usage().resident, []
+        before, clients = proxy.usage().resident_bytes, []
         for _ in range(count):
             client = Client(scheduler, ("127.0.0.1", port))
             client.stream = shaken(port, None)
             client.open()
             clients.append(client)
-        found["kib_per_tls_connection"] = round((proxy.usage().resident - before) / 1024 / count, 1)
+        found["kib_per_tls_connection"] = round((proxy.usage().resident_bytes - before) / 1024 / count, 1)
         for client in clients:
             client.close()
 
-    play(scheduler, story, LIMIT)
+    run_scenario(scheduler, story, LIMIT)
     return found
 
 
@@ -210,7 +210,7 @@
         scheduler.sleep(at)
         client = Client(scheduler, proxy.address)
         try:
-            client.open(wait=5.0, token=token)
+            client.open(deadline_s=5.0, token=token)
             answers[kind, "UP"] += 1
         except NotServedError as error:
             answers[kind, str(error).partition(" ")[0] or "closed"] += 1
@@ -241,7 +241,7 @@
         crowd(("new",), (*BAD, "retired"))
         settled(size // 2 * 2)
 
-    play(scheduler, story, LIMIT)
+    run_scenario(scheduler, story, LIMIT)
     bad = {kind: n for (kind, word), n in answers.items() if kind in BAD and word == "UP"}
     return {
         "rotation_clients": sum(answers.values()),
--- a/ironmill_testbed/measures/membership_processes.py
+++ b/ironmill_testbed/measures/membership_processes.py
@@ -14,7 +14,7 @@
 from ironmill_testbed.faults import checker
 from ironmill_testbed.faults.process_cluster import ProcessCluster
 from ironmill_testbed.faults.schedule import Fault, both_ways
-from ironmill_testbed.fleet import Client, in_parallel, play
+from ironmill_testbed.fleet import Client, in_parallel, run_scenario
 
 MAX_RUN_S = 600.0
 IDLE_SPAN_S = 5.0
@@ -48,9 +48,9 @@
     """Returns the share of a core that the busiest process uses while nothing happens."""
     processes = list(cluster.processes.values())
     start = time.monotonic()
-    cpu_before = [process.usage().cpu for process in processes]
+    cpu_before = [process.usage().cpu_s for process in processes]
     time.sleep(IDLE_SPAN_S)
-    spent = [process.usage().cpu - before for process, before in zip(processes, cpu_before, strict=True)]
+    spent = [process.usage().cpu_s - before for process, before in zip(processes, cpu_before, strict=True)]
     return 100.0 * max(spent) / (time.monotonic() - start)
 
 
@@ -137,5 +137,5 @@
         times_ms.append((time.monotonic() - start) * 1000.0)
         client.close()
 
-    play(scheduler, lambda: in_parallel(scheduler, PARALLEL_SETUPS, range(count), set_up), MAX_RUN_S)
+    run_scenario(scheduler, lambda: in_parallel(scheduler, PARALLEL_SETUPS, range(count), set_up), MAX_RUN_S)
     return times_ms
--- a/ironmill_testbed/processes.py
+++ b/ironmill_testbed/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment on loopback: emulated neighbours, and proxies as ``ironmill serve`` runs them."""
+"""Child processes on loopback: emulated dependencies, and proxies as ``ironmill serve`` runs them."""
 
 from __future__ import annotations
 
@@ -16,48 +16,73 @@
 from types import TracebackType
 from typing import Any, Self
 
+import msgspec
 import orjson
 import psutil
 
-READY_WAIT = 30.0  # for a process to answer for the first time, seconds
-END_WAIT = 10.0
-PORTS = (10240, 32768)  # below those that Linux hands out by itself
-PORT_TRIES = 1000
+from ironmill.errors import IronmillError
+from ironmill.membership.identity import Address, format_address
+from ironmill_testbed.dependency_status import AttemptHistory, DependenciesStatus, ServerStatus
 
-_given: set[int] = set()
+READY_TIMEOUT_S = 30.0
+READY_CHECK_INTERVAL_S = 0.02
+CONNECT_TIMEOUT_S = 1.0
+EXIT_TIMEOUT_S = 10.0
+LOG_EXCERPT_LENGTH = 500  # characters of a log's end that go into an error
+PORTS = (10240, 32768)  # below the ephemeral ports of Linux
+MAX_PORT_ATTEMPTS = 1000
+
+_reserved_ports: set[int] = set()
+
+
+class ProcessFailedError(IronmillError, RuntimeError):
+    """A child process has ended, or was not ready in time."""
+
+    def __init__(self, process: Process, problem: str) -> None:
+        """``problem`` completes a sentence that begins with the process's name; the log's end follows it."""
+        excerpt = process.log.read_text()[-LOG_EXCERPT_LENGTH:]
+        super().__init__(f"{process.log.stem} {problem}: {excerpt}")
+
+
+class NoFreePortError(IronmillError, RuntimeError):
+    """No port of the range is free."""
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used so far: CPU in seconds, memory in bytes."""
+    """The resources that a process has used so far."""
 
-    cpu: float
-    system: float  # the kernel's part; counted in ticks of 10 ms
-    resident: int
+    cpu_s: float
+    system_s: float  # of ``cpu_s`` in the kernel; in ticks of 10 ms
+    resident_bytes: int
 
 
 class Process:
-    """One child process; ended for certain at the end of a ``with`` block."""
+    """One child process, which is killed at the end of a ``with`` block."""
 
     def __init__(
         self,
-        words: list[str],
+        arguments: list[str],
         folder: Path,
         name: str,
         env: dict[str, str] | None = None,
         program: Path | None = None,
     ) -> None:
+        """Starts the interpreter with these arguments; standard error goes to ``folder/name.log``.
+
+        ``program`` is the folder of a checkout to run in place of this one.
+        """
         self.log = folder / f"{name}.log"
-        full = dict(os.environ) | (env or {})
+        environment = dict(os.environ) | (env or {})
         if program is not None:
-            full["PYTHONPATH"] = str(program)
+            environment["PYTHONPATH"] = str(program)
         with self.log.open("ab") as log:
             self.popen = subprocess.Popen(
-                [sys.executable, *words],
+                [sys.executable, *arguments],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=log,
-                env=full,
+                env=environment,
                 cwd=program,
             )
         self._ps = psutil.Process(self.popen.pid)
@@ -71,103 +96,131 @@
         self.end(signal.SIGKILL)
 
     def usage(self) -> Usage:
-        """What it has used."""
+        """Returns the resources that it has used so far."""
         times = self._ps.cpu_times()
         try:
-            # In nanoseconds; a tick of the other clock is as much as a hundred lines.
-            cpu = int(Path(f"/proc/{self.popen.pid}/schedstat").read_text().split()[0]) / 1e9
+            # In nanoseconds; ``cpu_times`` is too coarse for a measurement of some thousand lines.
+            cpu_s = int(Path(f"/proc/{self.popen.pid}/schedstat").read_text().split()[0]) / 1e9
         except (OSError, IndexError):
-            cpu = times.user + times.system
-        return Usage(cpu, times.system, self._ps.memory_info().rss)
+            cpu_s = times.user + times.system
+        return Usage(cpu_s, times.system, self._ps.memory_info().rss)
 
     def end(self, number: int = signal.SIGTERM) -> int:
-        """Signal it and wait for its end; the exit status."""
+        """Sends a signal and returns the exit status. Kills the process after ``EXIT_TIMEOUT_S``."""
         for pipe in (self.popen.stdin, self.popen.stdout):
             if pipe is not None:
-                with suppress(BrokenPipeError):  # what was written to one that has ended is still there
+                with suppress(BrokenPipeError):  # raised if it has ended with unread input
                     pipe.close()
         if self.popen.poll() is None:
             self.popen.send_signal(number)
         try:
-            return self.popen.wait(END_WAIT)
+            return self.popen.wait(EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.popen.kill()
             return self.popen.wait()
 
 
 class CommandedProcess(Process):
-    """A process of the laboratory that reads commands (``emulate.answer_commands``)."""
+    """A process of the testbed that reads commands (``emulate.answer_commands``)."""
 
-    def ask(self, word: str, *args: object) -> dict[str, Any]:
-        """Give a command and wait for the answer. RuntimeError if the process has ended."""
+    def execute(self, command: str, *args: object) -> Any:
+        """Sends a command and returns its response. Raises ``ProcessFailedError`` if it has ended."""
         assert self.popen.stdin is not None
         assert self.popen.stdout is not None
         try:
-            self.popen.stdin.write(orjson.dumps([word, *args]) + b"\n")
+            self.popen.stdin.write(orjson.dumps([command, *args]) + b"\n")
             self.popen.stdin.flush()
             line = self.popen.stdout.readline()
         except BrokenPipeError:
             line = b""
         if not line:
-            raise RuntimeError(f"{self.log.stem} has ended: {self.log.read_text()[-500:]}")
-        found: dict[str, Any] = orjson.loads(line)
-        return found
+            raise ProcessFailedError(self, "has ended")
+        return orjson.loads(line)
+
+
+class Dependencies(CommandedProcess):
+    """The process of the emulated servers and discovery (``ironmill_testbed.emulate``)."""
+
+    def __init__(self, folder: Path, server_count: int) -> None:
+        """Starts servers ``s-0`` and so on; all listen when it returns."""
+        arguments = ["-m", "ironmill_testbed", "emulate", f"--hosts={server_count}"]
+        super().__init__(arguments, folder, "dependencies")
+        self.discovery: Address = self.status().discovery
+
+    def status(self) -> DependenciesStatus:
+        """Returns counters of discovery and of all servers."""
+        return msgspec.convert(self.execute("status"), DependenciesStatus)
+
+    def attempts(self) -> AttemptHistory:
+        """Returns the attempts that the servers have received."""
+        return msgspec.convert(self.execute("attempts"), AttemptHistory)
+
+    def add(self, server_id: str, boot: float) -> None:
+        """Starts one more server; ``boot`` is its start as Unix time."""
+        self.execute("add", server_id, boot)
+
+    def drain(self, server_id: str, delay_s: float = 2.0, duration_s: float = 2.0) -> ServerStatus:
+        """Drains a server: migrates connections after the delay, evenly over the duration, and removes it.
 
+        Returns the server's status at the announcement.
+        """
+        return msgspec.convert(self.execute("drain", server_id, delay_s, duration_s), ServerStatus)
 
-class Neighbours(CommandedProcess):
-    """The process of ``ironmill_testbed.emulate``; each answer tells what all servers have seen."""
+    def crash(self, server_id: str) -> None:
+        """Crashes a server."""
+        self.execute("crash", server_id)
 
-    def __init__(self, folder: Path, hosts: int) -> None:
-        super().__init__(["-m", "ironmill_testbed", "emulate", f"--hosts={hosts}"], folder, "neighbours")
-        self.discovery: tuple[str, int] = tuple(self.ask("told")["discovery"])
+    def set_mode(self, server_id: str, mode: str) -> None:
+        """Changes how a server answers request lines, to a value of ``emulated_servers.Mode``."""
+        self.execute("set_mode", server_id, mode)
 
 
 class ProxyProcess(Process):
-    """One proxy, started; up once ``wait_ready`` returns."""
+    """One proxy, which serves once ``wait_ready`` has returned."""
 
     def __init__(
         self,
         config: Path,
         folder: Path,
         program: Path | None = None,
-        more: Sequence[str] = (),
+        options: Sequence[str] = (),
         launcher: Sequence[str] = ("-m", "ironmill"),
     ) -> None:
-        """``launcher``: the interpreter's words before those of the command line."""
+        """Starts ``serve`` with further options; ``launcher`` is the interpreter's arguments before it."""
         value = orjson.loads(config.read_bytes())
         host, _, port = value["listen"].rpartition(":")
         self.address = (host, int(port))
-        words = [*launcher, "serve", f"--config={config}", *more]
-        super().__init__(words, folder, value["name"], program=program)
+        arguments = [*launcher, "serve", f"--config={config}", *options]
+        super().__init__(arguments, folder, value["name"], program=program)
 
     def wait_ready(self) -> None:
-        """Wait until it answers PING."""
+        """Waits until it answers PING. Raises ``ProcessFailedError`` if it does not in time."""
         wait_for_answer(self, self.address, b"PING\r\n")
 
 
-def wait_for_answer(process: Process, address: tuple[str, int], question: bytes) -> None:
-    """Wait until something at the address answers; RuntimeError if the process ends or says nothing."""
-    until = time.monotonic() + READY_WAIT
-    while time.monotonic() < until and process.popen.poll() is None:
+def wait_for_answer(process: Process, address: Address, question: bytes) -> None:
+    """Waits until the question is answered at the address. Raises ``ProcessFailedError`` if it is not."""
+    deadline = time.monotonic() + READY_TIMEOUT_S
+    while time.monotonic() < deadline and process.popen.poll() is None:
         try:
-            with socket.create_connection(address, 1.0) as sock:
+            with socket.create_connection(address, CONNECT_TIMEOUT_S) as sock:
                 sock.sendall(question)
                 if sock.recv(64):
                     return
         except OSError:
-            time.sleep(0.02)
-    raise RuntimeError(f"not ready: {process.log.read_text()[-500:]}")
+            time.sleep(READY_CHECK_INTERVAL_S)
+    raise ProcessFailedError(process, f"is not ready at {format_address(address)}")
 
 
 def free_port() -> int:
-    """A port of 127.0.0.1 that neither TCP nor UDP uses just now, and that was not given before.
+    """Returns a port of 127.0.0.1 that is free for TCP and UDP and that it has not returned before.
 
-    The system hands it to nobody who does not ask for it, so that it is still free a little later, and at a
-    restart, however many sockets others open. RuntimeError where none is found.
+    The port lies below the ephemeral range, so that it is still free later, and at a restart, however many
+    sockets others open. Raises ``NoFreePortError``.
     """
-    for _ in range(PORT_TRIES):
+    for _ in range(MAX_PORT_ATTEMPTS):
         port = random.randrange(*PORTS)
-        if port in _given:
+        if port in _reserved_ports:
             continue
         try:
             for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
@@ -175,6 +228,6 @@
                     sock.bind(("127.0.0.1", port))
         except OSError:
             continue
-        _given.add(port)
+        _reserved_ports.add(port)
         return port
-    raise RuntimeError(f"no free port from {PORTS[0]} to {PORTS[1] - 1}")
+    raise NoFreePortError(f"no free port in {MAX_PORT_ATTEMPTS} attempts from {PORTS[0]} to {PORTS[1] - 1}")
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -25,8 +25,8 @@
 from ironmill.protocol.lines import LineReader
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.admin_client import call
-from ironmill_testbed.fleet import play
-from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.fleet import run_scenario
+from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from tests.faults import Plan
 
@@ -87,7 +87,7 @@
         self.rng = random.Random(seed)
         self.folder, self.stack = folder, stack
         self.scheduler = Scheduler()
-        self.neighbours = stack.enter_context(Neighbours(folder, SERVERS))
+        self.dependencies = stack.enter_context(Dependencies(folder, SERVERS))
         self.longest = self.rng.choice((0.3, 1.0, 2.0, 4.0))
         self.requests: list[Request] = []
         self.broken: list[str] = []
@@ -106,7 +106,7 @@
         ]
         settings["familyInfo"]["messageAimS"] = [0.25] * len(CLASSES)
         control = ("127.0.0.1", free_port())
-        value = proxy_config(f"p{at}", ("127.0.0.1", free_port()), self.neighbours.discovery, 512, settings)
+        value = proxy_config(f"p{at}", ("127.0.0.1", free_port()), self.dependencies.discovery, 512, settings)
         value["control"] = f"{control[0]}:{control[1]}"
         rng = self.rng
         part = {name: rng.choice((0.0, 0.1, 0.3)) for name in ("accept", "connect", "socket")}
@@ -281,22 +281,22 @@
     def _drain(self) -> None:
         if (uid := self._server()) is not None:
             self.troubled.add(uid)
-            self.neighbours.ask("drain", uid)
+            self.dependencies.drain(uid)
 
     def _crash(self) -> None:
         if (uid := self._server()) is not None:
             self.troubled.add(uid)
             self.crashed[uid] = time.monotonic()
-            self.neighbours.ask("crash", uid)
+            self.dependencies.crash(uid)
 
     def _misbehave(self) -> None:
         if (uid := self._server()) is not None:
-            self.neighbours.ask("treat", uid, self.rng.choice(("hang", "error", "busy", "reset")))
+            self.dependencies.set_mode(uid, self.rng.choice(("hang", "error", "busy", "reset")))
             self.scheduler.sleep(self.rng.uniform(0.5, 3.0))
-            self.neighbours.ask("treat", uid, "sound")
+            self.dependencies.set_mode(uid, "sound")
 
     def _join(self) -> None:
-        self.neighbours.ask("add", f"new-{self.rng.randrange(1 << 30):x}", time.time())
+        self.dependencies.add(f"new-{self.rng.randrange(1 << 30):x}", time.time())
 
     # Clients
 
@@ -379,24 +379,25 @@
         return broken + self._check_servers()
 
     def _check_servers(self) -> list[str]:
-        seen = self.neighbours.ask("seen")
-        broken = [f"{name}: two attempts at once" for name in seen["overlaps"]]
+        history = self.dependencies.attempts()
+        broken = [f"{name}: two attempts at once" for name in history.overlaps]
         by_name = {request.name: request for request in self.requests}
-        counts = Counter(name for name, _, _ in seen["began"])
+        counts = Counter(attempt.request_id for attempt in history.attempts)
         broken += [f"{name}: {count} attempts" for name, count in counts.items() if count > MOST_ATTEMPTS]
-        runs = Counter(name for name, _, may_run in seen["began"] if may_run)
+        runs = Counter(attempt.request_id for attempt in history.attempts if attempt.may_have_run)
         for name, count in runs.items():
             request = by_name.get(name)
             if request is not None and CLASSES[request.class_name] == "side_effect" and count > 1:
                 broken.append(f"{name}: may have run {count} times")
-        for name, at, _ in seen["began"]:
-            request = by_name.get(name)
+        for attempt in history.attempts:
+            request = by_name.get(attempt.request_id)
             if request is not None and request.left_at is not None:
-                late = at - request.left_at
+                late = attempt.received_at - request.left_at
                 if late > LEFT_MOST + TURN:
-                    broken.append(f"{name}: an attempt {late:.3f} s after its client left")
-        for host in self.neighbours.ask("told")["hosts"]:
-            broken += [f"{host['uid']}: {what} {host[what]}" for what in ("late", "malformed") if host[what]]
+                    broken.append(f"{request.name}: an attempt {late:.3f} s after its client left")
+        for server in self.dependencies.status().servers:
+            counts_of_server = {"late": server.counts.late, "malformed": server.counts.malformed}
+            broken += [f"{server.server_id}: {what} {n}" for what, n in counts_of_server.items() if n]
         return broken
 
 
@@ -404,7 +405,7 @@
     """Play it: the rules that were broken, and how many requests came to what."""
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
         soak = Soak(seed, keep or Path(name), stack)
-        play(soak.scheduler, soak.story, LIMIT)
+        run_scenario(soak.scheduler, soak.story, LIMIT)
         for sock in soak.idle:
             sock.close()
         return soak.check(), Counter(request.outcome for request in soak.requests)
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -24,8 +24,8 @@
 from ironmill.net.key_ring_watcher import KeyRingWatcher
 from ironmill.net.sockets import Stream
 from ironmill.runtime.scheduler import Scheduler
-from ironmill_testbed.fleet import Client, NotServedError, play
-from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.fleet import Client, NotServedError, run_scenario
+from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from tests.support.identity import AUDIENCE, ISSUER, Keys, forged, hostile_tokens, identity, rule
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
@@ -193,14 +193,14 @@
 class ProxyWithClients:
     """A proxy process with identity settings, and clients that present tokens."""
 
-    def __init__(self, folder: Path, neighbours: Neighbours) -> None:
+    def __init__(self, folder: Path, dependencies: Dependencies) -> None:
         self.settings = folder / "settings.xml"
         self.settings.write_text(SETTINGS)
         config = proxy_config(
-            "p", ("127.0.0.1", free_port()), neighbours.discovery, 4096, platform_settings()
+            "p", ("127.0.0.1", free_port()), dependencies.discovery, 4096, platform_settings()
         )
         more = [f"--settings={self.settings}"]
-        self.proxy = ProxyProcess(write_config(folder, config), folder, more=more)
+        self.proxy = ProxyProcess(write_config(folder, config), folder, options=more)
         self.scheduler = Scheduler()
         self.answers: Counter[tuple[str, str]] = Counter()
 
@@ -213,7 +213,7 @@
             word = "UP"
             # There is only one answer: the next line is the reply. But a probe may be established just when
             # its key retires, and is then migrated.
-            assert client.ask(b"line") in ((b"line", b"MOVE") if kind == "probe" else (b"line",))
+            assert client.exchange(b"line") in ((b"line", b"MOVE") if kind == "probe" else (b"line",))
         except NotServedError as error:
             word = str(error).partition(" ")[0]
         self.answers[kind, word] += 1
@@ -226,8 +226,8 @@
     keys = Keys(tmp_path)
     rng = random.Random(4)
     now = time.time()
-    with Neighbours(tmp_path, 3) as neighbours:
-        it = ProxyWithClients(tmp_path, neighbours)
+    with Dependencies(tmp_path, 3) as dependencies:
+        it = ProxyWithClients(tmp_path, dependencies)
         with it.proxy:
             it.proxy.wait_ready()
             bad = {
@@ -258,7 +258,7 @@
                 while sum(n for (kind, _), n in it.answers.items() if kind != "probe") < 320:
                     it.scheduler.sleep(0.02)
 
-            play(it.scheduler, scenario, 90.0)
+            run_scenario(it.scheduler, scenario, 90.0)
             assert it.proxy.end() == 0
         log = it.proxy.log.read_text()
     answers = {kind: {word for (of, word) in it.answers if of == kind} for kind, _ in it.answers}
@@ -306,8 +306,8 @@
 def test_settings_reload_under_load_and_invalid_file_changes_nothing(tmp_path: Path) -> None:
     """Five reloads, one of an invalid file; each applies to all callers or to none."""
     keys = Keys(tmp_path)
-    with Neighbours(tmp_path, 2) as neighbours:
-        it = ProxyWithClients(tmp_path, neighbours)
+    with Dependencies(tmp_path, 2) as dependencies:
+        it = ProxyWithClients(tmp_path, dependencies)
         with it.proxy:
             it.proxy.wait_ready()
 
@@ -336,7 +336,7 @@
                         it.scheduler.sleep(0.02)
                 ending = True
 
-            play(it.scheduler, scenario, 60.0)
+            run_scenario(it.scheduler, scenario, 60.0)
             assert it.proxy.end() == 0
         log = it.proxy.log.read_text()
     assert {word for kind, word in it.answers if kind == "load"} == {"UP"}
--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -15,8 +15,8 @@
 from ironmill.net.sockets import Stream
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.admin_client import call
-from ironmill_testbed.fleet import Client, play
-from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.fleet import Client, run_scenario
+from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
@@ -24,12 +24,12 @@
 LIMIT = 60.0
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_neither_discovery_nor_staff_nor_requests_out(
+def test_exhausted_descriptors_block_neither_discovery_nor_admin_api_nor_requests(
     tmp_path: Path,
 ) -> None:
     """Discovery is down meanwhile: the watch, the second address, probes and attempts have a reserve."""
     with ExitStack() as stack:
-        neighbours = stack.enter_context(Neighbours(tmp_path, 3))
+        dependencies = stack.enter_context(Dependencies(tmp_path, 3))
         address, control, gone = (("127.0.0.1", free_port()) for _ in range(3))
         value = proxy_config("p1", address, gone, SOCKETS, platform_settings())
         value["control"] = f"{control[0]}:{control[1]}"
@@ -48,7 +48,7 @@
 
         def told() -> None:
             assert known() == 0
-            value["discovery"] = f"{neighbours.discovery[0]}:{neighbours.discovery[1]}"
+            value["discovery"] = f"{dependencies.discovery[0]}:{dependencies.discovery[1]}"
             write_config(tmp_path, value)
             process.popen.send_signal(signal.SIGHUP)  # the file, and a second watch, take descriptors as well
             until = time.monotonic() + LIMIT / 2.0
@@ -58,16 +58,16 @@
             for _ in range(10):
                 client = Client(scheduler, address)
                 client.open(2.0)
-                assert client.ask(b"line") == b"line"
+                assert client.exchange(b"line") == b"line"
                 client.close()
 
-        play(scheduler, told, LIMIT)
+        run_scenario(scheduler, told, LIMIT)
         assert process.popen.poll() is None
         assert "Too many open files" not in process.log.read_text()
         assert len(idle) == 3 * SOCKETS
 
 
-def test_an_attempt_that_finds_no_descriptor_costs_itself_alone() -> None:
+def test_attempt_without_a_descriptor_is_retried() -> None:
     """The next one is made, and served."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
--- a/tests/system/test_operation.py
+++ b/tests/system/test_operation.py
@@ -13,8 +13,8 @@
 from ironmill.net.sockets import TimedOutError
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.admin_client import call
-from ironmill_testbed.fleet import Client, Fleet, NotServedError, play
-from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.fleet import Client, Fleet, NotServedError, run_scenario
+from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 LIMIT = 120.0
@@ -26,7 +26,7 @@
     def __init__(self, folder: Path, stack: ExitStack) -> None:
         self.folder, self.stack = folder, stack
         self.scheduler = Scheduler()
-        self.neighbours = stack.enter_context(Neighbours(folder, 3))
+        self.dependencies = stack.enter_context(Dependencies(folder, 3))
         self.address = ("127.0.0.1", free_port())
         self.mode = "proxy"
         self.started = 0
@@ -40,7 +40,7 @@
             category["hardLimitS"] = 0.6  # the longest deadline determines the time of a shutdown
         settings["familyInfo"]["mode"] = self.mode
         self.started += 1
-        value = proxy_config(f"p{self.started}", self.address, self.neighbours.discovery, 4096, settings)
+        value = proxy_config(f"p{self.started}", self.address, self.dependencies.discovery, 4096, settings)
         control = ("127.0.0.1", free_port())
         value["control"] = f"{control[0]}:{control[1]}"
         process = ProxyProcess(write_config(self.folder, value), self.folder)
@@ -52,7 +52,7 @@
             client = Client(self.scheduler, self.address)
             try:
                 client.open(0.6)
-                assert client.ask(b"line") in (b"line", b"MOVE")
+                assert client.exchange(b"line") in (b"line", b"MOVE")
                 self.churned += 1
             except NotServedError as error:
                 assert str(error).startswith("BUSY")
@@ -106,17 +106,17 @@
         fleet = Fleet(it.scheduler, [it.address], 30, pause=0.2)
         for _ in range(2):
             it.scheduler.spawn(churn)
-        it.until(lambda: len(fleet.standing) == 30)
+        it.until(lambda: len(fleet.established) == 30)
         scenario(fleet)
         fleet.end()
         it.ending = True
         it.scheduler.sleep(0.5)
         return fleet
 
-    fleet: Fleet = play(it.scheduler, run, LIMIT)
+    fleet: Fleet = run_scenario(it.scheduler, run, LIMIT)
     assert not failed, failed
     counts = fleet.counts
-    assert (counts.lost, counts.unanswered, counts.failed, counts.unreached) == (0, 0, 0, 0), counts
+    assert (counts.lost, counts.unanswered, counts.failed, counts.unreachable) == (0, 0, 0, 0), counts
     return fleet
 
 
@@ -130,13 +130,13 @@
             for _ in range(20):
                 old, running = running, it.start()
                 it.until(running.serves)
-                it.until(lambda: len(fleet.standing) == 30)
+                it.until(lambda: len(fleet.established) == 30)
                 old.process.popen.send_signal(signal.SIGTERM)
                 it.until(old.over)
                 assert old.process.popen.returncode == 0
 
         fleet = run_beside_clients(it, scenario)
-        assert fleet.counts.moved >= 20 * 20  # later clients are at the new process already
+        assert fleet.counts.migrated >= 20 * 20  # later clients are at the new process already
         assert it.churned > 100
 
 
@@ -155,7 +155,7 @@
                 else:
                     new.process.popen.send_signal(signal.SIGTERM)
                     it.until(new.over)
-            it.until(lambda: len(fleet.standing) == 30)
+            it.until(lambda: len(fleet.established) == 30)
             assert old.serves()
 
         run_beside_clients(it, scenario)
@@ -170,25 +170,25 @@
         def scenario() -> None:
             nonlocal new
             fleet = Fleet(it.scheduler, [it.address], 30, pause=0.2)
-            it.until(lambda: len(fleet.standing) == 30)
+            it.until(lambda: len(fleet.established) == 30)
             new = it.start()
             it.until(new.serves)
             old.process.popen.kill()
             it.until(old.over)
             # Each client detects the loss at its next line; until then it is counted as established.
             it.until(lambda: fleet.counts.lost >= 30)
-            it.until(lambda: len(fleet.standing) == 30)
+            it.until(lambda: len(fleet.established) == 30)
             assert fleet.counts.lost <= 30
             third = it.start()  # the remaining process can be succeeded as any other
             it.until(third.serves)
             lost = fleet.counts.lost
             new.process.popen.send_signal(signal.SIGTERM)
             it.until(new.over)
-            it.until(lambda: len(fleet.standing) == 30)
+            it.until(lambda: len(fleet.established) == 30)
             assert (fleet.counts.lost, fleet.counts.unanswered) == (lost, 0)
             fleet.end()
 
-        play(it.scheduler, scenario, LIMIT)
+        run_scenario(it.scheduler, scenario, LIMIT)
 
 
 def test_drain_resume_and_shutdown_after_a_drain(tmp_path: Path) -> None:
@@ -199,12 +199,12 @@
         def scenario(fleet: Fleet) -> None:
             assert one.call_api("POST", "quiesce")[0] == 200
             one.process.popen.send_signal(signal.SIGHUP)  # does not affect the drain
-            it.until(lambda: not fleet.standing)
+            it.until(lambda: not fleet.established)
             it.until(lambda: one.call_api("GET", "stats")[1]["in_progress"] == 0)
             assert one.call_api("GET", "health") == (503, {"state": "drained"})
-            assert not fleet.standing
+            assert not fleet.established
             assert one.call_api("POST", "resume")[0] == 200
-            it.until(lambda: len(fleet.standing) == 30)
+            it.until(lambda: len(fleet.established) == 30)
             # A new version takes over while the old one drains.
             one.call_api("POST", "quiesce")
             two = it.start()
@@ -212,7 +212,7 @@
             one.process.popen.send_signal(signal.SIGTERM)
             it.until(one.over)
             assert one.process.popen.returncode == 0
-            it.until(lambda: len(fleet.standing) == 30)
+            it.until(lambda: len(fleet.established) == 30)
             assert two.call_api("GET", "stats")[1]["in_progress"] >= 30
 
         run_beside_clients(it, scenario)
@@ -227,12 +227,12 @@
         def scenario(fleet: Fleet) -> None:
             one.call_api("POST", "quiesce")
             it.until(lambda: "drained: 30 established" in one.process.log.read_text())
-            assert (len(fleet.standing), fleet.counts.moved) == (30, 0)
+            assert (len(fleet.established), fleet.counts.migrated) == (30, 0)
             two = it.start()
             it.until(two.serves)
             one.process.popen.send_signal(signal.SIGTERM)
             it.until(one.over)
-            it.until(lambda: len(fleet.standing) == 30)
+            it.until(lambda: len(fleet.established) == 30)
 
         run_beside_clients(it, scenario)
 
@@ -248,14 +248,14 @@
             it.ending = True
             it.scheduler.sleep(0.3)  # until the churning clients have closed
             stats.update(one.call_api("GET", "stats")[1])
-            assert stats["in_progress"] == len(fleet.standing) == 30
+            assert stats["in_progress"] == len(fleet.established) == 30
 
         fleet = run_beside_clients(it, scenario)
-        totals = it.neighbours.ask("told")["hosts"]
+        servers = it.dependencies.status().servers
         passed = stats["passed"]
         assert sum(passed.values()) == fleet.counts.served + it.churned
-        assert stats["upstream_tries"] == sum(host["opened"] for host in totals)
-        assert sum(stats["dropped"].values()) == fleet.counts.refused
+        assert stats["upstream_tries"] == sum(server.counts.opened for server in servers)
+        assert sum(stats["dropped"].values()) == fleet.counts.rejected
         assert (stats["known_servers"], stats["skipped_servers"]) == (3, 0)
         taken = sum(stats["taken"].values())
         ended = sum(sum(stats[name].values()) for name in ("passed", "dropped", "bad_gateway", "abandoned"))
--- a/tests/system/test_simulated_proxies.py
+++ b/tests/system/test_simulated_proxies.py
@@ -70,7 +70,7 @@
         fleet.start(*fleet.controls)
         fleet.start_hollow()
         (hollow,) = fleet.hollow
-        assert hollow.ask("told")["proxies"] == 2
+        assert hollow.execute("told")["proxies"] == 2
         started = fleet.all()
         fleet.pause("c01")
         raise ZeroDivisionError
@@ -81,7 +81,7 @@
     with Fleet(tmp_path, 2, 3, 1, 0) as fleet:
         fleet.start_hollow()
         (hollow,) = fleet.hollow
-        told = hollow.ask("told")
+        told = hollow.execute("told")
         assert (told["proxies"], told["in_force"], told["reached"]) == (2, {}, {})
         assert told["cpu"] > 0.0
         assert told["resident"] > 0
@@ -94,14 +94,14 @@
     with CommandedProcess(["-c", "raise SystemExit('no more')"], tmp_path, "short") as process:
         process.popen.wait(20.0)
         with pytest.raises(RuntimeError, match="short has ended: no more"):
-            process.ask("told")
+            process.execute("told")
 
 
 def test_a_port_that_udp_uses_or_that_was_given_is_not_free(monkeypatch: pytest.MonkeyPatch) -> None:
     port = processes.free_port()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", port))
-        monkeypatch.setattr(processes, "_given", set[int]())
+        monkeypatch.setattr(processes, "_reserved_ports", set[int]())
         monkeypatch.setattr(processes, "PORTS", (port, port + 1))
         with pytest.raises(RuntimeError, match="no free port"):
             processes.free_port()
--- a/tests/system/test_system_calls.py
+++ b/tests/system/test_system_calls.py
@@ -21,8 +21,8 @@
 from ironmill.net.sockets import TimedOutError
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.admin_client import call
-from ironmill_testbed.fleet import Client, NotServedError, play
-from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.fleet import Client, NotServedError, run_scenario
+from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from tests.faults import Faults, Plan, faulty_socket
 
@@ -36,7 +36,7 @@
     """One proxy with faults, its dependencies, and the outcome of each request."""
 
     scheduler: Scheduler
-    neighbours: Neighbours
+    dependencies: Dependencies
     proxy: ProxyProcess
     control: tuple[str, int]
     config: Path
@@ -48,7 +48,7 @@
         client = Client(self.scheduler, self.proxy.address)
         try:
             client.open(wait, fields)
-            self.answers.append("UP" if client.ask(b"line") in (b"line", b"MOVE") else "cut off")
+            self.answers.append("UP" if client.exchange(b"line") in (b"line", b"MOVE") else "cut off")
         except NotServedError as error:
             self.answers.append(str(error).partition(" ")[0] or "closed")
         except TimedOutError:
@@ -83,19 +83,19 @@
 
 @contextmanager
 def site(folder: Path, plan: Plan, settings: Mapping[str, Any] = MORE, wait: bool = True) -> Iterator[Site]:
-    with Neighbours(folder, SERVERS) as neighbours:
+    with Dependencies(folder, SERVERS) as dependencies:
         address, control = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
-        value = proxy_config("p1", address, neighbours.discovery, 1024, platform_settings() | settings)
+        value = proxy_config("p1", address, dependencies.discovery, 1024, platform_settings() | settings)
         value["control"] = f"{control[0]}:{control[1]}"
         config = write_config(folder, value)
         with ProxyProcess(config, folder, launcher=plan.launcher()) as proxy:
             if wait:
                 proxy.wait_ready()
-            yield Site(Scheduler(), neighbours, proxy, control, config, value)
+            yield Site(Scheduler(), dependencies, proxy, control, config, value)
 
 
 def run(it: Site, scenario: Callable[[], None]) -> None:
-    play(it.scheduler, scenario, LIMIT)
+    run_scenario(it.scheduler, scenario, LIMIT)
 
 
 def test_shutdown_answers_queued_connections_although_accept_fails(tmp_path: Path) -> None:
@@ -165,7 +165,7 @@
             answers.append(caller.recv(12))
             caller.close()
 
-    play(scheduler, scenario, LIMIT)
+    run_scenario(scheduler, scenario, LIMIT)
     assert answers == [b"HTTP/1.1 404"] * 8
 
 
@@ -183,14 +183,14 @@
 
         def scenario() -> None:
             it.crowd(800, 4.0, seed=1)  # the ordinary rate
-            it.neighbours.ask("add", "s-new", time.time())
+            it.dependencies.add("s-new", time.time())
             it.scheduler.sleep(0.5)
             it.answers.clear()
             it.crowd(400, 2.0, seed=2)
 
         run(it, scenario)
         assert it.kinds() == {"UP"}
-        taken = {host["uid"]: host["opened"] for host in it.neighbours.ask("told")["hosts"]}
+        taken = {server.server_id: server.counts.opened for server in it.dependencies.status().servers}
         assert taken["s-new"] <= 40
 
 
@@ -205,8 +205,8 @@
 
         run(it, scenario)
         assert it.kinds() == {"UP"}
-        totals = it.neighbours.ask("told")["hosts"]
-        assert sum(host["opened"] for host in totals) == 600
+        servers = it.dependencies.status().servers
+        assert sum(server.counts.opened for server in servers) == 600
 
 
 def test_step_of_the_wall_clock_while_serving_changes_nothing(tmp_path: Path) -> None:
@@ -252,7 +252,7 @@
     """STANDING: new configurations in quick succession. The file cannot be read at times."""
     other = tmp_path / "other"
     other.mkdir()
-    with site(tmp_path, Plan(part={"open": 0.5}, after=1.0)) as it, Neighbours(other, 5) as last:
+    with site(tmp_path, Plan(part={"open": 0.5}, after=1.0)) as it, Dependencies(other, 5) as last:
 
         def scenario() -> None:
             it.scheduler.sleep(1.0)
@@ -267,7 +267,7 @@
 
         run(it, scenario)
         assert it.kinds() == {"UP"}, it.answers
-        assert sum(host["opened"] for host in last.ask("told")["hosts"]) >= 50
+        assert sum(server.counts.opened for server in last.status().servers) >= 50
 
 
 def test_series_of_signals_shuts_down_once_without_lost_requests(tmp_path: Path) -> None:
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -31,8 +31,8 @@
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed import call, certificates
 from ironmill_testbed.certificates import DAY, NOW, Authority, fingerprint
-from ironmill_testbed.fleet import Client, NotServedError, play
-from ironmill_testbed.processes import Neighbours, ProxyProcess, free_port
+from ironmill_testbed.fleet import Client, NotServedError, run_scenario
+from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
@@ -552,20 +552,20 @@
             assert later.peer_certificate() != first
             later.close()
             break
-        assert client.ask(b"hey") == b"hey"
+        assert client.exchange(b"hey") == b"hey"
         client.close()
         # In plain nothing has changed, but that nobody is known there.
         with pytest.raises(NotServedError, match="ERR"):
             Client(scheduler, proxy.address).open()
 
-    with Neighbours(tmp_path, 2) as neighbours:
+    with Dependencies(tmp_path, 2) as dependencies:
         config = proxy_config(
-            "p", ("127.0.0.1", free_port()), neighbours.discovery, 1024, platform_settings()
+            "p", ("127.0.0.1", free_port()), dependencies.discovery, 1024, platform_settings()
         )
         more = [f"--settings={tmp_path / 'settings.xml'}"]
-        with ProxyProcess(write_config(tmp_path, config), tmp_path, more=more) as proxy:
+        with ProxyProcess(write_config(tmp_path, config), tmp_path, options=more) as proxy:
             proxy.wait_ready()
-            play(scheduler, lambda: scenario(proxy), 30.0)
+            run_scenario(scheduler, lambda: scenario(proxy), 30.0)
             word = (f"127.0.0.1:{port}", "", "index-sync", str(tmp_path / "authority.pem"))
             assert call.run(*word, str(tmp_path / "farm")) == 0
             assert call.run(*word, "") == 1
--- a/tests/system/test_upgrade.py
+++ b/tests/system/test_upgrade.py
@@ -10,7 +10,7 @@
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream
 from ironmill.runtime.scheduler import Scheduler
-from ironmill_testbed.fleet import play
+from ironmill_testbed.fleet import run_scenario
 
 
 class Pair:
@@ -30,7 +30,7 @@
 
     def run(self, scenario: Callable[[], None]) -> None:
         try:
-            play(self.scheduler, scenario, 30.0)
+            run_scenario(self.scheduler, scenario, 30.0)
         finally:
             self.old.close()
             self.new.close()
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -51,7 +51,7 @@
 from ironmill.net.admin_server import AdminServer
 from ironmill.net.revision_store import SqliteStore
 from ironmill.runtime.scheduler import Scheduler
-from ironmill_testbed.fleet import play
+from ironmill_testbed.fleet import run_scenario
 
 
 class StubOrigin:
@@ -403,7 +403,7 @@
             while popen.poll() is None:
                 self.scheduler.sleep(0.01)
 
-        play(self.scheduler, scenario, 60.0)
+        run_scenario(self.scheduler, scenario, 60.0)
         out, err = done[0].communicate()
         return done[0].returncode, out, err
 
--- a/tests/unit/administration/test_routes.py
+++ b/tests/unit/administration/test_routes.py
@@ -14,7 +14,7 @@
 from ironmill.net.admin_server import AdminServer
 from ironmill.net.sockets import Stream
 from ironmill.runtime.scheduler import Scheduler
-from ironmill_testbed.fleet import play
+from ironmill_testbed.fleet import run_scenario
 
 HEAD = b"POST /detailed?most=3 HTTP/1.1\r\nHost: x\r\n"
 
@@ -87,5 +87,5 @@
         assert call_server("POST", "/admin/quiesce")[0] == 404  # a proxy's route
         assert call_server("POST", "/detailed", b"z" * (MAX_BODY_BYTES + 1))[0] == 413
 
-    play(scheduler, scenario, 30.0)
+    run_scenario(scheduler, scenario, 30.0)
     server.close()
