--- a/ironmill/membership/self_health.py
+++ b/ironmill/membership/self_health.py
@@ -1,11 +1,9 @@
-"""A member's judgement of its own health, which comes before any judgement of others."""
+"""A member's assessment of its own health, which comes before any opinion of others."""
 
 from __future__ import annotations
 
-import math
-
 from ironmill.membership.events import IsolationEnded, IsolationStarted, PauseDetected
-from ironmill.membership.member_state import MemberState
+from ironmill.membership.member_state import NEVER, MemberState
 from ironmill.membership.timing import PAUSE_RECOVERY_S
 
 
@@ -22,10 +20,11 @@
     )
 
     def __init__(self, state: MemberState) -> None:
+        """Starts healthy."""
         self._state = state
         self.is_isolated = False
-        self.last_contact_at = -math.inf  # the last direct ack of any member
-        self._last_without_others_at = state.now  # when the view last held no other member
+        self.last_contact_at = NEVER  # the last direct ack of any member
+        self._last_without_others_at = state.now  # when the view last contained no other member
         self._recovering_until = state.now
         self._healthy_since = state.now
 
@@ -56,7 +55,7 @@
 
     @property
     def withholds_opinions(self) -> bool:
-        """Whether this member would blame others for its own faults, and so holds no opinion of them."""
+        """Whether this member might blame others for a fault of itself, and so keeps its opinions back."""
         return self.is_isolated or self._state.now < self._recovering_until or not self._state.is_joined
 
     @property
--- a/ironmill/membership/view_agreement.py
+++ b/ironmill/membership/view_agreement.py
@@ -9,7 +9,7 @@
 
 from ironmill.membership.events import ChangeCause, MemberJoined, MemberLeft, MemberRemoved, OpinionChanged
 from ironmill.membership.gossip import BroadcastQueue
-from ironmill.membership.member_state import MemberState
+from ironmill.membership.member_state import NEVER, MemberState
 from ironmill.membership.messages import NEUTRAL, SUSPECT, MemberRecord, Opinion
 from ironmill.membership.pinging import Pinger
 from ironmill.membership.self_health import SelfHealth
@@ -27,17 +27,18 @@
     """A reported change of a member that own observations do not confirm."""
 
     record: MemberRecord
-    pinged_at: float = math.inf
+    pinged_at: float = math.inf  # infinite until the member is pinged
 
 
 class ViewAgreement:
-    """Applies changes to the view and spreads the opinions from which they are decided."""
+    """Applies changes to the view and broadcasts the opinions from which they are decided."""
 
     __slots__ = ("_broadcasts", "_health", "_last_stamp", "_pinger", "_state", "_suspected_changes")
 
     def __init__(
         self, state: MemberState, broadcasts: BroadcastQueue, pinger: Pinger, health: SelfHealth
     ) -> None:
+        """Starts without suspected changes; stamps of opinions start at the own incarnation."""
         self._state = state
         self._broadcasts = broadcasts
         self._pinger = pinger
@@ -46,7 +47,7 @@
         self._suspected_changes: dict[str, SuspectedChange] = {}
 
     def apply(self, record: MemberRecord, cause: ChangeCause, observers: Sequence[str] = ()) -> None:
-        """Makes a record part of the view and spreads it."""
+        """Makes a record part of the view and broadcasts it."""
         state = self._state
         name = record.identity.name
         old = state.view.records.get(name)
@@ -55,8 +56,8 @@
         self._broadcasts.enqueue(record)
         if name != state.name:
             peer = state.peer(name)
-            peer.observed_since = -math.inf
-            peer.quorum_since = -math.inf
+            peer.observed_since = NEVER
+            peer.quorum_since = NEVER
             peer.changed_at = state.now
         is_new_process = cause in (ChangeCause.STARTED, ChangeCause.REJOINED)
         if record.is_present is not was_present or is_new_process:
@@ -67,7 +68,7 @@
         self.apply(structs.replace(self._state.record, transitions=transitions), cause)
 
     def set_opinion(self, subject: str, value: int) -> None:
-        """Spreads the own opinion of a subject if it has changed or has to be renewed."""
+        """Broadcasts the own opinion of a subject if it has changed or has to be renewed."""
         state = self._state
         old_value = state.view.opinion_value(state.name, subject)
         peer = state.peer(subject)
@@ -83,7 +84,7 @@
             state.on_event(OpinionChanged(subject, value))
 
     def add_opinion(self, opinion: Opinion) -> bool:
-        """Stores an opinion and spreads it; returns False if it is outdated."""
+        """Stores an opinion and broadcasts it; returns False if it is outdated."""
         is_new = self._state.view.add_opinion(opinion, self._state.now + OPINION_LIFETIME_S)
         if is_new:
             self._broadcasts.enqueue(opinion)
@@ -125,11 +126,11 @@
             supporters = state.view.supporters_of_change(name)
             peer = state.peer(name)
             if not supporters or name == state.name:
-                peer.quorum_since = -math.inf
-            elif peer.quorum_since == -math.inf:
+                peer.quorum_since = NEVER
+            elif peer.quorum_since == NEVER:
                 peer.quorum_since = state.now
             elif state.now - peer.quorum_since >= DECISION_STABILITY_S:
-                peer.quorum_since = -math.inf
+                peer.quorum_since = NEVER
                 record = state.view.records[name]
                 changed = structs.replace(record, transitions=record.transitions + 1)
                 self.apply(changed, ChangeCause.DECIDED, supporters)
