--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -24,7 +24,7 @@
 LIMIT = 60.0
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_neither_discovery_nor_staff_nor_requests_out(
+def test_idle_clients_do_not_starve_discovery_admin_api_or_requests_of_descriptors(
     tmp_path: Path,
 ) -> None:
     """Discovery is down meanwhile: the watch, the second address, probes and attempts have a reserve."""
@@ -67,7 +67,7 @@
         assert len(idle) == 3 * SOCKETS
 
 
-def test_an_attempt_that_finds_no_descriptor_costs_itself_alone() -> None:
+def test_attempt_without_a_descriptor_affects_only_itself() -> None:
     """The next one is made, and served."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
--- a/tests/system/test_garbage_collection.py
+++ b/tests/system/test_garbage_collection.py
@@ -14,7 +14,7 @@
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 
-def test_the_collector_is_on_once_the_proxy_serves(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_garbage_collector_is_enabled_once_the_proxy_serves(monkeypatch: pytest.MonkeyPatch) -> None:
     """It is off while modules are read, which makes the start shorter."""
     called: list[str] = []
     for name in ("freeze", "enable", "set_threshold"):
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("scenario", [served, ended_by_the_server, moved, broken, turned_away, refused, left])
-def test_a_connection_leaves_no_cycle_behind(scenario: Callable[[ProxyUnderTest], None]) -> None:
+def test_closed_connection_leaves_no_reference_cycle(scenario: Callable[[ProxyUnderTest], None]) -> None:
     seen: set[str] = set()
 
     def run(proxy: ProxyUnderTest) -> None:
@@ -117,7 +117,7 @@
     assert seen == set()
 
 
-def test_full_collections_wait_until_few_connections_stand(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_collections_wait_until_few_connections_are_established(monkeypatch: pytest.MonkeyPatch) -> None:
     now, held, full = 0.0, gc_schedule.MAX_CONNECTIONS_FOR_FULL_COLLECTION + 1, 0
 
     def collect() -> None:
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -28,7 +28,7 @@
 from tests.support.proxy_under_test import ONE, OPEN, ProxyUnderTest, answer_discovery, pace, read_line
 
 
-def test_a_connection_is_served_and_bytes_go_on_unchanged() -> None:
+def test_connection_is_served_and_bytes_are_relayed_unchanged() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
@@ -70,7 +70,7 @@
         OPEN.replace(b"1a ", b""),
     ],
 )
-def test_a_bad_first_line_gets_one_answer_and_an_end(data: bytes) -> None:
+def test_malformed_request_line_gets_one_error_line_and_a_close(data: bytes) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(data)
         assert read_line(client) == b"ERR\r\n"
@@ -82,7 +82,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_more_than_a_line_before_the_answer_ends_the_attempt() -> None:
+def test_data_before_the_answer_ends_the_attempt() -> None:
     """Guards against being served for hundreds of commands at once."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -96,7 +96,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_an_id_that_is_open_belongs_to_the_first() -> None:
+def test_rejects_the_client_id_of_an_open_connection() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
         assert read_line(proxy.client(OPEN)) == b"ERR\r\n"
@@ -110,7 +110,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_dripping_client_has_no_more_time_than_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_line_timeout_bounds_bytes_that_arrive_singly(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.1)
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -129,7 +129,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_silent_clients_make_room_for_those_that_speak() -> None:
+def test_evicts_silent_clients_for_clients_with_requests() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         most = proxy.admission.max_silent
         silent = [proxy.client() for _ in range(most + 2)]
@@ -140,7 +140,7 @@
     ProxyUnderTest(sockets=64).run(scenario)
 
 
-def test_where_nothing_gives_way_a_client_is_refused_at_once() -> None:
+def test_rejects_client_immediately_if_nothing_can_be_evicted() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         pairs = []
         for at in range(proxy.admission.max_descriptors // 2):
@@ -157,7 +157,7 @@
     ProxyUnderTest(sockets=64).run(scenario)
 
 
-def test_a_sender_at_full_speed_is_not_read_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reads_a_bounded_part_of_a_fast_sender_after_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards the processor: what comes after the refusal is not worth reading."""
     read: list[int] = []
     receive = Stream.receive
@@ -181,7 +181,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_refused_connection_is_tried_elsewhere_and_refused_in_the_end() -> None:
+def test_refused_connection_is_retried_and_finally_rejected() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         for listener in proxy.listeners:
             listener.close()
@@ -195,7 +195,7 @@
     ProxyUnderTest(2).run(scenario)
 
 
-def test_an_answer_other_than_up_brings_the_next_attempt_when_the_first_is_closed() -> None:
+def test_next_attempt_starts_after_the_rejected_one_is_closed() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(OPEN)
         for answer in (b"BUSY\r\n", b"ERR\r\n"):
@@ -212,7 +212,7 @@
     ProxyUnderTest(3).run(scenario)
 
 
-def test_a_client_that_leaves_before_up_takes_its_attempt_along() -> None:
+def test_client_that_closes_before_up_ends_its_attempt() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(OPEN)
         attempt = proxy.next_attempt()
@@ -226,7 +226,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_each_side_ends_the_other_in_the_same_way() -> None:
+def test_each_side_ends_in_the_way_of_the_other() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
         attempt.abort()
@@ -253,7 +253,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_move_waits_for_the_line_under_way() -> None:
+def test_migration_waits_for_the_incomplete_line() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
         attempt.send(b"ha")
@@ -272,7 +272,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_line_that_never_ends_does_not_hold_a_move_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_migration_is_forced_if_the_line_does_not_end(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(migration_module, "MIGRATION_TIMEOUT_S", 0.05)
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -286,7 +286,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_silent_server_is_given_up_and_its_client_moved(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unresponsive_server_is_given_up_and_its_client_migrated(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against machines that vanish: no end ever comes from them."""
     monkeypatch.setattr("ironmill.requests.response_delay.UNRESPONSIVE_TIMEOUT_S", 0.2)
 
@@ -301,7 +301,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_slow_reader_holds_the_sender_back_and_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_reader_applies_backpressure_and_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     seen: list[int] = []
     monkeypatch.setattr(DelayMeter, "lines_answered", lambda self, id_, count: seen.append(count))
 
@@ -327,7 +327,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_client_that_does_not_read_is_not_taken_for_a_silent_server(
+def test_client_that_does_not_read_does_not_make_its_server_unresponsive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("ironmill.requests.response_delay.UNRESPONSIVE_TIMEOUT_S", 0.6)
@@ -349,7 +349,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_attempt_ordered_in_time_but_late_to_connect_sends_nothing() -> None:
+def test_attempt_that_connects_after_the_drain_grace_sends_nothing() -> None:
     """Guards the drain rule: what counts is the first byte."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -364,7 +364,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_connection_open_before_the_run_goes_back_to_its_server() -> None:
+def test_connection_open_before_the_start_resumes_at_its_server() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         at = b"OPEN 1a 2b c=read,d=900,at=s-1\r\n"
         client = proxy.client(at)
@@ -382,7 +382,7 @@
     ProxyUnderTest(2).run(scenario)
 
 
-def test_an_exception_ends_its_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_ends_only_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     parse = intake_module.request_attributes
     monkeypatch.setattr(
         intake_module, "request_attributes", lambda line: 1 / int(line.key, 16) and parse(line)
@@ -397,7 +397,9 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_discovery_takes_the_whole_list_then_changes_and_comes_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_discovery_requests_the_full_list_then_changes_and_reconnects(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
     empty = b'{"rev":%d,"all":%s,"targets":[]}'
     told: list[EndpointUpdate] = []
@@ -422,7 +424,7 @@
 
 
 @pytest.mark.parametrize("again", ["named", "empty", "partly", "silent", "broken"])
-def test_a_list_that_names_nobody_is_asked_for_once_more(again: str) -> None:
+def test_empty_endpoint_list_is_requested_again(again: str) -> None:
     """Guards the clients against a fault of discovery: an empty list retired all servers at once."""
     told: list[EndpointUpdate] = []
 
@@ -459,7 +461,7 @@
     assert (routing.age > 0.0) is (again != "named")
 
 
-def test_where_nobody_was_known_an_empty_list_is_taken_as_it_is() -> None:
+def test_empty_endpoint_list_is_applied_if_no_server_was_known() -> None:
     told: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -473,7 +475,7 @@
     assert told == [EndpointUpdate(16, True, ())]
 
 
-def test_a_watch_that_is_never_answered_is_soon_taken_up_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_without_answers_reconnects_soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against an agent that holds a call for ever: a drain would go unheard meanwhile.
 
     Only a call that is not to be answered has little time: others may be answered late by a busy machine.
@@ -510,7 +512,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_proxy_with_a_list_watches_from_it_and_a_refused_call_is_one_line_in_the_log(
+def test_watch_starts_from_the_known_revision_and_logs_failures_once(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
@@ -545,7 +547,7 @@
     ]
 
 
-def test_discovery_changes_its_address_whole_list_first() -> None:
+def test_discovery_changes_its_address_after_the_full_list() -> None:
     told: list[int] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -578,7 +580,7 @@
 
 
 @pytest.mark.parametrize("packets_pass_through", [True, False])
-def test_a_planned_end_answers_what_is_owed(
+def test_shutdown_answers_every_pending_request(
     monkeypatch: pytest.MonkeyPatch, packets_pass_through: bool
 ) -> None:
     monkeypatch.setattr(shutdown_module, "ACCEPT_PERIOD_S", 0.05)
@@ -624,7 +626,7 @@
     assert out["standing"] == b"MOVE\r\n"
 
 
-def test_at_the_end_what_is_still_owed_is_refused() -> None:
+def test_resolve_all_rejects_pending_requests() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(OPEN)
         attempt = proxy.next_attempt()
@@ -637,7 +639,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_descriptors_that_run_out_do_not_end_the_listener(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_listener_survives_descriptor_exhaustion(monkeypatch: pytest.MonkeyPatch) -> None:
     class Full:
         """A listening socket of a process that has no descriptors left, for two calls."""
 
@@ -662,7 +664,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_scheduler_waits_wakes_and_outlives_failures() -> None:
+def test_scheduler_waits_wakes_and_survives_failures() -> None:
     scheduler = Scheduler()
     left, right = socket.socketpair()
     seen: list[object] = []
@@ -694,7 +696,7 @@
         scheduler.sleep(1.0)
 
 
-def test_a_stream_that_nobody_closed_does_not_spoil_the_next_one_of_its_number() -> None:
+def test_unclosed_stream_does_not_affect_the_next_one_with_its_descriptor() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         for _ in range(20):
             client = proxy.client(b"PING\r\n")
@@ -704,7 +706,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_connection_that_never_comes_up_times_out() -> None:
+def test_connect_times_out() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         full = socket.socket()
         full.bind(("127.0.0.1", 0))
@@ -722,7 +724,7 @@
 
 
 @pytest.mark.parametrize("longest", [0.05, 0.3, 0.6, 1.0, 2.0, 3.2, 60.0])
-def test_a_planned_end_has_time_to_send_away_what_stands(longest: float) -> None:
+def test_shutdown_has_time_to_migrate_established_connections(longest: float) -> None:
     """Guards against moves that never come, and moves before the proxy restarted before this one is back."""
     times = ShutdownSchedule.for_deadline(longest)
     assert times.close_at < times.migrate_at < times.end_at <= min(longest, 3.0) + 0.7
@@ -732,13 +734,13 @@
 
 
 @pytest.mark.parametrize("longest", [0.3, 0.6, 2.0, 3.2])
-def test_a_planned_end_takes_clients_as_long_as_they_come(longest: float) -> None:
+def test_shutdown_accepts_clients_until_the_front_has_noticed(longest: float) -> None:
     """PROTOCOL: after SIGTERM new connections go on coming for 0.2 to 0.4 s, whatever the deadlines are."""
     times = ShutdownSchedule.for_deadline(longest)
     assert times.close_at >= 0.4 + 0.04
     assert times.close_at < times.end_at - shutdown_module.FINAL_FLUSH_S  # what came last is decided on
 
 
-def test_a_first_line_may_be_written_in_two_seconds() -> None:
+def test_request_line_may_take_two_seconds() -> None:
     """DAYS: some are written in 2 s. STANDING: who stops half way gets an error or a close within 3 s."""
     assert 2.3 <= reading_module.REQUEST_LINE_TIMEOUT_S <= 2.7
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -16,7 +16,7 @@
 from tests.support.requests import FakeTimers, RecordingHandler, config
 
 
-def test_the_gateway_carries_them(timers: FakeTimers) -> None:
+def test_gateway_carries_out_health_checks(timers: FakeTimers) -> None:
     gateway, hosts = Gateway(config(), timers), list[Server]()
 
     class FakeHealthChecker:
@@ -34,7 +34,7 @@
     assert len(handler.attempts) == 1
 
 
-def test_answers_are_read_whole_and_bounded() -> None:
+def test_health_check_replies_are_complete_and_bounded() -> None:
     side = HealthCheckProtocol()
     assert side.receive(b"PONG x0=0.5,ep") is None
     assert side.receive(b"s=0\r\n") == (Outcome.OK, (("x0", 0.5), ("eps", 0.0)))
@@ -42,7 +42,7 @@
     assert HealthCheckProtocol().receive(b"x" * 5000) == (Outcome.ERROR, ())
 
 
-def test_one_connection_serves_question_after_question_and_is_made_anew_when_it_broke() -> None:
+def test_health_checks_reuse_a_connection_and_replace_a_broken_one() -> None:
     told: list[tuple[Outcome, LoadReport]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -80,7 +80,7 @@
     return held
 
 
-def test_who_left_before_it_was_heard_is_not_sent_on() -> None:
+def test_request_of_a_client_that_closed_before_the_read_is_not_forwarded() -> None:
     """Its end lies behind its first line, and the attempt would be written before that end is read."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -96,7 +96,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_who_leaves_while_its_attempt_comes_up_is_not_sent_on() -> None:
+def test_request_of_a_client_that_closes_during_the_connect_is_not_forwarded() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         held = instant(proxy)
         dial = proxy.dial
@@ -126,7 +126,9 @@
         ("write", True, b"ERR"),
     ],
 )
-def test_what_is_out_at_the_end_is_answered_as_what_it_is(cls: str, written: bool, answer: bytes) -> None:
+def test_attempt_in_progress_at_shutdown_is_answered_by_what_may_have_run(
+    cls: str, written: bool, answer: bytes
+) -> None:
     """What may have run must not be told that trying again is harmless, unless it is."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -150,7 +152,7 @@
     ProxyUnderTest(default_deadlines_s=LIMITS).run(scenario)
 
 
-def test_a_waiting_request_is_answered_at_the_end() -> None:
+def test_waiting_request_is_rejected_at_shutdown() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(OPEN.replace(b"c=read", b"c=order"))
         proxy.wait_until(lambda: proxy.gateway.pending_count() == 1)
@@ -168,7 +170,7 @@
     )
 
 
-def test_resting_connections_are_told_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_notified_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     """A request that comes in that instant has its answer already, and no reset overtakes it."""
     told_all: list[bytes] = []
 
@@ -193,7 +195,7 @@
     assert proxy.gateway.metrics.classes["read"].rejected == 1
 
 
-def test_nothing_begins_in_the_last_moment() -> None:
+def test_no_request_starts_while_settling() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
@@ -211,7 +213,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_where_nobody_may_linger_the_last_answer_is_not_overtaken_by_a_reset() -> None:
+def test_last_answer_precedes_the_close_without_lingering() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         proxy.admission.max_leaving = 0
         with dialled(proxy, b"HELLO\r\n" + b"x" * (READ_BYTES + 9)) as client:
@@ -223,7 +225,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_what_is_not_read_in_time_is_read_before_the_close(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unread_bytes_are_read_before_the_close(monkeypatch: pytest.MonkeyPatch) -> None:
     """The wait for the other side's end is over and its bytes have just come."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -244,7 +246,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_silent_client_whose_request_has_just_come_does_not_give_way() -> None:
+def test_silent_client_with_an_unread_request_is_not_evicted() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         with dialled(proxy) as oldest, dialled(proxy) as second:
             proxy.wait_until(lambda: len(proxy.admission._silent) == 2)
@@ -259,7 +261,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_first_line_that_has_come_by_its_time_is_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_line_that_arrived_by_its_deadline_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.0)
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -272,7 +274,7 @@
 @pytest.mark.parametrize(
     ("scope", "answer"), [(DeduplicationScope.ZONE, b"ERR"), (DeduplicationScope.ALL, b"BUSY")]
 )
-def test_a_repeat_whose_connection_comes_up_late_is_not_sent(
+def test_retry_that_connects_after_its_window_is_not_sent(
     scope: DeduplicationScope, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Repeats are dropped within the window alone: what begins later could take effect a second time."""
@@ -305,7 +307,7 @@
     ProxyUnderTest(2, settings=settings, default_deadlines_s=LIMITS).run(scenario)
 
 
-def test_without_leave_to_name_a_time_a_refusal_names_none() -> None:
+def test_rejection_states_no_time_where_the_settings_forbid_it() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         proxy.admission.max_descriptors = 0
         with dialled(proxy, OPEN) as client:
@@ -314,7 +316,7 @@
     ProxyUnderTest(settings=structs.replace(SETTINGS, max_retry_after=0.0)).run(scenario)
 
 
-def test_every_accepted_connection_sends_small_writes_at_once() -> None:
+def test_accepted_connections_disable_the_nagle_algorithm() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         with socket.create_connection(proxy.listeners[0].address):
             assert proxy.next_attempt()._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -327,7 +329,7 @@
 
 
 @pytest.mark.parametrize("part", ["head", "body"])
-def test_an_answer_of_discovery_that_never_ends_does_not_hold_the_watch(
+def test_endless_answer_of_discovery_does_not_block_the_watch(
     monkeypatch: pytest.MonkeyPatch, part: str
 ) -> None:
     """Each piece of it comes in time."""
@@ -354,7 +356,7 @@
 
 
 @pytest.mark.parametrize("late", [True, False])
-def test_a_second_answer_of_discovery_does_not_bring_back_what_has_left(late: bool) -> None:
+def test_duplicate_answer_of_discovery_does_not_restore_removed_servers(late: bool) -> None:
     """To an earlier call, behind the answer or some milliseconds later, when the next call is out."""
     told: list[EndpointUpdate] = []
 
@@ -380,7 +382,7 @@
     assert [routing.revision for routing in told] == [41, 7]
 
 
-def test_a_watch_outlives_a_list_that_the_program_fails_at(caplog: pytest.LogCaptureFixture) -> None:
+def test_watch_survives_an_exception_in_its_listener(caplog: pytest.LogCaptureFixture) -> None:
     """Without it nothing would ever be heard again; and what was not taken is asked for once more."""
     told: list[EndpointUpdate] = []
 
@@ -401,7 +403,7 @@
     assert "a call failed" in caplog.text
 
 
-def test_a_watch_whose_connection_was_closed_between_two_calls_goes_on_at_once(
+def test_watch_reconnects_immediately_after_a_close_between_calls(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -418,7 +420,7 @@
     assert not caplog.records
 
 
-def test_a_connection_open_before_the_run_may_wait_as_long_as_it_says() -> None:
+def test_resumed_connection_may_state_a_long_deadline() -> None:
     """Where connections end at the proxy each of them comes so; turned away, all were lost."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -431,7 +433,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_the_tenant_that_a_line_names_is_told_to_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tenant_of_the_request_line_reaches_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its share is in the settings, and without it nobody is over his share."""
     told: list[Request] = []
     handle = Balancer.handle
@@ -467,7 +469,7 @@
 
 
 @pytest.mark.parametrize("end", ["reset", "finish"])
-def test_a_server_s_end_gets_past_a_client_that_reads_nothing(end: str) -> None:
+def test_server_close_is_noticed_while_the_client_does_not_read(end: str) -> None:
     """Nobody reads the server while the write to the client waits."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -492,7 +494,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_client_s_end_gets_past_a_server_that_reads_nothing() -> None:
+def test_client_close_is_noticed_while_the_server_does_not_read() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
         blocked(proxy, client)
@@ -505,7 +507,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_slow_reader_gets_all_of_a_server_that_has_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_reader_gets_all_data_of_a_closed_server(monkeypatch: pytest.MonkeyPatch) -> None:
     """Only who takes nothing at all is given up."""
     monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_CHECK_INTERVAL_S", 0.01)
     monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_TIMEOUT_S", 0.4)
@@ -532,7 +534,7 @@
 
 
 @pytest.mark.parametrize("between", [b"", b"PONG x0=9\r\n"])
-def test_a_probe_does_not_go_by_what_came_between_two_questions(between: bytes) -> None:
+def test_health_check_ignores_bytes_received_between_two_checks(between: bytes) -> None:
     """Its connection was closed as idle, or a second answer came: neither says anything of the load."""
     told: list[tuple[Outcome, object]] = []
 
@@ -555,7 +557,7 @@
     assert told == [(Outcome.OK, (("x0", 0.5),))] * 2
 
 
-def test_probes_keep_to_the_descriptors_that_are_set_aside_for_them(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_health_checks_stay_within_their_reserved_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(health_check_module, "REPLY_TIMEOUT_S", 60.0)
     told: list[tuple[Outcome, object]] = []
 
@@ -577,7 +579,7 @@
     ProxyUnderTest(MAX_CONNECTIONS + 3).run(scenario)
 
 
-def test_descriptors_that_run_out_cost_a_probe_and_a_call_of_discovery_no_more(
+def test_descriptor_exhaustion_affects_one_health_check_and_one_discovery_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The server is not to blame, and the watch goes on."""
@@ -607,7 +609,7 @@
 
 
 @pytest.mark.parametrize("step", ["_request", "close_gracefully"])
-def test_a_task_that_fails_settles_all_that_its_connection_owes(
+def test_failed_task_releases_all_resources_of_its_connection(
     monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
     """While its attempt is out, or while its last answer is given: no slot, id or descriptor stays behind."""
@@ -643,7 +645,7 @@
     assert len(told) == 1
 
 
-def test_an_order_that_fails_does_not_take_the_others_along(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_action_does_not_affect_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
     """One event may bring about the answers of several clients."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -670,7 +672,7 @@
     ProxyUnderTest(0).run(scenario)
 
 
-def test_who_waits_to_be_up_again_and_leaves_is_asked_for_no_more(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_resume_stops_when_its_client_closes(monkeypatch: pytest.MonkeyPatch) -> None:
     """A connection that was open before the run is tried again and again: not for nobody."""
     monkeypatch.setattr(attempts_module, "RESUME_RETRY_INTERVAL_S", 0.0)
 
@@ -694,7 +696,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_early_bytes_that_nobody_takes_end_with_their_client(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_early_data_that_cannot_be_written_ends_with_its_client(monkeypatch: pytest.MonkeyPatch) -> None:
     """The server has taken the connection and reads nothing, and the client has left."""
     failed: list[object] = []
     monkeypatch.setattr(connection_module.log, "exception", lambda *args: failed.append(args))
@@ -717,7 +719,7 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_who_waits_to_be_up_again_is_answered_at_the_end(known: bool) -> None:
+def test_resuming_connection_is_failed_at_shutdown(known: bool) -> None:
     """Its server has not answered, or discovery has not told of it yet."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -736,7 +738,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_what_comes_to_stand_after_the_last_look_is_sent_away_all_the_same(
+def test_connection_established_after_the_last_round_is_migrated_as_well(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     got: list[bytes] = []
@@ -754,7 +756,7 @@
     assert got == [b"MOVE\r\n", b""]
 
 
-def test_who_is_up_again_is_not_answered_a_second_time_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_resumed_connection_gets_no_second_answer_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its first line still waits to be taken when the process ends."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -772,7 +774,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_probes_that_come_up_at_once_keep_to_their_descriptors_too() -> None:
+def test_simultaneous_health_checks_stay_within_their_reserved_descriptors() -> None:
     told: list[tuple[Outcome, object]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -815,7 +817,7 @@
 
 @pytest.mark.parametrize("code", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETRESET])
 @pytest.mark.parametrize("call", ["recv", "send", "setsockopt"])
-def test_a_connection_that_breaks_in_any_way_is_closed_and_counted(call: str, code: int) -> None:
+def test_broken_connection_is_closed_and_counted(call: str, code: int) -> None:
     """The operators' notes: a broken connection may show as ETIMEDOUT or EHOSTUNREACH. Nothing leaks."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -842,7 +844,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_connect_that_is_interrupted_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_interrupted_connect_continues(monkeypatch: pytest.MonkeyPatch) -> None:
     """connect(2): EINTR, and the connection comes up all the same."""
 
     class Interrupted(socket.socket):
@@ -857,7 +859,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_a_client_that_left_is_not_tried_again() -> None:
+def test_request_of_a_closed_client_is_not_retried() -> None:
     """The operators' notes: an attempt that begins more than 0.1 s after that is a lost request."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -874,7 +876,7 @@
     ProxyUnderTest(2).run(scenario)
 
 
-def test_who_is_turned_away_at_once_gets_a_whole_answer_though_writes_are_short(
+def test_immediate_rejection_is_complete_despite_short_writes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Found by the soak: of BUSY a few bytes went out, and the connection was closed."""
@@ -892,7 +894,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_what_waited_to_be_accepted_has_so_much_less_time() -> None:
+def test_time_in_the_accept_queue_counts_against_the_deadline() -> None:
     """PROTOCOL: ``d`` counts from the moment the client sent the line, also while nobody accepts it yet."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
--- a/tests/system/test_scheduler.py
+++ b/tests/system/test_scheduler.py
@@ -56,7 +56,7 @@
         raise failed[0]
 
 
-def test_a_descriptor_is_registered_once_however_often_it_is_waited_for(scheduler: Scheduler) -> None:
+def test_descriptor_is_registered_once_for_many_waits(scheduler: Scheduler) -> None:
     left, right = socket.socketpair()
 
     def story() -> None:
@@ -71,7 +71,7 @@
     assert calls(scheduler, "unregister") == 1
 
 
-def test_what_nobody_waits_for_does_not_keep_the_hub_awake(scheduler: Scheduler) -> None:
+def test_unwanted_events_do_not_keep_the_hub_awake(scheduler: Scheduler) -> None:
     """Bytes that wait while their task does something else, and an end that nobody looks at."""
     left, right = socket.socketpair()
 
@@ -92,7 +92,7 @@
     assert calls(scheduler, "poll") < 60
 
 
-def test_both_directions_of_one_descriptor(scheduler: Scheduler) -> None:
+def test_waits_for_both_directions_of_one_descriptor(scheduler: Scheduler) -> None:
     left, right = socket.socketpair()
     for sock in (left, right):
         sock.setblocking(False)
@@ -132,7 +132,7 @@
     assert (seen.count("wrote"), seen.count("read")) == (3, 3)
 
 
-def test_a_number_that_is_used_again_is_another_descriptor(scheduler: Scheduler) -> None:
+def test_reused_descriptor_number_is_registered_anew(scheduler: Scheduler) -> None:
     def story() -> None:
         numbers = set()
         for _ in range(20):
@@ -150,6 +150,6 @@
     play(scheduler, story)
 
 
-def test_the_two_pollers_name_the_same_events() -> None:
+def test_both_pollers_use_the_same_event_values() -> None:
     assert (select.EPOLLIN, select.EPOLLOUT) == (READ, WRITE)
     assert (select.EPOLLERR, select.EPOLLHUP) == (select.POLLERR, select.POLLHUP)
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -111,7 +111,7 @@
     proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.admission.used() == 0)
 
 
-def test_bytes_go_on_unchanged_both_ways_and_the_servers_end_comes_through(authority: Authority) -> None:
+def test_tls_relays_bytes_unchanged_both_ways_and_the_close_of_the_server(authority: Authority) -> None:
     data = random.Random(3).randbytes(700_000).replace(b"\r\n", b"--") + b"\r\n"
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -129,7 +129,7 @@
     TlsProxyUnderTest(authority).run(scenario)
 
 
-def test_a_client_that_does_not_read_holds_its_server_back(authority: Authority) -> None:
+def test_tls_client_that_does_not_read_applies_backpressure(authority: Authority) -> None:
     """The rule on bounded buffers holds through TLS."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize(
     "end", [end_with_close_notify, end_without_close_notify, end_by_reset, end_by_rubbish]
 )
-def test_however_a_client_ends_its_attempt_ends_and_nothing_is_left(
+def test_any_close_of_a_tls_client_ends_its_attempt_and_releases_everything(
     authority: Authority, end: Callable[[TlsStream], None]
 ) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -184,7 +184,7 @@
     TlsProxyUnderTest(authority).run(scenario)
 
 
-def test_a_half_closed_client_still_gets_what_comes(authority: Authority) -> None:
+def test_half_closed_tls_client_still_receives_data(authority: Authority) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, TlsProxyUnderTest)
         client, attempt = proxy.stand()
@@ -198,7 +198,7 @@
     TlsProxyUnderTest(authority).run(scenario)
 
 
-def test_a_server_that_breaks_breaks_the_client(authority: Authority) -> None:
+def test_reset_of_the_server_resets_the_tls_client(authority: Authority) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, TlsProxyUnderTest)
         client, attempt = proxy.stand()
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(HOSTILE))
-def test_a_handshake_that_is_none_is_closed_and_the_others_are_served(
+def test_malformed_handshake_is_closed_and_others_are_served(
     authority: Authority, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.5)
@@ -259,7 +259,7 @@
     TlsProxyUnderTest(authority).run(scenario)
 
 
-def test_a_handshake_that_drips_has_the_time_of_a_first_line(
+def test_request_line_timeout_bounds_a_slow_handshake(
     authority: Authority, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.3)
@@ -279,7 +279,9 @@
     assert ended
 
 
-def test_no_common_version_and_an_unknown_server(authority: Authority, tmp_path: Path) -> None:
+def test_handshake_fails_without_common_version_or_trusted_server(
+    authority: Authority, tmp_path: Path
+) -> None:
     old = authority.client()
     old.maximum_version = ssl.TLSVersion.TLSv1_2
 
@@ -330,7 +332,7 @@
     return line.decode().strip()
 
 
-def test_who_a_certificate_is(authority: Authority, shown: dict[str, tuple[str, str]]) -> None:
+def test_certificate_identifies_the_caller(authority: Authority, shown: dict[str, tuple[str, str]]) -> None:
     identity = IdentitySettings("", RULES, denied_fingerprints=frozenset({fingerprint(shown["denied"][0])}))
     told: dict[str, str] = {}
 
@@ -361,7 +363,7 @@
     }
 
 
-def test_a_certificate_is_denied_while_its_connection_stands(
+def test_denied_certificate_migrates_its_established_connection(
     authority: Authority, shown: dict[str, tuple[str, str]]
 ) -> None:
     identity = IdentitySettings("", RULES, migrate_within_s=0.05)
@@ -383,7 +385,7 @@
     TlsProxyUnderTest(authority, identity, clients="optional", authorities=str(authority.path)).run(scenario)
 
 
-def test_a_session_is_resumed_and_after_another_certificate_it_is_not(authority: Authority) -> None:
+def test_session_is_resumed_until_the_certificate_is_replaced(authority: Authority) -> None:
     context = authority.client()
     context.maximum_version = ssl.TLSVersion.TLSv1_2  # where the session is there once the handshake is
 
@@ -411,7 +413,7 @@
     TlsProxyUnderTest(authority).run(scenario)
 
 
-def test_files_that_will_not_do_for_tls(authority: Authority, tmp_path: Path) -> None:
+def test_unusable_tls_files_are_rejected(authority: Authority, tmp_path: Path) -> None:
     server_tls(settings(authority))
     rubbish = tmp_path / "rubbish.pem"
     rubbish.write_text("rubbish")
@@ -450,7 +452,7 @@
         self.dial = dial
 
 
-def test_servers_that_speak_tls(authority: Authority) -> None:
+def test_upstream_connections_use_tls(authority: Authority) -> None:
     data = bytes(range(256)) * 1000 + b"\r\n"
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -471,7 +473,7 @@
     SecureHosts(authority, "localhost").run(scenario)
 
 
-def test_a_server_that_is_another_gets_no_line(authority: Authority) -> None:
+def test_server_with_another_name_gets_no_request(authority: Authority) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, SecureHosts)
         client = proxy.client(OPEN)
@@ -485,7 +487,7 @@
     SecureHosts(authority, "other.example").run(scenario)
 
 
-def test_no_handshake_begins_at_a_server_that_is_leaving(authority: Authority) -> None:
+def test_no_handshake_starts_at_a_leaving_server(authority: Authority) -> None:
     """The rule on drains counts an attempt's first byte, and with TLS that is the handshake's."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -519,7 +521,7 @@
 """
 
 
-def test_a_proxy_whose_certificate_is_replaced_while_a_connection_stands(
+def test_replaced_certificate_leaves_established_connections_open(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     certificates.write_all(tmp_path)
@@ -633,13 +635,13 @@
         assert self.came == {"client": self.sent["server"], "server": self.sent["client"]}
 
 
-def test_two_sides_by_a_model(authority: Authority) -> None:
+def test_tls_protocol_agrees_with_a_model(authority: Authority) -> None:
     TlsModel.authority = authority
     case: Any = TlsModel.TestCase()
     case.runTest()
 
 
-def test_a_handshake_is_bounded(authority: Authority) -> None:
+def test_handshake_bytes_are_bounded(authority: Authority) -> None:
     side = TlsProtocol(server_tls(settings(authority)).context, is_server=True)
     with pytest.raises(TlsError):
         for _ in range(MAX_HANDSHAKE_BYTES):
--- a/tests/unit/requests/test_discovery_backoff.py
+++ b/tests/unit/requests/test_discovery_backoff.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(("proxies", "second"), [(4, 12.5), (40, 12.5), (80, 25.0), (200, 60.0)])
-def test_all_proxies_together_call_a_failing_discovery_so_often(proxies: int, second: float) -> None:
+def test_fleet_calls_a_failing_discovery_at_the_stated_rate(proxies: int, second: float) -> None:
     """About ten times a second; where that would leave changes unheard for too long, as often as it takes."""
     at, _ = calls(proxies, 60.0)
     late = [time for time in at if time >= 20.0]
@@ -49,7 +49,7 @@
     assert most <= 2.0 * second
 
 
-def test_no_proxy_of_200_waits_so_long_that_a_change_counts_as_told_before_it_hears_of_it() -> None:
+def test_proxies_of_a_fleet_of_200_poll_within_the_notification_timeout() -> None:
     """6 s after discovery had it and could be reached it counts as told, whatever became of the calls before.
 
     The call under way at that moment comes to nothing, then comes the pause, then the call that tells.
@@ -63,18 +63,18 @@
         assert MAX_CALL_S + max(others) + MAX_CALL_S <= NOTIFICATION_TIMEOUT_S - TIMING_MARGIN_S
 
 
-def test_proxies_that_start_together_spread_their_first_calls() -> None:
+def test_first_calls_of_a_fleet_are_spread() -> None:
     firsts = [DiscoveryBackoff(40, random.Random(seed)).first_delay() for seed in range(40)]
     assert max(firsts) <= 4.0
     assert max(sum(1 for first in firsts if start <= first < start + 0.5) for start in range(4)) <= 12
 
 
-def test_an_overbooked_discovery_gets_to_answer_all() -> None:
+def test_overloaded_discovery_recovers_and_answers_all() -> None:
     _, answered = calls(40, 20.0, answered=2.0, capacity=6.0)
     assert answered == 40
 
 
-def test_a_watch_that_broke_is_taken_up_in_time_and_pauses_grow_with_jitter() -> None:
+def test_broken_watch_reconnects_in_time_and_pauses_grow_with_jitter() -> None:
     pauses = []
     for seed in range(20):
         backoff = DiscoveryBackoff(40, random.Random(seed))
@@ -88,25 +88,25 @@
     assert len(set(pauses)) == 20
 
 
-def test_one_proxy_alone_never_waits_long() -> None:
+def test_pauses_of_a_single_proxy_are_short() -> None:
     backoff = DiscoveryBackoff(1, random.Random(1))
     assert all(backoff.failed() <= 0.2 for _ in range(50))
 
 
-def test_what_was_sent_unasked_is_asked_for_at_once() -> None:
+def test_first_call_is_immediate_where_discovery_is_not_polled() -> None:
     """It counts as told, so a list from before the start must not be served from any longer."""
     backoff = DiscoveryBackoff(40, random.Random(1), polls_discovery=False)
     assert backoff.first_delay() == 0.0
     assert all(backoff.failed() < 0.2 for _ in range(20))
 
 
-def test_a_start_that_is_no_part_of_a_crowd_asks_at_once() -> None:
+def test_first_call_is_immediate_after_an_upgrade() -> None:
     assert DiscoveryBackoff(200, random.Random(1), first_immediately=True).first_delay() == 0.0
     assert DiscoveryBackoff(200, random.Random(1)).first_delay() > 0.0
 
 
 @pytest.mark.parametrize("duration", [0.0, 0.4, MAX_CALL_S])
-def test_the_next_call_begins_in_time_however_long_the_failed_one_took(duration: float) -> None:
+def test_next_call_starts_in_time_after_a_failure_of_any_duration(duration: float) -> None:
     """What discovery had just after a call began is told by the next one, within 6 s."""
     for number in range(200):
         backoff = DiscoveryBackoff(2800, random.Random(number))
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -107,7 +107,7 @@
 TestGateway = GatewayMachine.TestCase
 
 
-def test_a_decision_that_never_comes_is_answered_all_the_same(
+def test_request_without_a_decision_is_failed_at_its_deadline(
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the rule that every request has its answer, also where the decisions raise."""
@@ -124,7 +124,7 @@
     assert handler.answers == ["ERR"]
 
 
-def test_a_attempt_may_not_start_late_on_a_leaving_server(timers: FakeTimers) -> None:
+def test_attempt_may_not_start_late_at_a_leaving_server(timers: FakeTimers) -> None:
     """Guards the drain rule for an attempt that was ordered in time but is slow to connect."""
     gateway, handler = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), RecordingHandler()
     gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
@@ -144,7 +144,9 @@
     assert not gateway.may_start(attempt)
 
 
-def test_an_attempt_starts_so_early_that_a_process_held_up_keeps_the_grace(timers: FakeTimers) -> None:
+def test_attempt_starts_early_enough_for_a_suspended_process_to_meet_the_drain_grace(
+    timers: FakeTimers,
+) -> None:
     """STANDING: held up for up to 0.15 s between reading its clock and writing; the grace has to cover it."""
     gateway, handler = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), RecordingHandler()
     gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
@@ -156,7 +158,7 @@
     assert not gateway.may_start(attempt)
 
 
-def test_a_carried_connection_is_told_also_at_a_retired_server(
+def test_resumed_connection_is_reported_at_a_removed_server_as_well(
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     gateway, fed = Gateway(config(), timers), list[Event]()
@@ -176,7 +178,7 @@
     assert gateway.established() == []
 
 
-def test_client_that_left_is_told_before_the_end_of_its_attempt(
+def test_abandoned_request_is_reported_before_the_end_of_its_attempt(
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     gateway, handler, fed = Gateway(config(), timers), RecordingHandler(), list[Event]()
@@ -205,7 +207,7 @@
         )
 
 
-def test_quick_answers_tell_nothing(timers: FakeTimers) -> None:
+def test_quick_answers_are_not_reported(timers: FakeTimers) -> None:
     it = Meter(timers)
     it.meter.add_connection("a")
     for _ in range(20):
@@ -216,7 +218,7 @@
     assert (it.told, it.silent) == ([], [])
 
 
-def test_slow_answers_are_told_once_a_second_and_once_when_over(timers: FakeTimers) -> None:
+def test_slow_answers_are_reported_every_second_and_once_at_recovery(timers: FakeTimers) -> None:
     it = Meter(timers)
     for id_ in "ab":
         it.meter.add_connection(id_)
@@ -233,7 +235,7 @@
     assert len(it.told) == count
 
 
-def test_an_unanswered_line_counts_and_a_silent_connection_is_given_up(timers: FakeTimers) -> None:
+def test_unanswered_line_counts_as_delay_and_unresponsive_connection_is_given_up(timers: FakeTimers) -> None:
     """Guards against a machine that vanished: its connections stay open and say nothing."""
     it = Meter(timers)
     it.meter.add_connection("a")
@@ -250,7 +252,7 @@
     assert len(it.told) == count
 
 
-def test_routing_table_numbers_stay_and_a_full_list_drops_the_absent() -> None:
+def test_server_numbers_are_stable_and_a_full_list_drops_absent_servers() -> None:
     table = RoutingTable()
     first = table.apply(EndpointUpdate(4, True, (listed("s-1"), listed("s-2", boot=7.5))), 1.0)
     assert first.kind is WatchEventKind.FULL
@@ -268,7 +270,7 @@
     assert table.revision == 6
 
 
-def test_a_state_that_is_not_known_is_passed_over_and_a_bad_entry_is_named() -> None:
+def test_unknown_server_state_is_skipped_and_malformed_entry_raises() -> None:
     target = {"uid": "s-1", "endpoint": "127.0.0.1:5", "state": "resting"}
     tree = {"rev": 3, "all": True, "targets": [target, target | {"state": "up", "boot_ms": 1500}]}
     (one,) = parse_endpoint_update(JsonObject(tree)).servers
@@ -278,7 +280,7 @@
             parse_endpoint_update(JsonObject({"rev": 3, "targets": [target | {"state": "up"} | bad]}))
 
 
-def test_attempts_end_with_the_attempts_that_the_settings_allow(timers: FakeTimers) -> None:
+def test_attempts_are_limited_by_the_settings(timers: FakeTimers) -> None:
     gateway, handler = Gateway(config(), timers), RecordingHandler()
     gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.9))
     for step in itertools.count():
--- a/tests/unit/requests/test_response_delay.py
+++ b/tests/unit/requests/test_response_delay.py
@@ -60,7 +60,7 @@
 TestMeterModel = MeterModel.TestCase
 
 
-def test_lines_that_are_never_answered_are_timed_up_to_a_bound() -> None:
+def test_timed_unanswered_lines_are_bounded() -> None:
     """Guards memory against a client that sends empty lines at full speed."""
     now = 0.0
     meter = DelayMeter(TimerQueue(lambda: now), 0.05, lambda *_: None, lambda _: None, clock=lambda: now)
--- a/tests/unit/requests/test_start_times.py
+++ b/tests/unit/requests/test_start_times.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("ahead", [-3600.0, -5.0, 0.0, 5.0, 3600.0])
-def test_a_start_that_is_seen_to_happen_is_no_older_than_the_answer_before(ahead: float) -> None:
+def test_observed_start_is_not_older_than_the_response_before(ahead: float) -> None:
     starts = first_list([NOW - ahead - 500.0])
     starts.on_response(NOW)
     starts.observe(NOW - ahead + 9.0, NOW + 10.0)
@@ -25,14 +25,14 @@
     assert 9.5 <= starts.start_of("new", NOW - ahead + 9.0, NOW + 10.0) - NOW <= 10.0
 
 
-def test_a_machine_whose_own_clock_is_behind_is_no_older_either() -> None:
+def test_start_of_a_machine_with_a_late_clock_is_not_older_either() -> None:
     starts = first_list([NOW - 500.0])
     starts.on_response(NOW + 9.5)
     assert starts.start_of("new", NOW - 3600.0, NOW + 10.0) >= NOW + 9.5
 
 
 @pytest.mark.parametrize("ahead", [0.0, 5.0, 3600.0])
-def test_in_the_first_list_the_newest_start_counts_as_now_and_the_others_by_it(ahead: float) -> None:
+def test_newest_start_of_the_first_list_counts_as_now(ahead: float) -> None:
     listed = [NOW - ahead - 2.0, NOW - ahead - 5.0, NOW - ahead - 900.0]
     starts = first_list(listed)
     assert [starts.start_of(str(at), start, NOW) for at, start in enumerate(listed)] == [
@@ -42,18 +42,18 @@
     ]
 
 
-def test_where_the_own_clock_is_behind_nobody_is_older_than_it_says() -> None:
+def test_late_own_clock_makes_no_server_older_than_listed() -> None:
     listed = [NOW + 3600.0, NOW + 3590.0, NOW - 5.0]
     starts = first_list(listed)
     assert [starts.start_of(str(at), start, NOW) for at, start in enumerate(listed)] == [NOW, NOW, NOW - 5.0]
 
 
-def test_one_machine_that_is_ahead_does_not_make_the_others_old() -> None:
+def test_machine_with_an_early_clock_does_not_make_others_old() -> None:
     starts = first_list([NOW + 3600.0, NOW - 1.0])
     assert starts.start_of("b", NOW - 1.0, NOW) == NOW - 1.0
 
 
-def test_a_start_is_placed_once_and_anew_when_another_is_told() -> None:
+def test_start_is_converted_once_for_each_listed_start() -> None:
     starts = first_list([NOW - 5.0])
     starts.on_response(NOW)
     assert starts.start_of("a", NOW - 5.0, NOW) == NOW
@@ -64,7 +64,7 @@
     assert starts.start_of("a", 0.0, NOW + 101.0) == 0.0  # long ago
 
 
-def test_after_a_gap_a_start_may_be_as_old_as_the_gap() -> None:
+def test_start_after_a_gap_may_be_as_old_as_the_gap() -> None:
     starts = first_list([NOW - 500.0])
     starts.on_response(NOW)
     for listed in (NOW + 1.0, NOW + 7.0):
