--- a/ironmill/net/clients/closing.py
+++ b/ironmill/net/clients/closing.py
@@ -66,7 +66,7 @@
         self._scheduler.spawn(connection.run_guarded, self.finish, connection, line)
 
     def reject(self, connection: ClientConnection, retry_after_s: float) -> None:
-        """Rejects a request before the balancer has seen it."""
+        """Rejects a request that the balancer does not know."""
         if connection.counter is not None:
             connection.counter.rejected()
         self.finish(connection, self.busy(retry_after_s))
--- a/ironmill/net/clients/migration.py
+++ b/ironmill/net/clients/migration.py
@@ -1,4 +1,4 @@
-"""Migrates established connections: their clients are asked to reconnect, between two lines."""
+"""Migrates established connections: their clients are to reconnect, between two lines."""
 
 from __future__ import annotations
 
--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -16,8 +16,8 @@
 from ironmill.requests.discovery_backoff import MAX_CALL_S, DiscoveryBackoff
 from ironmill.runtime.scheduler import Scheduler, Task
 
-# How long a poll waits for changes. Short, because a poll that is lost, or held by a hung agent, is noticed
-# only after it.
+# How long a poll waits for changes. Short, because a poll that is lost, or blocked by a hung agent, is
+# noticed only after it.
 POLL_WAIT_MS = 1_000
 CALL_TIMEOUT_S = MAX_CALL_S  # of a call beyond that wait, from its connect to the last byte of its answer
 # An empty list in place of servers is requested once more before it is applied, because it is more likely a
--- a/ironmill/net/operator_features.py
+++ b/ironmill/net/operator_features.py
@@ -84,7 +84,7 @@
         def make_stream(scheduler: Scheduler, sock: socket.socket) -> Stream:
             # The context in use at the accept: a replaced certificate is presented from then on.
             assert self._files.tls is not None
-            return TlsStream(scheduler, sock, self._files.tls.context)
+            return TlsStream.for_server(scheduler, sock, self._files.tls.context)
 
         self.tls_listener = Listener(
             self._scheduler, settings.listen, on_connection, shared=True, make_stream=make_stream
--- a/ironmill/net/tls.py
+++ b/ironmill/net/tls.py
@@ -28,26 +28,37 @@
 
     __slots__ = ("_buffer", "_tls")
 
-    def __init__(
-        self,
+    def __init__(self, scheduler: Scheduler, sock: socket.socket, tls: TlsProtocol) -> None:
+        """Takes ownership of a connected socket; ``tls`` must be new."""
+        super().__init__(scheduler, sock)
+        self._tls = tls
+        self._buffer = bytearray(tls.outgoing())
+
+    @classmethod
+    def for_server(cls, scheduler: Scheduler, sock: socket.socket, context: ssl.SSLContext) -> TlsStream:
+        """Returns the server's side of TLS on an accepted socket."""
+        return cls(scheduler, sock, TlsProtocol(context, is_server=True))
+
+    @classmethod
+    def for_client(
+        cls,
         scheduler: Scheduler,
         sock: socket.socket,
         context: ssl.SSLContext,
-        *,
-        is_server: bool = True,
-        server_name: str | None = None,
+        server_name: str,
         session: ssl.SSLSession | None = None,
-    ) -> None:
-        """A client verifies that the certificate is for ``server_name``, and may resume ``session``."""
-        super().__init__(scheduler, sock)
-        self._tls = TlsProtocol(context, is_server=is_server, server_name=server_name, session=session)
-        self._buffer = bytearray(self._tls.outgoing())
+    ) -> TlsStream:
+        """Returns the client's side, which verifies the server's name and may resume ``session``."""
+        tls = TlsProtocol(context, is_server=False, server_name=server_name, session=session)
+        return cls(scheduler, sock, tls)
 
     @classmethod
-    def wrap(cls, scheduler: Scheduler, stream: Stream, context: ssl.SSLContext, name: str) -> TlsStream:
-        """Returns a TLS client on a connected stream, which must not be used any more."""
+    def wrap(
+        cls, scheduler: Scheduler, stream: Stream, context: ssl.SSLContext, server_name: str
+    ) -> TlsStream:
+        """Returns the client's side on a connected stream, which must not be used any more."""
         stream.closed = True  # its socket belongs to the new stream
-        return cls(scheduler, stream._sock, context, is_server=False, server_name=name)
+        return cls.for_client(scheduler, stream._sock, context, server_name)
 
     def handshake(self, deadline: float) -> None:
         """Completes the handshake before the deadline on the monotonic clock.
--- a/ironmill/requests/metrics.py
+++ b/ironmill/requests/metrics.py
@@ -93,7 +93,7 @@
     """Metrics of all requests of the process."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """Starts with all counters of these classes at 0; others are added when first seen."""
+        """Starts with all counters of these classes at 0; others are added at their first request."""
         self.classes = {name: ClassMetrics() for name in classes}
         self.in_progress = 0  # received, and the connection is not closed yet
 
--- a/ironmill/requests/tracked_request.py
+++ b/ironmill/requests/tracked_request.py
@@ -29,7 +29,7 @@
         """Gives the final answer that the request failed."""
 
     def migrate(self) -> None:
-        """Asks the client of an established connection to reconnect."""
+        """Notifies the client of an established connection that it is to reconnect."""
 
 
 class NullRequestHandler:
--- a/ironmill_testbed/call.py
+++ b/ironmill_testbed/call.py
@@ -35,9 +35,7 @@
         try:
             if context is not None:
                 sock = socket.create_connection((host, int(port)))
-                client.stream = stream = TlsStream(
-                    scheduler, sock, context, is_server=False, server_name="localhost"
-                )
+                client.stream = stream = TlsStream.for_client(scheduler, sock, context, "localhost")
                 stream.handshake(time.monotonic() + LIMIT)
             client.open(token=shown.strip().encode())
             print(f"UP at {client.host}; a line came back: {client.ask(b'hello').decode()}")
--- a/ironmill_testbed/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -135,9 +135,7 @@
 
     def shaken(at: int, session: ssl.SSLSession | None) -> TlsStream:
         sock = socket.create_connection(("127.0.0.1", at))
-        stream = TlsStream(
-            scheduler, sock, context, is_server=False, server_name="localhost", session=session
-        )
+        stream = TlsStream.for_client(scheduler, sock, context, "localhost", session)
         stream.handshake(time.monotonic() + 10.0)
         return stream
 
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -75,7 +75,7 @@
             self.scheduler,
             ("127.0.0.1", 0),
             self._take,
-            make_stream=lambda scheduler, sock: TlsStream(scheduler, sock, self.context),
+            make_stream=lambda scheduler, sock: TlsStream.for_server(scheduler, sock, self.context),
         )
         self.listener.start()
 
@@ -83,7 +83,7 @@
         """A client's stream after its handshake."""
         sock = socket.create_connection(self.listener.address)
         context = context or self.authority.client(*shown)
-        stream = TlsStream(self.scheduler, sock, context, is_server=False, server_name="localhost")
+        stream = TlsStream.for_client(self.scheduler, sock, context, "localhost")
         stream.handshake(time.monotonic() + 5.0)
         return stream
 
@@ -391,9 +391,7 @@
 
     def again(proxy: TlsProxyUnderTest, session: ssl.SSLSession | None) -> tuple[bool, ssl.SSLSession | None]:
         sock = socket.create_connection(proxy.listener.address)
-        stream = TlsStream(
-            proxy.scheduler, sock, context, is_server=False, server_name="localhost", session=session
-        )
+        stream = TlsStream.for_client(proxy.scheduler, sock, context, "localhost", session)
         stream.handshake(time.monotonic() + 5.0)
         stream.send(b"PING\r\n")
         assert read_line(stream) == b"PONG\r\n"
@@ -440,7 +438,7 @@
         super().__init__()
         context = server_tls(settings(authority)).context
         for listener in self.listeners:
-            listener._make_stream = lambda scheduler, sock: TlsStream(scheduler, sock, context)
+            listener._make_stream = lambda scheduler, sock: TlsStream.for_server(scheduler, sock, context)
         upstream = upstream_tls(UpstreamTls(str(authority.path)))
         self.dialled = 0
 
@@ -534,7 +532,7 @@
         context = ssl.create_default_context(cafile=str(tmp_path / "authority.pem"))
         context.load_cert_chain(tmp_path / "farm.crt", tmp_path / "farm.key")
         sock = socket.create_connection(("127.0.0.1", port))
-        stream = TlsStream(scheduler, sock, context, is_server=False, server_name="localhost")
+        stream = TlsStream.for_client(scheduler, sock, context, "localhost")
         stream.handshake(time.monotonic() + 5.0)
         return stream
 
