--- a/ironmill/balancing/load_shedding.py
+++ b/ironmill/balancing/load_shedding.py
@@ -8,6 +8,7 @@
 
 from ironmill.balancing.interface import Request
 from ironmill.balancing.overload import OverloadTracker
+from ironmill.balancing.server_state import REPORT_LIFETIME_S
 from ironmill.balancing.state import BalancerState
 from ironmill.balancing.tenant_quotas import TenantQuotas
 
@@ -103,7 +104,8 @@
         loads = [
             server.load
             for server in self._state.servers.values()
-            if server.ready and server.has_fresh_report(now)
+            # First what rules out most servers; inlined, for this runs for each server at each request.
+            if now - server.load_reported_at <= REPORT_LIFETIME_S and server.ready
         ]
         if len(loads) < MIN_OVERLOADED_SERVERS:
             fraction = self._overload.connections() / max(MIN_CONNECTIONS, len(self._state.requests))
--- a/ironmill/balancing/placement.py
+++ b/ironmill/balancing/placement.py
@@ -13,8 +13,6 @@
 from collections.abc import Callable
 from functools import partial
 
-from msgspec import Struct
-
 from ironmill.balancing.connection_groups import GroupConnections, preference
 from ironmill.balancing.server_counts import ServerCounts
 from ironmill.balancing.server_state import ServerState
@@ -32,14 +30,6 @@
 GROUP_PREFERRED_SERVERS = 3
 
 
-class _TokenRange(Struct, frozen=True):
-    """Servers of one colour: indexes of the token table, and the exclusive limit of their counts."""
-
-    start: int
-    end: int
-    count_limit: float
-
-
 class Placement:
     """Selects servers and adapts the threshold."""
 
@@ -65,17 +55,15 @@
             self.threshold = table.mean()  # of the connections that were open before
         green = table.below(self.threshold)
         yellow = table.below(self.threshold + 1)
-        ranges = (
-            _TokenRange(0, green, self.threshold),
-            _TokenRange(green, yellow, self.threshold + 1),
-            _TokenRange(yellow, len(table), math.inf),
-        )
-        server_id = self._select_from(ranges, tracked)
+        ready = len(table)
+        # By colour: the end of its servers in the table, and the exclusive limit of their counts.
+        colours = ((green, self.threshold), (yellow, self.threshold + 1), (ready, math.inf))
+        server_id = self._select_from(colours, tracked)
         if server_id is None:
             return None
         if yellow <= 1:
             self.threshold += 1
-        elif green >= (1.0 - ALPHA) * len(table) and self.threshold > 0:
+        elif green >= (1.0 - ALPHA) * ready and self.threshold > 0:
             self.threshold -= 1
         return self._state.servers[server_id]
 
@@ -93,33 +81,38 @@
             mean = table.mean()
             self.threshold += (mean > self.threshold) - (mean < self.threshold)
 
-    def _select_from(self, ranges: tuple[_TokenRange, ...], tracked: TrackedRequest) -> int | None:
+    def _select_from(self, colours: tuple[tuple[int, float], ...], tracked: TrackedRequest) -> int | None:
         state, table = self._state, self._counts.table
         servers, random_number, now = state.servers, state.rng.random, state.now
         max_weight, by_weight = self._counts.max_weight, not state.settings.live_weights
+        tried, may_retry_anywhere = tracked.tried, tracked.uncertain_attempt is None
 
         def accepts(server_id: int) -> bool:
             # A server of half the weight is accepted for half of its draws.
             if by_weight and random_number() * max_weight > servers[server_id].weight:
                 return False
-            return server_id not in tracked.tried and tracked.may_retry_at(servers[server_id], now)
+            if server_id in tried:
+                return False
+            return may_retry_anywhere or tracked.may_retry_at(servers[server_id], now)
 
-        for tokens in ranges:
+        start = 0
+        for end, count_limit in colours:
             if tracked.request.group is None:
-                selected = table.draw(tokens.start, tokens.end, state.rng, accepts)
+                selected = table.draw(start, end, state.rng, accepts)
             else:
-                selected = self._select_for_group(tracked, tokens, accepts)
+                selected = self._select_for_group(tracked, end, count_limit, accepts)
             if selected is not None:
                 return selected
+            start = end
         # All were tried before, or not accepted by weight.
         return table.draw(
             0, len(table), state.rng, lambda server_id: tracked.may_retry_at(servers[server_id], now)
         )
 
     def _select_for_group(
-        self, tracked: TrackedRequest, tokens: _TokenRange, accepts: Callable[[int], bool]
+        self, tracked: TrackedRequest, end: int, count_limit: float, accepts: Callable[[int], bool]
     ) -> int | None:
-        """Returns the server that the request's group prefers among those with tokens.
+        """Returns the server that the request's group prefers among those before ``end`` in the table.
 
         A server that has connections of the group, here or probably elsewhere, may have a higher count.
         """
@@ -127,7 +120,6 @@
         assert group is not None
         table, own = self._counts.table, self._groups.counts(group)
         discounted = dict.fromkeys(own)
-        limit = tokens.count_limit
         if self._state.settings.live_weights:
             preferred = heapq.nlargest(
                 GROUP_PREFERRED_SERVERS, table.first(len(table)), partial(preference, group)
@@ -136,14 +128,14 @@
             if not rerouted and not self._has_server_in_slow_start():
                 # The same result as below, without a look at every server of a large fleet.
                 for server_id in preferred:
-                    if table.count(server_id) < limit + GROUP_DISCOUNT and accepts(server_id):
+                    if table.count(server_id) < count_limit + GROUP_DISCOUNT and accepts(server_id):
                         return server_id
-        candidates = [server_id for server_id in table.first(tokens.end) if accepts(server_id)]
+        candidates = [server_id for server_id in table.first(end) if accepts(server_id)]
         candidates += [
             server_id
             for server_id in discounted
             if server_id in table
-            and limit <= table.count(server_id) < limit + GROUP_DISCOUNT
+            and count_limit <= table.count(server_id) < count_limit + GROUP_DISCOUNT
             and accepts(server_id)
         ]
         if rerouted:
--- a/ironmill/balancing/request_lifetime.py
+++ b/ironmill/balancing/request_lifetime.py
@@ -53,6 +53,7 @@
         self._connections = connections
         self._overload = overload
         self._classes = {cls.name: cls for cls in state.settings.classes}
+        self._max_attempts = state.settings.max_attempts
         self._margin = ANSWER_MARGIN_S + ANSWER_MARGIN_ROUNDS * state.settings.min_round_interval
 
     def request_arrived(self, request: Request) -> None:
@@ -143,10 +144,9 @@
 
     def _place_or_wait(self, tracked: TrackedRequest) -> None:
         """Sends the request, sets a timer for the next try, or answers it if it may get no attempt."""
-        attempts_left = tracked.attempts < self._state.settings.max_attempts
         if (
             self._time_left(tracked) < MIN_ATTEMPT_S
-            or not attempts_left
+            or tracked.attempts >= self._max_attempts
             or self._state.now >= tracked.retry_deadline()
         ):
             self._answer(tracked)
@@ -165,12 +165,12 @@
         return tracked.request.deadline - self._state.now - self._margin
 
     def _send(self, tracked: TrackedRequest, server: ServerState) -> None:
-        timeout = tracked.request.deadline - self._state.now
-        if tracked.attempts + 1 < self._state.settings.max_attempts:
+        state, request = self._state, tracked.request
+        timeout = request.deadline - state.now
+        if tracked.attempts + 1 < self._max_attempts:
             timeout = min(timeout, tracked.request_class.latency_objective)
         self._connections.attempt_started(tracked, server)
-        start_by = tracked.retry_deadline()
-        self._state.actions.append(Send(tracked.request.id, server.server_id, timeout, start_by))
+        state.actions.append(Send(request.id, server.server_id, timeout, tracked.retry_deadline()))
 
     def _answer(self, tracked: TrackedRequest) -> None:
         """Gives the one final answer. A rejection promises that a retry is harmless."""
--- a/ironmill/balancing/server_counts.py
+++ b/ironmill/balancing/server_counts.py
@@ -36,6 +36,10 @@
         self._state = state
         self._slow_start = slow_start
         self._breaker = breaker
+        self._live_weights = state.settings.live_weights
+        self._new_link_surcharge = 0
+        if state.settings.costs.handshake >= MIN_HANDSHAKE_COST:
+            self._new_link_surcharge = NEW_LINK_SURCHARGE
         self._mean_weight = 1.0
         self._largest_weight = 0.0  # ever listed: the size of a server where weights are live
         # Mean reported load of an own connection; with live weights of a listed connection.
@@ -51,12 +55,13 @@
         penalty = current_penalty(server, now)
         if (
             server.ready
-            and not self._breaker.is_ejected(server)
+            and (server.failures == 0 or not self._breaker.is_ejected(server))
             # Without connections it would win every draw, so it is ready only within its budget.
             and (not warming_up or self._slow_start.allows(server, now))
         ):
             connections = int(self._connections_on(server) + ROUNDING_TOLERANCE)
-            self.table.put(server.server_id, connections + int(penalty) + self._surcharge(server))
+            surcharge = 0 if idle else self._new_link_surcharge
+            self.table.put(server.server_id, connections + int(penalty) + surcharge)
         elif server.server_id in self.table:
             self.table.remove(server.server_id)
         if server.ready and (
@@ -83,7 +88,7 @@
         self._mean_weight = sum(weights) / max(1, len(weights))
         previous_largest = self._largest_weight
         self._largest_weight = max(self._largest_weight, self.max_weight)
-        if self._state.settings.live_weights and listed:
+        if self._live_weights and listed:
             self._update_listed(every_server=self._largest_weight != previous_largest)
             self._update_slow_start()
 
@@ -92,7 +97,7 @@
         server.connection_cost = server.load * server.weight / self._largest_weight
         now = self._state.now
         reporting = [one for one in self._state.servers.values() if one.ready and one.has_fresh_report(now)]
-        if self._state.settings.live_weights:
+        if self._live_weights:
             total = sum(one.connection_cost for one in reporting)
             self._connection_cost = total / len(reporting) if reporting else 0.0
             return
@@ -131,7 +136,7 @@
         """
         fleet_scale = self._state.fleet_scale
         has_cost = self._connection_cost > 0.0 and server.has_fresh_report(self._state.now)
-        if self._state.settings.live_weights:
+        if self._live_weights:
             listed = self._largest_weight / server.weight
             if has_cost:
                 ratio = server.connection_cost / self._connection_cost
@@ -141,8 +146,3 @@
             reported = server.load / self._connection_cost
             return max(0.0, reported + server.connections - server.connections_at_report) * fleet_scale
         return server.connections * fleet_scale * self._mean_weight / server.weight
-
-    def _surcharge(self, server: ServerState) -> int:
-        if server.idle_links_until or self._state.settings.costs.handshake < MIN_HANDSHAKE_COST:
-            return 0
-        return NEW_LINK_SURCHARGE
