--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A real process that may hold just the descriptors it is told of, while idle clients want all of them."""
+"""A real process with a limit on its descriptors, which idle clients try to exhaust."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 SOCKETS = 96
-LIMIT = 60.0
+TIMEOUT_S = 60.0
 
 
-def test_exhausted_descriptors_block_neither_discovery_nor_admin_api_nor_requests(
+def test_idle_clients_do_not_starve_discovery_admin_api_or_requests_of_descriptors(
     tmp_path: Path,
 ) -> None:
     """Discovery is down meanwhile: the watch, the second address, probes and attempts have a reserve."""
     with ExitStack() as stack:
         dependencies = stack.enter_context(Dependencies(tmp_path, 3))
-        address, control, gone = (("127.0.0.1", free_port()) for _ in range(3))
-        value = proxy_config("p1", address, gone, SOCKETS, platform_settings())
-        value["control"] = f"{control[0]}:{control[1]}"
+        address, admin_address, unused_address = (("127.0.0.1", free_port()) for _ in range(3))
+        value = proxy_config("p1", address, unused_address, SOCKETS, platform_settings())
+        value["control"] = f"{admin_address[0]}:{admin_address[1]}"
         config = write_config(tmp_path, value)
         process = stack.enter_context(ProxyProcess(config, tmp_path))
         process.wait_ready()
@@ -40,20 +40,20 @@
         idle = [stack.enter_context(socket.create_connection(address)) for _ in range(3 * SOCKETS)]
         scheduler = Scheduler()
 
-        def known() -> int:
-            status, body = call(scheduler, control, "GET", "/admin/stats")
+        def known_servers() -> int:
+            status, body = call(scheduler, admin_address, "GET", "/admin/stats")
             assert status == 200
-            found: int = orjson.loads(body)["known_servers"]
-            return found
+            count: int = orjson.loads(body)["known_servers"]
+            return count
 
-        def told() -> None:
-            assert known() == 0
+        def scenario() -> None:
+            assert known_servers() == 0
             value["discovery"] = f"{dependencies.discovery[0]}:{dependencies.discovery[1]}"
             write_config(tmp_path, value)
             process.popen.send_signal(signal.SIGHUP)  # the file, and a second watch, take descriptors as well
-            until = time.monotonic() + LIMIT / 2.0
-            while known() != 3:
-                assert time.monotonic() < until
+            deadline = time.monotonic() + TIMEOUT_S / 2.0
+            while known_servers() != 3:
+                assert time.monotonic() < deadline
                 scheduler.sleep(0.02)
             for _ in range(10):
                 client = Client(scheduler, address)
@@ -61,13 +61,13 @@
                 assert client.exchange(b"line") == b"line"
                 client.close()
 
-        run_scenario(scheduler, told, LIMIT)
+        run_scenario(scheduler, scenario, TIMEOUT_S)
         assert process.popen.poll() is None
         assert "Too many open files" not in process.log.read_text()
         assert len(idle) == 3 * SOCKETS
 
 
-def test_attempt_without_a_descriptor_is_retried() -> None:
+def test_attempt_without_a_descriptor_affects_only_itself() -> None:
     """The next one is made, and served."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
