--- a/ironmill_testbed/__init__.py
+++ b/ironmill_testbed/__init__.py
@@ -1,4 +1,5 @@
-"""The project's own laboratory: emulated dependencies of a proxy, fleets of clients, and measurements.
+"""The project's testbed: emulated dependencies, fleets of clients, simulated clusters and measurements.
 
-The proxy never imports it. Everything stays on loopback and ends by itself.
+It may import every package of ``ironmill``, and none of them imports it. All sockets are on loopback, and
+every command ends by itself.
 """
--- a/ironmill_testbed/__main__.py
+++ b/ironmill_testbed/__main__.py
@@ -1,4 +1,4 @@
-"""The laboratory of ironmill. All of it stays on loopback and ends by itself.
+"""The testbed of ironmill. It uses loopback only, and every command ends by itself.
 
 Usage:
   ironmill_testbed demo [--stay] [--clients=N] [--settings=FILE]
@@ -44,50 +44,50 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the sub-command; the exit status."""
-    words = docopt(__doc__, argv=list(sys.argv[1:] if argv is None else argv))
-    # Also when it is told to end it leaves no process behind: the ends of its blocks are run.
+    """Runs a sub-command; returns its exit status."""
+    arguments = docopt(__doc__, argv=list(sys.argv[1:] if argv is None else argv))
+    # SIGTERM becomes an exception, so that context managers end the child processes.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(128 + signal.SIGTERM))
-    # Imported where used: the emulated dependencies need not carry what the measurements do.
-    if words["emulate"]:
+    # Imported where used: the process of the emulated dependencies stays small.
+    if arguments["emulate"]:
         from ironmill_testbed import emulate
 
-        return emulate.run(int(words["--hosts"]))
-    if words["hollow"]:
+        return emulate.run(int(arguments["--hosts"]))
+    if arguments["hollow"]:
         from ironmill_testbed.faults import hollow
 
-        return hollow.run(words["--settings"], int(words["--first"]), int(words["--proxies"]))
-    if words["floor"]:
+        return hollow.run(arguments["--settings"], int(arguments["--first"]), int(arguments["--proxies"]))
+    if arguments["floor"]:
         from ironmill_testbed import floors
 
-        return floors.run(words["KIND"], words["--target"])
-    if words["demo"]:
+        return floors.run(arguments["KIND"], arguments["--target"])
+    if arguments["demo"]:
         from ironmill_testbed import demo
 
-        settings = Path(words["--settings"]).resolve() if words["--settings"] else None
-        return demo.run(int(words["--clients"]), words["--stay"], settings)
-    if words["call"]:
+        settings = Path(arguments["--settings"]).resolve() if arguments["--settings"] else None
+        return demo.run(int(arguments["--clients"]), arguments["--stay"], settings)
+    if arguments["call"]:
         from ironmill_testbed import call
 
         return call.run(
-            words["HOST:PORT"],
-            words["--token"] or "",
-            words["--class"],
-            words["--tls"] or "",
-            words["--certificate"] or "",
+            arguments["HOST:PORT"],
+            arguments["--token"] or "",
+            arguments["--class"],
+            arguments["--tls"] or "",
+            arguments["--certificate"] or "",
         )
-    if words["certificates"]:
+    if arguments["certificates"]:
         from ironmill_testbed import certificates
 
-        return certificates.write_all(Path(words["DIR"]))
-    if words["capacity"]:
+        return certificates.write_all(Path(arguments["DIR"]))
+    if arguments["capacity"]:
         from ironmill_testbed.capacity import page
 
-        return page.run(words["--check"], words["--plots"])
+        return page.run(arguments["--check"], arguments["--plots"])
     from ironmill_testbed import measure
 
-    program = Path(words["--program"]).resolve() if words["--program"] else None
-    return measure.run(words["NAME"], words["--quick"], words["--poller"], program)
+    program = Path(arguments["--program"]).resolve() if arguments["--program"] else None
+    return measure.run(arguments["NAME"], arguments["--quick"], arguments["--poller"], program)
 
 
 if __name__ == "__main__":
--- a/ironmill_testbed/call.py
+++ b/ironmill_testbed/call.py
@@ -1,4 +1,4 @@
-"""One client, by hand: ask a proxy for a connection, send a line and print what came."""
+"""One client by hand: requests a connection of a proxy, sends a line and prints what comes back."""
 
 from __future__ import annotations
 
@@ -7,37 +7,32 @@
 import sys
 import time
 
+from ironmill.membership.identity import Address
 from ironmill.net.sockets import TimedOutError
 from ironmill.net.tls import TlsStream
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, run_scenario
 
-LIMIT = 15.0  # seconds
+TIMEOUT_S = 15.0
 
 
 def run(address: str, token: str, class_name: str, authorities: str, certificate: str) -> int:
-    """Status 0 if the connection was served and its line came back, 1 if not.
+    """Returns status 0 if the request was served and the line came back, otherwise 1.
 
-    With ``authorities``, a path, it speaks TLS to a server for localhost, and shows the ``certificate``, a
-    path without its .crt, if there is one.
+    A ``token`` of ``-`` is read from standard input. With ``authorities``, a path, the client uses TLS to a
+    server for localhost, and presents ``certificate``, a path without its .crt, if it is not empty.
     """
     host, _, port = address.rpartition(":")
-    shown = sys.stdin.readline() if token == "-" else token
+    credential = sys.stdin.readline() if token == "-" else token
     scheduler = Scheduler()
     client = Client(scheduler, (host, int(port)), class_name)
-    context = None
-    if authorities:
-        context = ssl.create_default_context(cafile=authorities)
-        if certificate:
-            context.load_cert_chain(f"{certificate}.crt", f"{certificate}.key")
+    context = _tls_context(authorities, certificate) if authorities else None
 
-    def story() -> int:
+    def scenario() -> int:
         try:
             if context is not None:
-                sock = socket.create_connection((host, int(port)))
-                client.stream = stream = TlsStream.for_client(scheduler, sock, context, "localhost")
-                stream.handshake(time.monotonic() + LIMIT)
-            client.open(token=shown.strip().encode())
+                client.stream = _connect_tls(scheduler, (host, int(port)), context)
+            client.open(token=credential.strip().encode())
             print(f"UP at {client.server_id}; a line came back: {client.exchange(b'hello').decode()}")
         except NotServedError as error:
             print(str(error) or "closed without an answer")
@@ -49,5 +44,23 @@
             client.close()
         return 0
 
-    status: int = run_scenario(scheduler, story, LIMIT)
+    status: int = run_scenario(scheduler, scenario, TIMEOUT_S)
     return status
+
+
+def _tls_context(authorities: str, certificate: str) -> ssl.SSLContext:
+    context = ssl.create_default_context(cafile=authorities)
+    if certificate:
+        context.load_cert_chain(f"{certificate}.crt", f"{certificate}.key")
+    return context
+
+
+def _connect_tls(scheduler: Scheduler, address: Address, context: ssl.SSLContext) -> TlsStream:
+    sock = socket.create_connection(address)
+    stream = TlsStream.for_client(scheduler, sock, context, "localhost")
+    try:
+        stream.handshake(time.monotonic() + TIMEOUT_S)
+    except BaseException:
+        stream.close()
+        raise
+    return stream
--- a/ironmill_testbed/certificates.py
+++ b/ironmill_testbed/certificates.py
@@ -1,4 +1,4 @@
-"""An authority for tests and trials, and certificates that it signs. Good for a day, and for nothing real."""
+"""A certificate authority for tests, and certificates that it signs, valid for a day."""
 
 from __future__ import annotations
 
@@ -15,41 +15,42 @@
 
 
 class Authority:
-    """Signs certificates, and writes them with their keys into a folder."""
+    """Signs certificates, and writes them with their keys to a folder."""
 
     def __init__(self, folder: Path, name: str = "authority") -> None:
+        """Writes the authority's own certificate to ``folder/name.pem``."""
         self.folder = folder
         self._key = ec.generate_private_key(ec.SECP256R1())
         self._name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
         builder = self._builder(self._name, self._key.public_key(), NOW + DAY)
-        builder = builder.add_extension(x509.BasicConstraints(True, 0), True)
+        builder = builder.add_extension(x509.BasicConstraints(True, 0), critical=True)
         self.path = folder / f"{name}.pem"
         signed = builder.sign(self._key, hashes.SHA256())
         self.path.write_bytes(signed.public_bytes(serialization.Encoding.PEM))
         self.serials: dict[str, int] = {}
 
     def certificate(self, name: str, *names: str, until: datetime.datetime = NOW + DAY) -> tuple[str, str]:
-        """Paths of a certificate for these DNS names and of its key."""
+        """Signs a certificate for these DNS names; returns the paths of the certificate and of its key."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
         builder = self._builder(subject, key.public_key(), until)
         if names:
-            listed = x509.SubjectAlternativeName([x509.DNSName(it) for it in names])
-            builder = builder.add_extension(listed, False)
+            alternative_names = x509.SubjectAlternativeName([x509.DNSName(dns_name) for dns_name in names])
+            builder = builder.add_extension(alternative_names, critical=False)
         signed = builder.sign(self._key, hashes.SHA256())
         self.serials[name] = signed.serial_number
-        paths = self.folder / f"{name}.crt", self.folder / f"{name}.key"
-        paths[0].write_bytes(signed.public_bytes(serialization.Encoding.PEM))
-        paths[1].write_bytes(
+        certificate_path, key_path = self.folder / f"{name}.crt", self.folder / f"{name}.key"
+        certificate_path.write_bytes(signed.public_bytes(serialization.Encoding.PEM))
+        key_path.write_bytes(
             key.private_bytes(
                 serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
             )
         )
-        paths[1].chmod(0o600)
-        return str(paths[0]), str(paths[1])
+        key_path.chmod(0o600)
+        return str(certificate_path), str(key_path)
 
     def revocations(self, *names: str) -> str:
-        """The path of a list that revokes those certificates."""
+        """Signs a list that revokes these certificates; returns its path."""
         builder = x509.CertificateRevocationListBuilder(self._name, NOW - DAY, NOW + DAY)
         for name in names:
             builder = builder.add_revoked_certificate(
@@ -59,11 +60,11 @@
         path.write_bytes(builder.sign(self._key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
         return str(path)
 
-    def client(self, *shown: str) -> ssl.SSLContext:
-        """A client's context that trusts the authority and shows that certificate and key."""
+    def client(self, *certificate_and_key: str) -> ssl.SSLContext:
+        """Returns a client's context that trusts the authority and presents that certificate, if any."""
         context = ssl.create_default_context(cafile=str(self.path))
-        if shown:
-            context.load_cert_chain(*shown)
+        if certificate_and_key:
+            context.load_cert_chain(*certificate_and_key)
         return context
 
     def _builder(
@@ -75,7 +76,7 @@
 
 
 def write_all(folder: Path) -> int:
-    """An authority, certificates of a server for localhost and of a client; the exit status."""
+    """Writes an authority and certificates of a server and of a client; returns the exit status."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     authority = Authority(folder)
     server, _ = authority.certificate("server", "localhost")
@@ -85,5 +86,5 @@
 
 
 def fingerprint(path: str) -> str:
-    """SHA-256 of a certificate's DER form, hexadecimal."""
+    """Returns the SHA-256 of a certificate's DER form, in hexadecimal."""
     return x509.load_pem_x509_certificate(Path(path).read_bytes()).fingerprint(hashes.SHA256()).hex()
--- a/ironmill_testbed/credentials.py
+++ b/ironmill_testbed/credentials.py
@@ -1,8 +1,9 @@
-"""Credentials for measurements: a key store in a folder, settings that name it, tokens good and bad."""
+"""Credentials for measurements: a key store, settings that name its ring, valid and invalid tokens."""
 
 from __future__ import annotations
 
 import time
+from enum import Enum
 from pathlib import Path
 from typing import Any
 
@@ -11,6 +12,8 @@
 from ironmill.commands.keys import KeyStore
 
 ISSUER, AUDIENCE = "https://issuer.example", "ironmill"
+TOKEN_LIFETIME_S = 3600.0
+EXPIRED_SINCE_S = 60.0
 SETTINGS = f"""<ironmill xmlns="urn:ironmill:settings:1">
   <log form="json" level="warning"/>
   <identity keys="ring.json" skew="5s">
@@ -22,10 +25,20 @@
 """
 
 
+class InvalidToken(Enum):
+    """Why a token is invalid."""
+
+    EXPIRED = "expired"
+    NOT_YET_VALID = "early"
+    AUDIENCE = "audience"
+    FORGED = "forged"
+
+
 class Issuer:
-    """An issuer of tokens with two keys: ``old`` signs, ``new`` is coming."""
+    """An issuer of tokens with two keys: ``old`` signs, ``new`` is published but does not sign yet."""
 
     def __init__(self, folder: Path, algorithm: str = "EdDSA") -> None:
+        """Writes the key store and the settings to the folder."""
         self.store = KeyStore(folder)
         self.algorithm = algorithm
         for kid in ("old", "new"):
@@ -36,26 +49,29 @@
         self.settings.write_text(SETTINGS)
 
     def token(self, kid: str, subject: str, **changes: Any) -> bytes:
-        """A token that is good for an hour but for the changes in its claims."""
-        claims = {"iss": ISSUER, "aud": AUDIENCE, "sub": subject, "exp": time.time() + 3600.0} | changes
+        """Returns a token that is valid for an hour, with these changes of its claims."""
+        claims = {
+            "iss": ISSUER,
+            "aud": AUDIENCE,
+            "sub": subject,
+            "exp": time.time() + TOKEN_LIFETIME_S,
+        } | changes
         private = self._private[kid]
         return jwt.encode(claims, private, algorithm=self.algorithm, headers={"kid": kid}).encode()
 
     def forged(self, kid: str, subject: str) -> bytes:
-        """A token whose signature is that of another."""
-        head, _, _ = self.token(kid, subject).rpartition(b".")
-        return head + b"." + self.token(kid, f"{subject}-other").rpartition(b".")[2]
+        """Returns a token with the signature of another one."""
+        signed, _, _ = self.token(kid, subject).rpartition(b".")
+        return signed + b"." + self.token(kid, f"{subject}-other").rpartition(b".")[2]
 
-    def bad(self, kind: str, kid: str, subject: str) -> bytes:
-        """A token that is not good, in the way named."""
+    def invalid(self, kind: InvalidToken, kid: str, subject: str) -> bytes:
+        """Returns a token that is invalid in the given way."""
         match kind:
-            case "expired":
-                return self.token(kid, subject, exp=time.time() - 60.0)
-            case "early":
-                return self.token(kid, subject, nbf=time.time() + 3600.0)
-            case "audience":
+            case InvalidToken.EXPIRED:
+                return self.token(kid, subject, exp=time.time() - EXPIRED_SINCE_S)
+            case InvalidToken.NOT_YET_VALID:
+                return self.token(kid, subject, nbf=time.time() + TOKEN_LIFETIME_S)
+            case InvalidToken.AUDIENCE:
                 return self.token(kid, subject, aud="another")
-        return self.forged(kid, subject)
-
-
-BAD = ("expired", "early", "audience", "forged")
+            case InvalidToken.FORGED:
+                return self.forged(kid, subject)
--- a/ironmill_testbed/floors.py
+++ b/ironmill_testbed/floors.py
@@ -1,7 +1,8 @@
-"""Floors for ``measure core``: the least that forwarding the same lines costs, without and with greenlets.
+"""Baselines of the measurements: forwarding without a proxy's logic, and a TLS echo server.
 
-Both take a client's connection, open one to the target and copy bytes each way; nothing is parsed, counted
-or decided. ``epoll`` is a bare loop, ``greenlet`` the project's scheduler with two tasks a connection.
+``epoll`` and ``greenlet`` accept a client's connection, open one to the target and copy bytes each way
+without parsing them: the first is a bare loop, the second the project's scheduler with two tasks for each
+connection.
 """
 
 from __future__ import annotations
@@ -12,31 +13,34 @@
 import ssl
 import sys
 
+from ironmill.membership.identity import Address
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
 from ironmill.runtime.scheduler import Scheduler
 
-Address = tuple[str, int]
+CONNECT_TIMEOUT_S = 5.0
+BACKLOG = 1024
 
 
 def run(kind: str, target: str) -> int:
-    """Serve until killed. The first line of standard output is the port."""
+    """Serves until it is killed. The first line of standard output is the port."""
     host, _, port = target.rpartition(":")
-    {"epoll": _epoll, "greenlet": _greenlet, "tls": _tls}[kind]((host, int(port)))
+    servers = {"epoll": _serve_epoll, "greenlet": _serve_greenlets, "tls": _serve_tls}
+    servers[kind]((host, int(port)))
     return 0
 
 
-def _say_port(address: Address) -> None:
+def _print_port(address: Address) -> None:
     sys.stdout.write(f"{address[1]}\n")
     sys.stdout.flush()
 
 
-def _tls(target: Address) -> None:
-    """A bare echo server by ``ssl``, one connection after another; the target is the folder of its files."""
+def _serve_tls(target: Address) -> None:
+    """Echoes over ``ssl``, one connection after another; the target's host is the folder of its files."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.load_cert_chain(f"{target[0]}/server.crt", f"{target[0]}/server.key")
-    listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
-    _say_port(listener.getsockname())
+    listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
+    _print_port(listener.getsockname())
     while True:
         sock, _ = listener.accept()
         with contextlib.suppress(OSError), context.wrap_socket(sock, server_side=True) as secure:
@@ -44,37 +48,37 @@
                 secure.sendall(data)
 
 
-def _epoll(target: Address) -> None:
-    listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
+def _serve_epoll(target: Address) -> None:
+    listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
     listener.setblocking(False)
-    _say_port(listener.getsockname())
+    _print_port(listener.getsockname())
     poll = select.epoll()
     poll.register(listener.fileno(), select.EPOLLIN)
     socks: dict[int, socket.socket] = {}
-    other: dict[int, int] = {}
+    peers: dict[int, int] = {}  # descriptor of the other connection
     while True:
         for fd, _ in poll.poll():
             if fd == listener.fileno():
-                _epoll_accept(listener, target, poll, socks, other)
+                _accept_epoll(listener, target, poll, socks, peers)
             elif fd in socks:
                 try:
                     data = socks[fd].recv(READ_BYTES)
                     if data:
-                        socks[other[fd]].sendall(data)
+                        socks[peers[fd]].sendall(data)
                         continue
                 except OSError:
                     pass
-                for end in (other[fd], fd):
-                    del other[end]
+                for end in (peers[fd], fd):
+                    del peers[end]
                     socks.pop(end).close()
 
 
-def _epoll_accept(
+def _accept_epoll(
     listener: socket.socket,
     target: Address,
     poll: select.epoll,
     socks: dict[int, socket.socket],
-    other: dict[int, int],
+    peers: dict[int, int],
 ) -> None:
     try:
         client, _ = listener.accept()
@@ -84,35 +88,35 @@
     for sock, peer in ((client, attempt), (attempt, client)):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         socks[sock.fileno()] = sock
-        other[sock.fileno()] = peer.fileno()
+        peers[sock.fileno()] = peer.fileno()
         poll.register(sock.fileno(), select.EPOLLIN)
 
 
-def _greenlet(target: Address) -> None:
+def _serve_greenlets(target: Address) -> None:
     scheduler = Scheduler()
 
-    def copy(source: Stream, to: Stream) -> None:
+    def copy(source: Stream, destination: Stream) -> None:
         try:
             while data := source.receive():
-                to.send(data)
+                destination.send(data)
         except OSError:
             pass
-        to.shutdown_write()
+        destination.shutdown_write()
         source.close()
 
     def relay(client: Stream) -> None:
         try:
-            attempt = Stream.connect(scheduler, target, 5.0)
+            attempt = Stream.connect(scheduler, target, CONNECT_TIMEOUT_S)
         except (OSError, TimedOutError):
             client.close()
             return
         scheduler.spawn(copy, attempt, client)
         copy(client, attempt)
 
-    def take(stream: Stream) -> None:
+    def accept(stream: Stream) -> None:
         scheduler.spawn(relay, stream)
 
-    listener = Listener(scheduler, ("127.0.0.1", 0), take)
+    listener = Listener(scheduler, ("127.0.0.1", 0), accept)
     listener.start()
-    _say_port(listener.address)
+    _print_port(listener.address)
     scheduler.run()
--- a/ironmill_testbed/measure.py
+++ b/ironmill_testbed/measure.py
@@ -1,4 +1,4 @@
-"""``measure NAME``: finds the measurement and prints what it returns."""
+"""``measure NAME``: runs a measurement and prints its figures as JSON."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run(name: str, quick: bool, poller: str, program: Path | None) -> int:
-    """Run one measurement; the exit status is 2 where there is none of that name."""
+    """Runs a measurement; returns the exit status, 2 for an unknown name."""
     if name not in NAMES:
         print(f"ironmill_testbed: no measurement {name!r}; there are: {', '.join(NAMES)}", file=sys.stderr)
         return 2
--- a/ironmill_testbed/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -1,8 +1,9 @@
-"""What it costs to know who calls, and whether a rotation or a flood of forged tokens gets in anybody's way.
+"""Measures authentication: its cost, TLS, a key rotation and a flood of forged tokens.
 
-Five parts: tokens checked a second, cold and from the cache; set-ups with and without a credential; TLS, full
-and resumed, beside a bare echo server; a rotation while a crowd reconnects within 0.2 to 3 s with valid,
-expired, early, forged and foreign tokens; set-ups of valid callers while another address floods forgeries.
+Five parts: tokens verified a second, without and with the cache; set-ups with and without a credential; TLS
+handshakes, full and resumed, beside a bare echo server; a rotation while clients reconnect within some
+seconds with valid, expired, early, forged and foreign tokens; set-ups of valid callers while another address
+sends forged tokens.
 """
 
 from __future__ import annotations
@@ -21,231 +22,294 @@
 
 from ironmill.identity.authenticator import Admitted, Authenticator
 from ironmill.identity.rules import Caller, CallerRule, IdentitySettings, Rights, TokenMatch
+from ironmill.membership.identity import Address
 from ironmill.net.sockets import TimedOutError
 from ironmill.net.tls import TlsStream
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.certificates import write_all
-from ironmill_testbed.credentials import AUDIENCE, BAD, ISSUER, Issuer
+from ironmill_testbed.credentials import AUDIENCE, ISSUER, InvalidToken, Issuer
 from ironmill_testbed.fleet import Client, NotServedError, in_parallel, run_scenario
+from ironmill_testbed.measures.errors import MeasurementError
 from ironmill_testbed.processes import Dependencies, Process, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
-HOSTS = 6
-CROWD, CROWD_QUICK = 2000, 300
+SERVER_COUNT = 6
+ROTATION_CLIENTS, ROTATION_CLIENTS_QUICK = 2000, 300
 SETUPS, SETUPS_QUICK = 2000, 400
 CHECKS, CHECKS_QUICK = 5000, 1000
-AT_ONCE = 4
-FLOOD_FROM = "127.0.0.9"
-FLOOD_LIMIT = 60.0  # seconds
-LIMIT = 300.0
+SOCKETS = 8192
+PARALLEL_SETUPS = 4
+HANDSHAKE_TIMEOUT_S = 10.0
+FLOOD_ADDRESS = "127.0.0.9"
+FLOOD_PROCESSES = 2
+FLOOD_TOKENS = 500
+FLOOD_LEAD_S = 1.5
+MAX_FLOOD_S = 60.0
+FLOOD_RETRY_DELAY_S = 0.001
+FLOOD_CONNECT_TIMEOUT_S = 5.0
+MIN_RECONNECT_DELAY_S, RECONNECT_SPAN_S = 0.2, 2.8
+PROMOTE_DELAY_S, RETIRE_SETTLE_S = 1.5, 1.0
+KEY_OVERLAP_S = 3600.0
+DEADLINE_S = 5.0
+MAX_RUN_S = 300.0
+CHECK_INTERVAL_S = 0.02
+VALID, RETIRED = "good", "retired"  # kinds of credentials, beside those of ``InvalidToken``
+TLS_SETTINGS = """<ironmill xmlns="urn:ironmill:settings:1">
+  <tls listen="127.0.0.1:{}" certificate="server.crt" key="server.key"/>
+</ironmill>
+"""
 
 
 def measure(quick: bool, poller: str, program: Path | None) -> dict[str, Any]:
-    """The figures by name."""
+    """Prints the figures and returns them by name; ``poller`` and ``program`` are not used."""
     setups = SETUPS_QUICK if quick else SETUPS
-    found: dict[str, Any] = {}
+    figures: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
         folder = Path(name)
         issuer = Issuer(folder)
-        found |= _checks(issuer, CHECKS_QUICK if quick else CHECKS)
-        dependencies = stack.enter_context(Dependencies(folder, HOSTS))
-        plain = _proxy("plain", dependencies, folder, [], stack)
-        asked = _proxy("asked", dependencies, folder, [f"--settings={issuer.settings}"], stack)
-        found["start_mib_plain"] = round(plain.usage().resident_bytes / 2**20, 1)
-        found["start_mib_settings"] = round(asked.usage().resident_bytes / 2**20, 1)
-        found |= _latencies("plain", plain, [b""], setups)
-        tokens = [issuer.token("old", f"farm-{at}") for at in range(setups)]
-        found |= _latencies("token", asked, tokens, setups)
-        found |= _tls(dependencies, folder, setups // 2, stack)
-        found |= _flood(issuer, asked, setups)
-        found |= _rotation(issuer, asked, CROWD_QUICK if quick else CROWD)
-    for key, value in found.items():
+        figures |= _measure_checks(issuer, CHECKS_QUICK if quick else CHECKS)
+        dependencies = stack.enter_context(Dependencies(folder, SERVER_COUNT))
+        plain = _start_proxy("plain", dependencies, folder, [], stack)
+        options = [f"--settings={issuer.settings}"]
+        authenticating = _start_proxy("asked", dependencies, folder, options, stack)
+        figures["start_mib_plain"] = round(plain.usage().resident_bytes / 2**20, 1)
+        figures["start_mib_settings"] = round(authenticating.usage().resident_bytes / 2**20, 1)
+        figures |= _measure_setups("plain", plain, [b""], setups)
+        tokens = [issuer.token("old", f"farm-{number}") for number in range(setups)]
+        figures |= _measure_setups("token", authenticating, tokens, setups)
+        figures |= _measure_tls(dependencies, folder, setups // 2, stack)
+        figures |= _measure_flood(issuer, authenticating, setups)
+        client_count = ROTATION_CLIENTS_QUICK if quick else ROTATION_CLIENTS
+        figures |= Rotation(issuer, authenticating, client_count).measure()
+    for key, value in figures.items():
         print(f"{key:<28} {value}")
-    return found
+    return figures
 
 
-def _proxy(
-    name: str, dependencies: Dependencies, folder: Path, more: list[str], stack: ExitStack
+def _start_proxy(
+    name: str, dependencies: Dependencies, folder: Path, options: list[str], stack: ExitStack
 ) -> ProxyProcess:
-    config = proxy_config(name, ("127.0.0.1", free_port()), dependencies.discovery, 8192, platform_settings())
-    proxy = stack.enter_context(ProxyProcess(write_config(folder, config), folder, options=more))
+    address = ("127.0.0.1", free_port())
+    config = proxy_config(name, address, dependencies.discovery, SOCKETS, platform_settings())
+    proxy = stack.enter_context(ProxyProcess(write_config(folder, config), folder, options=options))
     proxy.wait_ready()
     return proxy
 
 
-def _checks(issuer: Issuer, count: int) -> dict[str, Any]:
+def _measure_checks(issuer: Issuer, count: int) -> dict[str, Any]:
+    """Returns how many tokens one core verifies a second, at their first use and from the cache."""
     match = TokenMatch(ISSUER, AUDIENCE, "farm-*")
     identity = IdentitySettings("", (CallerRule(Caller("farms", "community", Rights()), (match,)),))
     authenticator = Authenticator(identity, issuer.store.ring(), time.time())
-    tokens = [issuer.token("old", f"farm-{at}") for at in range(count)]
+    tokens = [issuer.token("old", f"farm-{number}") for number in range(count)]
     rates = []
-    for _ in range(2):  # cold, and from the cache
+    for _ in range(2):
         start = time.process_time()
         for token in tokens:
             if not isinstance(authenticator.authenticate_token(token, "", time.time()), Admitted):
-                raise RuntimeError("a good token was refused")
+                raise MeasurementError("a valid token was rejected")
         rates.append(round(count / (time.process_time() - start)))
     return {"tokens_per_s_cold": rates[0], "tokens_per_s_cached": rates[1]}
 
 
-def _latencies(name: str, proxy: ProxyProcess, tokens: list[bytes], count: int) -> dict[str, Any]:
-    """Milliseconds from the connect to UP, some clients at once."""
-    scheduler, took = Scheduler(), []
-    left = iter(range(count))
+def _measure_setups(name: str, proxy: ProxyProcess, tokens: list[bytes], count: int) -> dict[str, Any]:
+    """Returns the time from connect to UP, and the proxy's CPU time for a set-up, in milliseconds."""
+    scheduler = Scheduler()
+    latencies_ms: list[float] = []
 
-    def one(at: int) -> None:
+    def set_up(number: int) -> None:
         client = Client(scheduler, proxy.address)
         start = time.monotonic()
-        client.open(token=tokens[at % len(tokens)])
-        took.append((time.monotonic() - start) * 1000.0)
+        client.open(token=tokens[number % len(tokens)])
+        latencies_ms.append((time.monotonic() - start) * 1000.0)
         client.close()
 
-    before = proxy.usage().cpu_s
-    run_scenario(scheduler, lambda: in_parallel(scheduler, AT_ONCE, left, one), LIMIT)
-    cpu = (proxy.usage().cpu_s - before) * 1000.0 / count
-    cuts = statistics.quantiles(took, n=100)
+    before_s = proxy.usage().cpu_s
+    run_scenario(scheduler, lambda: in_parallel(scheduler, PARALLEL_SETUPS, range(count), set_up), MAX_RUN_S)
+    cpu_ms = (proxy.usage().cpu_s - before_s) * 1000.0 / count
+    percentiles = statistics.quantiles(latencies_ms, n=100)
     return {
-        f"setup_p50_ms_{name}": round(cuts[49], 3),
-        f"setup_p99_ms_{name}": round(cuts[98], 3),
-        f"setup_cpu_ms_{name}": round(cpu, 3),
+        f"setup_p50_ms_{name}": round(percentiles[49], 3),
+        f"setup_p99_ms_{name}": round(percentiles[98], 3),
+        f"setup_cpu_ms_{name}": round(cpu_ms, 3),
     }
 
 
-TLS_SETTINGS = """<ironmill xmlns="urn:ironmill:settings:1">
-  <tls listen="127.0.0.1:{}" certificate="server.crt" key="server.key"/>
-</ironmill>
-"""
-
-
-def _tls(dependencies: Dependencies, folder: Path, count: int, stack: ExitStack) -> dict[str, Any]:
-    """Handshakes a second of the proxy's CPU, full and resumed, beside a bare echo server's, and memory."""
+def _measure_tls(dependencies: Dependencies, folder: Path, count: int, stack: ExitStack) -> dict[str, Any]:
+    """Returns handshakes for each second of CPU, full and resumed, also of an echo server, and memory."""
     write_all(folder)
     port = free_port()
     settings = folder / "tls.xml"
     settings.write_text(TLS_SETTINGS.format(port))
-    proxy = _proxy("tls", dependencies, folder, [f"--settings={settings}"], stack)
-    words = ["-m", "ironmill_testbed", "floor", "tls", f"--target={folder}:0"]
-    floor = stack.enter_context(Process(words, folder, "floor-tls"))
+    proxy = _start_proxy("tls", dependencies, folder, [f"--settings={settings}"], stack)
+    arguments = ["-m", "ironmill_testbed", "floor", "tls", f"--target={folder}:0"]
+    floor = stack.enter_context(Process(arguments, folder, "floor-tls"))
     assert floor.popen.stdout is not None
     floor_port = int(floor.popen.stdout.readline())
-    found: dict[str, Any] = {}
-    context = ssl.create_default_context(cafile=str(folder / "authority.pem"))
-    context.maximum_version = ssl.TLSVersion.TLSv1_2  # where the session is there once the handshake is
     scheduler = Scheduler()
+    connector = TlsConnector(scheduler, folder / "authority.pem")
+
+    def scenario() -> dict[str, Any]:
+        figures: dict[str, Any] = {}
+        for name, process, at in (("proxy", proxy, port), ("floor", floor, floor_port)):
+            for kind, is_resumed in (("full", False), ("resumed", True)):
+                rate = connector.handshake_rate(process, at, count, is_resumed=is_resumed)
+                figures[f"handshakes_per_cpu_s_{kind}_{name}"] = rate
+        figures["kib_per_tls_connection"] = _tls_connection_kib(scheduler, connector, proxy, port, count)
+        return figures
 
-    def shaken(at: int, session: ssl.SSLSession | None) -> TlsStream:
-        sock = socket.create_connection(("127.0.0.1", at))
-        stream = TlsStream.for_client(scheduler, sock, context, "localhost", session)
-        stream.handshake(time.monotonic() + 10.0)
+    found: dict[str, Any] = run_scenario(scheduler, scenario, MAX_RUN_S)
+    return found
+
+
+class TlsConnector:
+    """Connects TLS clients to servers for localhost."""
+
+    def __init__(self, scheduler: Scheduler, authorities: Path) -> None:
+        self._scheduler = scheduler
+        self._context = ssl.create_default_context(cafile=str(authorities))
+        # In TLS 1.2 the session is known once the handshake is complete.
+        self._context.maximum_version = ssl.TLSVersion.TLSv1_2
+
+    def connect(self, port: int, session: ssl.SSLSession | None = None) -> TlsStream:
+        """Connects and completes the handshake, resuming the session if there is one. Parks."""
+        sock = socket.create_connection(("127.0.0.1", port))
+        stream = TlsStream.for_client(self._scheduler, sock, self._context, "localhost", session)
+        stream.handshake(time.monotonic() + HANDSHAKE_TIMEOUT_S)
         return stream
 
-    def shakes(process: Process, at: int, resume: bool) -> int:
-        first = shaken(at, None)
-        session = first.tls.session if resume else None
+    def handshake_rate(self, process: Process, port: int, count: int, *, is_resumed: bool) -> int:
+        """Returns the handshakes for each second of the process's CPU time. Parks."""
+        first = self.connect(port)
+        session = first.tls.session if is_resumed else None
         first.close()
-        before = process.usage().cpu_s
+        before_s = process.usage().cpu_s
         for _ in range(count):
-            stream = shaken(at, session)
-            if stream.tls.resumed is not resume:
-                raise RuntimeError("a session was not resumed, or was where none should be")
+            stream = self.connect(port, session)
+            if stream.tls.resumed is not is_resumed:
+                raise MeasurementError(f"resumed is {stream.tls.resumed}; expected {is_resumed}")
             stream.close()
-        return round(count / (process.usage().cpu_s - before))
+        return round(count / (process.usage().cpu_s - before_s))
+
+
+def _tls_connection_kib(
+    scheduler: Scheduler, connector: TlsConnector, proxy: ProxyProcess, port: int, count: int
+) -> float:
+    before_bytes, clients = proxy.usage().resident_bytes, []
+    for _ in range(count):
+        client = Client(scheduler, ("127.0.0.1", port))
+        client.stream = connector.connect(port)
+        client.open()
+        clients.append(client)
+    kib = round((proxy.usage().resident_bytes - before_bytes) / 1024 / count, 1)
+    for client in clients:
+        client.close()
+    return kib
 
-    def story() -> None:
-        for name, process, at in (("proxy", proxy, port), ("floor", floor, floor_port)):
-            for kind, resume in (("full", False), ("resumed", True)):
-                found[f"handshakes_per_cpu_s_{kind}_{name}"] = shakes(process, at, resume)
-        before, clients = proxy.usage().resident_bytes, []
-        for _ in range(count):
-            client = Client(scheduler, ("127.0.0.1", port))
-            client.stream = shaken(port, None)
-            client.open()
-            clients.append(client)
-        found["kib_per_tls_connection"] = round((proxy.usage().resident_bytes - before) / 1024 / count, 1)
-        for client in clients:
-            client.close()
-
-    run_scenario(scheduler, story, LIMIT)
-    return found
 
+def _send_forged(address: Address, tokens: list[bytes], until: float) -> None:
+    """Sends one forged token after another, each once the previous one is answered, until that Unix time.
 
-def _send_forged(address: tuple[str, int], tokens: list[bytes], until: float) -> None:
-    """Another process: one forged token after another, as fast as they are answered."""
-    at = 0
+    It runs in a process of its own.
+    """
+    number = 0
     while time.time() < until:
-        at += 1
+        number += 1
+        token = tokens[number % len(tokens)]
         try:
-            with socket.create_connection(address, 5.0, (FLOOD_FROM, 0)) as sock:
-                sock.sendall(b"AUTH " + tokens[at % len(tokens)] + b"\r\nOPEN 1 2 c=index-sync,d=500\r\n")
+            with socket.create_connection(address, FLOOD_CONNECT_TIMEOUT_S, (FLOOD_ADDRESS, 0)) as sock:
+                sock.sendall(b"AUTH " + token + b"\r\nOPEN 1 2 c=index-sync,d=500\r\n")
                 sock.recv(100)
         except OSError:
-            time.sleep(0.001)
+            time.sleep(FLOOD_RETRY_DELAY_S)
 
 
-def _flood(issuer: Issuer, proxy: ProxyProcess, setups: int) -> dict[str, Any]:
-    forged = [issuer.forged("old", f"farm-{at}") for at in range(500)]
-    tokens = [issuer.token("old", f"farm-new-{at}") for at in range(setups)]
+def _measure_flood(issuer: Issuer, proxy: ProxyProcess, setups: int) -> dict[str, Any]:
+    """Returns figures of set-ups with valid tokens while other processes send forged ones."""
+    forged = [issuer.forged("old", f"farm-{number}") for number in range(FLOOD_TOKENS)]
+    tokens = [issuer.token("old", f"farm-new-{number}") for number in range(setups)]
     context = multiprocessing.get_context("spawn")
-    args = (proxy.address, forged, time.time() + FLOOD_LIMIT)
-    floods = [context.Process(target=_send_forged, args=args, daemon=True) for _ in range(2)]
+    args = (proxy.address, forged, time.time() + MAX_FLOOD_S)
+    floods = [context.Process(target=_send_forged, args=args, daemon=True) for _ in range(FLOOD_PROCESSES)]
     for flood in floods:
         flood.start()
-    time.sleep(1.5)
+    time.sleep(FLOOD_LEAD_S)
     try:
-        return _latencies("flood", proxy, tokens, setups)
+        return _measure_setups("flood", proxy, tokens, setups)
     finally:
         for flood in floods:
             flood.terminate()
             flood.join()
 
 
-def _rotation(issuer: Issuer, proxy: ProxyProcess, size: int) -> dict[str, Any]:
-    """Two crowds: in the first the new key begins to sign, before the second the old one has retired."""
-    scheduler, rng = Scheduler(), random.Random(7)
-    answers: Counter[tuple[str, str]] = Counter()
-
-    def ask(kind: str, token: bytes, at: float) -> None:
-        scheduler.sleep(at)
-        client = Client(scheduler, proxy.address)
+class Rotation:
+    """A rotation of keys while clients reconnect, half of them with invalid credentials.
+
+    Clients reconnect twice: during the first time the new key begins to sign; before the second the old key
+    is retired.
+    """
+
+    def __init__(self, issuer: Issuer, proxy: ProxyProcess, client_count: int) -> None:
+        self._issuer = issuer
+        self._proxy = proxy
+        self._clients_each_time = client_count // 2
+        self._scheduler = Scheduler()
+        self._rng = random.Random(7)
+        self._answers: Counter[tuple[str, str]] = Counter()  # by kind of credential and first word
+
+    def measure(self) -> dict[str, Any]:
+        """Runs the rotation; returns how many requests had a wrong outcome, by kind."""
+        run_scenario(self._scheduler, self._scenario, MAX_RUN_S)
+        answers = self._answers
+        invalid = {kind.value for kind in InvalidToken}
+        return {
+            "rotation_clients": sum(answers.values()),
+            "valid_failed": answers[VALID, "ERR"],
+            "valid_refused": answers[VALID, "BUSY"],
+            "forged_admitted": sum(answers[kind, "UP"] for kind in invalid),
+            "retired_admitted": answers[RETIRED, "UP"],
+            "unanswered": sum(n for (_, word), n in answers.items() if word in ("none", "closed")),
+        }
+
+    def _scenario(self) -> None:
+        invalid = tuple(kind.value for kind in InvalidToken)
+        store = self._issuer.store
+        self._reconnect(("old", "new"), invalid)
+        self._scheduler.sleep(PROMOTE_DELAY_S)
+        store.write(store.ring().promoted("new", time.time(), KEY_OVERLAP_S))
+        self._wait_for_answers(self._clients_each_time)
+        store.write(store.ring().retired("old", time.time()))
+        self._scheduler.sleep(RETIRE_SETTLE_S)
+        self._reconnect(("new",), (*invalid, RETIRED))
+        self._wait_for_answers(2 * self._clients_each_time)
+
+    def _reconnect(self, valid_keys: tuple[str, ...], invalid: tuple[str, ...]) -> None:
+        """Starts the clients; every other one has an invalid credential, of each kind in turn."""
+        for number in range(self._clients_each_time):
+            kind = VALID if number % 2 else invalid[number // 2 % len(invalid)]
+            kid = "old" if kind == RETIRED else self._rng.choice(valid_keys)
+            token = self._token(kind, kid, f"farm-{number}")
+            delay_s = MIN_RECONNECT_DELAY_S + RECONNECT_SPAN_S * self._rng.random()
+            self._scheduler.spawn(self._request, kind, token, delay_s)
+
+    def _token(self, kind: str, kid: str, subject: str) -> bytes:
+        if kind in (VALID, RETIRED):
+            return self._issuer.token(kid, subject)
+        return self._issuer.invalid(InvalidToken(kind), kid, subject)
+
+    def _request(self, kind: str, token: bytes, delay_s: float) -> None:
+        self._scheduler.sleep(delay_s)
+        client = Client(self._scheduler, self._proxy.address)
         try:
-            client.open(deadline_s=5.0, token=token)
-            answers[kind, "UP"] += 1
+            client.open(DEADLINE_S, token=token)
+            outcome = "UP"
         except NotServedError as error:
-            answers[kind, str(error).partition(" ")[0] or "closed"] += 1
+            outcome = str(error).partition(" ")[0] or "closed"
         except (OSError, TimedOutError):
-            answers[kind, "none"] += 1
+            outcome = "none"
+        self._answers[kind, outcome] += 1
         client.close()
 
-    def crowd(good: tuple[str, ...], bad: tuple[str, ...]) -> None:
-        for at in range(size // 2):
-            kind = "good" if at % 2 else bad[at // 2 % len(bad)]
-            kid = "old" if kind == "retired" else rng.choice(good)
-            subject = f"farm-{at}"
-            fit = kind in ("good", "retired")
-            token = issuer.token(kid, subject) if fit else issuer.bad(kind, kid, subject)
-            scheduler.spawn(ask, kind, token, 0.2 + 2.8 * rng.random())
-
-    def settled(count: int) -> None:
-        while sum(n for (kind, _), n in answers.items() if kind != "probe") < count:
-            scheduler.sleep(0.02)
-
-    def story() -> None:
-        crowd(("old", "new"), BAD)
-        scheduler.sleep(1.5)
-        issuer.store.write(issuer.store.ring().promoted("new", time.time(), 3600.0))
-        settled(size // 2)
-        issuer.store.write(issuer.store.ring().retired("old", time.time()))
-        scheduler.sleep(1.0)
-        crowd(("new",), (*BAD, "retired"))
-        settled(size // 2 * 2)
-
-    run_scenario(scheduler, story, LIMIT)
-    bad = {kind: n for (kind, word), n in answers.items() if kind in BAD and word == "UP"}
-    return {
-        "rotation_clients": sum(answers.values()),
-        "valid_failed": sum(n for (kind, word), n in answers.items() if kind == "good" and word == "ERR"),
-        "valid_refused": sum(n for (kind, word), n in answers.items() if kind == "good" and word == "BUSY"),
-        "forged_admitted": sum(bad.values()),
-        "retired_admitted": answers["retired", "UP"],
-        "unanswered": sum(n for (_, word), n in answers.items() if word in ("none", "closed")),
-    }
+    def _wait_for_answers(self, count: int) -> None:
+        while sum(self._answers.values()) < count:
+            self._scheduler.sleep(CHECK_INTERVAL_S)
--- a/ironmill_testbed/settings.py
+++ b/ironmill_testbed/settings.py
@@ -1,4 +1,4 @@
-"""A proxy's configuration as the laboratory's deployments state it."""
+"""Configurations of the testbed's proxies."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import orjson
 
-Address = tuple[str, int]
+from ironmill.membership.identity import Address, format_address
 
 
 def platform_settings(proxies: int = 1) -> dict[str, Any]:
-    """The settings object: two classes, probes, three attempts, waits told to those turned away."""
+    """Returns settings with two classes, health checks, three attempts and Retry-After."""
     return {
         "balancers": proxies,
         "discovery": "push",
@@ -55,11 +55,11 @@
 def proxy_config(
     name: str, listen: Address, discovery: Address, sockets: int, settings: dict[str, Any]
 ) -> dict[str, Any]:
-    """The configuration file's object of one proxy that knows no server yet."""
+    """Returns the configuration file's object for a proxy that knows no server yet."""
     return {
         "name": name,
-        "listen": f"{listen[0]}:{listen[1]}",
-        "discovery": f"{discovery[0]}:{discovery[1]}",
+        "listen": format_address(listen),
+        "discovery": format_address(discovery),
         "seed": secrets.token_hex(8),
         "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": sockets},
         "known": {"rev": 0, "all": True, "targets": []},
@@ -68,7 +68,7 @@
 
 
 def write_config(folder: Path, value: dict[str, Any]) -> Path:
-    """Write it to a file named after the proxy; the file's path."""
+    """Writes the object to a file named after the proxy; returns its path."""
     path = folder / f"{value['name']}.json"
     path.write_bytes(orjson.dumps(value, option=orjson.OPT_INDENT_2))
     return path
