--- a/ironmill_testbed/__main__.py
+++ b/ironmill_testbed/__main__.py
@@ -54,9 +54,9 @@
 
         return emulate.run(int(words["--hosts"]))
     if words["hollow"]:
-        from ironmill_testbed.faults import hollow
+        from ironmill_testbed.faults import simulated_proxies
 
-        return hollow.run(words["--settings"], int(words["--first"]), int(words["--proxies"]))
+        return simulated_proxies.run(words["--settings"], int(words["--first"]), int(words["--proxies"]))
     if words["floor"]:
         from ironmill_testbed import floors
 
--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -25,7 +25,7 @@
 from ironmill.commands.config import ConfigError, to_position
 from ironmill.distribution.revision import START, Position
 from ironmill_testbed.faults.checker import LoggedEvent
-from ironmill_testbed.faults.hollow import TWINS
+from ironmill_testbed.faults.simulated_proxies import TWINS
 from ironmill_testbed.faults.socket_fleet import LOOK, ORIGIN, Fleet
 from ironmill_testbed.measures.membership import Load
 from ironmill_testbed.processes import Usage
--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -32,9 +32,10 @@
 from ironmill.membership.identity import Address, Datagram, MemberIdentity
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
-from ironmill_testbed.capacity.stories import scaled
-from ironmill_testbed.faults.fleet_world import KEY, FleetWorld, HollowConsumer, Process
+from ironmill_testbed.capacity.scenarios import scaled
+from ironmill_testbed.faults.fleet_process import FleetProcess, SimulatedConsumer
 from ironmill_testbed.faults.memory_store import Disk
+from ironmill_testbed.faults.simulated_fleet import KEY, SimulatedFleet
 
 ENTRIES = (1000, 4000, 16_000, 64_000, 160_000, 640_000)
 ENTRIES_QUICK = (1000, 2000, 4000, 8000, 16_000)
@@ -166,7 +167,7 @@
     origin = _origin(_card("origin", 1), size, timing, [])
     place = Endpoint("origin", origin.identity.address, "z0", "r0")
     context = _context(_card("p", 2), timing, Codec("sim", [KEY]), seed)
-    leaf = ProxyNode(context, [place], HollowConsumer())
+    leaf = ProxyNode(context, [place], SimulatedConsumer())
     rig.put(origin)
     rig.put(leaf)
     while leaf.replica.applied_position == START:
@@ -194,7 +195,7 @@
             ProxyNode(
                 _context(_card(f"p{at:05d}", at + 2), timing, codec, seed * 10_000 + at),
                 places[1:],
-                HollowConsumer(),
+                SimulatedConsumer(),
             )
             for at in range(children)
         ]
@@ -269,7 +270,7 @@
 # Fleets
 
 
-class Clocked(FleetWorld):
+class Clocked(SimulatedFleet):
     """A simulated fleet that counts the CPU of its proxies' state machines."""
 
     proxy_took = 0.0
@@ -277,7 +278,7 @@
     def start(self, name: str, ahead: float = 0.0) -> None:
         """Start it, with a clock around what it does."""
         super().start(name, ahead)
-        process: Process = self.processes[name]
+        process: FleetProcess = self.processes[name]
         if process.role == "subscriber" and process.node is not None:
             node = process.node
             setattr(node, "tick", self._clocked(node.tick))  # noqa: B010
@@ -296,29 +297,29 @@
 def fleet(size: int, quick: bool, seed: int) -> dict[str, float]:
     """What proxies and control send and compute at rest, and how long changes take, one machine each 104."""
     plan = scaled(size, seed=seed)
-    world = Clocked(plan)
-    world.settle(SETTLED + 20.0)  # all have gone home
+    fleet = Clocked(plan)
+    fleet.converge(SETTLED + 20.0)  # all have gone home
     seconds = REST_QUICK if quick else REST
-    proxies = [process.node for process in world.proxies if process.node is not None]
-    everyone = [process.node for process in world.processes.values() if process.node is not None]
+    proxies = [process.node for process in fleet.proxies if process.node is not None]
+    everyone = [process.node for process in fleet.processes.values() if process.node is not None]
     own, sent = sum(node.sent_bytes for node in proxies), sum(node.sent_bytes for node in everyone)
     took: list[float] = []
     for _ in range(seconds):
-        before = world.proxy_took
-        world.run(world.now + 1.0)
-        took.append(world.proxy_took - before)
+        before = fleet.proxy_took
+        fleet.run(fleet.now + 1.0)
+        took.append(fleet.proxy_took - before)
     found = {
         "subscriber_rest_bytes": (sum(node.sent_bytes for node in proxies) - own) / seconds / size,
         "subscriber_rest_cpu": statistics.median(took) / size,
         "control_rest_bytes": (sum(node.sent_bytes for node in everyone) - sent) / seconds,
     }
     for at in range(REVISIONS_QUICK if quick else REVISIONS):
-        world.push({f"shard/{at:06d}": value_of(at + 7)})
-        world.run(world.now + 0.5)
-    world.run(world.now + 3.0)
-    if world.watch.lost():
-        raise RuntimeError(f"changes were lost: {world.watch.broken}")
-    latencies = sorted(world.watch.latencies)
+        fleet.push({f"shard/{at:06d}": value_of(at + 7)})
+        fleet.run(fleet.now + 0.5)
+    fleet.run(fleet.now + 3.0)
+    if fleet.observer.lost():
+        raise RuntimeError(f"changes were lost: {fleet.observer.broken}")
+    latencies = sorted(fleet.observer.latencies)
     found["change_latency_p99"] = latencies[int(0.99 * len(latencies))]
     return found
 
--- /dev/null
+++ b/ironmill_testbed/faults/fleet_observer.py
@@ -0,0 +1,323 @@
+"""Checks the guarantees of distribution while a simulated fleet runs.
+
+A proxy is reachable if it runs, is not paused, and has links both ways to a relay that has links both ways to
+a running origin.
+"""
+
+from __future__ import annotations
+
+import math
+from array import array
+from collections.abc import Callable, Sequence
+from typing import Any, Protocol
+
+from msgspec import Struct
+
+from ironmill.distribution.events import (
+    Event,
+    ParentChanged,
+    RevisionApplied,
+    RevisionFullyApplied,
+    RevisionRejected,
+    WriterSuperseded,
+)
+from ironmill.distribution.node import Node
+from ironmill.distribution.origin import Origin
+from ironmill.distribution.proxy_node import ProxyNode
+from ironmill.distribution.relay import Relay
+from ironmill.distribution.replica import Replica
+from ironmill.distribution.revision import START, Position
+from ironmill.net.distribution_log import log_line
+from ironmill_testbed.faults.fleet_links import FleetLinks
+from ironmill_testbed.faults.fleet_process import FleetProcess
+from ironmill_testbed.faults.fleet_traffic import TrafficMeter
+from ironmill_testbed.faults.memory_store import Disk
+
+MAX_STALENESS_DETECTION_S = 5.0  # without contact, until a proxy reports itself as stale
+MAX_CATCH_UP_S = 3.0  # of contact, until a proxy has applied the latest position
+MAX_EXAMPLES = 20  # of broken guarantees
+
+
+class ObservedFleet(Protocol):
+    """What an observer needs of a fleet."""
+
+    now: float
+    processes: dict[str, FleetProcess]
+    proxies: list[FleetProcess]
+    relays: list[FleetProcess]
+    links: FleetLinks
+    disk: Disk
+
+    def at(self, time: float, action: Callable[..., None], *args: Any) -> None:
+        """Schedules an action."""
+
+    def is_running(self, process: FleetProcess) -> bool:
+        """Returns True if the process exists and is not paused."""
+
+
+class ObservedProcess(Struct):
+    """What is known of one process of the fleet."""
+
+    applied_position: Position = START  # of this incarnation
+    highest_position: Position = START  # of all its incarnations
+    reachable_since: float = math.inf  # infinite while it is unreachable
+    cut_since: float = math.inf  # infinite while it is reachable
+    target: Position | None = None  # to be applied within MAX_CATCH_UP_S of contact
+    orphan_since: float = math.inf
+    is_rejecting: bool = False
+
+
+class FleetObserver:
+    """Listens to the events of a fleet, and counts broken guarantees."""
+
+    def __init__(self, fleet: ObservedFleet) -> None:
+        """The fleet's processes must exist, and none has been started yet."""
+        self._fleet = fleet
+        self.traffic = TrafficMeter(fleet.processes)
+        self.processes = {name: ObservedProcess() for name in fleet.processes}
+        self.pushed_at: dict[int, tuple[float, Position]] = {}  # by number
+        self.digests: dict[Position, int] = {}
+        self.latest_position = START
+        self.latencies = array("d")
+        self.catch_ups = array("d")
+        self.reattached = array("d")
+        self.older_after_newer = 0
+        self.older_after_restart = 0
+        self.partially_applied = 0
+        self.stale_unnoticed = 0
+        self.false_fully_applied = 0
+        self.rejected = 0
+        self.superseded = 0
+        self.fully_applied: dict[Position, float] = {}  # seconds since the push
+        self.counts: dict[str, int] = {}  # of events, by their name in the log
+        self.broken: list[str] = []
+
+    # What the fleet reports
+
+    def on_started(self, process: FleetProcess) -> None:
+        """Takes the start of a process, which has no configuration yet."""
+        highest_position = self.processes[process.name].highest_position
+        self.processes[process.name] = ObservedProcess(highest_position=highest_position)
+        self.traffic.reset(process.name)
+
+    def on_state_set(self, position: Position) -> None:
+        """Takes that all running processes begin with this position."""
+        for name, process in self._fleet.processes.items():
+            if process.node is not None:
+                observed = self.processes[name]
+                observed.applied_position = position
+                observed.highest_position = position
+                observed.target = None
+
+    def on_ended(self, process: FleetProcess) -> None:
+        """Takes the end of a process."""
+        observed = self.processes[process.name]
+        observed.reachable_since = math.inf
+        observed.cut_since = math.inf
+        observed.orphan_since = math.inf
+        observed.target = None
+        if process.role == "relay":
+            for proxy in self._fleet.proxies:
+                if _parent_name(proxy) == process.name:
+                    self.processes[proxy.name].orphan_since = self._fleet.now
+        if process.role != "subscriber":
+            self.update_reachability()
+
+    def on_origin_opened(self, replica: Replica) -> None:
+        """Takes what an origin begins with."""
+        self.latest_position = replica.received_position
+        self.digests[replica.received_position] = replica.digest
+
+    def on_pushed(self, position: Position, digest: int) -> None:
+        """Takes a position that an origin has returned for a push."""
+        if position in self.digests:
+            return  # a repeated ticket
+        self.latest_position = position
+        self.digests[position] = digest
+        self.pushed_at[position.number] = self._fleet.now, position
+
+    def update_reachability(self, only: FleetProcess | None = None) -> None:
+        """Determines which proxies are reachable: one, or all."""
+        relays = self._connected_relays()
+        proxies = self._fleet.proxies if only is None or only.role != "subscriber" else [only]
+        for proxy in proxies:
+            if proxy.node is None:
+                continue
+            is_running = self._fleet.is_running(proxy)
+            if is_running and any(self._has_link(proxy.name, relay.name) for relay in relays):
+                self._mark_reachable(proxy)
+            else:
+                self._mark_unreachable(proxy, proxy.node, is_running=is_running)
+
+    def _connected_relays(self) -> Sequence[FleetProcess]:
+        fleet = self._fleet
+        origins = [
+            process
+            for process in fleet.processes.values()
+            if process.role == "origin"
+            and fleet.is_running(process)
+            and isinstance(process.node, Origin)
+            and not process.node.publisher.is_stopped
+        ]
+        return [
+            relay
+            for relay in fleet.relays
+            if fleet.is_running(relay) and any(self._has_link(relay.name, origin.name) for origin in origins)
+        ]
+
+    def _mark_reachable(self, proxy: FleetProcess) -> None:
+        observed = self.processes[proxy.name]
+        observed.cut_since = math.inf
+        if observed.reachable_since == math.inf:
+            observed.reachable_since = self._fleet.now
+            is_behind = observed.applied_position < self.latest_position
+            observed.target = self.latest_position if is_behind else None
+
+    def _mark_unreachable(self, proxy: FleetProcess, node: Node, *, is_running: bool) -> None:
+        observed, now = self.processes[proxy.name], self._fleet.now
+        observed.reachable_since = math.inf
+        observed.target = None
+        if not is_running:
+            observed.cut_since = math.inf  # it cannot report anything
+        elif observed.cut_since == math.inf:
+            observed.cut_since = now
+            self._fleet.at(now + MAX_STALENESS_DETECTION_S, self._check_staleness, proxy, node, now)
+
+    def _has_link(self, name: str, other: str) -> bool:
+        now, links = self._fleet.now, self._fleet.links
+        return not links.is_cut(now, name, other) and not links.is_cut(now, other, name)
+
+    def _check_staleness(self, process: FleetProcess, node: Node, since: float) -> None:
+        if process.node is node and self.processes[process.name].cut_since == since:
+            assert isinstance(node, ProxyNode)
+            if not node.subscriber.freshness.is_stale:
+                self.stale_unnoticed += 1
+                self._record_broken(f"{process.name} has not reported itself as stale")
+
+    # Events of nodes
+
+    def on_event(self, process: FleetProcess, event: Event) -> None:
+        """Takes an event of a process."""
+        name = log_line(event).name
+        self.counts[name] = self.counts.get(name, 0) + 1
+        match event:
+            case RevisionApplied():
+                self._on_applied(process, event)
+            case ParentChanged():
+                self._on_parent_changed(process)
+            case RevisionRejected():
+                self.rejected += 1
+                self.processes[process.name].is_rejecting = True
+            case WriterSuperseded():
+                self.superseded += 1
+                self.update_reachability()
+            case RevisionFullyApplied():
+                self._on_fully_applied(event)
+
+    def _on_parent_changed(self, process: FleetProcess) -> None:
+        if process.role != "subscriber":
+            return
+        observed = self.processes[process.name]
+        if observed.orphan_since < math.inf and observed.reachable_since < math.inf:
+            self.reattached.append(self._fleet.now - observed.orphan_since)
+        observed.orphan_since = math.inf
+
+    def _on_applied(self, process: FleetProcess, event: RevisionApplied) -> None:
+        observed, position = self.processes[process.name], event.position
+        previous = observed.applied_position
+        observed.applied_position = position
+        observed.is_rejecting = False
+        if position <= previous:
+            self.older_after_newer += 1
+            self._record_broken(f"{process.name}: {position} after {previous}")
+        if position < observed.highest_position and process.role != "origin":
+            self.older_after_restart += 1
+        observed.highest_position = max(observed.highest_position, position)
+        if process.role == "origin":
+            return
+        self._check_state(process, event)
+        if process.role == "subscriber":
+            self._record_latencies(observed, previous)
+
+    def _check_state(self, process: FleetProcess, event: RevisionApplied) -> None:
+        """Checks that the keyspace is the one that the origin had at the position."""
+        node = process.node
+        assert isinstance(node, ProxyNode | Relay)
+        if not self.digests.get(event.position) == event.digest == node.replica.keyspace.digest:
+            self.partially_applied += 1
+            self._record_broken(f"{process.name}: at {event.position} it is not what the origin has there")
+
+    def _record_latencies(self, observed: ObservedProcess, previous: Position) -> None:
+        now, position = self._fleet.now, observed.applied_position
+        if observed.target is not None and position >= observed.target:
+            observed.target = None
+            self.catch_ups.append(now - observed.reachable_since)
+        for number in range(previous.number + 1, position.number + 1):
+            pushed_at, _ = self.pushed_at.get(number, (-math.inf, START))
+            if pushed_at >= observed.reachable_since:
+                self.latencies.append(now - pushed_at)
+
+    def _on_fully_applied(self, event: RevisionFullyApplied) -> None:
+        position = event.position
+        self.fully_applied[position] = round(event.elapsed_s, 3)
+        for proxy in self._fleet.proxies:
+            applied_position = self.processes[proxy.name].applied_position
+            if proxy.node is not None and START < applied_position < position:
+                self.false_fully_applied += 1
+                self._record_broken(
+                    f"{position} is not applied at {proxy.name}, which has {applied_position}"
+                )
+
+    def _record_broken(self, text: str) -> None:
+        if len(self.broken) < MAX_EXAMPLES:
+            self.broken.append(f"{self._fleet.now:.3f} s: {text}")
+
+    # At the end
+
+    def lost(self) -> int:
+        """Counts changes that reachable proxies have not applied within ``MAX_CATCH_UP_S``."""
+        due_by, count = self._fleet.now - MAX_CATCH_UP_S, 0
+        for proxy in self._fleet.proxies:
+            observed = self.processes[proxy.name]
+            if proxy.node is None or observed.reachable_since > due_by or observed.is_rejecting:
+                continue
+            numbers = range(observed.applied_position.number + 1, self.latest_position.number + 1)
+            overdue = [
+                number for number in numbers if self.pushed_at.get(number, (-math.inf, START))[0] <= due_by
+            ]
+            if overdue:
+                count += len(overdue)
+                self._record_broken(f"{proxy.name}: {observed.applied_position} of {self.latest_position}")
+        return count
+
+    def differing(self) -> int:
+        """Counts proxies at the latest position whose keys and values are not those of the store."""
+        disk, count = self._fleet.disk, 0
+        for proxy in self._fleet.proxies:
+            node = proxy.node
+            if not isinstance(node, ProxyNode):
+                continue
+            if self.processes[proxy.name].applied_position != disk.position:
+                continue
+            if dict(node.replica.keyspace.entries()) != disk.values:
+                count += 1
+                self._record_broken(f"{proxy.name}: its keys are not those of the store")
+        return count
+
+    # Traffic
+
+    def measure_traffic(self) -> None:
+        """Measures the traffic of each second from now on."""
+        self.traffic.begin()
+        self._fleet.at(self._fleet.now + 1.0, self._measure_second)
+
+    def _measure_second(self) -> None:
+        self.traffic.measure()
+        self._fleet.at(self._fleet.now + 1.0, self._measure_second)
+
+
+def _parent_name(proxy: FleetProcess) -> str:
+    node = proxy.node
+    if not isinstance(node, ProxyNode) or node.subscriber.parent is None:
+        return ""
+    return node.subscriber.parent.endpoint.name
--- a/ironmill_testbed/faults/memory_store.py
+++ b/ironmill_testbed/faults/memory_store.py
@@ -23,7 +23,7 @@
         self.values: dict[str, bytes] = {}
         self.kept: list[tuple[StoredRevision, Changes]] = []  # with what its keys had before
         self.tickets: dict[str, Position] = {}
-        self.trouble: Literal["", "fails", "full"] = ""
+        self.failure: Literal["", "fails", "full"] = ""
         self._keep = keep
 
     def fill(self, values: dict[str, bytes]) -> None:
@@ -72,8 +72,8 @@
 
     def commit(self, changes: Changes, metadata: RevisionMetadata) -> Position:
         """Keep the changes as the next revision; FencedError, StoreError."""
-        if self._disk.trouble:
-            raise StoreError(f"the store cannot be written: the disk {self._disk.trouble}")
+        if self._disk.failure:
+            raise StoreError(f"the store cannot be written: the disk {self._disk.failure}")
         if self.fenced():
             raise FencedError(f"epoch {self.epoch} is over")
         before = self.committed(metadata.ticket)
@@ -109,6 +109,6 @@
 
     def observe(self, epoch: int) -> None:
         """The next opening takes a higher one; StoreError."""
-        if self._disk.trouble:
-            raise StoreError(f"the store cannot be written: the disk {self._disk.trouble}")
+        if self._disk.failure:
+            raise StoreError(f"the store cannot be written: the disk {self._disk.failure}")
         self._disk.observed = max(self._disk.observed, epoch)
--- /dev/null
+++ b/ironmill_testbed/faults/simulated_fleet.py
@@ -0,0 +1,292 @@
+"""A fleet of distribution on a virtual clock: origin, relays and simulated proxies in zones and regions.
+
+It runs the program's state machines without sockets and without clients. Faults are those of ``schedule``;
+beside names of processes they take groups: ``zone:Z``, ``region:R``, ``control``, ``relays``, ``proxies``.
+``fleet_observer`` checks the guarantees of distribution while the fleet runs.
+"""
+
+from __future__ import annotations
+
+import heapq
+import random
+from collections.abc import Callable, Sequence
+from functools import partial
+from typing import Any
+
+from msgspec import Struct
+
+from ironmill.distribution.changes import Changes
+from ironmill.distribution.codec import Codec
+from ironmill.distribution.events import Event
+from ironmill.distribution.keyspace import Keyspace
+from ironmill.distribution.link import NodeContext
+from ironmill.distribution.messages import Endpoint
+from ironmill.distribution.node import Node
+from ironmill.distribution.origin import Origin
+from ironmill.distribution.proxy_node import ProxyNode
+from ironmill.distribution.relay import Relay
+from ironmill.distribution.revision import Position, Rejection, RevisionMetadata
+from ironmill.distribution.timing import TICK_INTERVAL_S, Timing
+from ironmill.membership.identity import Address, Datagram, MemberIdentity
+from ironmill_testbed.faults.fleet_links import FleetLinks
+from ironmill_testbed.faults.fleet_observer import FleetObserver
+from ironmill_testbed.faults.fleet_process import FleetProcess
+from ironmill_testbed.faults.memory_store import Disk
+from ironmill_testbed.faults.schedule import Fault
+
+KEY = b"a key of the simulated cluster.."
+START_TIME = 1_700_000_000.0  # Unix time at the start of a scenario
+ORIGIN, STANDBY_ORIGIN = "origin", "origin-b"
+PORT = 7100
+START_WINDOW_S = 0.2  # over which all processes start
+RESUME_DELAY_S = 0.001  # from the end of a pause to the next tick
+
+
+class Plan(Struct, frozen=True):
+    """Size of a fleet, and of the configuration that it begins with."""
+
+    proxies: int = 60
+    control: int = 6  # the origin among them
+    regions: int = 5
+    zones: int = 11
+    entries: int = 300  # keys of the keyspace
+    standby: bool = True  # relays know a second control machine that may become the origin
+    seed: int = 1
+
+
+class SimulatedFleet:
+    """Processes, links and the clock."""
+
+    def __init__(
+        self, plan: Plan, faults: Sequence[Fault] = (), timing: Timing | None = None, disk: Disk | None = None
+    ) -> None:
+        """Makes processes that do not run yet: ``converge`` or ``start_all`` starts them."""
+        self.plan = plan
+        self.now = 0.0
+        self.datagrams = 0
+        self.timing = timing or Timing()
+        self.disk = disk or Disk()
+        self.links = FleetLinks(faults, plan.seed)
+        self.processes: dict[str, FleetProcess] = {}
+        self.check: Callable[[Changes], Rejection | None] = lambda changes: None
+        self._by_address: dict[Address, FleetProcess] = {}
+        self._rng = random.Random(plan.seed)
+        self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._serial = 0
+        self._codec = Codec("sim", [KEY])
+        self._add_control_machines()
+        endpoints = [
+            Endpoint(process.name, process.address, process.zone, process.region)
+            for process in self.processes.values()
+        ]
+        self._origins = [endpoint for endpoint in endpoints if endpoint.name in (ORIGIN, STANDBY_ORIGIN)]
+        self._relays = [endpoint for endpoint in endpoints if endpoint not in self._origins]
+        for index in range(plan.proxies):
+            self._add(f"p{index:05d}", "subscriber", index, ("proxies",))
+        self.relays = [process for process in self.processes.values() if process.role == "relay"]
+        self.proxies = [process for process in self.processes.values() if process.role == "subscriber"]
+        self.observer = FleetObserver(self)
+        self._schedule(faults)
+
+    def _add_control_machines(self) -> None:
+        self._add(ORIGIN, "origin", 0, ("control",))
+        for index in range(1, self.plan.control):
+            self._add(f"c{index:02d}", "relay", index, ("control", "relays"))
+        if self.plan.standby:
+            self._add(STANDBY_ORIGIN, "origin", 1, ("control",))
+
+    def _add(self, name: str, role: str, index: int, groups: Sequence[str]) -> None:
+        number = len(self.processes)
+        zone = index % self.plan.zones
+        address = (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", PORT)
+        process = FleetProcess(name, role, f"z{zone}", f"r{zone % self.plan.regions}", address)
+        self.processes[name] = process
+        self._by_address[address] = process
+        self.links.place(name, process.zone, process.region, groups)
+
+    def _schedule(self, faults: Sequence[Fault]) -> None:
+        for fault in faults:
+            for name in self.names(fault.names):
+                if fault.kind == "pause":
+                    self.at(fault.start, self.pause, name, fault.end)
+                elif fault.kind == "kill":
+                    self.at(fault.start, self.kill, name)
+                elif fault.kind == "start":
+                    self.at(fault.start, self.start, name)
+            if fault.kind == "cut":
+                self.at(fault.start, self.observer.update_reachability)
+                if fault.end < float("inf"):
+                    self.at(fault.end, self.observer.update_reachability)
+
+    def names(self, groups: Sequence[str]) -> list[str]:
+        """Returns the processes of these names and groups. The standby origin must be named itself."""
+        wanted = set(groups)
+        return [
+            name
+            for name in self.processes
+            if name in wanted or (name != STANDBY_ORIGIN and not wanted.isdisjoint(self.links.labels(name)))
+        ]
+
+    # The scenario
+
+    def at(self, time: float, action: Callable[..., None], *args: Any) -> None:
+        """Schedules an action."""
+        self._serial += 1
+        heapq.heappush(self._heap, (time, self._serial, action, args))
+
+    def run(self, until: float) -> None:
+        """Advances the clock, and does what is due."""
+        heap = self._heap
+        while heap and heap[0][0] <= until:
+            self.now, _, action, args = heapq.heappop(heap)
+            action(*args)
+        self.now = until
+
+    def start(self, name: str, clock_offset_s: float = 0.0) -> None:
+        """Starts or restarts a process, with its wall clock off by so much. An origin opens its store."""
+        process = self.processes[name]
+        process.starts += 1
+        incarnation = int((START_TIME + clock_offset_s + self.now) * 1000.0) + process.starts
+        identity = MemberIdentity(name, *process.address, process.zone, process.region, incarnation)
+        process.kernel_queue.clear()
+        process.paused_until = 0.0
+        process.received_bytes = 0
+        context = NodeContext(
+            identity=identity,
+            codec=self._codec,
+            timing=self.timing,
+            rng=random.Random(self._rng.random()),
+            now=self.now,
+            on_event=partial(self._on_event, process),
+        )
+        self.observer.on_started(process)
+        process.node = self._make_node(process, context)
+        self.observer.update_reachability(process)
+        self.at(self.now + TICK_INTERVAL_S * self._rng.random(), self._tick, process, process.node)
+
+    def _make_node(self, process: FleetProcess, context: NodeContext) -> Node:
+        if process.role == "subscriber":
+            return ProxyNode(context, self._relays, process.consumer)
+        if process.role == "relay":
+            controls = (*self._origins, *self._relays)
+            peers = [endpoint for endpoint in controls if endpoint.name != process.name]
+            return Relay(context, self._origins, peers)
+        origin = Origin(context, self.disk.open(), self._relays, lambda changes: self.check(changes))
+        self.observer.on_origin_opened(origin.replica)
+        return origin
+
+    def _on_event(self, process: FleetProcess, event: Event) -> None:
+        self.observer.on_event(process, event)
+
+    def start_all(self, window_s: float = START_WINDOW_S) -> None:
+        """Starts all but the standby origin, without configuration, at random times within the window."""
+        self.disk.fill(_shard_entries(self.plan.entries))
+        for name in self.processes:
+            if name != STANDBY_ORIGIN:
+                self.at(self.now + window_s * self._rng.random(), self.start, name)
+
+    def converge(self, seconds: float = 6.0) -> None:
+        """Starts all but the standby origin, with the latest configuration, and runs for some time."""
+        self.disk.fill(_shard_entries(self.plan.entries))
+        for name in self.processes:
+            if name != STANDBY_ORIGIN:
+                self.start(name)
+        replica = self.origin.replica
+        for process in self.processes.values():
+            if process.node is not None and process.name != ORIGIN:
+                _set_state(process.node, replica.keyspace, replica.received_position, self.disk.lineage)
+        self.observer.on_state_set(replica.received_position)
+        self.run(self.now + seconds)
+
+    def kill(self, name: str) -> None:
+        """Ends a process without its last messages."""
+        process = self.processes[name]
+        if process.node is not None:
+            process.node = None
+            self.observer.on_ended(process)
+
+    def leave(self, name: str) -> None:
+        """Shuts a process down gracefully."""
+        process = self.processes[name]
+        if process.node is not None:
+            self._send(process, process.node.leave(self.now))
+            process.node = None
+            self.observer.on_ended(process)
+
+    def pause(self, name: str, until: float) -> None:
+        """Stops a process from running, as SIGSTOP does."""
+        process = self.processes[name]
+        process.paused_until = until
+        self.observer.update_reachability(process)
+        self.at(until, self.observer.update_reachability, process)
+
+    def push(self, changes: Changes, ticket: str = "", origin: str = ORIGIN) -> Position:
+        """Pushes changes to an origin. Raises what ``Origin.push`` raises."""
+        process = self.processes[origin]
+        node = process.node
+        assert isinstance(node, Origin)
+        ticket = ticket or f"t{self.now}-{self._serial}"
+        self._serial += 1
+        metadata = RevisionMetadata(START_TIME + self.now, "scenario", "", ticket)
+        position = node.push(changes, metadata, self.now)
+        self.observer.on_pushed(position, node.replica.digest)
+        self._send(process, node.flush())
+        return position
+
+    @property
+    def origin(self) -> Origin:
+        """The first origin, which must be running."""
+        node = self.processes[ORIGIN].node
+        assert isinstance(node, Origin)
+        return node
+
+    def is_running(self, process: FleetProcess) -> bool:
+        """Returns True if the process exists and is not paused."""
+        return process.node is not None and self.now >= process.paused_until
+
+    # The network
+
+    def _tick(self, process: FleetProcess, node: Node) -> None:
+        if process.node is not node:
+            return  # the process has been replaced
+        if self.now < process.paused_until:
+            self.at(process.paused_until + RESUME_DELAY_S, self._tick, process, node)
+            return
+        self._send(process, node.tick(self.now))
+        while process.kernel_queue:
+            data, source = process.kernel_queue.popleft()
+            self._send(process, node.receive(data, source, self.now))
+        self.at(self.now + TICK_INTERVAL_S, self._tick, process, node)
+
+    def _send(self, process: FleetProcess, datagrams: list[Datagram]) -> None:
+        for address, data in datagrams:
+            self.datagrams += 1
+            target = self._by_address.get(address)
+            if target is None:
+                continue
+            for delay, copy in self.links.deliver(self.now, process.name, target.name, data):
+                self.at(self.now + delay, self._arrive, target, copy, process.address)
+
+    def _arrive(self, process: FleetProcess, data: bytes, source: Address) -> None:
+        if process.node is None:
+            return
+        process.received_bytes += len(data)
+        if self.now < process.paused_until:
+            process.kernel_queue.append((data, source))
+            return
+        self._send(process, process.node.receive(data, source, self.now))
+
+
+def _shard_entries(count: int) -> dict[str, bytes]:
+    return {f"shard/{index:06d}": b"server-%05d" % (index % 90) for index in range(count)}
+
+
+def _set_state(node: Node, keyspace: Keyspace, position: Position, lineage: int) -> None:
+    """Makes a node begin with a copy of the keyspace, as if it had received it."""
+    assert isinstance(node, ProxyNode | Relay)
+    replica = node.replica
+    replica.keyspace = keyspace.copy()
+    replica.received_position = position
+    replica.applied_position = position
+    replica.digest = keyspace.digest
+    replica.lineage = lineage
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -18,7 +18,7 @@
 from ironmill.distribution.revision import Position
 from ironmill.membership.identity import format_address
 from ironmill_testbed.faults.checker import LoggedEvent, read_logs
-from ironmill_testbed.faults.hollow import region, zone
+from ironmill_testbed.faults.simulated_proxies import region, zone
 from ironmill_testbed.processes import CommandedProcess, Neighbours, Process, ProxyProcess, Usage, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
--- a/ironmill_testbed/measures/scale.py
+++ b/ironmill_testbed/measures/scale.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironmill_testbed.capacity import data, on_sockets, stories, sweep_distribution, sweeps
+from ironmill_testbed.capacity import data, on_sockets, scenarios, sweep_distribution, sweeps
 
 QUICK_STORIES = ("zone", "storm", "loss")
 QUICK_SWEEPS = (  # of what was there before, the others are those of distribution
@@ -56,15 +56,15 @@
 
 
 def _stories(quick: bool) -> dict[str, dict[str, Any]]:
-    names = QUICK_STORIES if quick else tuple(stories.STORIES)
+    names = QUICK_STORIES if quick else tuple(scenarios.SCENARIOS)
     found: dict[str, dict[str, Any]] = {}
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(WORKERS, context, max_tasks_per_child=1) as pool:
-        tasks = {name: pool.submit(stories.play, name, stories.FULL, quick) for name in names}
+        tasks = {name: pool.submit(scenarios.play, name, scenarios.FULL_PLAN, quick) for name in names}
         for name, task in tasks.items():
             found[name] = task.result(LIMIT)
             print(f"{name}:", *(f"{key} {value}" for key, value in found[name].items()), sep="\n  ")
-            for line in stories.broken(found[name]):
+            for line in scenarios.broken(found[name]):
                 print(f"NOT KEPT: {name}: {line}")
             sys.stdout.flush()
     return found
@@ -100,7 +100,7 @@
     found["peak_memory_mb"] = _of(max, [one.get("peak_memory_mb") for one in every])
     found["stories"] = sorted(played)
     found["not_kept"] = sorted(
-        f"{name}: {line}" for name, one in played.items() for line in stories.broken(dict(one))
+        f"{name}: {line}" for name, one in played.items() for line in scenarios.broken(dict(one))
     )
     return found
 
--- a/tests/system/test_distribution_processes.py
+++ b/tests/system/test_distribution_processes.py
@@ -17,7 +17,7 @@
 
 from ironmill.membership.identity import format_address
 from ironmill_testbed.faults.checker import LoggedEvent
-from ironmill_testbed.faults.control_town import ORIGIN, ControlPlaneCluster, Form
+from ironmill_testbed.faults.control_plane_cluster import ORIGIN, ControlPlaneCluster, Form
 from ironmill_testbed.faults.schedule import Fault, both_ways
 from ironmill_testbed.measures.membership import Load
 
--- a/tests/system/test_simulated_proxies.py
+++ b/tests/system/test_simulated_proxies.py
@@ -18,7 +18,7 @@
 from ironmill_testbed import processes
 from ironmill_testbed.capacity import on_sockets
 from ironmill_testbed.faults.checker import LoggedEvent
-from ironmill_testbed.faults.hollow import TWINS, Taker, Tally, region, zone
+from ironmill_testbed.faults.simulated_proxies import TWINS, Taker, Tally, region, zone
 from ironmill_testbed.faults.socket_fleet import Fleet
 from ironmill_testbed.processes import CommandedProcess
 
--- a/tests/unit/distribution/keyspaces.py
+++ b/tests/unit/distribution/keyspaces.py
@@ -14,7 +14,7 @@
 CHANGES = st.dictionaries(KEYS, st.none() | VALUES, min_size=1, max_size=30)
 
 
-def whole(values: Mapping[str, bytes]) -> Keyspace:
+def keyspace_of(values: Mapping[str, bytes]) -> Keyspace:
     keyspace = Keyspace()
     for key, value in values.items():
         keyspace.put(key, value)
--- a/tests/unit/distribution/test_catch_up.py
+++ b/tests/unit/distribution/test_catch_up.py
@@ -19,15 +19,15 @@
 )
 from ironmill.distribution.revision import Delta, Position
 from ironmill.distribution.timing import Timing
-from ironmill_testbed.faults.fleet_world import FleetWorld, Plan
-from tests.unit.distribution.keyspaces import whole
+from ironmill_testbed.faults.simulated_fleet import Plan, SimulatedFleet
+from tests.unit.distribution.keyspaces import keyspace_of
 
 
 class Parent:
-    """The state that a parent has at any moment."""
+    """A parent's keyspace, and its answers."""
 
     def __init__(self, values: Mapping[str, bytes]) -> None:
-        self.keyspace = whole(values)
+        self.keyspace = keyspace_of(values)
         self.position = Position(1, 1)
 
     def change(self, changes: Changes) -> Delta:
@@ -53,10 +53,10 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_catch_up_yields_one_state_despite_lost_duplicated_and_late_answers(seed: int) -> None:
-    """Changes, a change of parent, and answers in any order; what comes out is the parent's state, whole."""
+    """Changes, another parent and answers in any order: the result is a state that the parent had."""
     rng = random.Random(seed)
     parent = Parent(VALUES_OF)
-    old = whole({f"shard/{at}": b"old" for at in range(0, 900 if seed % 2 else 3, 2)})
+    old = keyspace_of({f"shard/{at}": b"old" for at in range(0, 900 if seed % 2 else 3, 2)})
     catch_up = CatchUp(old, 1e6, 0.0)
     now, late, pushes = 0.0, list[DigestResponse | EntriesResponse](), list[Delta]()
     states = {parent.position: dict(parent.keyspace.entries())}
@@ -75,7 +75,7 @@
             key = f"shard/{rng.randrange(950)}"
             pushes.append(parent.change({key: rng.choice([None, b"new" * rng.randrange(9)])}))
             states[parent.position] = dict(parent.keyspace.entries())
-        for delta in pushes:  # sent again until it is held
+        for delta in pushes:  # sent again until it is received
             if rng.random() > 0.2:
                 catch_up.on_delta(delta)
         if turn == 15:
@@ -118,29 +118,29 @@
 def test_small_answers_are_charged_at_their_actual_size() -> None:
     """Prevents a whole zone that restarts from waiting for a rate that it does not use."""
     plan = Plan(proxies=40, control=2, entries=300, standby=False)
-    world = FleetWorld(plan, timing=Timing(serve_bytes_per_s=1 << 20))
-    world.settle()
-    for process in world.proxies:
-        world.kill(process.name)
-    world.run(world.now + 2.0)
-    for process in world.proxies:
-        world.start(process.name)
-    world.run(world.now + 10.0)
-    assert len(world.watch.catch_ups) == 40
-    assert max(world.watch.catch_ups) < 3.0
+    fleet = SimulatedFleet(plan, timing=Timing(serve_bytes_per_s=1 << 20))
+    fleet.converge()
+    for process in fleet.proxies:
+        fleet.kill(process.name)
+    fleet.run(fleet.now + 2.0)
+    for process in fleet.proxies:
+        fleet.start(process.name)
+    fleet.run(fleet.now + 10.0)
+    assert len(fleet.observer.catch_ups) == 40
+    assert max(fleet.observer.catch_ups) < 3.0
 
 
 def received_by_a_cold_start(regions: int, entries: int) -> tuple[int, int]:
     """Bytes of datagrams, and of the keys and values in them."""
     plan = Plan(proxies=1, control=2, regions=regions, entries=entries, standby=False)
-    world = FleetWorld(plan)
-    world.settle()
-    world.kill("p00000")
-    world.run(world.now + 2.0)
-    world.start("p00000")
-    world.run(world.now + 5.0)
-    assert len(world.watch.catch_ups) == 1
-    return world.processes["p00000"].received_bytes, world.origin.replica.keyspace.size
+    fleet = SimulatedFleet(plan)
+    fleet.converge()
+    fleet.kill("p00000")
+    fleet.run(fleet.now + 2.0)
+    fleet.start("p00000")
+    fleet.run(fleet.now + 5.0)
+    assert len(fleet.observer.catch_ups) == 1
+    return fleet.processes["p00000"].received_bytes, fleet.origin.replica.keyspace.size
 
 
 def test_first_start_with_few_keys_needs_few_answers() -> None:
@@ -150,6 +150,6 @@
 
 
 def test_requests_to_another_region_are_not_repeated_within_the_round_trip() -> None:
-    """A question was sent again after 0.15 s, which is less than there and back: each page came twice."""
+    """A retry within the round-trip time would fetch each answer twice."""
     received, size = received_by_a_cold_start(5, 3000)
     assert received < 1.5 * size
--- a/tests/unit/distribution/test_failing_store.py
+++ b/tests/unit/distribution/test_failing_store.py
@@ -1,4 +1,4 @@
-"""An origin whose store fails: it goes on answering, and refuses changes clearly."""
+"""An origin whose store fails: it stays available, and rejects changes."""
 
 from __future__ import annotations
 
@@ -9,75 +9,78 @@
 from ironmill.distribution.errors import StoreError
 from ironmill.distribution.events import Event, StoreFailing
 from ironmill.distribution.revision import Position
-from ironmill_testbed.faults.fleet_world import FleetWorld, Plan, Process
+from ironmill_testbed.faults.fleet_process import FleetProcess
+from ironmill_testbed.faults.simulated_fleet import Plan, SimulatedFleet
 
 PLAN = Plan(proxies=4, control=3, entries=20)
 
 
-def settled() -> tuple[FleetWorld, list[Event]]:
-    world = FleetWorld(PLAN)
+def converged_fleet() -> tuple[SimulatedFleet, list[Event]]:
+    fleet = SimulatedFleet(PLAN)
     events: list[Event] = []
-    inner = world.watch.on_event
+    inner = fleet.observer.on_event
 
-    def on_event(process: Process, event: Event) -> None:
+    def on_event(process: FleetProcess, event: Event) -> None:
         inner(process, event)
         if process.role == "origin":
             events.append(event)
 
-    world.watch.on_event = on_event  # type: ignore[method-assign]
-    world.settle()
-    return world, events
+    fleet.observer.on_event = on_event  # type: ignore[method-assign]
+    fleet.converge()
+    return fleet, events
 
 
 def test_origin_survives_a_fleet_ahead_of_its_failing_store() -> None:
-    """The store was told from within ``receive``, and what it raised ended the process."""
-    world, events = settled()
-    world.push({"a": b"1"})
-    world.run(world.now + 1.0)
-    world.kill("origin")
-    world.disk.position = Position(1, 1)  # an older copy of the store was put back
-    world.disk.epoch = 0
-    del world.disk.values["a"]
-    world.disk.trouble = "fails"
-    world.start("origin")
-    world.run(world.now + 5.0)
+    """A store that fails while the origin records an epoch of the fleet must not end the process."""
+    fleet, events = converged_fleet()
+    fleet.push({"a": b"1"})
+    fleet.run(fleet.now + 1.0)
+    fleet.kill("origin")
+    fleet.disk.position = Position(1, 1)  # an older copy of the store was restored
+    fleet.disk.epoch = 0
+    del fleet.disk.values["a"]
+    fleet.disk.failure = "fails"
+    fleet.start("origin")
+    fleet.run(fleet.now + 5.0)
     assert [type(event) for event in events].count(StoreFailing) == 1
     with pytest.raises(StoreError):
-        world.push({"b": b"1"})
-    world.disk.trouble = ""
-    world.run(world.now + 2.0)
-    assert world.disk.observed == 1
+        fleet.push({"b": b"1"})
+    fleet.disk.failure = ""
+    fleet.run(fleet.now + 2.0)
+    assert fleet.disk.observed == 1
 
 
 def test_origin_with_a_higher_epoch_writes_while_the_fleet_is_ahead_of_its_store() -> None:
-    """It told to start again for a higher epoch, and refused again after each start, for ever."""
-    world, _ = settled()
-    world.push({"a": b"1"})
-    world.run(world.now + 1.0)
-    world.kill("origin")
-    world.disk.position = Position(1, 1)
-    del world.disk.values["a"]
-    world.start("origin")
-    world.run(world.now + 5.0)
-    world.push({"b": b"1"})
-    world.run(world.now + 3.0)
-    assert world.disk.position > Position(1, 2)
-    assert {one.in_force for name, one in world.watch.seen.items() if name.startswith("p")} == {
-        world.disk.position
-    }
+    """After a restart the origin has a higher epoch than the fleet, and must accept pushes again."""
+    fleet, _ = converged_fleet()
+    fleet.push({"a": b"1"})
+    fleet.run(fleet.now + 1.0)
+    fleet.kill("origin")
+    fleet.disk.position = Position(1, 1)
+    del fleet.disk.values["a"]
+    fleet.start("origin")
+    fleet.run(fleet.now + 5.0)
+    fleet.push({"b": b"1"})
+    fleet.run(fleet.now + 3.0)
+    assert fleet.disk.position > Position(1, 2)
+    assert {
+        one.applied_position for name, one in fleet.observer.processes.items() if name.startswith("p")
+    } == {fleet.disk.position}
 
 
-@pytest.mark.parametrize("trouble", ["fails", "full"])
-def test_change_that_the_store_does_not_commit_is_applied_nowhere(trouble: Any) -> None:
-    world, _ = settled()
-    before = world.disk.position
-    world.disk.trouble = trouble
+@pytest.mark.parametrize("failure", ["fails", "full"])
+def test_change_that_the_store_does_not_commit_is_applied_nowhere(failure: Any) -> None:
+    fleet, _ = converged_fleet()
+    before = fleet.disk.position
+    fleet.disk.failure = failure
     with pytest.raises(StoreError):
-        world.push({"a": b"1"})
-    world.run(world.now + 2.0)
-    assert {one.in_force for name, one in world.watch.seen.items() if name.startswith("p")} == {before}
-    world.disk.trouble = ""
-    position = world.push({"a": b"1"})
-    world.run(world.now + 2.0)
-    assert position in world.watch.everywhere
-    assert world.watch.broken == []
+        fleet.push({"a": b"1"})
+    fleet.run(fleet.now + 2.0)
+    assert {
+        one.applied_position for name, one in fleet.observer.processes.items() if name.startswith("p")
+    } == {before}
+    fleet.disk.failure = ""
+    position = fleet.push({"a": b"1"})
+    fleet.run(fleet.now + 2.0)
+    assert position in fleet.observer.fully_applied
+    assert fleet.observer.broken == []
--- a/tests/unit/distribution/test_keyspace.py
+++ b/tests/unit/distribution/test_keyspace.py
@@ -10,7 +10,7 @@
 from ironmill.distribution.messages import (
     MAX_BODY_BYTES,
 )
-from tests.unit.distribution.keyspaces import CHANGES, KEYS, VALUES, applied, whole
+from tests.unit.distribution.keyspaces import CHANGES, KEYS, VALUES, applied, keyspace_of
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
@@ -25,7 +25,7 @@
     assert dict(keyspace.entries()) == model
     assert keyspace.count == len(model)
     assert keyspace.size == packed_size(dict(model))
-    other = whole(dict(reversed(model.items())))  # the order of changes does not matter
+    other = keyspace_of(dict(reversed(model.items())))  # the order of changes does not matter
     assert other.digest == keyspace.digest
     for level in range(len(LEVEL_BITS) - 1):
         for prefix in {leaf_of(key.encode()) >> (LEVEL_BITS[-1] - LEVEL_BITS[level]) for key in model}:
@@ -46,7 +46,7 @@
     st.dictionaries(KEYS, VALUES, max_size=60), st.integers(0, LEAVES - 1), st.integers(MAX_BODY_BYTES, 2000)
 )
 def test_pages_hold_each_entry_of_a_range_once(values: dict[str, bytes], start: int, room: int) -> None:
-    keyspace = whole(values)
+    keyspace = keyspace_of(values)
     found: list[tuple[str, bytes | None]] = []
     leaf, after = start, ""
     while leaf < LEAVES:
--- a/tests/unit/distribution/test_parents.py
+++ b/tests/unit/distribution/test_parents.py
@@ -1,4 +1,4 @@
-"""Who is well where it is stays there, however many changes come."""
+"""Ranking of parents, and staying at a parent that is usable."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from ironmill.distribution.messages import Endpoint
 from ironmill.distribution.parent_selector import rank_endpoints
 from ironmill.distribution.proxy_node import ProxyNode
-from ironmill_testbed.capacity.stories import SETTLED, SMALL, STORM, Told
-from ironmill_testbed.faults.fleet_world import FleetWorld
+from ironmill_testbed.capacity.scenarios import CONVERGED_AT, SMALL_PLAN, STORM_CHANGES_PER_S, OperatorLoad
+from ironmill_testbed.faults.simulated_fleet import SimulatedFleet
 
 
-@pytest.mark.parametrize("rate", [2.0, STORM])
+@pytest.mark.parametrize("rate", [2.0, STORM_CHANGES_PER_S])
 def test_changes_make_no_proxy_leave_its_parent_for_a_less_preferred_one(rate: float) -> None:
-    world = FleetWorld(SMALL)
-    places = [Endpoint(one.name, one.address, one.zone, one.region) for one in world.relays]
+    fleet = SimulatedFleet(SMALL_PLAN)
+    places = [Endpoint(one.name, one.address, one.zone, one.region) for one in fleet.relays]
 
     def ranks() -> list[int]:
         found = []
-        for proxy in world.proxies:
+        for proxy in fleet.proxies:
             assert isinstance(proxy.node, ProxyNode)
             parent = proxy.node.subscriber.parent
             assert parent is not None
@@ -26,16 +26,16 @@
             found.append(order.index(parent.endpoint.name))
         return found
 
-    world.settle(SETTLED)
-    Told(world, 50).tell(SETTLED, SETTLED + 10.0, rate)
+    fleet.converge(CONVERGED_AT)
+    OperatorLoad(fleet, 50).schedule(CONVERGED_AT, CONVERGED_AT + 10.0, rate)
     before = ranks()
     for tenth in range(110):
-        world.run(SETTLED + tenth / 10.0)
+        fleet.run(CONVERGED_AT + tenth / 10.0)
         now = ranks()
         assert all(rank <= was for rank, was in zip(now, before, strict=True)), tenth
         before = now
-    assert len(world.watch.pushed_at) == int(10.0 * rate)
-    assert world.watch.lost() == 0
+    assert len(fleet.observer.pushed_at) == int(10.0 * rate)
+    assert fleet.observer.lost() == 0
 
 
 def test_endpoints_are_ranked_by_zone_then_region_and_evenly_within() -> None:
--- a/tests/unit/distribution/test_random_schedules.py
+++ b/tests/unit/distribution/test_random_schedules.py
@@ -15,32 +15,33 @@
 from ironmill.distribution.proxy_node import ProxyNode
 from ironmill.distribution.relay import Relay
 from ironmill.distribution.revision import Position, Rejection
-from ironmill_testbed.faults.fleet_world import FleetWorld, Plan, Process
+from ironmill_testbed.faults.fleet_process import FleetProcess
 from ironmill_testbed.faults.schedule import Fault, both_ways
+from ironmill_testbed.faults.simulated_fleet import Plan, SimulatedFleet
 
 PLAN = Plan(proxies=6, control=4, regions=2, zones=3, entries=20)
 RELAYS = ("c01", "c02", "c03")
 PROXIES = tuple(f"p{at:05d}" for at in range(6))
 CONTROL = ("origin", "origin-b", *RELAYS)
 EVERYONE = (*CONTROL, *PROXIES)
-REFUSING = ("p00001", "p00004")  # what begins with bad/
-BEGIN, END = 6.0, 22.0  # of what goes wrong
-AT_HEAD_WITHIN = 6.0  # after all is well again, though all may have just been started
-EVERYWHERE_WITHIN = 20.0
+REFUSING = ("p00001", "p00004")  # keys of bad/
+BEGIN, END = 6.0, 22.0  # of the faults
+MAX_CONVERGENCE_S = 6.0  # after the end of all faults, even if all processes have just started
+MAX_FULLY_APPLIED_S = 20.0
 
 
 class Recorder:
-    """A consumer that knows what it was told, all of it."""
+    """A consumer that keeps all values, and may reject keys of bad/."""
 
     looked_up: tuple[str, ...] = ()
 
-    def __init__(self, refuses: bool) -> None:
+    def __init__(self, rejects: bool) -> None:
         self.values: dict[str, bytes] = {}
-        self._refuses = refuses
+        self._rejects = rejects
 
     def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
         for key, value in changes.items():
-            if self._refuses and key.startswith("bad/") and value is not None:
+            if self._rejects and key.startswith("bad/") and value is not None:
                 return Rejection(key, "bad")
         return None
 
@@ -53,26 +54,27 @@
                 self.values[key] = value
 
 
-class Model(FleetWorld):
-    """The world, and the one history."""
+class ModelledFleet(SimulatedFleet):
+    """A simulated fleet, and a model of its history."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__(PLAN, faults)
         self.states: dict[Position, dict[str, bytes]] = {}
         self.writer = "origin"
-        self.pushes = self.refusals = 0
+        self.pushes = 0
+        self.rejections = 0
         self.reverted = 0
-        inner = self.watch.on_event
+        inner = self.observer.on_event
 
-        def on_event(process: Process, event: Event) -> None:
+        def on_event(process: FleetProcess, event: Event) -> None:
             inner(process, event)
             if isinstance(event, RevisionApplied):
-                self.judge(process, event.position)
+                self.check_state(process, event.position)
 
-        self.watch.on_event = on_event  # type: ignore[method-assign]
+        self.observer.on_event = on_event  # type: ignore[method-assign]
 
     def begin(self) -> None:
-        self.settle(0.0)
+        self.converge(0.0)
         self.states[self.disk.position] = dict(self.disk.values)
         for process in self.proxies:
             assert isinstance(process.consumer, Recorder)
@@ -87,8 +89,8 @@
         if process.role == "origin":
             self.writer = name
 
-    def judge(self, process: Process, position: Position) -> None:
-        """What has come into force is the history as of that position, whole."""
+    def check_state(self, process: FleetProcess, position: Position) -> None:
+        """Checks that a process has exactly the state of the history at a position."""
         assert isinstance(process.node, ProxyNode | Relay | Origin)
         if process.role != "origin":
             state = self.states[position]
@@ -97,7 +99,7 @@
                 assert process.consumer.values == state, process.name
 
     def change(self, changes: Changes, ticket: str = "") -> None:
-        """By the one that writes now, or by the one before, who must not."""
+        """Pushes to all origins: only the latest writer may accept it."""
         for name in ("origin", "origin-b"):
             node = self.processes[name].node
             if not isinstance(node, Origin) or self.now < self.processes[name].paused_until:
@@ -108,7 +110,7 @@
             try:
                 position = self.push(changes, ticket, name)
             except (StoreError, NotOriginError):
-                self.refusals += 1
+                self.rejections += 1
                 del self.states[Position(self.disk.epoch, before.number + 1)]
                 assert self.disk.position == before
                 continue
@@ -128,17 +130,17 @@
                 self.reverted += 1
                 self.change(changes)
 
-    def trouble(self, kind: Any) -> None:
-        self.disk.trouble = kind
+    def set_disk_failure(self, kind: Any) -> None:
+        self.disk.failure = kind
 
     def take_over(self) -> None:
-        """Another process opens the store, beside the one that has it."""
+        """Another process opens the store."""
         other = "origin-b" if self.writer == "origin" else "origin"
         self.start(other)
 
     def heal(self) -> None:
-        """All run, one of them writes, nothing is cut."""
-        self.disk.trouble = ""
+        """Ends all faults, and starts what does not run."""
+        self.disk.failure = ""
         for name in (*RELAYS, *PROXIES):
             if self.processes[name].node is None:
                 self.start(name)
@@ -150,16 +152,16 @@
     def fleet_is_ahead(origin: Origin) -> bool:
         return origin.status(0.0).fleet_ahead_position is not None
 
-    def told_by_origin(self) -> Any:
-        """For whoever reads a failure."""
+    def origin_status(self) -> Any:
+        """Returns the status of the writer, for the message of a failed assertion."""
         node = self.processes[self.writer].node
         return node.status(self.now) if isinstance(node, Origin) else node
 
-    def at_head(self) -> bool:
-        head = self.disk.position
+    def has_converged(self) -> bool:
+        latest_position = self.disk.position
         return all(
             isinstance(node := self.processes[name].node, ProxyNode | Relay)
-            and node.replica.applied_position == head
+            and node.replica.applied_position == latest_position
             for name in (*RELAYS, *PROXIES)
         )
 
@@ -187,7 +189,7 @@
 
 
 def faults_of(acts: list[Act]) -> list[Fault]:
-    """What links do."""
+    """Returns the faults of links in a schedule."""
     faults: list[Fault] = []
     for at, kind, what in acts:
         if kind == "cut":
@@ -205,72 +207,77 @@
     return faults
 
 
-def arrange(world: Model, acts: list[Act]) -> None:
-    """Everything else."""
+def arrange(fleet: ModelledFleet, acts: list[Act]) -> None:
+    """Schedules all other acts."""
     for at, kind, what in acts:
         if kind == "change":
-            world.at(at, world.change, what)
+            fleet.at(at, fleet.change, what)
         elif kind == "large":
             changes = {f"large/{one:03d}": bytes([one]) * 400 for one in range(what)}
-            world.at(at, world.change, changes)
+            fleet.at(at, fleet.change, changes)
         elif kind == "revert":
-            world.at(at, world.revert, what)
+            fleet.at(at, fleet.revert, what)
         elif kind == "restart":
             name, length, orderly = what
             if name == "origin-b":
                 continue  # it runs once it has taken over
-            world.at(at, world.leave if orderly else world.kill, name)
-            world.at(min(END, at + length), revive, world, name)
+            fleet.at(at, fleet.leave if orderly else fleet.kill, name)
+            fleet.at(min(END, at + length), revive, fleet, name)
         elif kind == "pause":
             name, length = what
-            if world.processes[name].role != "origin" or name == "origin":
-                world.at(at, world.pause, name, min(END, at + length))
+            if fleet.processes[name].role != "origin" or name == "origin":
+                fleet.at(at, fleet.pause, name, min(END, at + length))
         elif kind == "trouble":
-            trouble, length = what
-            world.at(at, world.trouble, trouble)
-            world.at(min(END, at + length), world.trouble, "")
+            failure, length = what
+            fleet.at(at, fleet.set_disk_failure, failure)
+            fleet.at(min(END, at + length), fleet.set_disk_failure, "")
         elif kind == "take over":
-            world.at(at, world.take_over)
+            fleet.at(at, fleet.take_over)
 
 
-def revive(world: Model, name: str) -> None:
-    if world.processes[name].node is None:
-        world.start(name)
+def revive(fleet: ModelledFleet, name: str) -> None:
+    if fleet.processes[name].node is None:
+        fleet.start(name)
 
 
-def play(acts: list[Act]) -> Model:
-    """The schedule, and then all is well: everything that was promised is looked at."""
+def play(acts: list[Act]) -> ModelledFleet:
+    """Runs a schedule, ends all faults, and checks every guarantee."""
     acts = sorted(acts, key=lambda act: act[0])
-    world = Model(faults_of(acts))
-    world.begin()
-    arrange(world, acts)
-    world.run(END + 0.1)
-    world.heal()
-    last: Changes = {key: None for key in world.disk.values if key.startswith("bad/")}
-    last["end"] = b"%d" % world.pushes
-    world.run(world.now + 1.0)
-    world.change(last, "the last one")
-    head = world.disk.position
-    assert head in world.states
-    healed = world.now
-    while not world.at_head() and world.now < healed + AT_HEAD_WITHIN:
-        world.run(world.now + 0.1)
-    assert world.at_head(), world.told_by_origin()
-    while head not in world.watch.everywhere and world.now < healed + EVERYWHERE_WITHIN:
-        world.run(world.now + 0.1)
-    assert head in world.watch.everywhere, world.told_by_origin()
+    fleet = ModelledFleet(faults_of(acts))
+    fleet.begin()
+    arrange(fleet, acts)
+    fleet.run(END + 0.1)
+    fleet.heal()
+    last: Changes = {key: None for key in fleet.disk.values if key.startswith("bad/")}
+    last["end"] = b"%d" % fleet.pushes
+    fleet.run(fleet.now + 1.0)
+    fleet.change(last, "the last one")
+    latest_position = fleet.disk.position
+    assert latest_position in fleet.states
+    healed = fleet.now
+    while not fleet.has_converged() and fleet.now < healed + MAX_CONVERGENCE_S:
+        fleet.run(fleet.now + 0.1)
+    assert fleet.has_converged(), fleet.origin_status()
+    while latest_position not in fleet.observer.fully_applied and fleet.now < healed + MAX_FULLY_APPLIED_S:
+        fleet.run(fleet.now + 0.1)
+    assert latest_position in fleet.observer.fully_applied, fleet.origin_status()
     for name in (*RELAYS, *PROXIES):
-        node = world.processes[name].node
+        node = fleet.processes[name].node
         assert isinstance(node, ProxyNode | Relay)
-        assert dict(node.replica.keyspace.entries()) == world.states[head]
-    watch = world.watch
-    assert (watch.older_after_newer, watch.half_in_force, watch.stale_unnoticed, watch.false_everywhere) == (
+        assert dict(node.replica.keyspace.entries()) == fleet.states[latest_position]
+    observer = fleet.observer
+    assert (
+        observer.older_after_newer,
+        observer.partially_applied,
+        observer.stale_unnoticed,
+        observer.false_fully_applied,
+    ) == (
         0,
         0,
         0,
         0,
-    ), watch.broken
-    return world
+    ), observer.broken
+    return fleet
 
 
 @settings(
@@ -285,7 +292,7 @@
 
 
 def test_response_that_waited_unread_does_not_make_the_configuration_fresh() -> None:
-    """It counted as of when it was read: after a pause of its relay a proxy was stale unnoticed for 5 s."""
+    """The age counts from the poll, also where a pause of the relay delays the response."""
     play(
         [
             (10.47, "pause", ("c01", 1.5)),
@@ -296,7 +303,7 @@
 
 
 def test_fenced_writer_reports_nothing_as_fully_applied() -> None:
-    """Until its next look at the store it summed up what had not gone over to the new writer yet."""
+    """Its summary lacks what has moved to the new writer, so it must check the store first."""
     play(
         [
             (11.1, "change", {"shard/000002": None, "bad/2": None, "a": None}),
--- a/tests/unit/distribution/test_replica.py
+++ b/tests/unit/distribution/test_replica.py
@@ -10,11 +10,11 @@
 from ironmill.distribution.keyspace import Keyspace
 from ironmill.distribution.replica import MAX_PENDING_BYTES, Replica
 from ironmill.distribution.revision import START, Delta, Position, Rejection
-from tests.unit.distribution.keyspaces import applied, whole
+from tests.unit.distribution.keyspaces import applied, keyspace_of
 
 
 class Picky:
-    """Refuses values of bad/, and falls over at worse/."""
+    """Rejects values of bad/, and raises an exception at worse/."""
 
     looked_up: tuple[str, ...] = ("shard/",)
 
@@ -97,7 +97,7 @@
 
 
 def test_empty_keyspace_of_a_parent_that_has_just_started_is_not_applied() -> None:
-    """A proxy that was catching up when its parent changed told position 0.0 as in force."""
+    """Position 0.0 is not a configuration: it must not be reported as applied."""
     replica, _, events = replica_of()
     replica.replace_keyspace(Keyspace(), START)
     assert events == []
@@ -105,14 +105,14 @@
 
 def test_whole_keyspace_gives_the_consumer_the_difference_without_looked_up_keys() -> None:
     replica, consumer, _ = replica_of()
-    replica.replace_keyspace(whole({"a": b"1", "b": b"1", "shard/1": b"s"}), Position(1, 3))
+    replica.replace_keyspace(keyspace_of({"a": b"1", "b": b"1", "shard/1": b"s"}), Position(1, 3))
     assert consumer.values == {"a": b"1", "b": b"1"}
     assert replica.keyspace.get("shard/1") == b"s"
-    replica.replace_keyspace(whole({"b": b"2"}), Position(1, 2))  # an older one
-    replica.replace_keyspace(whole({}), START)
+    replica.replace_keyspace(keyspace_of({"b": b"2"}), Position(1, 2))  # an older one
+    replica.replace_keyspace(keyspace_of({}), START)
     assert replica.applied_position == Position(1, 3)
-    replica.replace_keyspace(whole({"b": b"2"}), Position(1, 4))
+    replica.replace_keyspace(keyspace_of({"b": b"2"}), Position(1, 4))
     assert consumer.values == {"b": b"2"}
-    replica.replace_keyspace(whole({"bad/1": b"2"}), Position(1, 5))
+    replica.replace_keyspace(keyspace_of({"bad/1": b"2"}), Position(1, 5))
     assert (replica.applied_position, replica.received_position) == (Position(1, 4), Position(1, 5))
     assert replica.has_lost_pending
--- a/tests/unit/distribution/test_status.py
+++ b/tests/unit/distribution/test_status.py
@@ -7,8 +7,9 @@
 import msgspec
 import pytest
 
-from ironmill_testbed.faults.fleet_world import FleetWorld, HollowConsumer, Plan
+from ironmill_testbed.faults.fleet_process import SimulatedConsumer
 from ironmill_testbed.faults.schedule import both_ways
+from ironmill_testbed.faults.simulated_fleet import Plan, SimulatedFleet
 
 RECORDED = Path(__file__).parents[2] / "golden" / "distribution_status.json"
 PLAN = Plan(proxies=4, control=3, regions=1, zones=2, entries=20, standby=False)
@@ -17,9 +18,9 @@
 
 def statuses() -> dict[str, str]:
     """JSON by state and name: of a fleet that is well, then with a rejected change and a proxy cut off."""
-    fleet = FleetWorld(PLAN, FAULTS)
-    fleet.processes["p00002"].consumer = HollowConsumer(("bad/",))
-    fleet.settle()
+    fleet = SimulatedFleet(PLAN, FAULTS)
+    fleet.processes["p00002"].consumer = SimulatedConsumer(("bad/",))
+    fleet.converge()
     found: dict[str, str] = {}
 
     def look(state: str, *names: str) -> None:
--- a/tests/unit/testbed/test_scale.py
+++ b/tests/unit/testbed/test_scale.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ironmill_testbed.capacity import stories
+from ironmill_testbed.capacity import scenarios
 from ironmill_testbed.measures.scale import QUICK_STORIES, QUICK_SWEEPS, summary, sweeps
 
 PROMISED = (
@@ -75,5 +75,5 @@
 
 
 def test_what_quick_runs_is_there() -> None:
-    assert set(QUICK_STORIES) <= set(stories.STORIES)
+    assert set(QUICK_STORIES) <= set(scenarios.SCENARIOS)
     assert set(QUICK_SWEEPS) <= set(sweeps.NAMES)
