--- a/ironmill/membership/joining.py
+++ b/ironmill/membership/joining.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-import math
 from collections.abc import Sequence
 
 from msgspec import structs
 
 from ironmill.membership.events import ChangeCause, RemovedByOthers, Superseded
 from ironmill.membership.identity import Address
-from ironmill.membership.member_state import MemberState
+from ironmill.membership.member_state import NEVER, MemberState
 from ironmill.membership.messages import MemberRecord
 from ironmill.membership.pinging import Pinger
 from ironmill.membership.self_health import SelfHealth
@@ -21,6 +20,7 @@
 )
 from ironmill.membership.view_agreement import ViewAgreement
 
+MIN_JITTER_FACTOR, JITTER_RANGE = 0.75, 0.5  # varies intervals by a quarter in both directions
 JOINED_MEMBER_PING_INTERVAL_S = 2.0 * TICK_INTERVAL_S
 
 
@@ -35,6 +35,7 @@
         health: SelfHealth,
         agreement: ViewAgreement,
     ) -> None:
+        """``seeds`` may contain the own address, which makes this member a seed of that rank."""
         own_address = state.identity.address
         self._state = state
         self._pinger = pinger
@@ -45,7 +46,7 @@
         self._was_joined = False  # since this process started
         self._waiting_since = state.now  # for another member, before this seed starts a cluster
         self._next_seed_ping_at = state.now
-        self._last_joined_ping_at = -math.inf
+        self._last_joined_ping_at = NEVER
 
     def start(self) -> None:
         """Creates the own record, out of the view."""
@@ -64,7 +65,8 @@
             return
         needs_contact = not state.is_joined or self._health.is_isolated
         interval_s = JOINING_SEED_PING_INTERVAL_S if needs_contact else SEED_PING_INTERVAL_S
-        self._next_seed_ping_at = state.now + interval_s * (0.75 + 0.5 * state.rng.random())
+        jitter = MIN_JITTER_FACTOR + JITTER_RANGE * state.rng.random()
+        self._next_seed_ping_at = state.now + interval_s * jitter
         known = {record.identity.address for record in state.view.members()}
         seeds = [seed for seed in self._seeds if needs_contact or seed not in known]
         if seeds:
@@ -97,7 +99,7 @@
                 self._agreement.apply_own(record.transitions, ChangeCause.GOSSIP)
 
     def supersede(self, newer_incarnation: int) -> None:
-        """Withdraws for good, for a newer process uses the name."""
+        """Withdraws permanently, because a newer process uses the name."""
         self._state.is_superseded = True
         self._state.on_event(Superseded(self._state.identity.incarnation, newer_incarnation))
 
--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -24,10 +24,10 @@
 
 from ironmill.commands.config import ConfigError, to_position
 from ironmill.distribution.revision import START, Position
+from ironmill_testbed.client_load import ClientLoad
 from ironmill_testbed.faults.checker import LoggedEvent
 from ironmill_testbed.faults.simulated_proxies import PAIRED_KEYS
 from ironmill_testbed.faults.socket_fleet import CHECK_INTERVAL_S, ORIGIN, SocketFleet
-from ironmill_testbed.measures.membership import Load
 from ironmill_testbed.processes import Usage
 
 ORDINARY_CHANGES_PER_S, STORM_CHANGES_PER_S = 2.0, 12.5
@@ -113,7 +113,7 @@
         found |= _idle(fleet, seconds / 3.0)
         for one in fleet.plain:
             fleet.end(one)
-        client_load = Load([fleet.clients[one] for one in fleet.real])
+        client_load = ClientLoad([fleet.clients[one] for one in fleet.real])
         load = OperatorLoad(fleet)
         before = fleet.usage(), time.monotonic()
         load.run("ordinary", ORDINARY_CHANGES_PER_S, seconds / 3.0)
@@ -126,8 +126,9 @@
         _await_last(fleet, load)
         found |= _stale(fleet, load)
         _await_last(fleet, load)
-        lost, lines = client_load.stop()
-        found["clients_lost"], found["clients_lines"] = (lost if lines else None), lines
+        clients = client_load.stop()
+        found["clients_lost"] = clients.lost if clients.lines else None
+        found["clients_lines"] = clients.lines
         found |= _guarantees(fleet, load)
         found["control_memory_mb"] = _memory(fleet)
         found["peak_memory_mb"] = fleet.peak / 2**20
