--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -1,8 +1,7 @@
-"""Sweeps of what one process does: placements, routing tables of many entries, settings of many callers.
+"""Sweeps of one process: placements, endpoint lists of many servers, settings of many callers.
 
 CPU is that of the running thread. A figure is the median of several batches, each the mean of its calls, so
-that a neighbour on the machine who takes the caches away for a moment does not count. Garbage is collected
-as the program does it.
+that other load on the machine does not count. Garbage is collected as the program does it.
 """
 
 from __future__ import annotations
@@ -34,8 +33,8 @@
 
 ZONES = 11
 BATCHES, BATCHES_QUICK = 9, 5
-STEP = 0.05  # seconds of the virtual clock between two placements
-STANDING = 500  # connections at the most, and a tenth of the entries; the oldest ends with each placement
+PLACEMENT_INTERVAL_S = 0.05  # of the virtual clock
+MAX_CONNECTIONS = 500  # and a tenth of the servers; the oldest one ends with each placement
 ENTRIES = (100, 300, 1000, 3000, 10_000, 30_000, 64_000)
 ENTRIES_QUICK = (100, 300, 1000, 3000, 10_000)
 CALLERS = (10, 30, 100, 300, 1000, 3000)
@@ -43,7 +42,7 @@
 
 
 def routing_bytes(size: int, full: bool = True, first: int = 0, weight: float = 4.0) -> bytes:
-    """An answer of discovery with so many entries, in eleven zones, as it comes over the wire."""
+    """Returns a response of discovery with this number of servers, in eleven zones."""
     targets = [
         {
             "uid": f"server-{at:06d}",
@@ -60,13 +59,13 @@
 
 
 def parsed(data: bytes) -> EndpointUpdate:
-    """The answer as the program reads it."""
+    """Returns the response as the program parses it."""
     return parse_endpoint_update(JsonObject(parse_json(data, "routing table:"), "", "routing table"))
 
 
 @contextmanager
 def collecting() -> Iterator[None]:
-    """Collect garbage as a proxy does: what is there now is not looked through, full collections wait."""
+    """Collects garbage as a proxy does: existing objects are not examined, full collections are deferred."""
     thresholds = gc.get_threshold()
     gc.collect()
     gc.freeze()
@@ -78,31 +77,32 @@
         gc.unfreeze()
 
 
-class Held:
-    """The table and the decisions of one proxy, with a clock of its own."""
+class SimulatedDecisions:
+    """The routing table and the decisions of one proxy, on a virtual clock."""
 
     def __init__(self, size: int, seed: int, live: bool = False) -> None:
-        """``live``: the settings say that listed weights tell what servers hold."""
+        """``live``: the settings enable live weights."""
         self.now = 1000.0
         self.table = RoutingTable()
         settings = platform_settings() | ({"weightSource": "live"} if live else {})
         self.balancer = Balancer(parse_settings(json.dumps(settings)), seed, self.now)
-        self._most = min(STANDING, size // 10)
+        self._max_connections = min(MAX_CONNECTIONS, size // 10)
         self._serial = 0
-        self._standing: deque[Send] = deque()
+        self._established: deque[Send] = deque()
         self.take(parsed(routing_bytes(size)))
 
     def take(self, routing: EndpointUpdate) -> None:
-        """A list came."""
+        """Applies an endpoint list."""
         self.balancer.handle(self.table.apply(routing, self.now), self.now)
 
     def place(self, grouped: bool) -> float:
-        """One placement; seconds of CPU of the decision. Beside the clock it stands, and the oldest ends.
+        """Places a request and returns the seconds of CPU that the decision took.
 
-        ``grouped``: of a group of its own, of which nothing stands here yet.
+        The connection is then established and the oldest one ends, which is not measured. ``grouped``: the
+        request has a group without any connection.
         """
         self._serial += 1
-        self.now += STEP
+        self.now += PLACEMENT_INTERVAL_S
         group = self._serial if grouped else None
         request = Request(f"r{self._serial}", "index-sync", self.now + 2.0, group=group)
         start = time.thread_time()
@@ -110,18 +110,18 @@
         took = time.thread_time() - start
         for action in actions:
             if isinstance(action, Send):
-                self._standing.append(action)
+                self._established.append(action)
                 established = Established(action.request_id, 0, action.server_id, 0.01)
                 self.balancer.handle(established, self.now)
-        if len(self._standing) > self._most:
-            oldest = self._standing.popleft()
+        if len(self._established) > self._max_connections:
+            oldest = self._established.popleft()
             ended = Ended(oldest.request_id, 0, oldest.server_id, Outcome.OK, 0.01, final=True)
             self.balancer.handle(ended, self.now)
         return took
 
 
 def _cost(action: Callable[[], object], calls: int, batches: int) -> float:
-    """Seconds of CPU a call."""
+    """Returns the seconds of CPU per call."""
     took = []
     for _ in range(batches):
         start = time.thread_time()
@@ -132,69 +132,69 @@
 
 
 def placement(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Seconds of CPU a placement among so many entries, without groups and with them."""
-    return _placement("placement", size, quick, Held(size, seed))
+    """Measures the seconds of CPU per placement, without groups and with them."""
+    return _placement("placement", size, quick, SimulatedDecisions(size, seed))
 
 
 def placement_live(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """The same where listed weights are live, and what a list of one entry then costs."""
-    held = Held(size, seed, live=True)
-    found = _placement("placement_live", size, quick, held)
-    return found | {"table_change_live_cpu": _change(size, quick, held)}
+    """Measures the same with live weights, and the cost of a list of one server."""
+    decisions = SimulatedDecisions(size, seed, live=True)
+    found = _placement("placement_live", size, quick, decisions)
+    return found | {"table_change_live_cpu": _change(size, quick, decisions)}
 
 
-def _placement(name: str, size: int, quick: bool, held: Held) -> dict[str, float]:
+def _placement(name: str, size: int, quick: bool, decisions: SimulatedDecisions) -> dict[str, float]:
     found = dict[str, float]()
-    for _ in range(min(STANDING, size // 10) + 1):
-        held.place(False)
+    for _ in range(min(MAX_CONNECTIONS, size // 10) + 1):
+        decisions.place(False)
     with collecting():
         for kind, grouped, work in (("_cpu", False, 2_000_000), ("_group_cpu", True, 500_000)):
             calls = max(10, min(400, (work // 4 if quick else work) // size))
             batches = BATCHES_QUICK if quick else BATCHES
-            costs = [sum(held.place(grouped) for _ in range(calls)) / calls for _ in range(batches)]
+            costs = [sum(decisions.place(grouped) for _ in range(calls)) / calls for _ in range(batches)]
             found[name + kind] = statistics.median(costs)
     return found
 
 
-def _change(size: int, quick: bool, held: Held) -> float:
-    """Seconds of CPU of a list that changes the weight of one entry."""
+def _change(size: int, quick: bool, decisions: SimulatedDecisions) -> float:
+    """Measures the seconds of CPU of a list that changes the weight of one server."""
     ones = [parsed(routing_bytes(1, False, at * size // 8, weight=4.0 - at % 2)) for at in range(8)]
     batches = BATCHES_QUICK if quick else BATCHES
     calls = max(5, min(400, (100_000 if quick else 500_000) // size))
     turn = itertools.cycle(ones)
     with collecting():
-        return _cost(lambda: held.take(next(turn)), calls, batches)
+        return _cost(lambda: decisions.take(next(turn)), calls, batches)
 
 
 def changes(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Seconds of CPU of a list with one entry, of one with all of them, and of reading the latter."""
-    held = Held(size, seed)
+    """Measures the seconds of CPU of a list of one server, of one of all, and of parsing the latter."""
+    decisions = SimulatedDecisions(size, seed)
     data = routing_bytes(size)
     whole = parsed(data)
     batches, calls = BATCHES_QUICK if quick else BATCHES, max(1, min(200, 10_000 // size))
-    found = {"table_change_cpu": _change(size, quick, held)}
+    found = {"table_change_cpu": _change(size, quick, decisions)}
     with collecting():
-        found["table_full_cpu"] = _cost(lambda: held.take(whole), calls, batches)
+        found["table_full_cpu"] = _cost(lambda: decisions.take(whole), calls, batches)
         found["table_parse_cpu"] = _cost(lambda: parsed(data), calls, batches)
     return found
 
 
 def memory(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Bytes that Python holds for so many entries, the list that brought them let go."""
+    """Measures the bytes allocated for so many servers, without the list that they came with."""
     del quick
-    Held(1, seed)  # what is made once for all
+    SimulatedDecisions(1, seed)  # allocates what is shared
     gc.collect()
     tracemalloc.start()
-    held = Held(size, seed)
+    decisions = SimulatedDecisions(size, seed)
     gc.collect()
     found = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert len(held.table.listed()) == size
+    assert len(decisions.table.listed()) == size
     return {"table_memory": float(found)}
 
 
 def settings_text(callers: int) -> str:
-    """An operator's settings with so many rules of callers."""
+    """Returns operators' settings with this number of caller rules."""
     rules = "\n".join(
         f'<caller name="caller-{at}" tenant="tenant-{at % 100}">'
         f'<token issuer="https://issuer.example" audience="ironmill" subject="farm-{at}-*"/>'
@@ -208,7 +208,7 @@
 
 
 def reload(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Seconds of CPU of reading settings with so many rules, and the ring of keys beside them."""
+    """Measures the seconds of CPU of reading settings with so many rules, and a key ring."""
     del seed
     with tempfile.TemporaryDirectory() as name:
         path = Issuer(Path(name)).settings
@@ -221,8 +221,10 @@
             return {"reload_cpu": _cost(lambda: read_operator_files(str(path), classes), calls, batches)}
 
 
-def _sweep(name: str, what: str, x: str = "entries", unit: str = "s", shape: Shape = Shape.LINE) -> Sweep:
-    return Sweep(name, what, x, unit, Sign.VIRTUAL, (), shape)
+def _sweep(
+    name: str, description: str, x: str = "entries", unit: str = "s", shape: Shape = Shape.LINE
+) -> Sweep:
+    return Sweep(name, description, x, unit, Sign.VIRTUAL, (), shape)
 
 
 BENDS = "Beyond 10,000 entries each one costs more than the line says, most likely by the processor's caches."
--- a/tests/unit/testbed/test_sweeps.py
+++ b/tests/unit/testbed/test_sweeps.py
@@ -37,10 +37,10 @@
 
 def test_placements_of_the_sweep_are_placed_and_end() -> None:
     for live in (False, True):
-        held = sweep_table.Held(100, 1, live)
+        decisions = sweep_table.SimulatedDecisions(100, 1, live)
         for _ in range(100):
-            held.place(True)
-        assert sum(held.balancer.connection_counts().values()) == 10
+            decisions.place(True)
+        assert sum(decisions.balancer.connection_counts().values()) == 10
 
 
 def test_a_table_of_more_entries_holds_more() -> None:
