--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A real process that may hold just the descriptors it is told of, while idle clients want all of them."""
+"""A process with just the configured number of descriptors, while idle clients take all they can."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def test_idle_clients_do_not_starve_discovery_admin_api_or_requests_of_descriptors(
     tmp_path: Path,
 ) -> None:
-    """Discovery is down meanwhile: the watch, the second address, probes and attempts have a reserve."""
+    """Discovery is down meanwhile; the watch, the admin API, health checks and attempts have a reserve."""
     with ExitStack() as stack:
         neighbours = stack.enter_context(Neighbours(tmp_path, 3))
         address, control, gone = (("127.0.0.1", free_port()) for _ in range(3))
@@ -46,7 +46,7 @@
             found: int = orjson.loads(body)["known_servers"]
             return found
 
-        def told() -> None:
+        def run_scenario() -> None:
             assert known() == 0
             value["discovery"] = f"{neighbours.discovery[0]}:{neighbours.discovery[1]}"
             write_config(tmp_path, value)
@@ -61,7 +61,7 @@
                 assert client.ask(b"line") == b"line"
                 client.close()
 
-        play(scheduler, told, LIMIT)
+        play(scheduler, run_scenario, LIMIT)
         assert process.popen.poll() is None
         assert "Too many open files" not in process.log.read_text()
         assert len(idle) == 3 * SOCKETS
--- a/tests/system/test_net.py
+++ b/tests/system/test_net.py
@@ -1,4 +1,4 @@
-"""The drivers on loopback sockets, against servers and clients that the tests play."""
+"""The drivers on loopback sockets, against servers and clients played by the tests."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 
 
 def test_data_before_the_answer_ends_the_attempt() -> None:
-    """Guards against being served for hundreds of commands at once."""
+    """A client must wait for the answer to its request line."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(OPEN)
@@ -158,7 +158,7 @@
 
 
 def test_reads_a_bounded_part_of_a_fast_sender_after_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the processor: what comes after the refusal is not worth reading."""
+    """Bytes after a rejection must not cost processor time."""
     read: list[int] = []
     receive = Stream.receive
 
@@ -287,7 +287,7 @@
 
 
 def test_unresponsive_server_is_given_up_and_its_client_migrated(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against machines that vanish: no end ever comes from them."""
+    """A machine that is lost closes no connection."""
     monkeypatch.setattr("ironmill.requests.response_delay.UNRESPONSIVE_TIMEOUT_S", 0.2)
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -350,7 +350,7 @@
 
 
 def test_attempt_that_connects_after_the_drain_grace_sends_nothing() -> None:
-    """Guards the drain rule: what counts is the first byte."""
+    """The grace period of a draining server counts at the first byte."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         gone = ListedServer("s-0", *proxy.listeners[0].address, Stage.DRAINING, "a", 0, 1.0, 0.0)
@@ -402,10 +402,12 @@
 ) -> None:
     monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
     empty = b'{"rev":%d,"all":%s,"targets":[]}'
-    told: list[EndpointUpdate] = []
+    received: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(told.append), pace).start()
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace
+        ).start()
         agent = proxy.next_attempt()
         asked = []
         for body in (empty % (41, b"true"), empty % (43, b"false"), b"{"):
@@ -420,19 +422,19 @@
 
     proxy = ProxyUnderTest()
     proxy.run(scenario)
-    assert [(routing.revision, routing.full) for routing in told] == [(41, True), (43, False)]
+    assert [(routing.revision, routing.full) for routing in received] == [(41, True), (43, False)]
 
 
 @pytest.mark.parametrize("again", ["named", "empty", "partly", "silent", "broken"])
 def test_empty_endpoint_list_is_requested_again(again: str) -> None:
-    """Guards the clients against a fault of discovery: an empty list retired all servers at once."""
-    told: list[EndpointUpdate] = []
+    """An empty list is more likely a fault of discovery, and would remove all servers."""
+    received: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
             proxy.scheduler,
             proxy.listeners[0].address,
-            DiscoveryListener(told.append, server_count=proxy.gateway.known_servers),
+            DiscoveryListener(received.append, server_count=proxy.gateway.known_servers),
             pace,
             15,
         ).start()
@@ -440,7 +442,7 @@
         asked = [read_line(agent).split(b" ")[1]]
         answer_discovery(agent, 16)
         asked.append(read_line(agent).split(b" ")[1])
-        assert not told
+        assert not received
         if again == "named":
             answer_discovery(agent, 17, ONE)
         elif again == "empty":
@@ -449,34 +451,34 @@
             agent.send(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
         elif again == "broken":
             agent.close()
-        proxy.wait_until(lambda: bool(told))
+        proxy.wait_until(lambda: bool(received))
         assert asked == [b"/api/targets?after=15&wait_ms=1000", b"/api/targets"]
         if again in ("partly", "silent", "broken"):
             agent = proxy.next_attempt()  # it goes on from there
-        assert read_line(agent).split(b" ")[1] == b"/api/targets?after=%d&wait_ms=1000" % told[0].revision
+        assert read_line(agent).split(b" ")[1] == b"/api/targets?after=%d&wait_ms=1000" % received[0].revision
 
     ProxyUnderTest().run(scenario)
-    (routing,) = told
+    (routing,) = received
     assert (routing.revision, len(routing.servers)) == ((17, 1) if again == "named" else (16, 0))
     assert (routing.age > 0.0) is (again != "named")
 
 
 def test_empty_endpoint_list_is_applied_if_no_server_was_known() -> None:
-    told: list[EndpointUpdate] = []
+    received: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
-            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(told.append), pace, 15
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace, 15
         ).start()
         answer_discovery(proxy.next_attempt(), 16)
-        proxy.wait_until(lambda: bool(told))
+        proxy.wait_until(lambda: bool(received))
 
     ProxyUnderTest().run(scenario)
-    assert told == [EndpointUpdate(16, True, ())]
+    assert received == [EndpointUpdate(16, True, ())]
 
 
 def test_watch_without_answers_reconnects_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against an agent that holds a call for ever: a drain would go unheard meanwhile.
+    """An agent may block a call for ever; a drain would go unnoticed meanwhile.
 
     Only a call that is not to be answered has little time: others may be answered late by a busy machine.
     """
@@ -517,12 +519,12 @@
 ) -> None:
     monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
     monkeypatch.setattr(discovery_backoff, "MEAN_CALL_INTERVAL_S", 0.01)
-    told: list[EndpointUpdate] = []
+    received: list[EndpointUpdate] = []
     seen: list[Stream] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
-            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(told.append), pace, 15
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace, 15
         ).start()
         for answer in (
             b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
@@ -538,23 +540,23 @@
             agent.send(answer)
             if b"17" not in answer:
                 agent.close()
-        proxy.wait_until(lambda: bool(told))
+        proxy.wait_until(lambda: bool(received))
 
     ProxyUnderTest().run(scenario)
-    assert [routing.revision for routing in told] == [17]
+    assert [routing.revision for routing in received] == [17]
     assert [record.getMessage() for record in caplog.records if record.name == "ironmill.discovery"] == [
         "discovery: HttpError status 503"
     ]
 
 
 def test_discovery_changes_its_address_after_the_full_list() -> None:
-    told: list[int] = []
+    received: list[int] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         discovery = Discovery(
             proxy.scheduler,
             proxy.listeners[0].address,
-            DiscoveryListener(lambda update: told.append(update.revision)),
+            DiscoveryListener(lambda update: received.append(update.revision)),
             pace,
         )
         discovery.start()
@@ -568,9 +570,9 @@
         new = proxy.next_attempt()
         assert read_line(new).startswith(b"GET /api/targets HTTP")
         answer_discovery(old, 42)  # still heard, for the new one has said nothing yet
-        proxy.wait_until(lambda: told == [41, 42])
+        proxy.wait_until(lambda: received == [41, 42])
         answer_discovery(new, 7)
-        proxy.wait_until(lambda: told == [41, 42, 7])
+        proxy.wait_until(lambda: received == [41, 42, 7])
         data = b""
         while piece := old.receive(5.0):
             data += piece
@@ -725,7 +727,7 @@
 
 @pytest.mark.parametrize("longest", [0.05, 0.3, 0.6, 1.0, 2.0, 3.2, 60.0])
 def test_shutdown_has_time_to_migrate_established_connections(longest: float) -> None:
-    """Guards against moves that never come, and moves before the proxy restarted before this one is back."""
+    """Migrations must start early enough, but not before the proxy restarted earlier serves again."""
     times = ShutdownSchedule.for_deadline(longest)
     assert times.close_at < times.migrate_at < times.end_at <= min(longest, 3.0) + 0.7
     assert times.end_at - times.migrate_at >= (times.end_at - times.close_at) / 2.0 - 1e-9
@@ -735,12 +737,12 @@
 
 @pytest.mark.parametrize("longest", [0.3, 0.6, 2.0, 3.2])
 def test_shutdown_accepts_clients_until_the_front_has_noticed(longest: float) -> None:
-    """PROTOCOL: after SIGTERM new connections go on coming for 0.2 to 0.4 s, whatever the deadlines are."""
+    """PROTOCOL: new connections arrive for 0.2 to 0.4 s after SIGTERM, whatever the deadlines are."""
     times = ShutdownSchedule.for_deadline(longest)
     assert times.close_at >= 0.4 + 0.04
     assert times.close_at < times.end_at - shutdown_module.FINAL_FLUSH_S  # what came last is decided on
 
 
 def test_request_line_may_take_two_seconds() -> None:
-    """DAYS: some are written in 2 s. STANDING: who stops half way gets an error or a close within 3 s."""
+    """DAYS: some take 2 s. STANDING: a client that stops halfway gets an error or a close within 3 s."""
     assert 2.3 <= reading_module.REQUEST_LINE_TIMEOUT_S <= 2.7
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -1,4 +1,4 @@
-"""Probes: when the module asks, what it makes of the answers, and how they travel."""
+"""Health checks: how the gateway and their driver carry them out."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
 
 
 def test_health_checks_reuse_a_connection_and_replace_a_broken_one() -> None:
-    told: list[tuple[Outcome, LoadReport]] = []
+    received: list[tuple[Outcome, LoadReport]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         driver = HealthCheckDriver(
-            proxy.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report))
+            proxy.scheduler, 0.5, lambda _, outcome, report: received.append((outcome, report))
         )
         host = proxy.gateway.server("s-0")
         assert host is not None
@@ -61,13 +61,13 @@
         for at in range(2):
             assert read_line(attempt) == b"STATS\r\n"
             attempt.send(b"PONG x0=%d\r\n" % at)
-            proxy.wait_until(lambda: len(told) == at + 1)  # noqa: B023
+            proxy.wait_until(lambda: len(received) == at + 1)  # noqa: B023
             ask()
         assert read_line(attempt) == b"STATS\r\n"
         attempt.close()
-        proxy.wait_until(lambda: len(told) == 3)
+        proxy.wait_until(lambda: len(received) == 3)
         ask()
         assert read_line(proxy.next_attempt()) == b"STATS\r\n"
 
     ProxyUnderTest().run(scenario)
-    assert told == [(Outcome.OK, (("x0", 0.0),)), (Outcome.OK, (("x0", 1.0),)), (Outcome.RESET, ())]
+    assert received == [(Outcome.OK, (("x0", 0.0),)), (Outcome.OK, (("x0", 1.0),)), (Outcome.RESET, ())]
--- a/tests/system/test_rare_moments.py
+++ b/tests/system/test_rare_moments.py
@@ -59,7 +59,7 @@
 
 
 def rest(proxy: ProxyUnderTest, client: socket.socket) -> bytes:
-    """All that the client is told until the end, which must not be a reset."""
+    """Everything that the client receives until the end, which must not be a reset."""
     stream, data = Stream(proxy.scheduler, client.dup()), b""
     while piece := stream.receive(5.0):
         data += piece
@@ -129,7 +129,7 @@
 def test_attempt_in_progress_at_shutdown_is_answered_by_what_may_have_run(
     cls: str, written: bool, answer: bytes
 ) -> None:
-    """What may have run must not be told that trying again is harmless, unless it is."""
+    """An attempt that may have run must not be rejected as harmless to retry, unless it is."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         if not written:
@@ -171,18 +171,18 @@
 
 
 def test_idle_connections_are_notified_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A request that comes in that instant has its answer already, and no reset overtakes it."""
+    """A request that arrives at that moment has its answer already, and no reset overtakes it."""
     told_all: list[bytes] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         with dialled(proxy, b"PING\r\n") as resting, dialled(proxy) as silent, dialled(proxy) as speaking:
             proxy.wait_until(lambda: len(proxy.admission._silent) == 3)
 
-            def told(state: ProcessState) -> None:
+            def received(state: ProcessState) -> None:
                 if state is ProcessState.FINALIZING:
                     speaking.sendall(OPEN)  # not read yet when the resting ones are ended
 
-            proxy.gateway.lifecycle.add_listener(told)
+            proxy.gateway.lifecycle.add_listener(received)
             proxy.scheduler.spawn(end_of(proxy, monkeypatch).run)
             assert read_line(Stream(proxy.scheduler, silent.dup())) == b"BUSY 200\r\n"
             silent.sendall(OPEN)  # too late: it has its answer
@@ -332,7 +332,7 @@
 def test_endless_answer_of_discovery_does_not_block_the_watch(
     monkeypatch: pytest.MonkeyPatch, part: str
 ) -> None:
-    """Each piece of it comes in time."""
+    """Each piece of it arrives in time."""
     monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.1)
     monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
 
@@ -358,10 +358,12 @@
 @pytest.mark.parametrize("late", [True, False])
 def test_duplicate_answer_of_discovery_does_not_restore_removed_servers(late: bool) -> None:
     """To an earlier call, behind the answer or some milliseconds later, when the next call is out."""
-    told: list[EndpointUpdate] = []
+    received: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(told.append), pace).start()
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace
+        ).start()
         agent = proxy.next_attempt()
         asked(agent)
         if late:
@@ -376,19 +378,19 @@
         agent = proxy.next_attempt()  # asked for anew, on a connection that holds no old answers
         assert asked(agent) == b"/api/targets?after=41&wait_ms=%d" % (0 if late else 1000)
         answer_discovery(agent, 7, ONE)  # a discovery that began anew is believed there
-        proxy.wait_until(lambda: told[-1].revision == 7)
+        proxy.wait_until(lambda: received[-1].revision == 7)
 
     ProxyUnderTest().run(scenario)
-    assert [routing.revision for routing in told] == [41, 7]
+    assert [routing.revision for routing in received] == [41, 7]
 
 
 def test_watch_survives_an_exception_in_its_listener(caplog: pytest.LogCaptureFixture) -> None:
-    """Without it nothing would ever be heard again; and what was not taken is asked for once more."""
-    told: list[EndpointUpdate] = []
+    """Without the watch no change would arrive; an update that was not applied is polled again."""
+    received: list[EndpointUpdate] = []
 
     def take(routing: EndpointUpdate) -> None:
-        told.append(routing)
-        if len(told) == 1:
+        received.append(routing)
+        if len(received) == 1:
             raise ZeroDivisionError
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -397,7 +399,7 @@
             agent = proxy.next_attempt()
             assert asked(agent) == b"/api/targets"
             answer_discovery(agent, 41, ONE)
-        proxy.wait_until(lambda: len(told) == 2)
+        proxy.wait_until(lambda: len(received) == 2)
 
     ProxyUnderTest().run(scenario)
     assert "a call failed" in caplog.text
@@ -421,7 +423,7 @@
 
 
 def test_resumed_connection_may_state_a_long_deadline() -> None:
-    """Where connections end at the proxy each of them comes so; turned away, all were lost."""
+    """Where connections end at the proxy all of them are resumed; a rejection would lose them."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(b"OPEN 1a 2b c=read,d=4294967,g=3c,at=s-0\r\n")
@@ -434,13 +436,13 @@
 
 
 def test_tenant_of_the_request_line_reaches_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its share is in the settings, and without it nobody is over his share."""
-    told: list[Request] = []
+    """Quotas are by tenant."""
+    received: list[Request] = []
     handle = Balancer.handle
 
     def recorded(balancer: Balancer, event: Event, now: float) -> object:
         if isinstance(event, Request | Resumed):
-            told.append(event.request if isinstance(event, Resumed) else event)
+            received.append(event.request if isinstance(event, Resumed) else event)
         return handle(balancer, event, now)
 
     monkeypatch.setattr(Balancer, "handle", recorded)
@@ -455,7 +457,7 @@
         proxy.wait_until(lambda: len(proxy.gateway.established()) == 3)
 
     ProxyUnderTest().run(scenario)
-    assert [request.tenant for request in told] == ["club", "", "press"]
+    assert [request.tenant for request in received] == ["club", "", "press"]
 
 
 def blocked(proxy: ProxyUnderTest, writer: Stream) -> None:
@@ -470,7 +472,7 @@
 
 @pytest.mark.parametrize("end", ["reset", "finish"])
 def test_server_close_is_noticed_while_the_client_does_not_read(end: str) -> None:
-    """Nobody reads the server while the write to the client waits."""
+    """The server is not read while the write to the client waits."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
@@ -508,7 +510,7 @@
 
 
 def test_slow_reader_gets_all_data_of_a_closed_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Only who takes nothing at all is given up."""
+    """Only a client that reads nothing is given up."""
     monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_CHECK_INTERVAL_S", 0.01)
     monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_TIMEOUT_S", 0.4)
 
@@ -529,40 +531,42 @@
     ProxyUnderTest().run(scenario)
 
 
-def prober(proxy: ProxyUnderTest, told: list[tuple[Outcome, object]]) -> HealthCheckDriver:
-    return HealthCheckDriver(proxy.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report)))
+def prober(proxy: ProxyUnderTest, received: list[tuple[Outcome, object]]) -> HealthCheckDriver:
+    return HealthCheckDriver(
+        proxy.scheduler, 0.5, lambda _, outcome, report: received.append((outcome, report))
+    )
 
 
 @pytest.mark.parametrize("between", [b"", b"PONG x0=9\r\n"])
 def test_health_check_ignores_bytes_received_between_two_checks(between: bytes) -> None:
     """Its connection was closed as idle, or a second answer came: neither says anything of the load."""
-    told: list[tuple[Outcome, object]] = []
+    received: list[tuple[Outcome, object]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        driver, host = prober(proxy, told), proxy.gateway.server("s-0")
+        driver, host = prober(proxy, received), proxy.gateway.server("s-0")
         assert host is not None
         for _ in range(2):
             driver.check(host)
             attempt = proxy.next_attempt()  # the second one is a new connection
             read_line(attempt)
             attempt.send(b"PONG x0=0.5\r\n")
-            proxy.wait_until(lambda: bool(told))
+            proxy.wait_until(lambda: bool(received))
             if between:
                 attempt.send(between)
             else:
                 attempt.close()
-        proxy.wait_until(lambda: len(told) == 2)
+        proxy.wait_until(lambda: len(received) == 2)
 
     ProxyUnderTest().run(scenario)
-    assert told == [(Outcome.OK, (("x0", 0.5),))] * 2
+    assert received == [(Outcome.OK, (("x0", 0.5),))] * 2
 
 
 def test_health_checks_stay_within_their_reserved_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(health_check_module, "REPLY_TIMEOUT_S", 60.0)
-    told: list[tuple[Outcome, object]] = []
+    received: list[tuple[Outcome, object]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        driver, held = prober(proxy, told), []
+        driver, held = prober(proxy, received), []
         hosts = [host for at in range(MAX_CONNECTIONS + 3) if (host := proxy.gateway.server(f"s-{at}"))]
         for host in hosts:
             driver.check(host)
@@ -570,11 +574,11 @@
             if len(held) > 1:
                 read_line(held[-1])
                 held[-1].send(b"PONG x0=0.5\r\n")
-                proxy.wait_until(lambda: len(told) == len(held) - 1)
+                proxy.wait_until(lambda: len(received) == len(held) - 1)
         assert len(driver._streams) == MAX_CONNECTIONS
         assert read_line(held[0]) == b"STATS\r\n"  # a question is out there: it stays
         assert [attempt.is_closed_by_peer() for attempt in held[:5]] == [False, True, True, True, False]
-        assert {outcome for outcome, _ in told} == {Outcome.OK}
+        assert {outcome for outcome, _ in received} == {Outcome.OK}
 
     ProxyUnderTest(MAX_CONNECTIONS + 3).run(scenario)
 
@@ -582,8 +586,8 @@
 def test_descriptor_exhaustion_affects_one_health_check_and_one_discovery_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The server is not to blame, and the watch goes on."""
-    told: list[tuple[Outcome, object]] = []
+    """The server is not at fault, and the watch continues."""
+    received: list[tuple[Outcome, object]] = []
     connect, failed = Stream.connect, list[bool]()
 
     def full(*args: object) -> Stream:
@@ -596,15 +600,15 @@
         host = proxy.gateway.server("s-0")
         assert host is not None
         monkeypatch.setattr(Stream, "connect", full)
-        prober(proxy, told).check(host)
-        proxy.wait_until(lambda: bool(told))
+        prober(proxy, received).check(host)
+        proxy.wait_until(lambda: bool(received))
         Discovery(
             proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
         ).start()
         assert asked(proxy.next_attempt()) == b"/api/targets"
 
     ProxyUnderTest().run(scenario)
-    assert told == [(Outcome.NOT_SENT, ())]
+    assert received == [(Outcome.NOT_SENT, ())]
     assert len(failed) == 2
 
 
@@ -613,12 +617,12 @@
     monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
     """While its attempt is out, or while its last answer is given: no slot, id or descriptor stays behind."""
-    told: list[Ended] = []
+    received: list[Ended] = []
     handle = Balancer.handle
 
     def recorded(balancer: Balancer, event: Event, now: float) -> object:
         if isinstance(event, Ended):
-            told.append(event)
+            received.append(event)
         return handle(balancer, event, now)
 
     def fails(*_: object) -> None:
@@ -642,7 +646,7 @@
         assert proxy.gateway.metrics.in_progress == 0
 
     ProxyUnderTest().run(scenario)
-    assert len(told) == 1
+    assert len(received) == 1
 
 
 def test_failed_action_does_not_affect_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -673,7 +677,7 @@
 
 
 def test_resume_stops_when_its_client_closes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection that was open before the run is tried again and again: not for nobody."""
+    """A resume is retried only while its client is connected."""
     monkeypatch.setattr(attempts_module, "RESUME_RETRY_INTERVAL_S", 0.0)
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -720,7 +724,7 @@
 
 @pytest.mark.parametrize("known", [True, False])
 def test_resuming_connection_is_failed_at_shutdown(known: bool) -> None:
-    """Its server has not answered, or discovery has not told of it yet."""
+    """Its server has not answered, or discovery has not listed it yet."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(b"OPEN 1a 2b c=read,at=%b\r\n" % (b"s-0" if known else b"s-9"))
@@ -775,7 +779,7 @@
 
 
 def test_simultaneous_health_checks_stay_within_their_reserved_descriptors() -> None:
-    told: list[tuple[Outcome, object]] = []
+    received: list[tuple[Outcome, object]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         dialling: list[int] = []
@@ -785,17 +789,17 @@
             proxy.scheduler.sleep(60.0)
             raise TimedOutError
 
-        driver = prober(proxy, told)
+        driver = prober(proxy, received)
         driver._dial = dial
         for at in range(MAX_CONNECTIONS + 2):
             host = proxy.gateway.server(f"s-{at}")
             assert host is not None
             driver.check(host)
-        proxy.wait_until(lambda: len(told) == 2)
+        proxy.wait_until(lambda: len(received) == 2)
         assert len(dialling) == MAX_CONNECTIONS
 
     ProxyUnderTest(MAX_CONNECTIONS + 2).run(scenario)
-    assert told == [(Outcome.NOT_SENT, ())] * 2
+    assert received == [(Outcome.NOT_SENT, ())] * 2
 
 
 class Broken:
@@ -845,7 +849,7 @@
 
 
 def test_interrupted_connect_continues(monkeypatch: pytest.MonkeyPatch) -> None:
-    """connect(2): EINTR, and the connection comes up all the same."""
+    """connect(2): after EINTR the connection is established asynchronously."""
 
     class Interrupted(socket.socket):
         def connect_ex(self, address: object) -> int:
@@ -895,7 +899,7 @@
 
 
 def test_time_in_the_accept_queue_counts_against_the_deadline() -> None:
-    """PROTOCOL: ``d`` counts from the moment the client sent the line, also while nobody accepts it yet."""
+    """PROTOCOL: ``d`` counts from when the client sent the line, also in the accept queue."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         late = Listener(proxy.scheduler, ("127.0.0.1", 0), proxy._take)
--- a/tests/system/test_scheduler.py
+++ b/tests/system/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler's waits, with either poller: registrations that stand, events that nobody wants."""
+"""The scheduler's waits, with either poller: registrations that persist, and unwanted events."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Counted:
-    """A poller that counts what it is asked."""
+    """A poller that counts its calls."""
 
     def __init__(self, inner: Any) -> None:
         self.inner = inner
@@ -72,7 +72,7 @@
 
 
 def test_unwanted_events_do_not_keep_the_hub_awake(scheduler: Scheduler) -> None:
-    """Bytes that wait while their task does something else, and an end that nobody looks at."""
+    """Bytes that wait while their task does something else, and a close that no task waits for."""
     left, right = socket.socketpair()
 
     def story() -> None:
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS to clients: the same rules as in plain, handshakes that fail in every way, and who a certificate is."""
+"""TLS to clients and servers: the rules of plain TCP, failing handshakes, and certificates."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
 
 
 def crosses(proxy: ProxyUnderTest, data: bytes, client: Stream, attempt: Stream) -> None:
-    """The data goes on unchanged, first to the server and then to the client."""
+    """The data is relayed unchanged, first to the server and then to the client."""
     for source, to in ((client, attempt), (attempt, client)):
         proxy.scheduler.spawn(source.send, data)
         came = b""
@@ -130,7 +130,7 @@
 
 
 def test_tls_client_that_does_not_read_applies_backpressure(authority: Authority) -> None:
-    """The rule on bounded buffers holds through TLS."""
+    """Buffers are bounded with TLS as well."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, TlsProxyUnderTest)
@@ -334,13 +334,13 @@
 
 def test_certificate_identifies_the_caller(authority: Authority, shown: dict[str, tuple[str, str]]) -> None:
     identity = IdentitySettings("", RULES, denied_fingerprints=frozenset({fingerprint(shown["denied"][0])}))
-    told: dict[str, str] = {}
+    received: dict[str, str] = {}
 
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, TlsProxyUnderTest)
         assert proxy.callers is not None
         for name, pair in shown.items():
-            told[name] = answers(proxy, pair)
+            received[name] = answers(proxy, pair)
         counts = proxy.callers.counts()
         assert [counts[f"rejected {it}"] for it in ("denied", "no caller", "malformed")] == [1, 1, 1]
         until_gone(proxy)
@@ -352,7 +352,7 @@
         authorities=str(authority.path),
         crl=authority.revocations("revoked"),
     ).run(scenario)
-    assert told == {
+    assert received == {
         "good": "UP r1",
         "expired": "closed",
         "revoked": "closed",
@@ -574,7 +574,7 @@
 
 
 class TlsModel(RuleBasedStateMachine):
-    """Two sides that are fed each other's records in random pieces: what goes in comes out, in order."""
+    """Two sides that exchange records in random pieces: each side reads what the other wrote, in order."""
 
     authority: Authority
 
--- a/tests/unit/requests/test_admission.py
+++ b/tests/unit/requests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission against a model: what is counted, and that it never goes over the stated figure."""
+"""Admission against a model: its counts, and that they never exceed the configured number."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Counted(RuleBasedStateMachine):
-    """Clients come, speak, are answered and go in any order."""
+    """Clients connect, send a request, are answered and close in any order."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/unit/requests/test_discovery_backoff.py
+++ b/tests/unit/requests/test_discovery_backoff.py
@@ -50,7 +50,7 @@
 
 
 def test_proxies_of_a_fleet_of_200_poll_within_the_notification_timeout() -> None:
-    """6 s after discovery had it and could be reached it counts as told, whatever became of the calls before.
+    """A change counts as notified 6 s after discovery had it and was reachable, even if calls failed.
 
     The call under way at that moment comes to nothing, then comes the pause, then the call that tells.
     """
@@ -94,7 +94,7 @@
 
 
 def test_first_call_is_immediate_where_discovery_is_not_polled() -> None:
-    """It counts as told, so a list from before the start must not be served from any longer."""
+    """The change counts as notified, so a list from before the start must not be used."""
     backoff = DiscoveryBackoff(40, random.Random(1), polls_discovery=False)
     assert backoff.first_delay() == 0.0
     assert all(backoff.failed() < 0.2 for _ in range(20))
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("duration", [0.0, 0.4, MAX_CALL_S])
 def test_next_call_starts_in_time_after_a_failure_of_any_duration(duration: float) -> None:
-    """What discovery had just after a call began is told by the next one, within 6 s."""
+    """A change just after the start of a call arrives with the next one, within 6 s."""
     for number in range(200):
         backoff = DiscoveryBackoff(2800, random.Random(number))
         pauses = [backoff.failed(duration) for _ in range(40)]
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway, its delay meter and its routing table, without sockets and on a clock of the tests' own."""
+"""The gateway, its delay meter and its routing table, without sockets and on the tests' clock."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
     def end(self, pick: int, outcome: Outcome) -> None:
         attempt = self.out()[pick % len(self.out())]
         self.gateway.on_attempt_ended(attempt, outcome)
-        self.gateway.on_attempt_ended(attempt, Outcome.RESET)  # told once, however often it is called
+        self.gateway.on_attempt_ended(attempt, Outcome.RESET)  # reported once, however often it is called
 
     @precondition(lambda self: self.handlers)
     @rule(pick=st.integers(0, 99))
@@ -93,7 +93,7 @@
         self.timers.run(span)
 
     @rule(stage=st.sampled_from([Stage.READY, Stage.DRAINING, Stage.GONE]), full=st.booleans())
-    def told(self, stage: Stage, full: bool) -> None:
+    def update(self, stage: Stage, full: bool) -> None:
         self.gateway.on_endpoints(EndpointUpdate(2, full, (listed("s-2", stage),)))
 
     @invariant()
@@ -110,7 +110,7 @@
 def test_request_without_a_decision_is_failed_at_its_deadline(
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the rule that every request has its answer, also where the decisions raise."""
+    """Every request gets its answer, even if the balancer raises an exception."""
     gateway, handler = Gateway(config(), timers), RecordingHandler()
 
     def broken(*_: object) -> None:
@@ -125,7 +125,7 @@
 
 
 def test_attempt_may_not_start_late_at_a_leaving_server(timers: FakeTimers) -> None:
-    """Guards the drain rule for an attempt that was ordered in time but is slow to connect."""
+    """The drain rule holds for an attempt that was ordered in time but connects slowly."""
     gateway, handler = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), RecordingHandler()
     gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
     (attempt,) = handler.attempts
@@ -138,7 +138,7 @@
     assert gateway.may_start(attempt)
     gateway.on_endpoints(
         EndpointUpdate(5, True, (), age=0.06)
-    )  # counts from when it was told, not when believed
+    )  # counts from when it was notified, not when believed
     assert gateway.may_start(attempt)
     timers.run(0.06)
     assert not gateway.may_start(attempt)
@@ -147,7 +147,7 @@
 def test_attempt_starts_early_enough_for_a_suspended_process_to_meet_the_drain_grace(
     timers: FakeTimers,
 ) -> None:
-    """STANDING: held up for up to 0.15 s between reading its clock and writing; the grace has to cover it."""
+    """STANDING: a process may be suspended for 0.15 s between reading its clock and writing."""
     gateway, handler = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), RecordingHandler()
     gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
     (attempt,) = handler.attempts
@@ -193,15 +193,15 @@
 
 
 class Meter:
-    """A meter with what it told, on the tests' clock."""
+    """A meter on the tests' clock, with its reports."""
 
     def __init__(self, timers: FakeTimers) -> None:
-        self.told: list[tuple[str, float]] = []
+        self.reports: list[tuple[str, float]] = []
         self.silent: list[str] = []
         self.meter = DelayMeter(
             timers,
             0.05,
-            lambda id_, delay: self.told.append((id_, round(delay, 3))),
+            lambda id_, delay: self.reports.append((id_, round(delay, 3))),
             self.silent.append,
             clock=lambda: timers.now,
         )
@@ -215,7 +215,7 @@
         timers.run(0.04)
         it.meter.lines_answered("a", 1)
         timers.run(2.0)
-    assert (it.told, it.silent) == ([], [])
+    assert (it.reports, it.silent) == ([], [])
 
 
 def test_slow_answers_are_reported_every_second_and_once_at_recovery(timers: FakeTimers) -> None:
@@ -227,29 +227,29 @@
         timers.run(0.2)
         it.meter.lines_answered("a", 1)
         timers.run(0.6)
-    assert it.told == [("a", 0.05), ("a", 0.2), ("a", 0.2)]
+    assert it.reports == [("a", 0.05), ("a", 0.2), ("a", 0.2)]
     timers.run(5.0)
-    assert it.told[-1][1] <= 0.05
-    count = len(it.told)
+    assert it.reports[-1][1] <= 0.05
+    count = len(it.reports)
     timers.run(5.0)
-    assert len(it.told) == count
+    assert len(it.reports) == count
 
 
 def test_unanswered_line_counts_as_delay_and_unresponsive_connection_is_given_up(timers: FakeTimers) -> None:
-    """Guards against a machine that vanished: its connections stay open and say nothing."""
+    """The connections of a lost machine stay open without data."""
     it = Meter(timers)
     it.meter.add_connection("a")
     it.meter.lines_sent("a", 1)
     timers.run(UNRESPONSIVE_TIMEOUT_S - 0.1)
-    assert [delay for _, delay in it.told] == [0.05, 1.05, 2.05]
+    assert [delay for _, delay in it.reports] == [0.05, 1.05, 2.05]
     assert UNRESPONSIVE_TIMEOUT_S + 2.0 < 6.0  # a line every 2 s, and 7 s from the silence on
     assert it.silent == []
     timers.run(0.2)
     assert it.silent == ["a"]
     it.meter.remove_connection("a")
-    count = len(it.told)
+    count = len(it.reports)
     timers.run(9.0)
-    assert len(it.told) == count
+    assert len(it.reports) == count
 
 
 def test_server_numbers_are_stable_and_a_full_list_drops_absent_servers() -> None:
@@ -258,7 +258,7 @@
     assert first.kind is WatchEventKind.FULL
     numbers = [entry.server_id for entry in first.entries]
     assert [entry.started_at for entry in first.entries] == [0.0, 1.0]  # 7.5 is yet to come
-    # Another proxy, told in another order, has the same numbers.
+    # Another proxy, with the list in another order, has the same numbers.
     other = RoutingTable().apply(EndpointUpdate(9, True, (listed("s-2"), listed("s-1"))), 1.0)
     assert [entry.server_id for entry in other.entries] == numbers[::-1]
     delta = table.apply(EndpointUpdate(5, False, (listed("s-1", Stage.DRAINING),)), 2.0)
--- a/tests/unit/requests/test_response_delay.py
+++ b/tests/unit/requests/test_response_delay.py
@@ -61,7 +61,7 @@
 
 
 def test_timed_unanswered_lines_are_bounded() -> None:
-    """Guards memory against a client that sends empty lines at full speed."""
+    """A client that sends empty lines at full speed must not use unbounded memory."""
     now = 0.0
     meter = DelayMeter(TimerQueue(lambda: now), 0.05, lambda *_: None, lambda _: None, clock=lambda: now)
     meter.add_connection("a")
