--- a/ironmill_testbed/__main__.py
+++ b/ironmill_testbed/__main__.py
@@ -83,7 +83,7 @@
     if words["capacity"]:
         from ironmill_testbed.capacity import page
 
-        return page.run(words["--check"], words["--plots"])
+        return page.run(checking=words["--check"], plots=words["--plots"])
     from ironmill_testbed import measure
 
     program = Path(words["--program"]).resolve() if words["--program"] else None
--- a/ironmill_testbed/capacity/data.py
+++ b/ironmill_testbed/capacity/data.py
@@ -1,7 +1,7 @@
-"""The data behind ``docs/CAPACITY.md``: sweeps with their fits, and what the stories cost.
+"""The data behind ``docs/CAPACITY.md``: sweeps with their fits, and figures of scenarios.
 
 ``docs/capacity/measured.json`` is written by ``python -m ironmill_testbed measure scale`` and read by
-the page's formulas. Only points are stored; fits are worked out from them each time, so that the two
+the page's formulas. Only points are stored; fits are computed from them each time, so that the two
 cannot differ.
 """
 
@@ -14,36 +14,39 @@
 
 import msgspec
 import numpy as np
+import numpy.typing as npt
 from msgspec import Struct
 
 MEASURED = Path(__file__).parents[2] / "docs" / "capacity" / "measured.json"
-POINTS_LEAST = 5  # sizes in a sweep
+Costs = npt.NDArray[np.float64]
+MIN_SIZES = 5  # in a sweep that is fitted
 
 
 class Sign(Enum):
-    """How a figure came about; every figure on the page carries one of the three signs."""
+    """How a figure was obtained; the page marks every figure with one of three signs."""
 
-    REAL = "real processes"  # run
-    HOLLOW = "hollow processes on sockets"  # run
-    VIRTUAL = "virtual clock"  # run
-    DERIVED = "worked out"
+    # The first three were run; their values are stored in the measurements.
+    REAL = "real processes"
+    SIMULATED = "hollow processes on sockets"
+    VIRTUAL = "virtual clock"
+    DERIVED = "computed"
     ASSUMED = "assumed"
 
     @property
     def mark(self) -> str:
-        """The sign on the page: run, worked out or assumed."""
+        """The sign on the page: run, computed or assumed."""
         return {Sign.DERIVED: "=", Sign.ASSUMED: "?"}.get(self, "✓")
 
 
 class Shape(Enum):
-    """What is fitted."""
+    """The curve that is fitted."""
 
     LINE = "line"  # y = constant + slope x
     POWER = "power"  # y = factor x ** exponent
 
 
 class Fit(Struct, frozen=True):
-    """A fitted curve and how far it may be off."""
+    """A fitted curve with its errors."""
 
     shape: Shape
     constant: float  # of a power law: its factor
@@ -53,13 +56,13 @@
     residual: float  # root of the mean square of (measured - fitted) / fitted
 
     def at(self, x: float) -> float:
-        """The fitted value at this size."""
+        """Computes the fitted value at a size."""
         if self.shape is Shape.LINE:
             return self.constant + self.slope * x
         return self.constant * float(x**self.slope)
 
     def error_at(self, x: float) -> float:
-        """One standard error of the fitted value, constant's and slope's added."""
+        """Computes one standard error of the fitted value: the constant's plus the slope's."""
         if self.shape is Shape.LINE:
             return self.constant_error + self.slope_error * x
         relative = self.constant_error / max(self.constant, 1e-300) + self.slope_error * math.log(x)
@@ -67,68 +70,80 @@
 
 
 class Sweep(Struct, frozen=True, forbid_unknown_fields=True):
-    """One cost against one size."""
+    """Measurements of one cost at several sizes."""
 
     name: str
-    what: str  # one sentence: what was measured, of which program's code
-    x: str  # what the size counts
-    unit: str  # of the cost: s, B, B/s, floor (times the bare epoll floor of the same run)
+    what: str  # one sentence: what was measured, and in which program
+    x: str  # what the size is a number of
+    unit: str  # of the cost: s, B, B/s, floor (multiple of the bare epoll loop in the same run)
     sign: Sign
-    points: tuple[tuple[float, float], ...]  # several of one size are several runs
+    points: tuple[tuple[float, float], ...]  # (size, cost); several of one size are several runs
     shape: Shape = Shape.LINE
-    floor_s: float | None = None  # where time is measured: seconds a line of the bare epoll floor, same run
+    floor_s: float | None = None  # seconds per line of the bare epoll loop in the same run
 
     def fit(self) -> Fit:
-        """Least squares weighted by 1/y, so that small sizes count as much as large ones.
+        """Fits the shape by least squares weighted by 1/cost, so that all sizes have the same influence.
 
-        ValueError if there are fewer than ``POINTS_LEAST`` sizes.
+        Raises ``ValueError`` if there are fewer than ``MIN_SIZES`` sizes.
         """
-        if len({x for x, _ in self.points}) < POINTS_LEAST:
-            raise ValueError(f"{self.name}: a sweep has {POINTS_LEAST} sizes at least")
+        sizes = len({x for x, _ in self.points})
+        if sizes < MIN_SIZES:
+            raise ValueError(f"sweep {self.name!r} has {sizes}; a fit needs at least {MIN_SIZES} sizes")
         x = np.array([point[0] for point in self.points])
         y = np.array([point[1] for point in self.points])
-        if self.shape is Shape.LINE:
-            weights = 1.0 / np.maximum(np.abs(y), _floor(y))
-            (slope, constant), spread = np.polyfit(x, y, 1, w=weights, cov=True)
-            errors = np.sqrt(np.diag(spread))
-        else:
-            (slope, constant), spread = np.polyfit(np.log(x), np.log(y), 1, cov=True)
-            errors = np.sqrt(np.diag(spread))
-            constant = math.exp(constant)
-            errors[1] *= constant
-        fit = Fit(self.shape, float(constant), float(slope), float(errors[1]), float(errors[0]), 0.0)
-        least = _floor(y)
-        off = [(value - fit.at(size)) / max(abs(fit.at(size)), least) for size, value in self.points]
-        return msgspec.structs.replace(fit, residual=math.sqrt(sum(one * one for one in off) / len(off)))
-
-
-def _floor(costs: Any) -> float:
-    """What a cost of nothing counts as, or it would outweigh all others: the least that is something."""
+        fit = _fit_line(x, y) if self.shape is Shape.LINE else _fit_power(x, y)
+        return msgspec.structs.replace(fit, residual=self._residual(fit, _smallest_cost(y)))
+
+    def _residual(self, fit: Fit, smallest_cost: float) -> float:
+        deviations = [
+            (cost - fit.at(size)) / max(abs(fit.at(size)), smallest_cost) for size, cost in self.points
+        ]
+        return math.sqrt(sum(one * one for one in deviations) / len(deviations))
+
+
+def _fit_line(x: Costs, y: Costs) -> Fit:
+    weights = 1.0 / np.maximum(np.abs(y), _smallest_cost(y))
+    (slope, constant), covariance = np.polyfit(x, y, 1, w=weights, cov=True)
+    slope_error, constant_error = np.sqrt(np.diag(covariance))
+    return Fit(Shape.LINE, float(constant), float(slope), float(constant_error), float(slope_error), 0.0)
+
+
+def _fit_power(x: Costs, y: Costs) -> Fit:
+    (exponent, log_factor), covariance = np.polyfit(np.log(x), np.log(y), 1, cov=True)
+    exponent_error, log_factor_error = np.sqrt(np.diag(covariance))
+    factor = math.exp(log_factor)
+    factor_error = log_factor_error * factor
+    return Fit(Shape.POWER, float(factor), float(exponent), float(factor_error), float(exponent_error), 0.0)
+
+
+def _smallest_cost(costs: Costs) -> float:
+    """Returns the smallest cost above zero; it replaces zeros, whose weight would be infinite."""
     return float(min((cost for cost in np.abs(costs) if cost > 0.0), default=1e-12))
 
 
 class Measured(Struct, frozen=True, forbid_unknown_fields=True):
-    """All that ``measure scale`` found."""
+    """All results of ``measure scale``."""
 
     sweeps: dict[str, Sweep]
-    stories: dict[str, dict[str, Any]]  # by story: figures by name, None where one could not be run
-    machine: dict[str, Any]  # cores, Python's version
+    # By scenario: figures by name, None where one could not be measured.
+    scenarios: dict[str, dict[str, Any]] = msgspec.field(name="stories")
+    machine: dict[str, Any]  # cores, version of Python
 
 
 def load(path: Path = MEASURED) -> Measured:
-    """The committed data; ``msgspec.ValidationError`` if it is not in form."""
+    """Reads the data. Raises ``msgspec.ValidationError`` if a field is unknown, missing or mistyped."""
     return msgspec.json.decode(path.read_bytes(), type=Measured)
 
 
 def save(measured: Measured, path: Path = MEASURED) -> None:
-    """Write it in a form whose changes can be read line by line."""
+    """Writes the data indented and in sorted order, so that changes can be read line by line."""
     data = msgspec.json.format(msgspec.json.encode(measured, order="sorted"), indent=1)
     path.write_bytes(data + b"\n")
 
 
 def merge(new: Measured, path: Path = MEASURED) -> Measured:
-    """What is on file, with these sweeps and stories in place of those of the same name."""
+    """Returns the stored data in which these sweeps and scenarios replace those of the same name."""
     if not path.exists():
         return new
     old = load(path)
-    return Measured(old.sweeps | new.sweeps, old.stories | new.stories, new.machine or old.machine)
+    return Measured(old.sweeps | new.sweeps, old.scenarios | new.scenarios, new.machine or old.machine)
--- a/ironmill_testbed/capacity/figure.py
+++ b/ironmill_testbed/capacity/figure.py
@@ -1,4 +1,4 @@
-"""A figure with its error and its sign, and how figures are written."""
+"""A figure with its error and its sign, and the format of figures on the page."""
 
 from __future__ import annotations
 
@@ -10,126 +10,174 @@
 from ironmill_testbed.capacity.data import Sign
 
 NOT_RUN = "not run"
-UNKNOWN = "-"  # has no place here
-DIGITS = 3  # significant, of a value
-ERROR_DIGITS = 2  # of its error
+UNKNOWN = "-"  # does not apply
+_VALUE_DIGITS = 3  # significant
+_ERROR_DIGITS = 2
 
-# By unit: steps from the smallest to the largest, each (from which value on, divided by, written after it).
-STEPS: dict[str, tuple[tuple[float, float, str], ...]] = {
+
+class _Scale(Struct, frozen=True):
+    """A unit of the page for values from ``start`` on."""
+
+    start: float
+    divisor: float
+    suffix: str
+
+
+# By unit of the value, from the smallest scale to the largest.
+_SCALES: dict[str, tuple[_Scale, ...]] = {
     "s": (
-        (0.0, 1e-6, " µs"),
-        (1e-3, 1e-3, " ms"),
-        (1.0, 1.0, " s"),
-        (300.0, 60.0, " min"),
-        (2 * 3600.0, 3600.0, " h"),
-        (48 * 3600.0, 86400.0, " days"),
+        _Scale(0.0, 1e-6, " µs"),
+        _Scale(1e-3, 1e-3, " ms"),
+        _Scale(1.0, 1.0, " s"),
+        _Scale(300.0, 60.0, " min"),
+        _Scale(2 * 3600.0, 3600.0, " h"),
+        _Scale(48 * 3600.0, 86400.0, " days"),
     ),
-    "B": ((0.0, 1.0, " B"), (1e3, 1e3, " KB"), (1e6, 1e6, " MB"), (1e9, 1e9, " GB"), (1e12, 1e12, " TB")),
-    "B/s": ((0.0, 1.0, " B/s"), (1e3, 1e3, " KB/s"), (1e6, 1e6, " MB/s"), (1e9, 1e9, " GB/s")),
-    "cores": ((0.0, 0.01, " % of a core"), (1.0, 1.0, " cores")),
-    "/s": ((0.0, 1.0, "/s"), (1e6, 1e6, " million/s")),
-    "": ((0.0, 1.0, ""), (1e7, 1e6, " million")),
+    "B": (
+        _Scale(0.0, 1.0, " B"),
+        _Scale(1e3, 1e3, " KB"),
+        _Scale(1e6, 1e6, " MB"),
+        _Scale(1e9, 1e9, " GB"),
+        _Scale(1e12, 1e12, " TB"),
+    ),
+    "B/s": (
+        _Scale(0.0, 1.0, " B/s"),
+        _Scale(1e3, 1e3, " KB/s"),
+        _Scale(1e6, 1e6, " MB/s"),
+        _Scale(1e9, 1e9, " GB/s"),
+    ),
+    "cores": (_Scale(0.0, 0.01, " % of a core"), _Scale(1.0, 1.0, " cores")),
+    "/s": (_Scale(0.0, 1.0, "/s"), _Scale(1e6, 1e6, " million/s")),
+    "": (_Scale(0.0, 1.0, ""), _Scale(1e7, 1e6, " million")),
 }
-STEPS["s/s"] = STEPS["cores"]
+_SCALES["s/s"] = _SCALES["cores"]
 
 
 class Figure(Struct, frozen=True):
-    """A value, one standard error of it, and how it came about; ``None`` where what it needs was not run.
+    """A value, one standard error of it, and its sign; the value is None where a measurement is missing.
 
-    Errors of what is added, or multiplied, are added: they may hang together, so this never says too little.
+    Errors of what is added, or relative errors of what is multiplied, are added: they may be correlated,
+    so the result is never too small.
     """
 
     value: float | None
     error: float = 0.0
     sign: Sign = Sign.DERIVED
 
-    def _with(self, other: Figure | float, how: Callable[[float, float], float], relative: bool) -> Figure:
-        right = other if isinstance(other, Figure) else Figure(float(other))
-        sign = Sign.ASSUMED if Sign.ASSUMED in (self.sign, right.sign) else Sign.DERIVED
-        if self.value is None or right.value is None:
-            return Figure(None, sign=sign)
-        value = how(self.value, right.value)
-        if not relative:
-            return Figure(value, self.error + right.error, sign)
-        parts = [abs(one.error / one.value) if one.value else 0.0 for one in (self, right)]
-        return Figure(value, abs(value) * sum(parts), sign)
-
     def __add__(self, other: Figure | float) -> Figure:
-        return self._with(other, lambda a, b: a + b, False)
+        """Adds values and errors."""
+        return self._sum(other, lambda a, b: a + b)
 
     __radd__ = __add__
 
     def __sub__(self, other: Figure | float) -> Figure:
-        return self._with(other, lambda a, b: a - b, False)
+        """Subtracts values and adds errors."""
+        return self._sum(other, lambda a, b: a - b)
 
     def __mul__(self, other: Figure | float) -> Figure:
-        return self._with(other, lambda a, b: a * b, True)
+        """Multiplies values and adds relative errors."""
+        return self._product(other, lambda a, b: a * b)
 
     __rmul__ = __mul__
 
     def __truediv__(self, other: Figure | float) -> Figure:
-        return self._with(other, lambda a, b: a / b if b else math.inf, True)
+        """Divides values and adds relative errors; a divisor of zero gives infinity."""
+        return self._product(other, lambda a, b: a / b if b else math.inf)
 
     def __rtruediv__(self, other: float) -> Figure:
+        """Divides a number by this figure."""
         return Figure(float(other)) / self
 
     def ceil(self) -> Figure:
-        """The next whole number; its error is not carried on."""
+        """Rounds the value up to a whole number; the result has no error."""
         return Figure(None if self.value is None else float(math.ceil(self.value - 1e-9)), 0.0, self.sign)
 
+    def _sum(self, other: Figure | float, combine: Callable[[float, float], float]) -> Figure:
+        right = _figure(other)
+        sign = _sign_of(self, right)
+        if self.value is None or right.value is None:
+            return Figure(None, sign=sign)
+        return Figure(combine(self.value, right.value), self.error + right.error, sign)
 
-def number(value: float, digits: int = DIGITS) -> str:
-    """To so many significant digits, thousands apart."""
+    def _product(self, other: Figure | float, combine: Callable[[float, float], float]) -> Figure:
+        right = _figure(other)
+        sign = _sign_of(self, right)
+        if self.value is None or right.value is None:
+            return Figure(None, sign=sign)
+        value = combine(self.value, right.value)
+        relative_errors = [abs(one.error / one.value) if one.value else 0.0 for one in (self, right)]
+        return Figure(value, abs(value) * sum(relative_errors), sign)
+
+
+def _figure(value: Figure | float) -> Figure:
+    return value if isinstance(value, Figure) else Figure(float(value))
+
+
+def _sign_of(left: Figure, right: Figure) -> Sign:
+    return Sign.ASSUMED if Sign.ASSUMED in (left.sign, right.sign) else Sign.DERIVED
+
+
+def number(value: float, digits: int = _VALUE_DIGITS) -> str:
+    """Formats a number to so many significant digits, with thousands separators."""
     if value == 0.0:
         return "0"
     if math.isinf(value):
-        return "without end" if value > 0 else "-without end"
-    places = _places(value, digits)
-    whole = abs(value - round(value)) < 1e-9 * abs(value)
-    return _placed(value, min(places, 0) if whole else places)
+        return "unlimited" if value > 0 else "-unlimited"
+    places = _decimal_places(value, digits)
+    is_whole = abs(value - round(value)) < 1e-9 * abs(value)
+    return _fixed(value, min(places, 0) if is_whole else places)
 
 
 def plain(value: float) -> str:
-    """As it was given, thousands apart."""
+    """Formats a number without rounding, with thousands separators."""
     return f"{int(value):,}" if value == int(value) else f"{value:g}"
 
 
-def quantity(figure: Figure, unit: str = "", signed: bool = True) -> str:
-    """With unit, error and sign, as it stands on the page."""
+def quantity(figure: Figure, unit: str = "", *, signed: bool = True) -> str:
+    """Formats a figure with its error, a unit that suits its size, and its sign."""
     if figure.value is None or math.isnan(figure.value):
         return NOT_RUN
-    divided, after = 1.0, f" {unit}" if unit else ""
-    for least, by, written in STEPS.get(unit, ()):
-        if math.isfinite(figure.value) and abs(figure.value) >= least:
-            divided, after = by, written
-    value, error = figure.value / divided, figure.error / divided
-    if value == 0.0 and unit:
-        after = {"s/s": " cores", "/s": "/s"}.get(unit, f" {unit}")
+    divisor, suffix = _scale(figure.value, unit)
     sign = f" {figure.sign.mark}" if signed else ""
+    return f"{_with_error(figure.value / divisor, figure.error / divisor)}{suffix}{sign}"
+
+
+def _scale(value: float, unit: str) -> tuple[float, str]:
+    """Returns the divisor and the suffix for a value."""
+    divisor, suffix = 1.0, f" {unit}" if unit else ""
+    for scale in _SCALES.get(unit, ()):
+        if math.isfinite(value) and abs(value) >= scale.start:
+            divisor, suffix = scale.divisor, scale.suffix
+    if value == 0.0 and unit:
+        suffix = {"s/s": " cores", "/s": "/s"}.get(unit, f" {unit}")
+    return divisor, suffix
+
+
+def _with_error(value: float, error: float) -> str:
     if error <= 0.0 or not math.isfinite(error) or math.isinf(value):
-        return f"{number(value)}{after}{sign}"
-    places = _places(error, ERROR_DIGITS)
+        return number(value)
+    places = _decimal_places(error, _ERROR_DIGITS)
     if value:
-        places = min(places, _places(value, DIGITS))
+        places = min(places, _decimal_places(value, _VALUE_DIGITS))
     if value == round(value) and error == round(error):
-        return f"{_placed(value, min(places, 0))} ± {_placed(error, 0)}{after}{sign}"
-    return f"{_placed(value, places)} ± {_placed(error, _places(error, ERROR_DIGITS))}{after}{sign}"
+        return f"{_fixed(value, min(places, 0))} ± {_fixed(error, 0)}"
+    return f"{_fixed(value, places)} ± {_fixed(error, _decimal_places(error, _ERROR_DIGITS))}"
 
 
-def _places(value: float, digits: int) -> int:
-    """After the point; negative: so many before it are zeros."""
+def _decimal_places(value: float, digits: int) -> int:
+    """Returns the decimal places for so many significant digits; negative: zeros before the point."""
     places = digits - 1 - math.floor(math.log10(abs(value)))
     if abs(round(value, places)) >= 10.0 ** (digits - places):  # 9.996 is 10.0
         places -= 1
     return places
 
 
-def _placed(value: float, places: int) -> str:
+def _fixed(value: float, places: int) -> str:
     text = f"{round(value, places):,.{max(places, 0)}f}"
     return text.removeprefix("-") if not text.strip("-0.,") else text
 
 
 def table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """In Markdown."""
+    """Formats a table in Markdown."""
     lines = [heads, ["---"] * len(heads), *rows]
     return "\n".join("| " + " | ".join(cell.replace("|", "\\|") for cell in line) + " |" for line in lines)
--- a/ironmill_testbed/capacity/plan.py
+++ b/ironmill_testbed/capacity/plan.py
@@ -1,4 +1,4 @@
-"""The figures that the page is worked out for: the letter's, today's fleet's, and what is assumed."""
+"""The figures that the page is computed from: the target fleet's, today's fleet's, and the assumptions."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 PLAN = Path(__file__).parents[2] / "docs" / "capacity" / "plan.toml"
 
 
-class Letter(Struct, frozen=True, forbid_unknown_fields=True):
-    """The operators' plan, in their words."""
+class Target(Struct, frozen=True, forbid_unknown_fields=True):
+    """The fleet that the operators plan."""
 
     proxies: float
     connections: float
@@ -19,32 +19,32 @@
     largest_topic: float  # listeners
     deliveries_per_s: float
     delivery_ms: float
-    delivery_share: float  # of the deliveries are within delivery_ms
+    delivery_share: float  # fraction of the deliveries that take at most delivery_ms
     regions: float
     zones: float
     changes_per_day: float
     in_force_s: float
-    control_core_share: float  # of a core, a proxy
-    control_bytes: float  # of memory, a proxy
-    control_bytes_per_s: float  # a proxy
+    control_core_share: float  # of one core, per proxy
+    control_bytes: float  # of memory, per proxy
+    control_bytes_per_s: float  # per proxy
     control_machines: float
     failures_per_day: float
     restarts_per_day: float
 
 
 class Today(Struct, frozen=True, forbid_unknown_fields=True):
-    """The fleet of the standing test, and what the program promises or keeps to now."""
+    """The fleet of the operators' test, and the program's own limits."""
 
     proxies: float
     servers: float
-    gone_within_s: float
-    call_spacing_s: float
-    call_pause_most_s: float
-    call_pause_least: float  # of the longest
-    probes_per_s: float
+    max_detection_s: float
+    call_interval_s: float
+    max_call_pause_s: float
+    min_call_pause_fraction: float  # of max_call_pause_s
+    health_checks_per_s: float
     observers: float  # of a member
-    ping_every_s: float
-    poll_every_s: float
+    ping_interval_s: float
+    poll_interval_s: float
     catch_up_bytes_per_s: float
     serve_bytes_per_s: float
     delta_bytes: float
@@ -53,7 +53,7 @@
 
 
 class Assumption(Struct, frozen=True, forbid_unknown_fields=True):
-    """A figure that nobody gave and nobody measured."""
+    """A figure that is neither given nor measured."""
 
     value: float
     unit: str
@@ -61,15 +61,15 @@
 
 
 class Assumed(Struct, frozen=True, forbid_unknown_fields=True):
-    """All of them."""
+    """All assumptions."""
 
     connections_today: Assumption
     largest_topic_today: Assumption
     servers: Assumption
     process_share: Assumption
-    connection_life: Assumption
-    passes_a_line: Assumption
-    shards_a_connection: Assumption
+    connection_lifetime: Assumption
+    passes_per_line: Assumption
+    shards_per_connection: Assumption
     rack: Assumption
     entry: Assumption
     change: Assumption
@@ -81,13 +81,13 @@
 
 
 class Plan(Struct, frozen=True, forbid_unknown_fields=True):
-    """``docs/capacity/plan.toml``."""
+    """The contents of ``docs/capacity/plan.toml``."""
 
-    letter: Letter
+    target: Target
     today: Today
     assumed: Assumed
 
 
 def load(path: Path = PLAN) -> Plan:
-    """The committed plan; ``msgspec.ValidationError`` if it is not in form."""
+    """Reads the plan. Raises ``msgspec.ValidationError`` if a field is unknown, missing or mistyped."""
     return msgspec.toml.decode(path.read_bytes(), type=Plan)
--- /dev/null
+++ b/ironmill_testbed/capacity/tables/inputs.py
@@ -0,0 +1,35 @@
+"""The tables of the figures that the page is computed from."""
+
+from __future__ import annotations
+
+from msgspec import Struct
+
+from ironmill_testbed.capacity.data import Sign
+from ironmill_testbed.capacity.figure import plain, table
+from ironmill_testbed.capacity.formulas import Model
+from ironmill_testbed.capacity.plan import Assumption
+
+
+def target(model: Model) -> str:
+    """Formats the target fleet's figures."""
+    return _fields("target", model.plan.target)
+
+
+def today(model: Model) -> str:
+    """Formats the figures of today's fleet and the values that the program guarantees."""
+    return _fields("today's", model.plan.today)
+
+
+def _fields(head: str, figures: Struct) -> str:
+    names = figures.__struct_fields__
+    return table([head, ""], [[name.replace("_", " "), plain(getattr(figures, name))] for name in names])
+
+
+def assumptions(model: Model) -> str:
+    """Formats the assumptions, each with its reason."""
+    rows = []
+    for name in model.plan.assumed.__struct_fields__:
+        assumption: Assumption = getattr(model.plan.assumed, name)
+        value = f"{plain(assumption.value)} {assumption.unit} {Sign.ASSUMED.mark}"
+        rows.append([name.replace("_", " "), value, assumption.why])
+    return table(["assumed", "", "why"], rows)
--- /dev/null
+++ b/ironmill_testbed/capacity/tables/mechanisms.py
@@ -0,0 +1,82 @@
+"""The tables of deliveries and of mechanisms in the order in which a growing fleet exceeds them."""
+
+from __future__ import annotations
+
+from ironmill_testbed.capacity import formulas
+from ironmill_testbed.capacity.figure import NOT_RUN, number, plain, quantity, table
+from ironmill_testbed.capacity.formulas import Gap, Model
+
+
+def deliveries(model: Model) -> str:
+    """Formats the time of a delivery by hop."""
+    single, shared = formulas.delivery(model)
+    rows = [[hop.name, quantity(hop.single, "s"), quantity(hop.shared, "s")] for hop in formulas.hops(model)]
+    limit = f"{number(model.plan.target.delivery_ms)} ms"
+    rows.append([f"**sum**, of {limit}", quantity(single, "s"), quantity(shared, "s")])
+    heads = ["hop", "one stream per listener (today)", "one stream per shard and proxy (not built)"]
+    return table(heads, rows)
+
+
+def missing(model: Model) -> str:
+    """Formats every gap, the smallest factor first."""
+    heads = [
+        "mechanism",
+        "limitation",
+        "at N times today's fleet",
+        "required",
+        "based on",
+        "state",
+    ]
+    rows = [
+        [
+            gap.mechanism,
+            gap.limitation,
+            factor_of(gap),
+            number(gap.required),
+            f"`{gap.sweep}`" if gap.sweep else "the program",
+            state_of(model, gap),
+        ]
+        for gap in formulas.gaps(model)
+    ]
+    return table(heads, rows)
+
+
+def roadmap(model: Model) -> str:
+    """Formats the first gap of each mechanism that does not reach the target size."""
+    rows = [
+        [gap.mechanism, gap.limitation, factor_of(gap), number(gap.required), state_of(model, gap)]
+        for gap in formulas.first_gaps(model)
+    ]
+    heads = ["mechanism", "first limitation", "at N times today's fleet", "required", "state"]
+    return table(heads, rows)
+
+
+def factor_of(gap: Gap) -> str:
+    """Formats the multiple of today's fleet at which the limit is reached."""
+    if not gap.sweep:
+        return f"{quantity(gap.factor)} (no mechanism)"
+    if gap.factor.value == 0.0:
+        return f"below {plain(formulas.MIN_MULTIPLE)} {gap.factor.sign.mark} (at any size)"
+    return quantity(gap.factor)
+
+
+def state_of(model: Model, gap: Gap) -> str:
+    """Formats whether a mechanism suffices; where none was measured, how far the one built since goes."""
+    if gap.sweep:
+        return _measured_state(gap)
+    now = formulas.current_distribution_gaps(model)[0]
+    link = "now [distribution](distribution.md)"
+    if now.factor.value is None:
+        return f"{link}: {NOT_RUN}, or in part"
+    return f"{link}: to {factor_of(now)}, {number(now.required)} required, by {now.limitation}"
+
+
+def _measured_state(gap: Gap) -> str:
+    if gap.is_covered:
+        return "sufficient"
+    return NOT_RUN if gap.factor.value is None else "insufficient"
+
+
+def share_of(model: Model) -> str:
+    """Formats the target's percentile of deliveries in words."""
+    return f"{number(model.plan.target.delivery_share * 100.0)} in {number(100.0)}"
--- a/ironmill_testbed/measures/scale.py
+++ b/ironmill_testbed/measures/scale.py
@@ -44,7 +44,7 @@
     print("on sockets:", *(f"{name} {value}" for name, value in sockets.items()), sep="\n  ")
     if not quick:
         told = {name: one | {"sign": data.Sign.VIRTUAL.value} for name, one in played.items()}
-        told["on_sockets"] = sockets | {"sign": data.Sign.HOLLOW.value}
+        told["on_sockets"] = sockets | {"sign": data.Sign.SIMULATED.value}
         data.save(data.merge(data.Measured({}, told, sweeps.machine())))  # kept, whatever comes after
         found = sweeps.sweep(quick, names=names)  # last, when nothing else is busy
         data.save(data.merge(data.Measured(found, {}, sweeps.machine())))
--- a/tests/unit/testbed/test_capacity.py
+++ b/tests/unit/testbed/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: its formulas at sizes that can be reckoned by hand, and that it is what they give."""
+"""Tests of the capacity page: formulas against values by hand, and the committed page against formulas."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import re
 import shutil
 from pathlib import Path
+from types import ModuleType
 
 import msgspec
 import pytest
@@ -38,36 +39,36 @@
     return Sweep(name, f"{name} of a test", x, unit, Sign.VIRTUAL, points, Shape.POWER)
 
 
-def model(*sweeps: Sweep, stories: dict[str, dict[str, object]] | None = None) -> Model:
-    return Model(Measured({one.name: one for one in sweeps}, stories or {}, {}), plan.load())
+def model(*sweeps: Sweep, scenarios: dict[str, dict[str, object]] | None = None) -> Model:
+    return Model(Measured({one.name: one for one in sweeps}, scenarios or {}, {}), plan.load())
 
 
 def full() -> Model:
-    """All sweeps and stories that the page knows, and one of each that it does not."""
+    """All sweeps and scenarios that the page expects, and one of each that it does not."""
     sweeps = [line(name, "proxies", "s", 1e-5, 1e-9) for name in tables.EXPECTED]
     entries = ("table_", "keyspace_", "placement", "store", "catch_up")
     sweeps = [replace(one, x="entries") if one.name.startswith(entries) else one for one in sweeps]
     sweeps = [replace(one, x="connections") if one.name.startswith("core") else one for one in sweeps]
     known = [*sweeps, line("reload_cpu", "rules", "s", 0.001, 0.0001)]
     found: dict[str, dict[str, object]] = {
-        name: {"members_run": 2827, "lost_changes": 0} for name in tables.STORIES
+        name: {"members_run": 2827, "lost_changes": 0} for name in tables.SCENARIOS
     }
     found["zone"] |= {"proxy_bytes_highest_s": 4321.0, "catch_up_s": None, "sign": "virtual clock"}
     found["zone"]["way"] = [1, 2]
     found["another"] = {"something_ms": 12.5, "said": "so"}
-    return model(*known, stories=found)
+    return model(*known, scenarios=found)
 
 
 # The committed page.
 
 
-def test_the_committed_page_and_roadmap_are_what_data_and_formulas_give() -> None:
+def test_committed_page_and_roadmap_match_data_and_formulas() -> None:
     assert page.check(page.Files()) == ""
     assert main(["capacity", "--check"]) == 0
 
 
 def copied(folder: Path) -> page.Files:
-    """The committed files, and a page made from them with a sweep and a story beside theirs."""
+    """Copies the committed files and writes a page from them with one more sweep."""
     there = page.Files()
     files = page.Files(*(folder / Path(getattr(there, name)).name for name in there.__struct_fields__))
     for name in there.__struct_fields__:
@@ -81,7 +82,7 @@
     return files
 
 
-def test_one_point_that_changes_fails_the_check_and_names_the_line(tmp_path: Path) -> None:
+def test_check_reports_line_after_one_measured_point_changed(tmp_path: Path) -> None:
     files = copied(tmp_path)
     found = data.load(files.measured)
     sweep = found.sweeps["membership_zone_bytes"]
@@ -102,7 +103,7 @@
         ("largest_topic = 140_000", "largest_topic = 160_000", "16 "),
     ],
 )
-def test_one_figure_of_the_plan_that_changes_fails_the_check(
+def test_check_reports_line_after_one_figure_of_plan_changed(
     tmp_path: Path, old: str, new: str, said: str
 ) -> None:
     files = copied(tmp_path)
@@ -116,7 +117,7 @@
 
 
 @pytest.mark.parametrize("place", ["first", "middle", "last"])
-def test_one_character_of_the_page_that_changes_fails_the_check(tmp_path: Path, place: str) -> None:
+def test_check_reports_line_after_one_character_of_page_changed(tmp_path: Path, place: str) -> None:
     files = copied(tmp_path)
     text = files.page.read_text()
     at = {"first": 0, "middle": len(text) // 2, "last": len(text) - 1}[place]
@@ -124,7 +125,7 @@
     assert page.check(files).startswith(f"CAPACITY.md, line {text[:at].count(chr(10)) + 1}\n")
 
 
-def test_a_line_too_few_or_too_many_and_no_page_at_all_fail_the_check(tmp_path: Path) -> None:
+def test_check_fails_for_missing_line_extra_line_and_missing_page(tmp_path: Path) -> None:
     files = copied(tmp_path)
     text = files.page.read_text()
     files.page.write_text(text + "\n")
@@ -135,7 +136,7 @@
     assert page.check(files).startswith("CAPACITY.md, line 1\n")
 
 
-def test_the_roadmap_is_checked_too_and_the_rest_of_it_stays(tmp_path: Path) -> None:
+def test_check_covers_roadmap_and_write_keeps_its_other_text(tmp_path: Path) -> None:
     files = copied(tmp_path)
     text = files.roadmap.read_text()
     head, tail = text.split(page.BEGIN)[0], text.split(page.END)[1]
@@ -149,53 +150,63 @@
         page.write(files)
 
 
-def test_the_command_fails_and_says_where(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_command_fails_and_reports_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     files = copied(tmp_path)
-    assert page.run(True, False, files) == 0
+    assert page.run(files, checking=True) == 0
     files.page.write_text("x" + files.page.read_text())
-    assert page.run(True, False, files) == 1
+    assert page.run(files, checking=True) == 1
     assert "CAPACITY.md, line 1\n" in capsys.readouterr().err
-    assert page.run(False, False, files) == 0
-    assert page.run(True, False, files) == 0
+    assert page.run(files) == 0
+    assert page.run(files, checking=True) == 0
     files.template.write_text("It is 7 times that.\n")
-    assert page.run(False, False, files) == 1
+    assert page.run(files) == 1
     assert "line 1 has a figure of its own" in capsys.readouterr().err
 
 
-def test_the_page_is_the_same_each_time() -> None:
+def test_rendering_is_deterministic() -> None:
     template = page.TEMPLATE.read_text()
     assert page.render(full(), template) == page.render(full(), template)
 
 
-# No figure is typed in.
+# Figures come from formulas only.
 
 
 @pytest.mark.parametrize("text", ["About 12 of them.", "`code 1` and 2", "{{budget}} or 6 KB/s"])
-def test_prose_has_no_figure_of_its_own(text: str) -> None:
+def test_rejects_figure_in_prose_of_template(text: str) -> None:
     with pytest.raises(page.TemplateError, match="figure of its own"):
         page.render(model(), text)
 
 
-def test_prose_may_name_figures_code_and_links_but_only_what_is_there() -> None:
+def test_template_accepts_code_and_links_and_rejects_unknown_name() -> None:
     assert page.render(model(), "{{shards}} `x1` [a](b2.md)") == "640,000 `x1` [a](b2.md)"
     with pytest.raises(page.TemplateError, match="asks for nothing_such"):
         page.render(model(), "{{nothing_such}}")
 
 
-@pytest.mark.parametrize("module", [page, roles, tables, formulas])
-def test_the_words_in_the_tables_have_no_figure_of_their_own(module: object) -> None:
-    tree = ast.parse(Path(str(module.__file__)).read_text())  # type: ignore[attr-defined]
+def sources(module: ModuleType) -> list[Path]:
+    """The file of a module, or all files of a package."""
+    path = Path(str(module.__file__))
+    return sorted(path.parent.glob("*.py")) if path.name == "__init__.py" else [path]
+
+
+def string_literals(source: Path) -> list[str]:
+    tree = ast.parse(source.read_text())
     docstrings = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
-    words = [
+    return [
         node.value
         for node in ast.walk(tree)
         if isinstance(node, ast.Constant) and isinstance(node.value, str) and id(node) not in docstrings
     ]
+
+
+@pytest.mark.parametrize("module", [page, roles, tables, formulas])
+def test_string_literals_of_tables_contain_no_figure(module: ModuleType) -> None:
+    words = [word for source in sources(module) for word in string_literals(source)]
     assert len(words) > 20
     assert [one for one in words if re.search(r"(?<![\w.])\d", one)] == []
 
 
-# Figures and how they are written.
+# Format of figures.
 
 
 @pytest.mark.parametrize(
@@ -217,12 +228,12 @@
         (10656.0, 0.0, "s", "2.96 h ="),
         (-0.0001, 2.0, "", "0.0 ± 2.0 ="),
         (1.0, 0.00012, "", "1.00 ± 0.00012 ="),
-        (math.inf, 0.0, "", "without end ="),
+        (math.inf, 0.0, "", "unlimited ="),
         (None, 0.0, "s", "not run"),
         (math.nan, 0.0, "s", "not run"),
     ],
 )
-def test_figures_are_written_to_two_or_three_digits(
+def test_formats_quantity_to_two_or_three_digits(
     value: float | None, error: float, unit: str, text: str
 ) -> None:
     assert quantity(Figure(value, error), unit) == text
@@ -231,11 +242,11 @@
 @pytest.mark.parametrize(
     ("value", "text"), [(0.0, "0"), (90.0, "90"), (2800.0, "2,800"), (11071.4, "11,100"), (0.099, "0.0990")]
 )
-def test_numbers_are_written_to_three_digits(value: float, text: str) -> None:
+def test_formats_number_to_three_digits(value: float, text: str) -> None:
     assert number(value) == text
 
 
-def test_errors_add_up_and_an_assumption_stays_one() -> None:
+def test_errors_are_added_and_assumed_sign_is_kept() -> None:
     left, right = Figure(10.0, 1.0), Figure(5.0, 0.5)
     assert left + right == Figure(15.0, 1.5)
     assert left - right == Figure(5.0, 1.5)
@@ -251,70 +262,77 @@
     assert Figure(2.0 + 1e-12).ceil() == Figure(2.0)
 
 
-# Solving for the size at which a limit is reached.
+# Search for the size at which a limit is reached.
 
 
-def test_the_breaking_factor_of_a_line_and_of_a_power_law() -> None:
+def test_factor_at_limit_of_line_and_of_power_law() -> None:
     found = model(line("a", "members", "B/s", 1000.0, 5.0), power("b", "members", "B/s", 0.5, 1.5))
-    at = formulas.breaks_at(lambda n: found.at("a", n), 6000.0, 200.0)
+    at = formulas.factor_at_limit(lambda n: found.at("a", n), 6000.0, 200.0)
     assert at.value == pytest.approx(5.0, rel=1e-6)  # 1,000 + 5 x 1,000
-    at = formulas.breaks_at(lambda n: found.at("b", n), 500.0, 200.0)
+    at = formulas.factor_at_limit(lambda n: found.at("b", n), 500.0, 200.0)
     assert at.value == pytest.approx(0.5, rel=1e-6)  # 0.5 x 100 ** 1.5
 
 
-def test_the_breaking_factor_moves_by_one_error_of_the_slope() -> None:
+def test_error_of_factor_at_limit_follows_error_of_slope() -> None:
     fit = Fit(Shape.LINE, 0.0, 10.0, 0.0, 2.0, 0.0)
-    at = formulas.breaks_at(lambda n: Figure(fit.at(n), fit.error_at(n)), 1200.0, 10.0)
+    at = formulas.factor_at_limit(lambda n: Figure(fit.at(n), fit.error_at(n)), 1200.0, 10.0)
     assert at.value == pytest.approx(12.0, rel=1e-6)
     assert at.error == pytest.approx(3.0, rel=1e-6)  # 1,200 / 8 is further off than 1,200 / 12
 
 
-def test_a_mechanism_that_was_built_since_is_told_beside_what_was_missing() -> None:
+def test_state_of_missing_mechanism_names_limit_of_present_one() -> None:
     first = formulas.gaps(model())[0]
     assert tables.state_of(model(), first).endswith("not run, or in part")
     found = full()
     costs = {"keyspace_memory": 800.0, "relay_push_cpu": 1e-6, "relay_poll_cpu": 1e-6}
     lines = {name: line(name, "entries", "B", 0.0, slope) for name, slope in costs.items()}
     known = Model(replace(found.measured, sweeps=found.measured.sweeps | lines), found.plan)
-    now = formulas.distribution_now(known)
-    assert (now[0].sweep, now[0].holds) == ("keyspace_memory", False)
+    now = formulas.current_distribution_gaps(known)
+    assert (now[0].sweep, now[0].is_covered) == ("keyspace_memory", False)
     assert now[0].factor.value == pytest.approx(160_000.0 / 90.0)
-    assert tables.state_of(known, first).endswith("asked, by memory of the keyspace")
+    assert tables.state_of(known, first).endswith("required, by memory of the keyspace")
 
 
-def test_a_limit_that_is_over_from_the_start_or_never_reached() -> None:
+def test_factor_at_limit_is_zero_infinite_or_unknown() -> None:
     found = model(line("a", "members", "B/s", 7000.0, 1.0), line("b", "members", "B/s", 10.0, 0.0))
-    assert formulas.breaks_at(lambda n: found.at("a", n), 6000.0, 200.0).value == 0.0
-    assert formulas.breaks_at(lambda n: found.at("b", n), 6000.0, 200.0).value == math.inf
-    assert formulas.breaks_at(lambda n: found.at("none", n), 6000.0, 200.0).value is None
+    assert formulas.factor_at_limit(lambda n: found.at("a", n), 6000.0, 200.0).value == 0.0
+    assert formulas.factor_at_limit(lambda n: found.at("b", n), 6000.0, 200.0).value == math.inf
+    assert formulas.factor_at_limit(lambda n: found.at("none", n), 6000.0, 200.0).value is None
 
 
 @pytest.mark.parametrize(
     ("figure", "limit", "factor", "said"),
     [
-        (Figure(5.0, 0.5), 6.0, Figure(None), "holds"),
-        (Figure(5.8, 0.5), 6.0, Figure(None), "holds, by less than its error"),
+        (Figure(5.0, 0.5), 6.0, Figure(None), "within the limit"),
+        (Figure(5.8, 0.5), 6.0, Figure(None), "within the limit, by less than its error"),
         (Figure(12.0), 6.0, Figure(None), "**over, 2 times the limit**"),
-        (Figure(12.0), 6.0, Figure(3.5, 0.25), "**breaks at 3.50 ± 0.25 = times today's fleet**, 14 asked"),
-        (Figure(12.0), 6.0, Figure(0.0), "**breaks at any size**"),
+        (
+            Figure(12.0),
+            6.0,
+            Figure(3.5, 0.25),
+            "**exceeded at 3.50 ± 0.25 = times today's fleet**, 14 required",
+        ),
+        (Figure(12.0), 6.0, Figure(0.0), "**exceeded at any size**"),
         (Figure(12.0), None, Figure(None), "no limit is given"),
         (Figure(None), 6.0, Figure(2.0), "not run"),
     ],
 )
-def test_verdicts(figure: Figure, limit: float | None, factor: Figure, said: str) -> None:
-    need = roles.Need("a cost", figure, "", "a mechanism", limit, (), factor, 14.0)
-    assert roles.verdict(need) == said
-    assert roles.verdict(replace(need, carried="")) == "**nothing carries this**"
+def test_verdict_for_figure_limit_and_factor(
+    figure: Figure, limit: float | None, factor: Figure, said: str
+) -> None:
+    cost = roles.RoleCost("a cost", figure, "", "a mechanism", limit, (), factor, 14.0)
+    assert roles.verdict(cost) == said
+    assert roles.verdict(replace(cost, mechanism="")) == "**no mechanism**"
 
 
 # Formulas, at small sizes.
 
 
-def small(**letter: float) -> Model:
+def small(**target: float) -> Model:
     """Ten proxies with 1,000 connections and 500 deliveries a second each; a line 2 ms, a set-up 4 ms."""
     given = plan.load()
-    held = replace(
-        given.letter,
+    target_fleet = replace(
+        given.target,
         proxies=10.0,
         connections=10_000.0,
         shards=100.0,
@@ -326,15 +344,15 @@
         control_machines=4.0,
         failures_per_day=1.0,
         restarts_per_day=9.0,
-        **letter,
+        **target,
     )
     assumed = replace(
         given.assumed,
-        connection_life=replace(given.assumed.connection_life, value=20.0),
+        connection_lifetime=replace(given.assumed.connection_lifetime, value=20.0),
         change=replace(given.assumed.change, value=200.0),
         entry=replace(given.assumed.entry, value=100.0),
         process_share=replace(given.assumed.process_share, value=0.5),
-        passes_a_line=replace(given.assumed.passes_a_line, value=2.0),
+        passes_per_line=replace(given.assumed.passes_per_line, value=2.0),
         return_window=replace(given.assumed.return_window, value=10.0),
     )
     today = replace(
@@ -356,87 +374,89 @@
         line("membership_rest_bytes", "members", "B/s", 40.0, 0.0),
     ]
     measured = Measured({one.name: one for one in sweeps}, {}, {})
-    return Model(measured, replace(given, letter=held, today=today, assumed=assumed))
+    return Model(measured, replace(given, target=target_fleet, today=today, assumed=assumed))
 
 
-def test_the_data_path_by_hand() -> None:
+def test_data_path_formulas_match_values_by_hand() -> None:
     found = small()
-    assert formulas.connections_a_proxy(found).value == 1000.0
-    assert formulas.deliveries_a_proxy(found).value == 500.0
-    assert formulas.set_ups_a_proxy(found).value == 50.0
+    assert formulas.connections_per_proxy(found).value == 1000.0
+    assert formulas.deliveries_per_proxy(found).value == 500.0
+    assert formulas.setups_per_proxy(found).value == 50.0
     # 500 passes of 1 ms and 50 set-ups of 4 ms
     assert formulas.process_load(found, 1000.0).value == pytest.approx(0.7)
-    assert formulas.connections_a_process(found).value == pytest.approx(1000.0 * 0.5 / 0.7)
-    assert formulas.processes_a_proxy(found).value == 2.0
-    assert formulas.processes_range(found).value == 2.0
+    assert formulas.max_connections_per_process(found).value == pytest.approx(1000.0 * 0.5 / 0.7)
+    assert formulas.processes_per_proxy(found).value == 2.0
+    assert formulas.processes_with_error(found).value == 2.0
     assert formulas.data_path_cores(found).value == pytest.approx(0.7)
     assert formulas.data_path_memory(found).value == pytest.approx(2 * (1e6 + 5e6) + 1000 * 7e3)
     assert formulas.data_path_memory(found).sign is Sign.ASSUMED
 
 
-def test_control_by_hand() -> None:
+def test_control_formulas_match_values_by_hand() -> None:
     found = small()
     assert formulas.change_rate(found).value == 1.0
     assert formulas.storm_rate(found).value == 24.0
-    assert formulas.children(found).value == 2.5
+    assert formulas.children_per_relay(found).value == 2.5
     assert formulas.relays_of_origin(found) == 3.0
     rate, storm = formulas.change_rate(found), formulas.storm_rate(found)
     assert formulas.relay_bytes(found, storm).value == pytest.approx(24.0 * 200.0 * 2.5)
     assert formulas.relay_cores(found, rate).value == pytest.approx(0.025 + 0.001 + 0.005)
-    assert formulas.zone_proxies(found).value == 4.0
-    assert formulas.region_proxies(found).value == 5.0
+    assert formulas.proxies_per_zone(found).value == 4.0
+    assert formulas.proxies_per_region(found).value == 5.0
     assert formulas.children_after_zone(found).value == 3.0  # 6 proxies, 2 machines
-    assert formulas.least_revisions(found).value == 1.0
+    assert formulas.min_revisions(found).value == 1.0
     # 6 of 60 s at 1,000 B/s, the others at 40
-    assert formulas.minute_mean(found, 10.0).value == pytest.approx((6.0 * 1000.0 + 54.0 * 40.0) / 60.0)
+    assert formulas.worst_minute_mean(found, 10.0).value == pytest.approx((6.0 * 1000.0 + 54.0 * 40.0) / 60.0)
 
 
-def test_a_cold_start_by_hand() -> None:
+def test_full_catch_up_formulas_match_values_by_hand() -> None:
     found = small(control_bytes_per_s=500.0)
     assert formulas.starts_per_day(found).value == 10.0
-    assert formulas.cold_bytes(found) == Figure(10_000.0, 0.0, Sign.ASSUMED)
-    assert formulas.cold_time(found).value == 5.0
-    assert formulas.cold_time_in_budget(found).value == 20.0
-    assert formulas.cold_time_of(found, Figure(4.0)).value == 5.0  # 3.3 s from each relay
-    assert formulas.cold_time_of(found, Figure(10.0)).value == pytest.approx(10 * 10_000 / 4 / 3000)
-    assert formulas.cold_cpu(found).value is None
+    assert formulas.full_catch_up_bytes(found) == Figure(10_000.0, 0.0, Sign.ASSUMED)
+    assert formulas.full_catch_up_time(found).value == 5.0
+    assert formulas.full_catch_up_time_in_budget(found).value == 20.0
+    assert formulas.concurrent_catch_up_time(found, Figure(4.0)).value == 5.0  # 3.3 s from each relay
+    assert formulas.concurrent_catch_up_time(found, Figure(10.0)).value == pytest.approx(
+        10 * 10_000 / 4 / 3000
+    )
+    assert formulas.full_catch_up_cpu(found).value is None
     sweeps = found.measured.sweeps | {
         "catch_up_bytes": line("catch_up_bytes", "entries", "B", 1000.0, 50.0),
         "keyspace_put_cpu": line("keyspace_put_cpu", "entries", "s", 0.002, 0.0),
     }
     known = Model(replace(found.measured, sweeps=sweeps), found.plan)
-    assert formulas.cold_bytes(known).value == pytest.approx(6000.0)
-    assert formulas.cold_bytes(known).sign is Sign.DERIVED
-    assert formulas.cold_cpu(known).value == pytest.approx(0.2)
+    assert formulas.full_catch_up_bytes(known).value == pytest.approx(6000.0)
+    assert formulas.full_catch_up_bytes(known).sign is Sign.DERIVED
+    assert formulas.full_catch_up_cpu(known).value == pytest.approx(0.2)
 
 
-def test_clients_that_come_back_by_hand() -> None:
+def test_returning_clients_formulas_match_values_by_hand() -> None:
     found, lost = small(), Figure(2.0)
     assert formulas.clients_of(found, lost).value == 2000.0
-    assert formulas.returning_to_each(found, lost).value == 250.0
+    assert formulas.returning_per_proxy(found, lost).value == 250.0
     assert formulas.returning_cores(found, lost).value == pytest.approx(25.0 * 0.004)
 
 
-def test_deliveries_by_hand() -> None:
+def test_delivery_formulas_match_values_by_hand() -> None:
     found = small(delivery_share=0.99)
-    assert formulas.listeners_a_proxy(found).value == 5.0
-    assert formulas.listeners_a_shard(found).value == 100.0
-    assert formulas.proxies_a_shard(found).value == pytest.approx(10.0 * (1.0 - 0.9**100))
+    assert formulas.listeners_per_proxy(found).value == 5.0
+    assert formulas.listeners_per_shard(found).value == 100.0
+    assert formulas.proxies_per_shard(found).value == pytest.approx(10.0 * (1.0 - 0.9**100))
     assert formulas.floor_pass(found).value == pytest.approx(0.0005)
     # two processes with a load of 0.35: 1 ms x ln 100 / 0.65
-    assert formulas.queue_p(found).value == pytest.approx(0.001 * math.log(100.0) / 0.65)
+    assert formulas.queueing_time(found).value == pytest.approx(0.001 * math.log(100.0) / 0.65)
     single, shared = formulas.delivery(found)
     assert single.value is not None and shared.value is not None
     assert single.value - shared.value == pytest.approx((50 - 10) * 0.0005)
     rest = single.value - 50 * 0.0005
     assert rest == pytest.approx(0.230 + 2 * 0.001 * math.log(100.0) / 0.65 + 5 * 0.001)
-    assert formulas.largest_one_to_one(found).value == pytest.approx((0.290 - rest) / 0.0005)
+    assert formulas.max_listeners_one_to_one(found).value == pytest.approx((0.290 - rest) / 0.0005)
     late = small(delivery_ms=1.0)
-    assert formulas.largest_one_to_one(late).value == 0.0  # never less than nobody
+    assert formulas.max_listeners_one_to_one(late).value == 0.0  # never less than nobody
     assert formulas.server_cores(found).value == pytest.approx(5000 * 0.0005 + 500 * 0.002)
 
 
-def test_what_gives_out_first_is_named_first_and_what_holds_is_left_out() -> None:
+def test_first_gaps_are_ordered_by_factor_and_omit_covered_mechanisms() -> None:
     found = model(
         line("membership_zone_bytes", "members", "B/s", 0.0, 100.0),  # 60 members
         line("membership_rest_bytes", "members", "B/s", 0.0, 10.0),  # 600
@@ -454,26 +474,26 @@
     values = [gap.factor.value for gap in known]
     assert values[0] == 0.0 and values[4] == math.inf
     assert values[1:4] == pytest.approx([0.3, 3.0, 100_000.0 / 90.0], rel=1e-6)
-    assert [gap.holds for gap in known] == [False, False, False, False, True]
-    first = formulas.first_missing(found)
+    assert [gap.is_covered for gap in known] == [False, False, False, False, True]
+    first = formulas.first_gaps(found)
     wanted = [formulas.CONFIGURATION, formulas.FLAT_VIEW, formulas.FLAT_LIST]
     assert [gap.mechanism for gap in first[:3]] == wanted
     assert len({gap.mechanism for gap in first}) == len(first)
 
 
-# What is not there, and what nobody asked for.
+# Missing and unexpected data.
 
 
-def test_without_data_every_figure_that_needs_it_is_not_run() -> None:
+def test_page_without_measurements_shows_not_run() -> None:
     text = page.render(model(), page.TEMPLATE.read_text())
     assert "NaN" not in text and "None" not in text and "nan " not in text
     for row in (one for one in text.split("\n") if one.startswith("| ") and "`membership_rest_cpu`" in one):
         assert "not run" in row
-    for story in tables.STORIES:
-        assert f"| {story} | not run |" in text
+    for scenario in tables.SCENARIOS:
+        assert f"| {scenario} | not run |" in text
 
 
-def test_with_all_data_only_what_is_not_this_programs_is_not_run() -> None:
+def test_page_with_all_measurements_shows_not_run_only_for_other_programs() -> None:
     text = page.render(full(), page.TEMPLATE.read_text())
     assert "not run" not in tables.slopes(full())
     left = [one for one in roles.roles(full()).split("\n") if "not run" in one]
@@ -489,30 +509,30 @@
 
 
 @pytest.mark.parametrize("missing_one", tables.EXPECTED)
-def test_any_sweep_may_be_missing(missing_one: str) -> None:
+def test_page_renders_without_any_one_sweep(missing_one: str) -> None:
     known = full()
     left = {name: one for name, one in known.measured.sweeps.items() if name != missing_one}
     text = page.render(Model(replace(known.measured, sweeps=left), known.plan), page.TEMPLATE.read_text())
     assert f"| `{missing_one}` | - |" in text
 
 
-def test_a_sweep_of_too_few_sizes_has_no_fit_and_gives_nothing() -> None:
+def test_sweep_with_too_few_sizes_has_no_fit_and_no_value() -> None:
     short = replace(line("table_memory", "entries", "B", 0.0, 1.0), points=((1.0, 1.0), (2.0, 2.0)))
     assert model(short).at("table_memory", 10.0).value is None
     assert "no fit" in tables.slopes(model(short))
 
 
-def test_a_power_law_through_nothing_has_no_fit() -> None:
+def test_power_law_through_zeros_has_no_fit() -> None:
     flat = replace(power("a", "members", "s", 1.0, 1.0), points=tuple((size, 0.0) for size in SIZES))
     assert model(flat).fit("a") is None
 
 
-def test_slopes_are_told_in_multiples_of_the_floor_too() -> None:
+def test_slopes_are_given_as_multiples_of_floor() -> None:
     found = replace(line("core_line_cpu", "connections", "s", 2e-3, 1e-6), floor_s=1e-3)
     assert "| 2, (1)e-3 |" in tables.slopes(model(found))
 
 
-def test_the_other_shape_is_named_where_it_is_less_off_and_rough_fits_are_listed() -> None:
+def test_slopes_name_better_shape_and_list_rough_fits() -> None:
     curved = replace(power("membership_zone_bytes", "members", "B/s", 100.0, 2.0), shape=Shape.LINE)
     found = model(curved, line("membership_rest_bytes", "members", "B/s", 1000.0, 1.0))
     rows = tables.slopes(found).split("\n")
@@ -524,7 +544,7 @@
     assert tables.rough(model()) == "none"
 
 
-def test_a_size_is_known_by_the_first_word_of_what_a_sweep_counts() -> None:
+def test_target_size_is_found_by_first_known_word_of_sweep_axis() -> None:
     found = model()
     sizes = {
         "members": 2800.0,
@@ -535,13 +555,13 @@
         "caller rules": None,
     }
     for x, size in sizes.items():
-        assert found.size_of(line("a", x, "s", 1.0, 0.0)) == size
+        assert formulas.size_of(found, line("a", x, "s", 1.0, 0.0)) == size
 
 
 # The plan and the data.
 
 
-def test_every_assumption_has_its_reason_and_stands_on_the_page() -> None:
+def test_every_assumption_has_reason_on_page() -> None:
     text = page.render(model(), page.TEMPLATE.read_text())
     given = plan.load().assumed
     for name in given.__struct_fields__:
@@ -550,38 +570,38 @@
         assert one.why in text
 
 
-def test_a_plan_with_a_word_too_many_is_refused(tmp_path: Path) -> None:
+def test_rejects_plan_with_unknown_key(tmp_path: Path) -> None:
     wrong = tmp_path / "plan.toml"
-    wrong.write_text(plan.PLAN.read_text().replace("[letter]", "[letter]\nproxys = 1"))
+    wrong.write_text(plan.PLAN.read_text().replace("[target]", "[target]\nproxys = 1"))
     with pytest.raises(msgspec.ValidationError, match="proxys"):
         plan.load(wrong)
 
 
-def test_what_the_program_keeps_to_stands_in_the_plan() -> None:
+def test_plan_matches_constants_of_program() -> None:
     today = plan.load().today
-    assert today.gone_within_s == MembershipTiming().max_detection_s
-    assert today.ping_every_s == MembershipTiming().ping_interval_s
+    assert today.max_detection_s == MembershipTiming().max_detection_s
+    assert today.ping_interval_s == MembershipTiming().ping_interval_s
     assert today.observers == RING_COUNT
-    assert today.poll_every_s == POLL_INTERVAL_S
+    assert today.poll_interval_s == POLL_INTERVAL_S
     assert today.catch_up_bytes_per_s == DistributionTiming().catch_up_bytes_per_s
     assert today.serve_bytes_per_s == DistributionTiming().serve_bytes_per_s
     assert today.delta_bytes == MAX_DELTA_BYTES
     assert today.revision_changes == MAX_REVISION_CHANGES
-    assert (today.call_spacing_s, today.call_pause_most_s, today.call_pause_least) == (
+    assert (today.call_interval_s, today.max_call_pause_s, today.min_call_pause_fraction) == (
         discovery_backoff.SPACING,
         discovery_backoff.PAUSE_MOST,
         discovery_backoff.SHORTEST,
     )
 
 
-def test_calls_of_discovery_by_hand() -> None:
+def test_discovery_calls_match_values_by_hand() -> None:
     found = model()
-    assert formulas.calls(found, 20.0).value == pytest.approx(10.0)  # each once in 2 s
-    assert formulas.calls(found, 200.0).value == pytest.approx(200.0 / 3.75)
-    assert formulas.calls(found, 200.0, 0.8).value == pytest.approx(200.0 / 3.0)
+    assert formulas.discovery_calls(found, 20.0).value == pytest.approx(10.0)  # each once in 2 s
+    assert formulas.discovery_calls(found, 200.0).value == pytest.approx(200.0 / 3.75)
+    assert formulas.discovery_calls(found, 200.0, 0.8).value == pytest.approx(200.0 / 3.0)
 
 
-def test_points_of_nothing_do_not_outweigh_the_others() -> None:
+def test_zero_costs_do_not_dominate_fit() -> None:
     points = ((10.0, 0.0), (20.0, 0.0), (100.0, 5.0), (200.0, 10.0), (400.0, 20.0))
     fit = replace(line("a", "members", "s", 0.0, 0.0), points=points).fit()
     assert 0.04 < fit.slope < 0.06
@@ -590,18 +610,18 @@
     assert (nothing.constant, nothing.slope, nothing.residual) == (0.0, 0.0, 0.0)
 
 
-def test_fits_find_the_line_and_the_power_law_again() -> None:
+def test_fit_recovers_line_and_power_law() -> None:
     fit = line("a", "members", "s", 3.0, 0.25).fit()
     assert (fit.constant, fit.slope) == (pytest.approx(3.0), pytest.approx(0.25))
     fit = power("a", "members", "s", 3.0, 1.5).fit()
     assert (fit.constant, fit.slope) == (pytest.approx(3.0), pytest.approx(1.5))
 
 
-def test_plots_are_drawn_of_what_is_there(tmp_path: Path) -> None:
+def test_plots_are_drawn_for_available_data_only(tmp_path: Path) -> None:
     from ironmill_testbed.capacity import plots
 
     known = full()
-    known.measured.stories["storm"]["in_force_by"] = [[0.1, 0.5], [0.4, 1.0]]
+    known.measured.scenarios["storm"]["in_force_by"] = [[0.1, 0.5], [0.4, 1.0]]
     found = plots.draw(known, tmp_path)
     assert [one.name for one in found] == ["slopes.png", "change.png"]
     assert all(one.read_bytes().startswith(b"\x89PNG") and one.stat().st_size < 400_000 for one in found)
--- a/tests/unit/testbed/test_sweep_distribution.py
+++ b/tests/unit/testbed/test_sweep_distribution.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ironmill_testbed.capacity import sweep_distribution, sweeps
-from ironmill_testbed.capacity.data import POINTS_LEAST
+from ironmill_testbed.capacity.data import MIN_SIZES
 from ironmill_testbed.capacity.runs import Runs
 
 SMALL = {
@@ -25,8 +25,8 @@
     for sweep in found.values():
         assert [size for size, _ in sweep.points] == list(sizes)
         assert all(cost > 0.0 for _, cost in sweep.points)
-    assert len(runs.sizes) >= POINTS_LEAST
-    assert len(runs.quick) >= POINTS_LEAST
+    assert len(runs.sizes) >= MIN_SIZES
+    assert len(runs.quick) >= MIN_SIZES
     assert runs in sweeps.RUNS
 
 
--- a/tests/unit/testbed/test_sweeps.py
+++ b/tests/unit/testbed/test_sweeps.py
@@ -92,12 +92,12 @@
 def test_each_sweep_has_a_name_of_its_own_and_enough_sizes() -> None:
     assert len(set(sweeps.NAMES)) == len(sweeps.NAMES)
     for runs in sweeps.RUNS:
-        assert len(set(runs.sizes)) >= data.POINTS_LEAST
-        assert len(set(runs.quick)) >= data.POINTS_LEAST
+        assert len(set(runs.sizes)) >= data.MIN_SIZES
+        assert len(set(runs.quick)) >= data.MIN_SIZES
         for quick in (False, True):
             assert {size for size, _ in runs.tasks(quick, 1)} == set(runs.quick if quick else runs.sizes)
-    assert len(set(sweep_core.SIZES)) >= data.POINTS_LEAST
-    assert len(set(sweep_core.SIZES_QUICK)) >= data.POINTS_LEAST
+    assert len(set(sweep_core.SIZES)) >= data.MIN_SIZES
+    assert len(set(sweep_core.SIZES_QUICK)) >= data.MIN_SIZES
 
 
 def test_only_seconds_of_cpu_are_told_in_times_of_the_floor() -> None:
@@ -146,7 +146,7 @@
     new = Measured({"b": made([(1.0, 4.0)], Shape.POWER)}, {}, {})
     merged = data.merge(new, path)
     assert merged.sweeps == {"a": old.sweeps["a"], "b": new.sweeps["b"]}
-    assert merged.stories == old.stories
+    assert merged.scenarios == old.scenarios
     assert merged.machine == {"cores": 8}
     data.save(merged, path)
     assert data.load(path) == merged
