--- a/tests/support/proxy_under_test.py
+++ b/tests/support/proxy_under_test.py
@@ -14,7 +14,7 @@
 from ironmill.net.sockets import Stream
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.requests.admission import Admission
-from ironmill.requests.discovery_backoff import CallPace
+from ironmill.requests.discovery_backoff import DiscoveryBackoff
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.scheduler import Scheduler
 from tests.support.requests import config
@@ -42,6 +42,8 @@
         self.callers: Callers | None = None
         self.dial: Dial | None = None
         self.listener = Listener(self.scheduler, ("127.0.0.1", 0), self._take)
+        for listener in [*self.listeners, self.listener]:
+            listener.start()
 
     def _take(self, stream: Stream) -> None:
         ClientService(
@@ -104,9 +106,9 @@
         return client, attempt
 
 
-def pace() -> CallPace:
+def pace() -> DiscoveryBackoff:
     """Returns the backoff of one proxy of four."""
-    return CallPace(4, random.Random(1))
+    return DiscoveryBackoff(4, random.Random(1))
 
 
 def read_line(stream: Stream) -> bytes:
--- a/tests/unit/testbed/test_capacity.py
+++ b/tests/unit/testbed/test_capacity.py
@@ -588,9 +588,9 @@
     assert today.delta_bytes == MAX_DELTA_BYTES
     assert today.revision_changes == MAX_REVISION_CHANGES
     assert (today.call_interval_s, today.max_call_pause_s, today.min_call_pause_fraction) == (
-        discovery_backoff.SPACING,
-        discovery_backoff.PAUSE_MOST,
-        discovery_backoff.SHORTEST,
+        discovery_backoff.MEAN_CALL_INTERVAL_S,
+        discovery_backoff.MAX_PAUSE_S,
+        discovery_backoff.MIN_PAUSE_FRACTION,
     )
 
 
