--- a/ironmill_testbed/capacity/sweep_core.py
+++ b/ironmill_testbed/capacity/sweep_core.py
@@ -1,8 +1,8 @@
-"""Sweeps of a standing connection's costs: a real proxy, and the bare epoll floor beside it, in turns.
+"""Sweeps of an established connection's costs: a real proxy and a bare epoll loop, measured in turns.
 
-Four processes: this one with the clients, the emulated neighbours, the proxy, the floor. The two are
-started anew for each size, for a proxy that has had connections before takes less for more of them: 5.5 KiB
-each at 5,000 in steps over 500 and 2,500, 7.3 at once. They are measured by the code of ``measure core``.
+Four processes: this one with the clients, the emulated dependencies, the proxy and the loop. The latter two
+are restarted for each size, as a proxy reuses the memory of earlier connections. They are measured by the
+code of ``measure core``.
 """
 
 from __future__ import annotations
@@ -14,6 +14,8 @@
 from contextlib import ExitStack, contextmanager
 from pathlib import Path
 
+from msgspec import Struct
+
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.capacity.data import Sign, Sweep
 from ironmill_testbed.capacity.runs import fill
@@ -22,16 +24,16 @@
 from ironmill_testbed.processes import Neighbours
 
 SIZES = (500, 1000, 2000, 3000, 4000, 5000)
-SIZES_QUICK = (500, 1000, 1500, 2000, 2500)
-LINES, LINES_QUICK = 2000, 400  # a round
-SETUPS, SETUPS_QUICK = 300, 80
-ROUNDS, ROUNDS_QUICK = 7, 5
-FLOOR_SIZE = 200  # connections, where nothing but the floor is wanted
+QUICK_SIZES = (500, 1000, 1500, 2000, 2500)
+LINES_PER_ROUND, QUICK_LINES_PER_ROUND = 2000, 400
+SETUPS_PER_ROUND, QUICK_SETUPS_PER_ROUND = 300, 80
+ROUNDS, QUICK_ROUNDS = 7, 5
+FLOOR_CONNECTIONS = 200  # if only the floor is measured
 KINDS = ("proxy", "epoll")
 
 
 def _sweep(name: str, what: str, unit: str = "s") -> Sweep:
-    return Sweep(name, what, "standing connections", unit, Sign.REAL, ())
+    return Sweep(name, what, "established connections", unit, Sign.REAL, ())
 
 
 SWEEPS = (
@@ -43,14 +45,14 @@
         "B",
     ),
     _sweep("core_floor_line", "CPU for the same line of a bare loop on select.epoll, in the same run."),
-    _sweep("core_floor_setup", "CPU for the same set-up of a bare loop on select.epoll, in the same run."),
+    _sweep("core_floor_setup", "CPU for the same setup of a bare loop on select.epoll, in the same run."),
 )
 NAMES = tuple(sweep.name for sweep in SWEEPS)
 
 
 @contextmanager
-def _descriptors() -> Iterator[int]:
-    """As many as the system lets this process open; how many that is."""
+def _max_descriptors() -> Iterator[int]:
+    """Raises the soft limit of open files to the hard one, and yields the number."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     try:
@@ -59,40 +61,51 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def at_size(
-    size: int, lines: int, setups: int, rounds: int, kinds: Sequence[str] = KINDS
-) -> dict[str, Figures]:
-    """Figures of each kind with so many connections; ``lines`` and ``setups`` are those of one round."""
+class Effort(Struct, frozen=True):
+    """How much is measured at one size."""
+
+    lines: int  # per round
+    setups: int  # per round
+    rounds: int
+
+    @classmethod
+    def of(cls, *, quick: bool) -> Effort:
+        """Returns the effort of a quick or a full measurement."""
+        if quick:
+            return cls(QUICK_LINES_PER_ROUND, QUICK_SETUPS_PER_ROUND, QUICK_ROUNDS)
+        return cls(LINES_PER_ROUND, SETUPS_PER_ROUND, ROUNDS)
+
+
+def measure_size(size: int, effort: Effort, kinds: Sequence[str] = KINDS) -> dict[str, Figures]:
+    """Measures each kind of process with so many connections."""
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
-        room = stack.enter_context(_descriptors())
+        descriptors = stack.enter_context(_max_descriptors())
         folder = Path(name)
         neighbours = stack.enter_context(Neighbours(folder, HOSTS))
         scheduler, benches = Scheduler(), dict[str, Bench]()
         for kind in kinds:
-            subject = make_subject(f"{kind}-{size}", neighbours, folder, room, "epoll", None)
+            subject = make_subject(f"{kind}-{size}", neighbours, folder, descriptors, "epoll", None)
             stack.enter_context(subject.process)
             benches[kind] = Bench(scheduler, subject, Figures(size))
 
-        def story() -> None:
+        def scenario() -> None:
             for bench in benches.values():
                 bench.grow()
-            for _ in range(rounds):  # in turns: a machine that is noisy is so for both
+            for _ in range(effort.rounds):  # in turns: noise of the machine affects both
                 for bench in benches.values():
-                    bench.round(lines, setups)
+                    bench.round(effort.lines, effort.setups)
             for bench in benches.values():
                 bench.close()
 
-        play(scheduler, story, LIMIT)
+        play(scheduler, scenario, LIMIT)
         return {kind: bench.figures for kind, bench in benches.items()}
 
 
-def measure(quick: bool, sizes: Sequence[int] = ()) -> dict[str, Sweep]:
-    """All sweeps of the core; ``floor_s`` is the median of the floor's lines at all sizes."""
-    sizes = sizes or (SIZES_QUICK if quick else SIZES)
-    lines, setups, rounds = (LINES_QUICK, SETUPS_QUICK, ROUNDS_QUICK) if quick else (LINES, SETUPS, ROUNDS)
+def measure(*, quick: bool) -> dict[str, Sweep]:
+    """Measures all sweeps of the core."""
     results = []
-    for size in sizes:
-        found = at_size(size, lines, setups, rounds)
+    for size in QUICK_SIZES if quick else SIZES:
+        found = measure_size(size, Effort.of(quick=quick))
         proxy, epoll = found["proxy"], found["epoll"]
         results.append(
             (
@@ -109,12 +122,12 @@
     return fill(SWEEPS, results)
 
 
-def floor(quick: bool) -> float:
-    """Seconds of CPU that a line costs the bare epoll floor now."""
-    lines = LINES_QUICK if quick else LINES
-    return at_size(FLOOR_SIZE, lines, 1, ROUNDS, ("epoll",))["epoll"].line_ms / 1000.0
+def measure_floor(*, quick: bool) -> float:
+    """Measures the seconds of CPU per line of the bare epoll loop."""
+    effort = Effort(Effort.of(quick=quick).lines, 1, ROUNDS)
+    return measure_size(FLOOR_CONNECTIONS, effort, ("epoll",))["epoll"].line_ms / 1000.0
 
 
 def floor_of(sweep: Sweep) -> float:
-    """The floor's seconds a line: the median of all sizes."""
+    """Returns the floor's seconds per line: the median of all sizes."""
     return statistics.median(cost for _, cost in sweep.points)
--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -1,8 +1,7 @@
-"""Sweeps of what one process does: placements, routing tables of many entries, settings of many callers.
+"""Sweeps of work inside one process: placements, routing tables of many entries, settings of many callers.
 
 CPU is that of the running thread. A figure is the median of several batches, each the mean of its calls, so
-that a neighbour on the machine who takes the caches away for a moment does not count. Garbage is collected
-as the program does it.
+that short disturbances by other processes do not count. The garbage collector is configured as in a proxy.
 """
 
 from __future__ import annotations
@@ -28,22 +27,22 @@
 from ironmill.requests.routing_table import RoutingTable
 from ironmill.runtime.gc_schedule import DISABLED_THRESHOLD, MIDDLE_THRESHOLD, YOUNG_THRESHOLD
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
-from ironmill_testbed.capacity.runs import Runs
+from ironmill_testbed.capacity.runs import Costs, Runs
 from ironmill_testbed.credentials import Issuer
 from ironmill_testbed.settings import platform_settings
 
 ZONES = 11
-BATCHES, BATCHES_QUICK = 9, 5
-STEP = 0.05  # seconds of the virtual clock between two placements
-STANDING = 500  # connections at the most, and a tenth of the entries; the oldest ends with each placement
+BATCHES, QUICK_BATCHES = 9, 5
+PLACEMENT_INTERVAL_S = 0.05  # of the virtual clock
+MAX_ESTABLISHED = 500  # connections; also at most a tenth of the entries
 ENTRIES = (100, 300, 1000, 3000, 10_000, 30_000, 64_000)
-ENTRIES_QUICK = (100, 300, 1000, 3000, 10_000)
+QUICK_ENTRIES = (100, 300, 1000, 3000, 10_000)
 CALLERS = (10, 30, 100, 300, 1000, 3000)
-CALLERS_QUICK = (10, 30, 100, 300, 1000)
+QUICK_CALLERS = (10, 30, 100, 300, 1000)
 
 
-def routing_bytes(size: int, full: bool = True, first: int = 0, weight: float = 4.0) -> bytes:
-    """An answer of discovery with so many entries, in eleven zones, as it comes over the wire."""
+def endpoint_list(size: int, *, full: bool = True, first: int = 0, weight: float = 4.0) -> bytes:
+    """Encodes a response of discovery with so many entries in eleven zones, numbered from ``first``."""
     targets = [
         {
             "uid": f"server-{at:06d}",
@@ -59,14 +58,14 @@
     return json.dumps({"rev": 1, "all": full, "targets": targets}).encode()
 
 
-def parsed(data: bytes) -> EndpointUpdate:
-    """The answer as the program reads it."""
+def parse_list(data: bytes) -> EndpointUpdate:
+    """Parses a response of discovery as the program does."""
     return parse_endpoint_update(JsonObject(parse_json(data, "routing table:"), "", "routing table"))
 
 
 @contextmanager
-def collecting() -> Iterator[None]:
-    """Collect garbage as a proxy does: what is there now is not looked through, full collections wait."""
+def proxy_gc() -> Iterator[None]:
+    """Configures the garbage collector as in a proxy: existing objects are frozen, full collections off."""
     thresholds = gc.get_threshold()
     gc.collect()
     gc.freeze()
@@ -78,123 +77,129 @@
         gc.unfreeze()
 
 
-class Held:
-    """The table and the decisions of one proxy, with a clock of its own."""
+class SimulatedBalancer:
+    """The routing table and balancer of one proxy on a virtual clock."""
 
-    def __init__(self, size: int, seed: int, live: bool = False) -> None:
-        """``live``: the settings say that listed weights tell what servers hold."""
+    def __init__(self, size: int, seed: int, *, live_weights: bool = False) -> None:
+        """Applies a list of so many entries; ``live_weights`` is the setting for weights of the list."""
         self.now = 1000.0
         self.table = RoutingTable()
-        settings = platform_settings() | ({"weightSource": "live"} if live else {})
+        settings = platform_settings() | ({"weightSource": "live"} if live_weights else {})
         self.balancer = Balancer(parse_settings(json.dumps(settings)), seed, self.now)
-        self._most = min(STANDING, size // 10)
+        self._max_established = min(MAX_ESTABLISHED, size // 10)
         self._serial = 0
-        self._standing: deque[Send] = deque()
-        self.take(parsed(routing_bytes(size)))
+        self._established: deque[Send] = deque()
+        self.apply(parse_list(endpoint_list(size)))
 
-    def take(self, routing: EndpointUpdate) -> None:
-        """A list came."""
-        self.balancer.handle(self.table.apply(routing, self.now), self.now)
+    def apply(self, update: EndpointUpdate) -> None:
+        """Applies a list to the table and the balancer."""
+        self.balancer.handle(self.table.apply(update, self.now), self.now)
 
-    def place(self, grouped: bool) -> float:
-        """One placement; seconds of CPU of the decision. Beside the clock it stands, and the oldest ends.
+    def place(self, *, new_group: bool) -> float:
+        """Places one request, establishes it and ends the oldest connection above the maximum.
 
-        ``grouped``: of a group of its own, of which nothing stands here yet.
+        Returns the seconds of CPU of the decision. With ``new_group`` the request is the first of a group.
         """
         self._serial += 1
-        self.now += STEP
-        group = self._serial if grouped else None
+        self.now += PLACEMENT_INTERVAL_S
+        group = self._serial if new_group else None
         request = Request(f"r{self._serial}", "index-sync", self.now + 2.0, group=group)
         start = time.thread_time()
         actions = self.balancer.handle(request, self.now)
-        took = time.thread_time() - start
+        cpu_s = time.thread_time() - start
         for action in actions:
             if isinstance(action, Send):
-                self._standing.append(action)
+                self._established.append(action)
                 established = Established(action.request_id, 0, action.server_id, 0.01)
                 self.balancer.handle(established, self.now)
-        if len(self._standing) > self._most:
-            oldest = self._standing.popleft()
+        if len(self._established) > self._max_established:
+            oldest = self._established.popleft()
             ended = Ended(oldest.request_id, 0, oldest.server_id, Outcome.OK, 0.01, final=True)
             self.balancer.handle(ended, self.now)
-        return took
+        return cpu_s
 
 
-def _cost(action: Callable[[], object], calls: int, batches: int) -> float:
-    """Seconds of CPU a call."""
-    took = []
+def _cpu_per_call(action: Callable[[], object], calls: int, batches: int) -> float:
+    """Measures the seconds of CPU per call, as the median of the batches."""
+    costs = []
     for _ in range(batches):
         start = time.thread_time()
         for _ in range(calls):
             action()
-        took.append((time.thread_time() - start) / calls)
-    return statistics.median(took)
+        costs.append((time.thread_time() - start) / calls)
+    return statistics.median(costs)
 
 
-def placement(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Seconds of CPU a placement among so many entries, without groups and with them."""
-    return _placement("placement", size, quick, Held(size, seed))
+def measure_placement(size: int, quick: bool, seed: int) -> Costs:
+    """Measures the seconds of CPU of a placement, without group and in a new one."""
+    return _measure_placement("placement", size, SimulatedBalancer(size, seed), quick=quick)
 
 
-def placement_live(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """The same where listed weights are live, and what a list of one entry then costs."""
-    held = Held(size, seed, live=True)
-    found = _placement("placement_live", size, quick, held)
-    return found | {"table_change_live_cpu": _change(size, quick, held)}
+def measure_live_placement(size: int, quick: bool, seed: int) -> Costs:
+    """Measures with live weights the seconds of CPU of a placement and of a change of one entry."""
+    balancer = SimulatedBalancer(size, seed, live_weights=True)
+    found = _measure_placement("placement_live", size, balancer, quick=quick)
+    return found | {"table_change_live_cpu": _measure_change(size, balancer, quick=quick)}
 
 
-def _placement(name: str, size: int, quick: bool, held: Held) -> dict[str, float]:
-    found = dict[str, float]()
-    for _ in range(min(STANDING, size // 10) + 1):
-        held.place(False)
-    with collecting():
-        for kind, grouped, work in (("_cpu", False, 2_000_000), ("_group_cpu", True, 500_000)):
+def _measure_placement(name: str, size: int, balancer: SimulatedBalancer, *, quick: bool) -> Costs:
+    found: Costs = {}
+    for _ in range(min(MAX_ESTABLISHED, size // 10) + 1):
+        balancer.place(new_group=False)
+    with proxy_gc():
+        for kind, new_group, work in (("_cpu", False, 2_000_000), ("_group_cpu", True, 500_000)):
             calls = max(10, min(400, (work // 4 if quick else work) // size))
-            batches = BATCHES_QUICK if quick else BATCHES
-            costs = [sum(held.place(grouped) for _ in range(calls)) / calls for _ in range(batches)]
+            batches = QUICK_BATCHES if quick else BATCHES
+            costs = [
+                sum(balancer.place(new_group=new_group) for _ in range(calls)) / calls for _ in range(batches)
+            ]
             found[name + kind] = statistics.median(costs)
     return found
 
 
-def _change(size: int, quick: bool, held: Held) -> float:
-    """Seconds of CPU of a list that changes the weight of one entry."""
-    ones = [parsed(routing_bytes(1, False, at * size // 8, weight=4.0 - at % 2)) for at in range(8)]
-    batches = BATCHES_QUICK if quick else BATCHES
+def _measure_change(size: int, balancer: SimulatedBalancer, *, quick: bool) -> float:
+    """Measures the seconds of CPU of a list that changes the weight of one entry."""
+    updates = [
+        parse_list(endpoint_list(1, full=False, first=index * size // 8, weight=4.0 - index % 2))
+        for index in range(8)
+    ]
+    batches = QUICK_BATCHES if quick else BATCHES
     calls = max(5, min(400, (100_000 if quick else 500_000) // size))
-    turn = itertools.cycle(ones)
-    with collecting():
-        return _cost(lambda: held.take(next(turn)), calls, batches)
-
-
-def changes(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Seconds of CPU of a list with one entry, of one with all of them, and of reading the latter."""
-    held = Held(size, seed)
-    data = routing_bytes(size)
-    whole = parsed(data)
-    batches, calls = BATCHES_QUICK if quick else BATCHES, max(1, min(200, 10_000 // size))
-    found = {"table_change_cpu": _change(size, quick, held)}
-    with collecting():
-        found["table_full_cpu"] = _cost(lambda: held.take(whole), calls, batches)
-        found["table_parse_cpu"] = _cost(lambda: parsed(data), calls, batches)
+    cycle = itertools.cycle(updates)
+    with proxy_gc():
+        return _cpu_per_call(lambda: balancer.apply(next(cycle)), calls, batches)
+
+
+def measure_lists(size: int, quick: bool, seed: int) -> Costs:
+    """Measures the seconds of CPU to apply a list of one entry, to apply a full list, and to parse it."""
+    balancer = SimulatedBalancer(size, seed)
+    data = endpoint_list(size)
+    full_list = parse_list(data)
+    batches = QUICK_BATCHES if quick else BATCHES
+    calls = max(1, min(200, 10_000 // size))
+    found = {"table_change_cpu": _measure_change(size, balancer, quick=quick)}
+    with proxy_gc():
+        found["table_full_cpu"] = _cpu_per_call(lambda: balancer.apply(full_list), calls, batches)
+        found["table_parse_cpu"] = _cpu_per_call(lambda: parse_list(data), calls, batches)
     return found
 
 
-def memory(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Bytes that Python holds for so many entries, the list that brought them let go."""
+def measure_memory(size: int, quick: bool, seed: int) -> Costs:
+    """Measures the bytes that Python allocates for the entries, without the list that they came in."""
     del quick
-    Held(1, seed)  # what is made once for all
+    SimulatedBalancer(1, seed)  # allocates what all instances share
     gc.collect()
     tracemalloc.start()
-    held = Held(size, seed)
+    balancer = SimulatedBalancer(size, seed)
     gc.collect()
     found = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert len(held.table.listed()) == size
+    assert len(balancer.table.listed()) == size
     return {"table_memory": float(found)}
 
 
 def settings_text(callers: int) -> str:
-    """An operator's settings with so many rules of callers."""
+    """Formats operator settings with so many caller rules."""
     rules = "\n".join(
         f'<caller name="caller-{at}" tenant="tenant-{at % 100}">'
         f'<token issuer="https://issuer.example" audience="ironmill" subject="farm-{at}-*"/>'
@@ -207,8 +212,8 @@
     )
 
 
-def reload(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Seconds of CPU of reading settings with so many rules, and the ring of keys beside them."""
+def measure_reload(size: int, quick: bool, seed: int) -> Costs:
+    """Measures the seconds of CPU to read settings with so many caller rules, and their key ring."""
     del seed
     with tempfile.TemporaryDirectory() as name:
         path = Issuer(Path(name)).settings
@@ -216,44 +221,51 @@
         classes = ("index-sync", "archive-fetch")
         read_operator_files(str(path), classes)
         calls = max(1, 100 // size)
-        batches = BATCHES_QUICK if quick else BATCHES
-        with collecting():
-            return {"reload_cpu": _cost(lambda: read_operator_files(str(path), classes), calls, batches)}
+        batches = QUICK_BATCHES if quick else BATCHES
+        with proxy_gc():
+            cpu_s = _cpu_per_call(lambda: read_operator_files(str(path), classes), calls, batches)
+        return {"reload_cpu": cpu_s}
 
 
 def _sweep(name: str, what: str, x: str = "entries", unit: str = "s", shape: Shape = Shape.LINE) -> Sweep:
     return Sweep(name, what, x, unit, Sign.VIRTUAL, (), shape)
 
 
-BENDS = "Beyond 10,000 entries each one costs more than the line says, most likely by the processor's caches."
+_ABOVE_LINE = (
+    "Beyond 10,000 entries each one costs more than by the line, most likely by the processor's caches."
+)
 
 
 RUNS = (
     Runs(
-        placement,
+        measure_placement,
         (
             _sweep(
                 "placement_cpu",
                 "CPU of Balancer.handle for a request without a group that is placed, "
-                "up to 500 connections standing, 20 placements a second of the virtual clock. " + BENDS,
+                "up to 500 connections established, 20 placements a second of the virtual clock. "
+                + _ABOVE_LINE,
             ),
             _sweep(
                 "placement_group_cpu",
-                "The same for a request of a group of which nothing stands here.",
+                "The same for a request of a group that has no connection here.",
                 shape=Shape.POWER,
             ),
         ),
         ENTRIES,
-        ENTRIES_QUICK,
+        QUICK_ENTRIES,
         repeats=3,
     ),
     Runs(
-        placement_live,
+        measure_live_placement,
         (
-            _sweep("placement_live_cpu", "The same without a group, with live weights in the list. " + BENDS),
+            _sweep(
+                "placement_live_cpu",
+                "The same without a group, with live weights in the list. " + _ABOVE_LINE,
+            ),
             _sweep(
                 "placement_live_group_cpu",
-                "The same with a group of which nothing stands here, with live weights.",
+                "The same with a group that has no connection here, with live weights.",
                 shape=Shape.POWER,
             ),
             _sweep(
@@ -264,16 +276,16 @@
             ),
         ),
         ENTRIES,
-        ENTRIES_QUICK,
+        QUICK_ENTRIES,
         repeats=3,
     ),
     Runs(
-        changes,
+        measure_lists,
         (
             _sweep(
                 "table_change_cpu",
                 "CPU of RoutingTable.apply and Balancer.handle for a list that "
-                "changes the weight of one entry. " + BENDS,
+                "changes the weight of one entry. " + _ABOVE_LINE,
             ),
             _sweep(
                 "table_full_cpu",
@@ -287,23 +299,23 @@
             ),
         ),
         ENTRIES,
-        ENTRIES_QUICK,
+        QUICK_ENTRIES,
         repeats=3,
     ),
     Runs(
-        memory,
+        measure_memory,
         (
             _sweep(
                 "table_memory",
-                "Bytes held by RoutingTable and Balancer for all entries together, by tracemalloc.",
+                "Bytes allocated by RoutingTable and Balancer for all entries together, by tracemalloc.",
                 unit="B",
             ),
         ),
         ENTRIES,
-        ENTRIES_QUICK,
+        QUICK_ENTRIES,
     ),
     Runs(
-        reload,
+        measure_reload,
         (
             _sweep(
                 "reload_cpu",
@@ -313,7 +325,7 @@
             ),
         ),
         CALLERS,
-        CALLERS_QUICK,
+        QUICK_CALLERS,
         repeats=3,
     ),
 )
--- a/ironmill_testbed/measures/scale.py
+++ b/ironmill_testbed/measures/scale.py
@@ -36,7 +36,7 @@
     if quick:
         with ThreadPoolExecutor(1) as side:
             task = side.submit(_stories, quick)
-            found = sweeps.sweep(quick, names=names)
+            found = sweeps.measure_sweeps(quick=quick, names=names)
             played = task.result()
     else:
         played = _stories(quick)
@@ -46,7 +46,7 @@
         told = {name: one | {"sign": data.Sign.VIRTUAL.value} for name, one in played.items()}
         told["on_sockets"] = sockets | {"sign": data.Sign.SIMULATED.value}
         data.save(data.merge(data.Measured({}, told, sweeps.machine())))  # kept, whatever comes after
-        found = sweeps.sweep(quick, names=names)  # last, when nothing else is busy
+        found = sweeps.measure_sweeps(quick=quick, names=names)  # last, when nothing else is busy
         data.save(data.merge(data.Measured(found, {}, sweeps.machine())))
     sweeps.print_fits(found)
     return summary(played, sockets)
--- a/tests/unit/testbed/test_scale.py
+++ b/tests/unit/testbed/test_scale.py
@@ -1,4 +1,4 @@
-"""The last line of ``measure scale``: the worst of what was run, and nothing for what was not."""
+"""Tests of the last line of ``measure scale``."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ironmill_testbed.capacity import stories
 from ironmill_testbed.measures.scale import QUICK_STORIES, QUICK_SWEEPS, summary, sweeps
 
-PROMISED = (
+SUMMARY_KEYS = (
     "members_run",
     "real_processes",
     "hollow_on_sockets",
@@ -26,7 +26,7 @@
 )
 
 
-def _story(**more: Any) -> dict[str, Any]:
+def _scenario(**more: Any) -> dict[str, Any]:
     found = dict.fromkeys(
         (
             "lost_changes",
@@ -41,11 +41,11 @@
     return found | {"members_run": 2828, "peak_memory_mb": 200.0} | more
 
 
-def test_each_figure_is_that_of_the_worst_story() -> None:
-    played = {
-        "rest": _story(control_bytes_per_s=800.0),
-        "zone": _story(proxy_bytes_highest_s=600.0, change_p99_s=0.4),
-        "loss": _story(change_max_s=3.5, lost_changes=2),
+def test_summary_takes_worst_figure_of_all_scenarios() -> None:
+    scenarios = {
+        "rest": _scenario(control_bytes_per_s=800.0),
+        "zone": _scenario(proxy_bytes_highest_s=600.0, change_p99_s=0.4),
+        "loss": _scenario(change_max_s=3.5, lost_changes=2),
     }
     sockets = {
         "lost_changes": 1,
@@ -57,23 +57,23 @@
         "control_core_percent": 7.0,
         "control_memory_mb": 37.0,
     }
-    found = summary(played, sockets)
-    assert set(PROMISED) <= set(found)
+    found = summary(scenarios, sockets)
+    assert set(SUMMARY_KEYS) <= set(found)
     assert (found["change_p99_s"], found["change_max_s"], found["lost_changes"]) == (0.4, 3.5, 3)
     assert (found["control_bytes_per_s"], found["zone_loss_bytes_per_s"]) == (800.0, 600.0)
     assert (found["peak_memory_mb"], found["hollow_on_sockets"], found["members_run"]) == (900.0, 2800, 2828)
     assert found["not_kept"] == ["loss: change_max_s 3.5 > 3.0", "loss: lost_changes 2 > 0"]
 
 
-def test_what_was_not_run_is_none() -> None:
-    found = summary({"storm": _story()}, {})
-    assert set(PROMISED) <= set(found)
+def test_summary_is_none_for_figures_not_run() -> None:
+    found = summary({"storm": _scenario()}, {})
+    assert set(SUMMARY_KEYS) <= set(found)
     for name in ("zone_loss_bytes_per_s", "real_processes", "clients_lost", "control_bytes_per_s"):
         assert found[name] is None
     assert found["stories"] == ["storm"]
     assert found["not_kept"] == []
 
 
-def test_what_quick_runs_is_there() -> None:
+def test_quick_scenarios_and_sweeps_exist() -> None:
     assert set(QUICK_STORIES) <= set(stories.STORIES)
     assert set(QUICK_SWEEPS) <= set(sweeps.NAMES)
--- a/tests/unit/testbed/test_sweep_distribution.py
+++ b/tests/unit/testbed/test_sweep_distribution.py
@@ -1,4 +1,4 @@
-"""The sweeps of distribution at small sizes: each finds a cost at each size, and what must hold does."""
+"""Tests of the sweeps of distribution at small sizes."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 @pytest.mark.parametrize("runs", sweep_distribution.RUNS, ids=lambda runs: runs.run.__name__)
-def test_each_sweep_has_a_positive_cost_at_each_size(runs: Runs) -> None:
+def test_distribution_sweep_has_positive_cost_at_each_size(runs: Runs) -> None:
     sizes = SMALL[runs.run.__name__]
-    found = runs.alone(quick=True, sizes=sizes)
+    found = runs.measure(quick=True, sizes=sizes)
     assert set(found) == {sweep.name for sweep in runs.sweeps}
     for sweep in found.values():
         assert [size for size, _ in sweep.points] == list(sizes)
@@ -30,7 +30,7 @@
     assert runs in sweeps.RUNS
 
 
-def test_a_cold_start_costs_little_more_than_what_it_brings() -> None:
+def test_full_catch_up_costs_little_more_than_its_entries() -> None:
     found = sweep_distribution.catch_up(2000, True, 1)
-    carried = sum(3 + len(key) + len(value) for key, value in sweep_distribution.keys_of(2000).items())
-    assert carried < found["catch_up_bytes"] < 1.25 * carried
+    entries_bytes = sum(3 + len(key) + len(value) for key, value in sweep_distribution.keys_of(2000).items())
+    assert entries_bytes < found["catch_up_bytes"] < 1.25 * entries_bytes
--- a/tests/unit/testbed/test_sweeps.py
+++ b/tests/unit/testbed/test_sweeps.py
@@ -1,4 +1,4 @@
-"""The sweeps at small sizes, their fits and their data; members that share what is equal."""
+"""Tests of the sweeps at small sizes, of fits and stored data, and of members that intern equal values."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def made(points: Sequence[tuple[float, float]], shape: Shape = Shape.LINE, name: str = "one") -> Sweep:
-    return Sweep(name, "What is told.", "things", "s", Sign.VIRTUAL, tuple(points), shape)
+    return Sweep(name, "What was measured.", "things", "s", Sign.VIRTUAL, tuple(points), shape)
 
 
 @pytest.mark.parametrize("runs", sweep_table.RUNS, ids=lambda runs: runs.run.__name__)
-def test_each_sweep_of_a_process_has_a_positive_cost_at_each_size(runs: Runs) -> None:
-    found = runs.alone(quick=True, sizes=SIZES)
+def test_table_sweep_has_positive_cost_at_each_size(runs: Runs) -> None:
+    found = runs.measure(quick=True, sizes=SIZES)
     assert set(found) == {sweep.name for sweep in runs.sweeps}
     for sweep in found.values():
         assert [size for size, _ in sweep.points] == list(SIZES)
@@ -35,23 +35,23 @@
         assert sweep.floor_s is None, "no floor was measured beside it"
 
 
-def test_placements_of_the_sweep_are_placed_and_end() -> None:
+def test_simulated_balancer_keeps_a_tenth_of_entries_established() -> None:
     for live in (False, True):
-        held = sweep_table.Held(100, 1, live)
+        balancer = sweep_table.SimulatedBalancer(100, 1, live_weights=live)
         for _ in range(100):
-            held.place(True)
-        assert sum(held.balancer.connection_counts().values()) == 10
+            balancer.place(new_group=True)
+        assert sum(balancer.balancer.connection_counts().values()) == 10
 
 
-def test_a_table_of_more_entries_holds_more() -> None:
-    (sweep,) = sweep_table.RUNS[3].alone(quick=True, sizes=(100, 200, 300, 400, 500)).values()
+def test_memory_of_routing_table_grows_with_entries() -> None:
+    (sweep,) = sweep_table.RUNS[3].measure(quick=True, sizes=(100, 200, 300, 400, 500)).values()
     assert sweep.name == "table_memory"
     fit = sweep.fit()
     assert 200.0 < fit.slope < 5000.0, "bytes an entry"
 
 
 def test_idle_members_have_a_positive_cost_at_each_size() -> None:
-    found = sweep_membership.RUNS[1].alone(quick=True, sizes=SIZES)
+    found = sweep_membership.RUNS[1].measure(quick=True, sizes=SIZES)
     for sweep in found.values():
         assert [size for size, _ in sweep.points] == list(SIZES)
         assert all(cost > 0.0 for _, cost in sweep.points)
@@ -67,7 +67,7 @@
     assert costs == sweep_membership.measure_zone_failure(33, True, 1), "by the seed alone"
 
 
-def test_what_is_not_found_is_left_out_and_told() -> None:
+def test_infinite_cost_is_omitted_and_named() -> None:
     results = [(size, {"one": math.inf if size == 30 else 1.0}) for size in SIZES]
     sweep = fill((made(()),), results)["one"]
     assert [size for size, _ in sweep.points] == [10, 20, 40, 50]
@@ -75,12 +75,12 @@
 
 
 def test_memory_of_a_view_grows_with_its_members() -> None:
-    (sweep,) = sweep_membership.RUNS[2].alone(quick=True, sizes=(20, 40, 60, 80, 100)).values()
+    (sweep,) = sweep_membership.RUNS[2].measure(quick=True, sizes=(20, 40, 60, 80, 100)).values()
     assert 500.0 < sweep.fit().slope < 4000.0, "bytes a member"
 
 
-def test_the_core_is_measured_beside_its_floor() -> None:
-    found = sweep_core.at_size(10, 20, 8, 1)
+def test_core_sweep_measures_proxy_and_floor() -> None:
+    found = sweep_core.measure_size(10, sweep_core.Effort(lines=20, setups=8, rounds=1))
     assert set(found) == {"proxy", "epoll"}
     for figures in found.values():
         assert figures.size == 10
@@ -89,25 +89,27 @@
     assert found["proxy"].kib > 0.0
 
 
-def test_each_sweep_has_a_name_of_its_own_and_enough_sizes() -> None:
+def test_sweeps_have_unique_names_and_enough_sizes() -> None:
     assert len(set(sweeps.NAMES)) == len(sweeps.NAMES)
     for runs in sweeps.RUNS:
         assert len(set(runs.sizes)) >= data.MIN_SIZES
         assert len(set(runs.quick)) >= data.MIN_SIZES
         for quick in (False, True):
-            assert {size for size, _ in runs.tasks(quick, 1)} == set(runs.quick if quick else runs.sizes)
+            assert {size for size, _ in runs.tasks(quick=quick, seed=1)} == set(
+                runs.quick if quick else runs.sizes
+            )
     assert len(set(sweep_core.SIZES)) >= data.MIN_SIZES
-    assert len(set(sweep_core.SIZES_QUICK)) >= data.MIN_SIZES
+    assert len(set(sweep_core.QUICK_SIZES)) >= data.MIN_SIZES
 
 
-def test_only_seconds_of_cpu_are_told_in_times_of_the_floor() -> None:
+def test_only_seconds_of_cpu_have_a_floor() -> None:
     for name in sweeps.NAMES:
         sweep = made((), name=name)
         floors = ("core_floor_line", "core_floor_setup")
-        assert sweeps.timed(sweep) is (name.endswith("_cpu") or name in floors)
+        assert sweeps.has_floor(sweep) is (name.endswith("_cpu") or name in floors)
 
 
-def test_a_known_line_is_recovered_with_its_errors() -> None:
+def test_fit_recovers_noisy_line_within_its_errors() -> None:
     rng = random.Random(3)
     clean = made([(float(x), 5.0 + 0.25 * x) for x in (10, 100, 1000, 10_000, 100_000)]).fit()
     assert clean.constant == pytest.approx(5.0)
@@ -122,7 +124,7 @@
     assert 0.01 < noisy.residual < 0.05
 
 
-def test_a_known_power_law_is_recovered() -> None:
+def test_fit_recovers_power_law() -> None:
     fit = made([(float(x), 3.0 * x**0.7) for x in (10, 30, 100, 300, 1000)], Shape.POWER).fit()
     assert fit.constant == pytest.approx(3.0)
     assert fit.slope == pytest.approx(0.7)
@@ -130,16 +132,18 @@
 
 
 @pytest.mark.parametrize("shape", Shape)
-def test_fewer_than_five_sizes_are_no_sweep(shape: Shape) -> None:
+def test_fit_rejects_fewer_than_five_sizes(shape: Shape) -> None:
     points = [(float(x), 1.0 + x) for x in (1, 2, 3, 4) * 3]
     with pytest.raises(ValueError, match="5 sizes"):
         made(points, shape).fit()
     assert made([*points, (5.0, 6.0)], shape).fit().slope > 0.0
 
 
-def test_data_comes_back_as_written_and_merging_keeps_the_others(tmp_path: Path) -> None:
+def test_data_survives_save_and_load_and_merge_keeps_other_sweeps(tmp_path: Path) -> None:
     path = tmp_path / "measured.json"
-    old = Measured({"a": made([(1.0, 2.0)]), "b": made([(1.0, 3.0)])}, {"story": {"x": None}}, {"cores": 8})
+    old = Measured(
+        {"a": made([(1.0, 2.0)]), "b": made([(1.0, 3.0)])}, {"scenario": {"x": None}}, {"cores": 8}
+    )
     assert data.merge(old, path) == old
     data.save(old, path)
     assert data.load(path) == old
