--- a/ironmill_testbed/__main__.py
+++ b/ironmill_testbed/__main__.py
@@ -54,9 +54,11 @@
 
         return emulate.run(int(arguments["--hosts"]))
     if arguments["hollow"]:
-        from ironmill_testbed.faults import hollow
+        from ironmill_testbed.faults import simulated_proxies
 
-        return hollow.run(arguments["--settings"], int(arguments["--first"]), int(arguments["--proxies"]))
+        return simulated_proxies.run(
+            arguments["--settings"], int(arguments["--first"]), int(arguments["--proxies"])
+        )
     if arguments["floor"]:
         from ironmill_testbed import floors
 
@@ -83,7 +85,7 @@
     if arguments["capacity"]:
         from ironmill_testbed.capacity import page
 
-        return page.run(arguments["--check"], arguments["--plots"])
+        return page.run(checking=arguments["--check"], plots=arguments["--plots"])
     from ironmill_testbed import measure
 
     program = Path(arguments["--program"]).resolve() if arguments["--program"] else None
--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A real process with a limit on its descriptors, which idle clients try to exhaust."""
+"""A process with just the configured number of descriptors, while idle clients take all they can."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def test_idle_clients_do_not_starve_discovery_admin_api_or_requests_of_descriptors(
     tmp_path: Path,
 ) -> None:
-    """Discovery is down meanwhile: the watch, the second address, probes and attempts have a reserve."""
+    """Discovery is down meanwhile; the watch, the admin API, health checks and attempts have a reserve."""
     with ExitStack() as stack:
         dependencies = stack.enter_context(Dependencies(tmp_path, 3))
         address, admin_address, unused_address = (("127.0.0.1", free_port()) for _ in range(3))
