--- a/ironmill_testbed/capacity/sweep_core.py
+++ b/ironmill_testbed/capacity/sweep_core.py
@@ -7,11 +7,10 @@
 
 from __future__ import annotations
 
-import resource
 import statistics
 import tempfile
-from collections.abc import Iterator, Sequence
-from contextlib import ExitStack, contextmanager
+from collections.abc import Sequence
+from contextlib import ExitStack
 from pathlib import Path
 
 from msgspec import Struct
@@ -20,7 +19,15 @@
 from ironmill_testbed.capacity.data import Sign, Sweep
 from ironmill_testbed.capacity.runs import fill
 from ironmill_testbed.fleet import run_scenario
-from ironmill_testbed.measures.core import HOSTS, LIMIT, Bench, Figures, make_subject
+from ironmill_testbed.measures.core import (
+    MAX_RUN_S,
+    SERVER_COUNT,
+    Bench,
+    ConnectionCosts,
+    SubjectOptions,
+    max_descriptors,
+    start_subject,
+)
 from ironmill_testbed.processes import Dependencies
 
 SIZES = (500, 1000, 2000, 3000, 4000, 5000)
@@ -50,17 +57,6 @@
 NAMES = tuple(sweep.name for sweep in SWEEPS)
 
 
-@contextmanager
-def _max_descriptors() -> Iterator[int]:
-    """Raises the soft limit of open files to the hard one, and yields the number."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    try:
-        yield min(hard if hard > 0 else 1 << 20, 1 << 20)
-    finally:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-
-
 class Effort(Struct, frozen=True):
     """How much is measured at one size."""
 
@@ -76,17 +72,18 @@
         return cls(LINES_PER_ROUND, SETUPS_PER_ROUND, ROUNDS)
 
 
-def measure_size(size: int, effort: Effort, kinds: Sequence[str] = KINDS) -> dict[str, Figures]:
+def measure_size(size: int, effort: Effort, kinds: Sequence[str] = KINDS) -> dict[str, ConnectionCosts]:
     """Measures each kind of process with so many connections."""
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
-        descriptors = stack.enter_context(_max_descriptors())
+        descriptors = stack.enter_context(max_descriptors())
         folder = Path(name)
-        dependencies = stack.enter_context(Dependencies(folder, HOSTS))
+        dependencies = stack.enter_context(Dependencies(folder, SERVER_COUNT))
+        options = SubjectOptions(descriptors)
         scheduler, benches = Scheduler(), dict[str, Bench]()
         for kind in kinds:
-            subject = make_subject(f"{kind}-{size}", dependencies, folder, descriptors, "epoll", None)
+            subject = start_subject(f"{kind}-{size}", dependencies, folder, options)
             stack.enter_context(subject.process)
-            benches[kind] = Bench(scheduler, subject, Figures(size))
+            benches[kind] = Bench(scheduler, subject, ConnectionCosts(size))
 
         def scenario() -> None:
             for bench in benches.values():
@@ -97,8 +94,8 @@
             for bench in benches.values():
                 bench.close()
 
-        run_scenario(scheduler, scenario, LIMIT)
-        return {kind: bench.figures for kind, bench in benches.items()}
+        run_scenario(scheduler, scenario, MAX_RUN_S)
+        return {kind: bench.costs for kind, bench in benches.items()}
 
 
 def measure(*, quick: bool) -> dict[str, Sweep]:
--- a/ironmill_testbed/measures/core.py
+++ b/ironmill_testbed/measures/core.py
@@ -1,9 +1,9 @@
-"""What a line, a set-up and a standing connection cost the proxy, against how many connections stand.
+"""Measures what a line, a set-up and an established connection cost the proxy, by the number of connections.
 
-Beside the proxy stand two floors in the same run (``ironmill_testbed.floors``): a bare loop on
-``select.epoll``, and the scheduler's greenlets without the gateway. The differences between the three are
-what the layers take. A line is one that a client sends and gets back, so it passes the proxy twice. A set-up
-is a connection from its first line to its close.
+Beside the proxy the same run measures two baselines (``ironmill_testbed.floors``): a bare loop on
+``select.epoll``, and the scheduler's greenlets without the gateway. The differences between the three are the
+costs of the layers. A line is one that a client sends and gets back, so it passes the proxy twice. A set-up
+is a connection from its request line to its close.
 """
 
 from __future__ import annotations
@@ -12,222 +12,267 @@
 import resource
 import statistics
 import tempfile
-from collections.abc import Callable
-from contextlib import ExitStack
+from collections.abc import Callable, Iterator, Sequence
+from contextlib import ExitStack, contextmanager
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
+from msgspec import Struct
+
+from ironmill.membership.identity import Address, format_address
 from ironmill.net.sockets import TimedOutError
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, in_parallel, run_scenario
+from ironmill_testbed.measures.errors import MeasurementError
 from ironmill_testbed.processes import Dependencies, Process, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
-HOSTS = 6
+SERVER_COUNT = 6
 SIZES = (500, 2000, 3600, 5000)
 SIZES_QUICK = (500, 5000)
-MOST = 9000  # standing connections that one core must hold
+MAX_CONNECTIONS = 9000  # that one core must be able to keep established
 LINES, LINES_QUICK = 12_000, 4_000
 SETUPS, SETUPS_QUICK = 1_500, 600
-LINES_AT_ONCE = 16
-SETUPS_AT_ONCE = 8
-TRIES = 200
+PARALLEL_LINES = 16
+PARALLEL_SETUPS = 8
+MAX_OPEN_ATTEMPTS = 200
+OPEN_RETRY_DELAY_S = 0.1
+SETTLE_S = 0.5  # lets the process release temporary memory
 ROUNDS = 5
-LIMIT = 900.0  # seconds for one subject
+MAX_RUN_S = 900.0  # for all sizes of one kind of process
+MAX_DESCRIPTORS = 1 << 20
+RESERVED_DESCRIPTORS = 600
+LINE = b"a line as clients send them"
 
 
 @dataclass(slots=True)
-class Figures:
-    """One subject at one size: milliseconds of CPU, KiB for each standing connection beyond the start."""
+class ConnectionCosts:
+    """The costs of one subject at one size; times are CPU time."""
 
-    size: int
+    size: int  # established connections
     line_ms: float = 0.0
-    line_system: float = 0.0  # the kernel's part of it
+    line_system_ms: float = 0.0  # of it in the kernel
     setup_ms: float = 0.0
-    setup_system: float = 0.0
-    kib: float = 0.0
+    setup_system_ms: float = 0.0
+    kib: float = 0.0  # resident memory for each connection
+
+
+class SubjectOptions(Struct, frozen=True):
+    """How the processes that are measured are started."""
+
+    descriptors: int  # that a proxy may use
+    poller: str = "epoll"
+    program: Path | None = None  # the folder of another checkout
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """What is measured: a process that clients connect to."""
+    """A process that is measured, and the address that clients connect to."""
 
     process: Process
-    address: tuple[str, int]
+    address: Address
 
 
 class Bench:
-    """Brings one subject to its size and reads its CPU clock."""
+    """Opens connections to one subject and measures its CPU time and memory."""
 
-    def __init__(self, scheduler: Scheduler, subject: Subject, figures: Figures) -> None:
+    def __init__(self, scheduler: Scheduler, subject: Subject, costs: ConnectionCosts) -> None:
+        """``costs`` names the size and is filled by the measurements."""
         self._scheduler = scheduler
         self._subject = subject
         self._rng = random.Random(5)
         self._clients: list[Client] = []
-        self._at_start = subject.process.usage().resident_bytes
-        self._costs: dict[str, list[float]] = {"line": [], "setup": []}
-        self._system: dict[str, float] = {"line": 0.0, "setup": 0.0}
-        self.figures = figures
-        self.refused = 0
+        self._resident_bytes_at_start = subject.process.usage().resident_bytes
+        self._line_ms: list[float] = []
+        self._setup_ms: list[float] = []
+        self._line_system_ms: list[float] = []
+        self._setup_system_ms: list[float] = []
+        self.costs = costs
+        self.rejected = 0
 
     def grow(self) -> None:
-        """Open connections up to the size, and weigh them once each has brought its first line back."""
-        self._grow(self.figures.size)
-        in_parallel(self._scheduler, LINES_AT_ONCE, self._clients, self._ask)
-        self._scheduler.sleep(0.5)
-        grown = self._subject.process.usage().resident_bytes - self._at_start
-        self.figures.kib = grown / 1024.0 / self.figures.size
+        """Opens connections up to the size, and measures their memory after a line on each. Parks."""
+        self.hold(self.costs.size)
+        self._scheduler.sleep(SETTLE_S)
+        grown_bytes = self._subject.process.usage().resident_bytes - self._resident_bytes_at_start
+        self.costs.kib = grown_bytes / 1024.0 / self.costs.size
 
     def round(self, lines: int, setups: int) -> None:
-        """One round of each; the figures are the medians of the rounds so far."""
-        self._cost("line", lines, self._ask_many)
-        self._cost("setup", setups, self._set_up_many)
-        rounds = len(self._costs["line"])
-        self.figures.line_ms = statistics.median(self._costs["line"])
-        self.figures.setup_ms = statistics.median(self._costs["setup"])
-        self.figures.line_system = self._system["line"] / rounds
-        self.figures.setup_system = self._system["setup"] / rounds
-
-    def hold(self, most: int) -> None:
-        """Hold so many connections, each of which must bring a line back."""
-        self._grow(most)
-        in_parallel(self._scheduler, LINES_AT_ONCE, self._clients, self._ask)
+        """Runs one round; the costs are the rounds' medians, and their means in the kernel. Parks."""
+        cpu_ms, system_ms = self._measure(lines, self._exchange_many)
+        self._line_ms.append(cpu_ms)
+        self._line_system_ms.append(system_ms)
+        cpu_ms, system_ms = self._measure(setups, self._set_up_many)
+        self._setup_ms.append(cpu_ms)
+        self._setup_system_ms.append(system_ms)
+        self.costs.line_ms = statistics.median(self._line_ms)
+        self.costs.setup_ms = statistics.median(self._setup_ms)
+        self.costs.line_system_ms = sum(self._line_system_ms) / len(self._line_system_ms)
+        self.costs.setup_system_ms = sum(self._setup_system_ms) / len(self._setup_system_ms)
+
+    def hold(self, size: int) -> None:
+        """Opens connections up to that size, and exchanges a line on each. Parks."""
+        missing = range(size - len(self._clients))
+        in_parallel(self._scheduler, PARALLEL_SETUPS, missing, lambda _: self._clients.append(self._open()))
+        in_parallel(self._scheduler, PARALLEL_LINES, self._clients, self._exchange)
 
     def close(self) -> None:
-        """End the clients' connections."""
+        """Closes the clients' connections."""
         for client in self._clients:
             client.close()
         self._clients.clear()
 
-    def _cost(self, what: str, count: int, action: Callable[[int], None]) -> None:
+    def _measure(self, count: int, action: Callable[[int], None]) -> tuple[float, float]:
+        """Returns CPU milliseconds for each of ``count``, in all and in the kernel."""
         before = self._subject.process.usage()
         action(count)
         after = self._subject.process.usage()
-        self._costs[what].append((after.cpu_s - before.cpu_s) * 1000.0 / count)
-        self._system[what] += (after.system_s - before.system_s) * 1000.0 / count
-
-    def _grow(self, size: int) -> None:
-        missing = range(size - len(self._clients))
-        in_parallel(self._scheduler, SETUPS_AT_ONCE, missing, lambda _: self._clients.append(self._open()))
+        cpu_s, system_s = after.cpu_s - before.cpu_s, after.system_s - before.system_s
+        return cpu_s * 1000.0 / count, system_s * 1000.0 / count
 
     def _open(self) -> Client:
-        for _ in range(TRIES):
+        for _ in range(MAX_OPEN_ATTEMPTS):
             client = Client(self._scheduler, self._subject.address)
             try:
                 client.open()
             except NotServedError:
-                self.refused += 1
-                self._scheduler.sleep(0.1)
+                self.rejected += 1
+                self._scheduler.sleep(OPEN_RETRY_DELAY_S)
             else:
                 return client
         raise TimedOutError
 
     def _set_up_many(self, count: int) -> None:
-        in_parallel(self._scheduler, SETUPS_AT_ONCE, range(count), lambda _: self._open().close())
+        in_parallel(self._scheduler, PARALLEL_SETUPS, range(count), lambda _: self._open().close())
 
-    def _ask_many(self, count: int) -> None:
-        # Disjoint shares: two lines of one connection are never out together.
-        chosen = [self._rng.sample(self._clients, min(count, len(self._clients)))]
-        while sum(map(len, chosen)) < count:
-            chosen.append(self._rng.sample(self._clients, min(count, len(self._clients))))
-        for part in chosen:
-            in_parallel(self._scheduler, LINES_AT_ONCE, part[:count], self._ask)
-            count -= len(part)
+    def _exchange_many(self, count: int) -> None:
+        # Every batch has each connection once at most, so that no two of its lines are in flight together.
+        batches = [self._sample_clients(count)]
+        while sum(map(len, batches)) < count:
+            batches.append(self._sample_clients(count))
+        for batch in batches:
+            in_parallel(self._scheduler, PARALLEL_LINES, batch[:count], self._exchange)
+            count -= len(batch)
 
-    def _ask(self, client: Client) -> None:
-        if client.exchange(b"a line as clients send them") != b"a line as clients send them":
-            raise RuntimeError("a line did not come back")
+    def _sample_clients(self, count: int) -> list[Client]:
+        return self._rng.sample(self._clients, min(count, len(self._clients)))
+
+    def _exchange(self, client: Client) -> None:
+        answer = client.exchange(LINE)
+        if answer != LINE:
+            raise MeasurementError(f"the line came back as {answer!r}; expected {LINE!r}")
 
 
 def measure(quick: bool, poller: str, program: Path | None) -> dict[str, Any]:
-    """The table on standard output, and the figures by name."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    sizes, most = (SIZES_QUICK, 0) if quick else (SIZES, MOST)
-    lines, setups = (LINES_QUICK, SETUPS_QUICK) if quick else (LINES, SETUPS)
-    # Two descriptors a connection, here and in the proxy.
-    room = min(hard if hard > 0 else 1 << 20, 1 << 20)
-    most = min(most, (room - 600) // 2)
-    found: dict[str, list[Figures]] = {}
-    refused = 0
-    with tempfile.TemporaryDirectory() as name:
+    """Prints the table of costs, and returns the figures by name."""
+    sizes = SIZES_QUICK if quick else SIZES
+    costs: dict[str, list[ConnectionCosts]] = {}
+    rejected = 0
+    with tempfile.TemporaryDirectory() as name, max_descriptors() as descriptors:
+        # Each connection takes two descriptors, here and in the proxy.
+        max_size = 0 if quick else min(MAX_CONNECTIONS, (descriptors - RESERVED_DESCRIPTORS) // 2)
+        options = SubjectOptions(descriptors, poller, program)
         for kind in ("epoll", "greenlet", "proxy"):
             folder = Path(name) / kind
             folder.mkdir()
             with ExitStack() as stack:
-                dependencies = stack.enter_context(Dependencies(folder, HOSTS))
-                scheduler = Scheduler()
-                benches = []
-                for size in sizes:
-                    subject = make_subject(f"{kind}-{size}", dependencies, folder, room, poller, program)
-                    stack.enter_context(subject.process)
-                    benches.append(Bench(scheduler, subject, Figures(size)))
-
-                def story(benches: list[Bench] = benches, kind: str = kind) -> None:
-                    for bench in benches:
-                        bench.grow()
-                    for _ in range(ROUNDS):  # in turns: a machine that is noisy is so for all sizes
-                        for bench in benches:
-                            bench.round(lines // ROUNDS, setups // ROUNDS)
-                    for bench in benches[:-1]:
-                        bench.close()
-                    if most and kind == "proxy":
-                        benches[-1].hold(most)
-                    benches[-1].close()
-
-                run_scenario(scheduler, story, LIMIT)
-                found[kind] = [bench.figures for bench in benches]
-                refused += sum(bench.refused for bench in benches)
-    _print(found)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    first, last = found["proxy"][0], found["proxy"][-1]
+                benches = _start_benches(kind, sizes, folder, options, stack)
+                final_size = max_size if kind == "proxy" else 0
+                _run_benches(benches, final_size, quick=quick)
+            costs[kind] = [bench.costs for bench in benches.values]
+            rejected += sum(bench.rejected for bench in benches.values)
+        _print(costs)
+    first, last = costs["proxy"][0], costs["proxy"][-1]
     return {
         "line_ms_500": round(first.line_ms, 4),
         "line_ms_5000": round(last.line_ms, 4),
         "setup_ms_500": round(first.setup_ms, 4),
         "setup_ms_5000": round(last.setup_ms, 4),
         "kib_per_connection": round(last.kib, 2),
-        "floor_epoll_line_ms_5000": round(found["epoll"][-1].line_ms, 4),
-        "floor_greenlet_line_ms_5000": round(found["greenlet"][-1].line_ms, 4),
-        "held": max(most, sizes[-1]),
-        "refused": refused,
+        "floor_epoll_line_ms_5000": round(costs["epoll"][-1].line_ms, 4),
+        "floor_greenlet_line_ms_5000": round(costs["greenlet"][-1].line_ms, 4),
+        "held": max(max_size, sizes[-1]),
+        "refused": rejected,
         "poller": poller,
     }
 
 
-def make_subject(
-    name: str, dependencies: Dependencies, folder: Path, room: int, poller: str, program: Path | None
-) -> Subject:
-    """A process of the kind that the name begins with, ready; ``room`` is how many sockets a proxy has."""
+@contextmanager
+def max_descriptors() -> Iterator[int]:
+    """Raises the soft limit on descriptors to the hard one; yields how many a process may use."""
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
+    try:
+        yield min(hard if hard > 0 else MAX_DESCRIPTORS, MAX_DESCRIPTORS)
+    finally:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
+
+
+class _Benches(Struct, frozen=True):
+    scheduler: Scheduler
+    values: list[Bench]  # by size
+
+
+def _start_benches(
+    kind: str, sizes: Sequence[int], folder: Path, options: SubjectOptions, stack: ExitStack
+) -> _Benches:
+    dependencies = stack.enter_context(Dependencies(folder, SERVER_COUNT))
+    benches = _Benches(Scheduler(), [])
+    for size in sizes:
+        subject = start_subject(f"{kind}-{size}", dependencies, folder, options)
+        stack.enter_context(subject.process)
+        benches.values.append(Bench(benches.scheduler, subject, ConnectionCosts(size)))
+    return benches
+
+
+def _run_benches(benches: _Benches, final_size: int, *, quick: bool) -> None:
+    """Measures all sizes in turns, so that noise of the machine affects each; then opens the final size."""
+    lines, setups = (LINES_QUICK, SETUPS_QUICK) if quick else (LINES, SETUPS)
+
+    def scenario() -> None:
+        for bench in benches.values:
+            bench.grow()
+        for _ in range(ROUNDS):
+            for bench in benches.values:
+                bench.round(lines // ROUNDS, setups // ROUNDS)
+        for bench in benches.values[:-1]:
+            bench.close()
+        if final_size:
+            benches.values[-1].hold(final_size)
+        benches.values[-1].close()
+
+    run_scenario(benches.scheduler, scenario, MAX_RUN_S)
+
+
+def start_subject(name: str, dependencies: Dependencies, folder: Path, options: SubjectOptions) -> Subject:
+    """Starts a process of the kind that the name begins with; it is ready when this returns."""
     kind = name.partition("-")[0]
     if kind == "proxy":
-        config = proxy_config(
-            name, ("127.0.0.1", free_port()), dependencies.discovery, room, platform_settings()
-        )
-        words = [] if poller == "epoll" else [f"--poller={poller}"]
-        proxy = ProxyProcess(write_config(folder, config), folder, program, words)
+        address = ("127.0.0.1", free_port())
+        config = proxy_config(name, address, dependencies.discovery, options.descriptors, platform_settings())
+        poller = [] if options.poller == "epoll" else [f"--poller={options.poller}"]
+        proxy = ProxyProcess(write_config(folder, config), folder, options.program, poller)
         proxy.wait_ready()
         return Subject(proxy, proxy.address)
-    host, port = dependencies.status().servers[0].address
-    words = ["-m", "ironmill_testbed", "floor", kind, f"--target={host}:{port}"]
-    floor = Process(words, folder, name)
+    target = format_address(dependencies.status().servers[0].address)
+    floor = Process(["-m", "ironmill_testbed", "floor", kind, f"--target={target}"], folder, name)
     assert floor.popen.stdout is not None
     return Subject(floor, ("127.0.0.1", int(floor.popen.stdout.readline())))
 
 
-def _print(found: dict[str, list[Figures]]) -> None:
+def _print(costs: dict[str, list[ConnectionCosts]]) -> None:
     print("subject   standing   ms a line  of it kernel   ms a set-up  of it kernel   KiB a connection")
-    for kind, figures in found.items():
-        for it in figures:
+    for kind, costs_by_size in costs.items():
+        for it in costs_by_size:
             print(
-                f"{kind:<9} {it.size:>8}   {it.line_ms:>9.4f}  {it.line_system:>12.4f}   "
-                f"{it.setup_ms:>11.3f}  {it.setup_system:>12.3f}   {it.kib:>16.1f}"
+                f"{kind:<9} {it.size:>8}   {it.line_ms:>9.4f}  {it.line_system_ms:>12.4f}   "
+                f"{it.setup_ms:>11.3f}  {it.setup_system_ms:>12.3f}   {it.kib:>16.1f}"
             )
-    epoll, greenlet, proxy = (found[kind][-1].line_ms for kind in ("epoll", "greenlet", "proxy"))
+    epoll, greenlet, proxy = (costs[kind][-1].line_ms for kind in ("epoll", "greenlet", "proxy"))
     if proxy > 0.0:
         print(
-            f"a line at {found['proxy'][-1].size}: {epoll / proxy:.0%} kernel and loop, "
+            f"a line at {costs['proxy'][-1].size}: {epoll / proxy:.0%} kernel and loop, "
             f"{(greenlet - epoll) / proxy:.0%} greenlets, "
             f"{(proxy - greenlet) / proxy:.0%} protocol, gateway and measuring"
         )
