--- a/ironmill/configuration/distributed_keys.py
+++ b/ironmill/configuration/distributed_keys.py
@@ -18,7 +18,7 @@
 
 from msgspec import Struct
 
-from ironmill.distribution.revision import Rejection
+from ironmill.distribution.rejection import Rejection
 from ironmill.runtime import logs
 
 if TYPE_CHECKING:  # not imported in a control machine, or in a proxy without identity
--- a/ironmill/distribution/children.py
+++ b/ironmill/distribution/children.py
@@ -16,8 +16,9 @@
     Message,
     Poll,
 )
+from ironmill.distribution.rejection import Rejection
 from ironmill.distribution.replica import Replica
-from ironmill.distribution.revision import START, Position, Rejection
+from ironmill.distribution.revision import START, Position
 from ironmill.distribution.timing import CHILD_LEASE_S, MIN_FIND_CHILD_INTERVAL_S, Timing
 from ironmill.membership.envelope import DroppedError, DropReason, Envelope
 from ironmill.membership.identity import Address
--- a/ironmill/distribution/errors.py
+++ b/ironmill/distribution/errors.py
@@ -7,7 +7,7 @@
 from ironmill.errors import IronmillError
 
 if TYPE_CHECKING:
-    from ironmill.distribution.revision import Rejection
+    from ironmill.distribution.rejection import Rejection
 
 
 class RevisionError(IronmillError, ValueError):
--- a/ironmill/distribution/events.py
+++ b/ironmill/distribution/events.py
@@ -6,7 +6,8 @@
 
 from msgspec import Struct
 
-from ironmill.distribution.revision import Position, Rejection
+from ironmill.distribution.rejection import Rejection
+from ironmill.distribution.revision import Position
 
 
 class RevisionApplied(Struct, frozen=True):
--- a/ironmill/distribution/fleet_summary.py
+++ b/ironmill/distribution/fleet_summary.py
@@ -14,7 +14,8 @@
     LaggingNode,
     ZoneSummary,
 )
-from ironmill.distribution.revision import NUMBER_LIMIT, Position, Rejection
+from ironmill.distribution.rejection import Rejection
+from ironmill.distribution.revision import NUMBER_LIMIT, Position
 from ironmill.distribution.timing import LAGGING_DELAY_S
 
 NO_LOWEST_POSITION = Position(NUMBER_LIMIT - 1, NUMBER_LIMIT - 1)  # of a zone where no proxy counts
--- a/ironmill/distribution/interfaces.py
+++ b/ironmill/distribution/interfaces.py
@@ -6,7 +6,8 @@
 from typing import Protocol
 
 from ironmill.distribution.changes import Changes
-from ironmill.distribution.revision import Position, Rejection, RevisionMetadata, StoredRevision
+from ironmill.distribution.rejection import Rejection
+from ironmill.distribution.revision import Position, RevisionMetadata, StoredRevision
 
 ChangeCheck = Callable[[Changes], Rejection | None]
 
--- a/ironmill/distribution/messages.py
+++ b/ironmill/distribution/messages.py
@@ -9,7 +9,8 @@
 from msgspec import Struct
 
 from ironmill.distribution.keyspace import LEVEL_BITS
-from ironmill.distribution.revision import Position, Rejection
+from ironmill.distribution.rejection import Rejection
+from ironmill.distribution.revision import Position
 from ironmill.membership.identity import Address
 
 # Limits of one datagram, or of a field in it.
--- a/ironmill/distribution/replica.py
+++ b/ironmill/distribution/replica.py
@@ -9,7 +9,8 @@
 from ironmill.distribution.interfaces import Consumer
 from ironmill.distribution.keyspace import LEAVES, Keyspace
 from ironmill.distribution.messages import MAX_REASON_LENGTH
-from ironmill.distribution.revision import START, Delta, Position, Rejection
+from ironmill.distribution.rejection import Rejection
+from ironmill.distribution.revision import START, Delta, Position
 from ironmill.distribution.revision_log import RevisionLog
 
 MAX_PENDING_BYTES = 1 << 18  # of received changes that are not applied; more are dropped and fetched again
--- a/ironmill/distribution/revision.py
+++ b/ironmill/distribution/revision.py
@@ -55,10 +55,3 @@
     digest: int  # of the whole keyspace at ``target``
     changes: Changes
     size: int  # bytes, in packed form
-
-
-class Rejection(Struct, frozen=True, array_like=True):
-    """Why a consumer cannot apply a revision."""
-
-    key: str
-    reason: str
--- a/ironmill_testbed/faults/simulated_fleet.py
+++ b/ironmill_testbed/faults/simulated_fleet.py
@@ -13,6 +13,7 @@
 from functools import partial
 from typing import Any
 
+from ironmill.distribution.rejection import Rejection
 from msgspec import Struct
 
 from ironmill.distribution.changes import Changes
@@ -25,7 +26,7 @@
 from ironmill.distribution.origin import Origin
 from ironmill.distribution.proxy_node import ProxyNode
 from ironmill.distribution.relay import Relay
-from ironmill.distribution.revision import Position, Rejection, RevisionMetadata
+from ironmill.distribution.revision import Position, RevisionMetadata
 from ironmill.distribution.timing import TICK_INTERVAL_S, Timing
 from ironmill.membership.identity import Address, Datagram, MemberIdentity
 from ironmill_testbed.faults.fleet_links import FleetLinks
--- a/ironmill_testbed/faults/simulated_proxies.py
+++ b/ironmill_testbed/faults/simulated_proxies.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 import psutil
+from ironmill.distribution.rejection import Rejection
 
 from ironmill.configuration.operator_files import read_operator_files
 from ironmill.configuration.settings.model import DistributionSettings
@@ -26,7 +27,7 @@
     ParentLost,
     RevisionApplied,
 )
-from ironmill.distribution.revision import START, Position, Rejection
+from ironmill.distribution.revision import START, Position
 from ironmill.distribution.timing import TICK_INTERVAL_S
 from ironmill.membership.identity import Address, Datagram
 from ironmill.net.datagrams import DatagramMachine
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -15,6 +15,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+from ironmill.distribution.rejection import Rejection
 
 from ironmill.administration import configuration_api
 from ironmill.administration.configuration_api import (
@@ -43,7 +44,6 @@
     MAX_NOTE_LENGTH,
     MAX_TICKET_LENGTH,
     Position,
-    Rejection,
     RevisionMetadata,
     StoredRevision,
 )
--- a/tests/unit/distribution/test_random_schedules.py
+++ b/tests/unit/distribution/test_random_schedules.py
@@ -7,6 +7,7 @@
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
+from ironmill.distribution.rejection import Rejection
 
 from ironmill.distribution.changes import Changes
 from ironmill.distribution.errors import NotOriginError, StoreError
@@ -14,7 +15,7 @@
 from ironmill.distribution.origin import Origin
 from ironmill.distribution.proxy_node import ProxyNode
 from ironmill.distribution.relay import Relay
-from ironmill.distribution.revision import Position, Rejection
+from ironmill.distribution.revision import Position
 from ironmill_testbed.faults.fleet_process import FleetProcess
 from ironmill_testbed.faults.schedule import Fault, both_ways
 from ironmill_testbed.faults.simulated_fleet import Plan, SimulatedFleet
