--- a/tests/unit/testbed/test_capacity_page.py
+++ b/tests/unit/testbed/test_capacity_page.py
@@ -12,7 +12,7 @@
 from msgspec.structs import replace
 
 from ironmill_testbed.__main__ import main
-from ironmill_testbed.capacity import data, formulas, page, plan, roles, tables
+from ironmill_testbed.capacity import data, formulas, page, page_values, plan, roles, tables
 from ironmill_testbed.capacity.data import Measured
 from ironmill_testbed.capacity.formulas import Model
 from tests.unit.testbed.capacity_models import full, line, model
@@ -152,7 +152,7 @@
     ]
 
 
-@pytest.mark.parametrize("module", [page, roles, tables, formulas])
+@pytest.mark.parametrize("module", [page, page_values, roles, tables, formulas])
 def test_string_literals_of_tables_contain_no_figure(module: ModuleType) -> None:
     words = [word for source in sources(module) for word in string_literals(source)]
     assert len(words) > 20
