--- a/ironmill_testbed/capacity/roles/control.py
+++ b/ironmill_testbed/capacity/roles/control.py
@@ -25,6 +25,7 @@
         *_bytes_of_events(model),
         *_processor_time_at_rest(model),
         *_processor_time_of_changes(model),
+        _time_of_full_list(model),
         *_memory(model),
     ]
 
@@ -171,7 +172,6 @@
 def _processor_time_of_changes(model: Model) -> list[RoleCost]:
     target, storm = model.plan.target, formulas.storm_rate(model)
     plain, live = gap_of(model, "table_change_cpu"), gap_of(model, "table_change_live_cpu")
-    full = gap_of(model, "table_full_cpu")
     shards, limit = target.shards, target.control_core_share
     return [
         RoleCost(
@@ -202,19 +202,23 @@
             live.factor,
             live.required,
         ),
-        RoleCost(
-            "a full list blocks the process for",
-            formulas.full_list_time(model, shards),
-            "s",
-            TABLE,
-            target.delivery_ms / 1000.0,
-            ("table_parse_cpu", "table_full_cpu"),
-            full.factor,
-            full.required,
-        ),
     ]
 
 
+def _time_of_full_list(model: Model) -> RoleCost:
+    target, gap = model.plan.target, gap_of(model, "table_full_cpu")
+    return RoleCost(
+        "a full list blocks the process for",
+        formulas.full_list_time(model, target.shards),
+        "s",
+        TABLE,
+        target.delivery_ms / 1000.0,
+        ("table_parse_cpu", "table_full_cpu"),
+        gap.factor,
+        gap.required,
+    )
+
+
 def _memory(model: Model) -> list[RoleCost]:
     target = model.plan.target
     limit = target.control_bytes
