--- a/tests/unit/testbed/test_scale.py
+++ b/tests/unit/testbed/test_scale.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ironmill_testbed.capacity import stories
+from ironmill_testbed.capacity import scenarios
 from ironmill_testbed.measures.scale import QUICK_STORIES, QUICK_SWEEPS, summary, sweeps
 
 SUMMARY_KEYS = (
@@ -75,5 +75,5 @@
 
 
 def test_quick_scenarios_and_sweeps_exist() -> None:
-    assert set(QUICK_STORIES) <= set(stories.STORIES)
+    assert set(QUICK_STORIES) <= set(scenarios.SCENARIOS)
     assert set(QUICK_SWEEPS) <= set(sweeps.NAMES)
