--- a/ironmill_testbed/__main__.py
+++ b/ironmill_testbed/__main__.py
@@ -54,9 +54,9 @@
 
         return emulate.run(int(words["--hosts"]))
     if words["hollow"]:
-        from ironmill_testbed.faults import hollow
+        from ironmill_testbed.faults import simulated_proxies
 
-        return hollow.run(words["--settings"], int(words["--first"]), int(words["--proxies"]))
+        return simulated_proxies.run(words["--settings"], int(words["--first"]), int(words["--proxies"]))
     if words["floor"]:
         from ironmill_testbed import floors
 
@@ -83,7 +83,7 @@
     if words["capacity"]:
         from ironmill_testbed.capacity import page
 
-        return page.run(words["--check"], words["--plots"])
+        return page.run(checking=words["--check"], plots=words["--plots"])
     from ironmill_testbed import measure
 
     program = Path(words["--program"]).resolve() if words["--program"] else None
