--- a/ironmill_testbed/demo.py
+++ b/ironmill_testbed/demo.py
@@ -49,7 +49,7 @@
     options: list[str]
 
 
-def run(clients: int, stay: bool, settings: Path | None) -> int:
+def run(clients: int, *, stay: bool, settings: Path | None) -> int:
     """Runs the demonstration; returns 1 if a request or connection was lost, or a request was late."""
     options = [] if settings is None else [f"--settings={settings}"]
     with tempfile.TemporaryDirectory() as name:
--- a/ironmill_testbed/measure.py
+++ b/ironmill_testbed/measure.py
@@ -4,18 +4,20 @@
 
 import importlib
 import sys
-from pathlib import Path
 
 import orjson
 
+from ironmill_testbed.measures.options import MeasurementOptions
+
 NAMES = ("core", "identity", "membership", "scale")
+UNKNOWN_NAME_STATUS = 2
 
 
-def run(name: str, quick: bool, poller: str, program: Path | None) -> int:
+def run(name: str, options: MeasurementOptions) -> int:
     """Runs a measurement; returns the exit status, 2 for an unknown name."""
     if name not in NAMES:
         print(f"ironmill_testbed: no measurement {name!r}; there are: {', '.join(NAMES)}", file=sys.stderr)
-        return 2
+        return UNKNOWN_NAME_STATUS
     module = importlib.import_module(f"ironmill_testbed.measures.{name}")
-    print(orjson.dumps(module.measure(quick, poller, program)).decode())
+    print(orjson.dumps(module.measure(options)).decode())
     return 0
--- a/ironmill_testbed/measures/core.py
+++ b/ironmill_testbed/measures/core.py
@@ -25,6 +25,7 @@
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import Client, NotServedError, in_parallel, run_scenario
 from ironmill_testbed.measures.errors import MeasurementError
+from ironmill_testbed.measures.options import MeasurementOptions
 from ironmill_testbed.processes import Dependencies, Process, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
@@ -164,22 +165,22 @@
             raise MeasurementError(f"the line came back as {answer!r}; expected {LINE!r}")
 
 
-def measure(quick: bool, poller: str, program: Path | None) -> dict[str, Any]:
+def measure(options: MeasurementOptions) -> dict[str, Any]:
     """Prints the table of costs, and returns the figures by name."""
-    sizes = SIZES_QUICK if quick else SIZES
+    sizes = SIZES_QUICK if options.is_quick else SIZES
     costs: dict[str, list[ConnectionCosts]] = {}
     rejected = 0
     with tempfile.TemporaryDirectory() as name, max_descriptors() as descriptors:
         # Each connection takes two descriptors, here and in the proxy.
-        max_size = 0 if quick else min(MAX_CONNECTIONS, (descriptors - RESERVED_DESCRIPTORS) // 2)
-        options = SubjectOptions(descriptors, poller, program)
+        max_size = 0 if options.is_quick else min(MAX_CONNECTIONS, (descriptors - RESERVED_DESCRIPTORS) // 2)
+        subject_options = SubjectOptions(descriptors, options.poller, options.program)
         for kind in ("epoll", "greenlet", "proxy"):
             folder = Path(name) / kind
             folder.mkdir()
             with ExitStack() as stack:
-                benches = _start_benches(kind, sizes, folder, options, stack)
+                benches = _start_benches(kind, sizes, folder, subject_options, stack)
                 final_size = max_size if kind == "proxy" else 0
-                _run_benches(benches, final_size, quick=quick)
+                _run_benches(benches, final_size, quick=options.is_quick)
             costs[kind] = [bench.costs for bench in benches.values]
             rejected += sum(bench.rejected for bench in benches.values)
         _print(costs)
@@ -194,7 +195,7 @@
         "floor_greenlet_line_ms_5000": round(costs["greenlet"][-1].line_ms, 4),
         "held": max(max_size, sizes[-1]),
         "refused": rejected,
-        "poller": poller,
+        "poller": options.poller,
     }
 
 
--- a/ironmill_testbed/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -30,6 +30,7 @@
 from ironmill_testbed.credentials import AUDIENCE, ISSUER, InvalidToken, Issuer
 from ironmill_testbed.fleet import Client, NotServedError, in_parallel, run_scenario
 from ironmill_testbed.measures.errors import MeasurementError
+from ironmill_testbed.measures.options import MeasurementOptions
 from ironmill_testbed.processes import Dependencies, Process, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
@@ -60,8 +61,9 @@
 """
 
 
-def measure(quick: bool, poller: str, program: Path | None) -> dict[str, Any]:
-    """Prints the figures and returns them by name; ``poller`` and ``program`` are not used."""
+def measure(options: MeasurementOptions) -> dict[str, Any]:
+    """Prints the figures and returns them by name; only ``is_quick`` is used."""
+    quick = options.is_quick
     setups = SETUPS_QUICK if quick else SETUPS
     figures: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
@@ -70,8 +72,8 @@
         figures |= _measure_checks(issuer, CHECKS_QUICK if quick else CHECKS)
         dependencies = stack.enter_context(Dependencies(folder, SERVER_COUNT))
         plain = _start_proxy("plain", dependencies, folder, [], stack)
-        options = [f"--settings={issuer.settings}"]
-        authenticating = _start_proxy("asked", dependencies, folder, options, stack)
+        settings = [f"--settings={issuer.settings}"]
+        authenticating = _start_proxy("asked", dependencies, folder, settings, stack)
         figures["start_mib_plain"] = round(plain.usage().resident_bytes / 2**20, 1)
         figures["start_mib_settings"] = round(authenticating.usage().resident_bytes / 2**20, 1)
         figures |= _measure_setups("plain", plain, [b""], setups)
--- a/ironmill_testbed/measures/membership.py
+++ b/ironmill_testbed/measures/membership.py
@@ -24,6 +24,7 @@
 )
 from ironmill_testbed.faults.swim import SwimMember
 from ironmill_testbed.measures.membership_processes import measure_processes, measure_setup_times
+from ironmill_testbed.measures.options import MeasurementOptions
 
 PLOTS = Path("found")
 WARM_UP_S = 5.0  # before a fault begins
@@ -86,9 +87,9 @@
     false_removals: dict[str, list[int]]
 
 
-def measure(quick: bool, poller: str, program: Path | None) -> dict[str, Any]:
-    """Returns the figures by name; ``poller`` and ``program`` are not used."""
-    extent = QUICK if quick else FULL
+def measure(options: MeasurementOptions) -> dict[str, Any]:
+    """Returns the figures by name; only ``is_quick`` is used."""
+    extent = QUICK if options.is_quick else FULL
     found: dict[str, Any] = {}
     detection = {
         kind: [_measure_detection(kind, size, extent.seeds[:2]) for size in extent.sizes] for kind in KINDS
--- a/ironmill_testbed/measures/scale.py
+++ b/ironmill_testbed/measures/scale.py
@@ -1,9 +1,8 @@
-"""What a fleet of the operators' plan costs: sweeps, stories on the virtual clock, hollow proxies on sockets.
+"""Measures a fleet of the operators' plan: sweeps, simulated scenarios, and simulated proxies on sockets.
 
-In full all of it is run and written to ``docs/capacity/measured.json``, from which the page is made (``python
--m ironmill_testbed capacity``). With ``--quick`` sizes are small but for the stories, of which three are run
-at the plan's size, sweeps and stories are run side by side, and nothing is written. A figure that was not run
-is None.
+The full measurement is written to ``docs/capacity/measured.json``, from which ``python -m ironmill_testbed
+capacity`` makes the page. With ``--quick`` sizes are small, except for the scenarios, of which three run at
+the plan's size, beside the sweeps; nothing is written. A figure that was not measured is None.
 """
 
 from __future__ import annotations
@@ -12,57 +11,62 @@
 import sys
 from collections.abc import Callable, Iterable, Mapping
 from concurrent.futures import ProcessPoolExecutor, ThreadPoolExecutor
-from pathlib import Path
 from typing import Any
 
 from ironmill_testbed.capacity import data, on_sockets, scenarios, sweep_distribution, sweeps
+from ironmill_testbed.measures.options import MeasurementOptions
 
-QUICK_STORIES = ("zone", "storm", "loss")
-QUICK_SWEEPS = (  # of what was there before, the others are those of distribution
+QUICK_SCENARIOS = ("zone", "storm", "loss")
+QUICK_SWEEPS = (  # beside those of distribution
     "placement_cpu",
     "membership_zone_bytes",
     "table_memory",
 )
-WORKERS = 4  # stories at once: each is one busy process of a quarter of a GB
-LIMIT = 3600.0  # seconds for one story
-# Hollow proxies, control machines, processes of hollow ones, whole proxies.
+DISTRIBUTION_SWEEPS = frozenset(sweep.name for runs in sweep_distribution.RUNS for sweep in runs.sweeps)
+PARALLEL_SCENARIOS = 4  # each is one busy process of a quarter of a GB
+MAX_SCENARIO_S = 3600.0
+SOCKETS_SPAN_S, SOCKETS_SPAN_QUICK_S = 60.0, 15.0
+# Simulated proxies, control machines, processes of simulated proxies, real proxies.
 ON_SOCKETS, ON_SOCKETS_QUICK = (2800, 27, 20, 3), (280, 5, 4, 1)
 
 
-def measure(quick: bool, poller: str, program: Path | None) -> dict[str, Any]:
-    """The figures by name; ``poller`` and ``program`` are not used."""
-    names = [name for name in sweeps.NAMES if not quick or name in QUICK_SWEEPS or name in DISTRIBUTION]
+def measure(options: MeasurementOptions) -> dict[str, Any]:
+    """Prints the figures and returns them by name; only ``is_quick`` is used."""
+    quick = options.is_quick
+    names = [
+        name for name in sweeps.NAMES if not quick or name in QUICK_SWEEPS or name in DISTRIBUTION_SWEEPS
+    ]
     found: dict[str, data.Sweep] = {}
     if quick:
         with ThreadPoolExecutor(1) as side:
-            task = side.submit(_stories, quick)
+            task = side.submit(_run_scenarios, quick=quick)
             found = sweeps.measure_sweeps(quick=quick, names=names)
-            played = task.result()
+            results = task.result()
     else:
-        played = _stories(quick)
-    sockets = on_sockets.run(*(ON_SOCKETS_QUICK if quick else ON_SOCKETS), 15.0 if quick else 60.0, quick)
+        results = _run_scenarios(quick=quick)
+    extent = ON_SOCKETS_QUICK if quick else ON_SOCKETS
+    sockets = on_sockets.run(*extent, SOCKETS_SPAN_QUICK_S if quick else SOCKETS_SPAN_S, quick)
     print("on sockets:", *(f"{name} {value}" for name, value in sockets.items()), sep="\n  ")
     if not quick:
-        told = {name: one | {"sign": data.Sign.VIRTUAL.value} for name, one in played.items()}
-        told["on_sockets"] = sockets | {"sign": data.Sign.SIMULATED.value}
-        data.save(data.merge(data.Measured({}, told, sweeps.machine())))  # kept, whatever comes after
-        found = sweeps.measure_sweeps(quick=quick, names=names)  # last, when nothing else is busy
+        measured = {name: one | {"sign": data.Sign.VIRTUAL.value} for name, one in results.items()}
+        measured["on_sockets"] = sockets | {"sign": data.Sign.SIMULATED.value}
+        data.save(
+            data.merge(data.Measured({}, measured, sweeps.machine()))
+        )  # before the sweeps, which may fail
+        found = sweeps.measure_sweeps(quick=quick, names=names)  # when nothing else is busy
         data.save(data.merge(data.Measured(found, {}, sweeps.machine())))
     sweeps.print_fits(found)
-    return summary(played, sockets)
+    return summary(results, sockets)
 
 
-DISTRIBUTION = frozenset(sweep.name for runs in sweep_distribution.RUNS for sweep in runs.sweeps)
-
-
-def _stories(quick: bool) -> dict[str, dict[str, Any]]:
-    names = QUICK_STORIES if quick else tuple(scenarios.SCENARIOS)
+def _run_scenarios(*, quick: bool) -> dict[str, dict[str, Any]]:
+    names = QUICK_SCENARIOS if quick else tuple(scenarios.SCENARIOS)
     found: dict[str, dict[str, Any]] = {}
     context = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(WORKERS, context, max_tasks_per_child=1) as pool:
+    with ProcessPoolExecutor(PARALLEL_SCENARIOS, context, max_tasks_per_child=1) as pool:
         tasks = {name: pool.submit(scenarios.play, name, scenarios.FULL_PLAN, quick) for name in names}
         for name, task in tasks.items():
-            found[name] = task.result(LIMIT)
+            found[name] = task.result(MAX_SCENARIO_S)
             print(f"{name}:", *(f"{key} {value}" for key, value in found[name].items()), sep="\n  ")
             for line in scenarios.broken(found[name]):
                 print(f"NOT KEPT: {name}: {line}")
@@ -70,9 +74,9 @@
     return found
 
 
-def summary(played: Mapping[str, Mapping[str, Any]], sockets: Mapping[str, Any]) -> dict[str, Any]:
-    """The last line: each figure at its worst story, on the virtual clock or on sockets."""
-    every = [*played.values(), sockets]
+def summary(results: Mapping[str, Mapping[str, Any]], sockets: Mapping[str, Any]) -> dict[str, Any]:
+    """Returns each figure at its worst scenario, on the virtual clock or on sockets."""
+    every = [*results.values(), sockets]
     worst: dict[str, Callable[[Iterable[Any]], Any]] = {
         "members_run": max,
         "change_p99_s": max,
@@ -84,11 +88,11 @@
         "false_everywhere": sum,
     }
     found: dict[str, Any] = {
-        name: _of(over, [one.get(name) for one in every]) for name, over in worst.items()
+        name: _aggregate(aggregate, [one.get(name) for one in every]) for name, aggregate in worst.items()
     }
-    rest = played.get("rest") or next(iter(played.values()), {})  # before anything happens all are at rest
-    found["control_bytes_per_s"] = rest.get("control_bytes_per_s")
-    found["zone_loss_bytes_per_s"] = played.get("zone", {}).get("proxy_bytes_highest_s")
+    idle = results.get("rest") or next(iter(results.values()), {})  # each scenario begins without changes
+    found["control_bytes_per_s"] = idle.get("control_bytes_per_s")
+    found["zone_loss_bytes_per_s"] = results.get("zone", {}).get("proxy_bytes_highest_s")
     for name in (
         "real_processes",
         "hollow_on_sockets",
@@ -97,14 +101,14 @@
         "clients_lost",
     ):
         found[name] = sockets.get(name)
-    found["peak_memory_mb"] = _of(max, [one.get("peak_memory_mb") for one in every])
-    found["stories"] = sorted(played)
+    found["peak_memory_mb"] = _aggregate(max, [one.get("peak_memory_mb") for one in every])
+    found["stories"] = sorted(results)
     found["not_kept"] = sorted(
-        f"{name}: {line}" for name, one in played.items() for line in scenarios.broken(dict(one))
+        f"{name}: {line}" for name, one in results.items() for line in scenarios.broken(dict(one))
     )
     return found
 
 
-def _of(over: Callable[[Iterable[Any]], Any], values: Iterable[Any]) -> Any:
-    known = [value for value in values if value is not None]
-    return over(known) if known else None
+def _aggregate(function: Callable[[Iterable[Any]], Any], values: Iterable[Any]) -> Any:
+    measured = [value for value in values if value is not None]
+    return function(measured) if measured else None
--- a/tests/system/test_testbed.py
+++ b/tests/system/test_testbed.py
@@ -14,6 +14,7 @@
 from ironmill_testbed import measure
 from ironmill_testbed.emulate import EmulatedDependencies
 from ironmill_testbed.fleet import Client, Fleet, NotServedError, in_parallel, run_scenario
+from ironmill_testbed.measures.options import MeasurementOptions
 from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
@@ -122,5 +123,5 @@
 
 
 def test_unknown_measurement_returns_status_2(capsys: pytest.CaptureFixture[str]) -> None:
-    assert measure.run("nothing", True, "epoll", None) == 2
+    assert measure.run("nothing", MeasurementOptions(is_quick=True)) == 2
     assert "core" in capsys.readouterr().err
--- a/tests/unit/testbed/test_scale.py
+++ b/tests/unit/testbed/test_scale.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ironmill_testbed.capacity import scenarios
-from ironmill_testbed.measures.scale import QUICK_STORIES, QUICK_SWEEPS, summary, sweeps
+from ironmill_testbed.measures.scale import QUICK_SCENARIOS, QUICK_SWEEPS, summary, sweeps
 
 SUMMARY_KEYS = (
     "members_run",
@@ -75,5 +75,5 @@
 
 
 def test_quick_scenarios_and_sweeps_exist() -> None:
-    assert set(QUICK_STORIES) <= set(scenarios.SCENARIOS)
+    assert set(QUICK_SCENARIOS) <= set(scenarios.SCENARIOS)
     assert set(QUICK_SWEEPS) <= set(sweeps.NAMES)
