--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -189,7 +189,7 @@
 
 def _sent(fleet: SocketFleet) -> dict[str, int]:
     """Returns the bytes that each process has sent, and that simulated proxies have received."""
-    reports = [process.ask("summary") for process in fleet.simulated]
+    reports = [process.execute("summary") for process in fleet.simulated]
     found = {
         "proxies": sum(one["sent"] for one in reports),
         "received": sum(one["received"] for one in reports),
@@ -203,7 +203,9 @@
 
 def _spent(before: dict[str, Usage], after: dict[str, Usage], took: float) -> dict[str, float]:
     """Returns the share of a core that each process has used, in percent."""
-    return {name: 100.0 * (after[name].cpu - was.cpu) / took for name, was in before.items() if name in after}
+    return {
+        name: 100.0 * (after[name].cpu_s - was.cpu_s) / took for name, was in before.items() if name in after
+    }
 
 
 def _cores(fleet: SocketFleet, before: tuple[dict[str, Usage], float], prefix: str) -> dict[str, float]:
@@ -222,7 +224,7 @@
 def _memory(fleet: SocketFleet) -> float:
     """Returns the largest resident size of a control machine, in MiB."""
     usage = fleet.usage()
-    return max(usage[name].resident for name in fleet.controls) / 2**20
+    return max(usage[name].resident_bytes for name in fleet.controls) / 2**20
 
 
 # Faults
@@ -280,7 +282,7 @@
     until = at + MAX_STALENESS_DETECTION_S + RECOVERY_S
     while fleet.state()["stale"] < fleet.proxies and time.monotonic() < until:
         time.sleep(CHECK_INTERVAL_S)
-    reports = [moment for process in fleet.simulated for moment in process.ask("moments", 0, -1)["stale"]]
+    reports = [moment for process in fleet.simulated for moment in process.execute("moments", 0, -1)["stale"]]
     reports = [moment for moment in reports if moment >= at]
     fleet.resume(ORIGIN)
     load.push_once("contact")
@@ -297,7 +299,7 @@
 
 def _guarantees(fleet: SocketFleet, load: OperatorLoad) -> dict[str, Any]:
     """Counts changes that are lost, out of order or torn, and returns how long changes took."""
-    reports = [process.ask("summary") for process in fleet.simulated]
+    reports = [process.execute("summary") for process in fleet.simulated]
     logged = fleet.logged()
     last = load.pushed[-1].position if load.pushed else START
     simulated = [(to_position(at), count) for one in reports for at, count in one["in_force"].items()]
@@ -344,7 +346,7 @@
     if pushed:
         first, last = pushed[0].position.number, pushed[-1].position.number
         for process in fleet.simulated:
-            for number, some in process.ask("moments", first, last)["reached"].items():
+            for number, some in process.execute("moments", first, last)["reached"].items():
                 found.setdefault(int(number), []).extend(some)
     return found
 
--- a/ironmill_testbed/capacity/sweep_core.py
+++ b/ironmill_testbed/capacity/sweep_core.py
@@ -19,9 +19,9 @@
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.capacity.data import Sign, Sweep
 from ironmill_testbed.capacity.runs import fill
-from ironmill_testbed.fleet import play
+from ironmill_testbed.fleet import run_scenario
 from ironmill_testbed.measures.core import HOSTS, LIMIT, Bench, Figures, make_subject
-from ironmill_testbed.processes import Neighbours
+from ironmill_testbed.processes import Dependencies
 
 SIZES = (500, 1000, 2000, 3000, 4000, 5000)
 QUICK_SIZES = (500, 1000, 1500, 2000, 2500)
@@ -81,10 +81,10 @@
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
         descriptors = stack.enter_context(_max_descriptors())
         folder = Path(name)
-        neighbours = stack.enter_context(Neighbours(folder, HOSTS))
+        dependencies = stack.enter_context(Dependencies(folder, HOSTS))
         scheduler, benches = Scheduler(), dict[str, Bench]()
         for kind in kinds:
-            subject = make_subject(f"{kind}-{size}", neighbours, folder, descriptors, "epoll", None)
+            subject = make_subject(f"{kind}-{size}", dependencies, folder, descriptors, "epoll", None)
             stack.enter_context(subject.process)
             benches[kind] = Bench(scheduler, subject, Figures(size))
 
@@ -97,7 +97,7 @@
             for bench in benches.values():
                 bench.close()
 
-        play(scheduler, scenario, LIMIT)
+        run_scenario(scheduler, scenario, LIMIT)
         return {kind: bench.figures for kind, bench in benches.items()}
 
 
--- a/tests/system/test_simulated_proxies.py
+++ b/tests/system/test_simulated_proxies.py
@@ -77,7 +77,7 @@
         fleet.start(*fleet.controls)
         fleet.start_simulated()
         (simulated,) = fleet.simulated
-        assert simulated.ask("summary")["proxies"] == 2
+        assert simulated.execute("summary")["proxies"] == 2
         started = fleet.all()
         fleet.pause("c01")
         raise ZeroDivisionError
@@ -88,7 +88,7 @@
     with SocketFleet(tmp_path, 2, 3, 1, 0) as fleet:
         fleet.start_simulated()
         (simulated,) = fleet.simulated
-        report = simulated.ask("summary")
+        report = simulated.execute("summary")
         assert (report["proxies"], report["in_force"], report["reached"]) == (2, {}, {})
         assert report["cpu"] > 0.0
         assert report["resident"] > 0
@@ -101,14 +101,14 @@
     with CommandedProcess(["-c", "raise SystemExit('no more')"], tmp_path, "short") as process:
         process.popen.wait(20.0)
         with pytest.raises(RuntimeError, match="short has ended: no more"):
-            process.ask("summary")
+            process.execute("summary")
 
 
 def test_port_in_use_by_udp_or_already_assigned_is_not_free(monkeypatch: pytest.MonkeyPatch) -> None:
     port = processes.free_port()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", port))
-        monkeypatch.setattr(processes, "_given", set[int]())
+        monkeypatch.setattr(processes, "_reserved_ports", set[int]())
         monkeypatch.setattr(processes, "PORTS", (port, port + 1))
         with pytest.raises(RuntimeError, match="no free port"):
             processes.free_port()
