--- a/tests/system/test_system_calls.py
+++ b/tests/system/test_system_calls.py
@@ -24,7 +24,7 @@
 from ironmill_testbed.fleet import Client, NotServedError, run_scenario
 from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
-from tests.faults import Faults, Plan, faulty_socket
+from tests.faults import FaultPlan, Faults, faulty_socket
 
 LIMIT = 60.0
 SERVERS = 3
@@ -82,7 +82,9 @@
 
 
 @contextmanager
-def site(folder: Path, plan: Plan, settings: Mapping[str, Any] = MORE, wait: bool = True) -> Iterator[Site]:
+def site(
+    folder: Path, plan: FaultPlan, settings: Mapping[str, Any] = MORE, wait: bool = True
+) -> Iterator[Site]:
     with Dependencies(folder, SERVERS) as dependencies:
         address, control = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
         value = proxy_config("p1", address, dependencies.discovery, 1024, platform_settings() | settings)
@@ -104,7 +106,7 @@
     for seed in range(4):
         folder = tmp_path / str(seed)
         folder.mkdir()
-        with site(folder, Plan(seed, part={"accept": 0.5})) as it:
+        with site(folder, FaultPlan(seed, failing_fraction={"accept": 0.5})) as it:
 
             def scenario(it: Site = it) -> None:
                 it.scheduler.call_later(0.2, it.proxy.popen.send_signal, signal.SIGTERM)
@@ -122,7 +124,7 @@
     for failing in ("socket", "bind", "listen", "epoll", "open", "socketpair"):
         folder = tmp_path / failing
         folder.mkdir()
-        with site(folder, Plan(first={failing: 2}), wait=False) as it:
+        with site(folder, FaultPlan(initial_failures={failing: 2}), wait=False) as it:
             try:
                 it.proxy.wait_ready()
             except RuntimeError:
@@ -131,7 +133,7 @@
 
 
 def test_queued_connections_are_accepted_although_accept_fails(tmp_path: Path) -> None:
-    with site(tmp_path, Plan(part={"accept": 0.5}, after=1.0)) as it:
+    with site(tmp_path, FaultPlan(failing_fraction={"accept": 0.5}, delay_s=1.0)) as it:
 
         def scenario() -> None:
             it.scheduler.sleep(1.0)
@@ -149,7 +151,9 @@
     Those that wait before the close; one that comes in its very instant is the kernel's to reset.
     """
     monkeypatch.setattr(
-        socket, "socket", faulty_socket(Faults(Plan(first={"accept": 5}, part={"accept": 0.5})))
+        socket,
+        "socket",
+        faulty_socket(Faults(FaultPlan(initial_failures={"accept": 5}, failing_fraction={"accept": 0.5}))),
     )
     scheduler = Scheduler()
     control = AdminServer(scheduler, ("127.0.0.1", 0), Routes())
@@ -179,7 +183,7 @@
     Of four servers alike the new one would get a fourth of 400 without a budget. The budget of a window is
     0.4 x 3 x 0.05 of what an old one gets in it, and there are two windows.
     """
-    with site(tmp_path, Plan(wall_clock=ahead), {"rules": dict(SLOW_START)}) as it:
+    with site(tmp_path, FaultPlan(clock_step_s=ahead), {"rules": dict(SLOW_START)}) as it:
 
         def scenario() -> None:
             it.crowd(800, 4.0, seed=1)  # the ordinary rate
@@ -196,7 +200,7 @@
 
 def test_local_connect_errors_are_not_attributed_to_servers(tmp_path: Path) -> None:
     """The operators' notes: socket and connect may fail for a moment, and all rules hold."""
-    with site(tmp_path, Plan(part={"connect": 0.5, "socket": 0.3}, after=1.0)) as it:
+    with site(tmp_path, FaultPlan(failing_fraction={"connect": 0.5, "socket": 0.3}, delay_s=1.0)) as it:
 
         def scenario() -> None:
             it.scheduler.sleep(1.0)
@@ -214,7 +218,7 @@
     for step in (-3600.0, 3600.0):
         folder = tmp_path / str(step)
         folder.mkdir()
-        with site(folder, Plan(wall_clock=step, after=1.5)) as it:
+        with site(folder, FaultPlan(clock_step_s=step, delay_s=1.5)) as it:
 
             def scenario(it: Site = it) -> None:
                 it.crowd(300, 3.0)  # before, during and after the step
@@ -226,7 +230,7 @@
 
 def test_short_reads_and_writes_change_no_answer(tmp_path: Path) -> None:
     """The operators' notes: reads and writes may be short. Clients, servers, discovery, staff."""
-    with site(tmp_path, Plan(short=True)) as it:
+    with site(tmp_path, FaultPlan(has_short_io=True)) as it:
 
         def scenario() -> None:
             it.crowd(150, 2.0)
@@ -238,7 +242,7 @@
 
 def test_transient_read_and_write_errors_change_no_answer(tmp_path: Path) -> None:
     """recv(2) and send(2): ENOMEM, ENOBUFS. The connection is sound."""
-    with site(tmp_path, Plan(part={"recv": 0.1, "send": 0.1}, after=1.0)) as it:
+    with site(tmp_path, FaultPlan(failing_fraction={"recv": 0.1, "send": 0.1}, delay_s=1.0)) as it:
 
         def scenario() -> None:
             it.scheduler.sleep(1.0)
@@ -252,7 +256,10 @@
     """STANDING: new configurations in quick succession. The file cannot be read at times."""
     other = tmp_path / "other"
     other.mkdir()
-    with site(tmp_path, Plan(part={"open": 0.5}, after=1.0)) as it, Dependencies(other, 5) as last:
+    with (
+        site(tmp_path, FaultPlan(failing_fraction={"open": 0.5}, delay_s=1.0)) as it,
+        Dependencies(other, 5) as last,
+    ):
 
         def scenario() -> None:
             it.scheduler.sleep(1.0)
@@ -272,7 +279,7 @@
 
 def test_series_of_signals_shuts_down_once_without_lost_requests(tmp_path: Path) -> None:
     """The operators' notes: signals come in series."""
-    with site(tmp_path, Plan()) as it:
+    with site(tmp_path, FaultPlan()) as it:
 
         def scenario() -> None:
             series = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
