--- a/ironmill_testbed/measures/core.py
+++ b/ironmill_testbed/measures/core.py
@@ -148,7 +148,7 @@
         in_parallel(self._scheduler, PARALLEL_SETUPS, range(count), lambda _: self._open().close())
 
     def _exchange_many(self, count: int) -> None:
-        # Every batch has each connection once at most, so that no two of its lines are in flight together.
+        # A batch has no connection twice, so that no two of its lines are in flight together.
         batches = [self._sample_clients(count)]
         while sum(map(len, batches)) < count:
             batches.append(self._sample_clients(count))
--- a/ironmill_testbed/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -73,7 +73,7 @@
         dependencies = stack.enter_context(Dependencies(folder, SERVER_COUNT))
         plain = _start_proxy("plain", dependencies, folder, [], stack)
         settings = [f"--settings={issuer.settings}"]
-        authenticating = _start_proxy("asked", dependencies, folder, settings, stack)
+        authenticating = _start_proxy("settings", dependencies, folder, settings, stack)
         figures["start_mib_plain"] = round(plain.usage().resident_bytes / 2**20, 1)
         figures["start_mib_settings"] = round(authenticating.usage().resident_bytes / 2**20, 1)
         figures |= _measure_setups("plain", plain, [b""], setups)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -37,7 +37,7 @@
 ANSWER_GRACE_S = 3.0  # of a client beyond its deadline
 MAX_RUN_S = 90.0
 READY_TIMEOUT_S = 10.0
-KILL_GRACE_S = 0.7  # from the longest deadline (3 s at most) to the earliest SIGKILL
+KILL_GRACE_S = 0.7  # from the longest deadline (3 s or less) to the earliest SIGKILL
 FRONT_DELAY_S = 0.3  # the front sends new clients for so long after SIGTERM
 
 
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -104,11 +104,11 @@
 
 def test_anonymous_caller_has_own_tenant_and_rights(keys: Keys) -> None:
     anonymous = Caller("stranger", "strangers", Rights(frozenset({"read"}), max_connections=1))
-    seen: list[Any] = []
+    events: list[Any] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         inner = proxy.gateway._balancer.handle
-        proxy.gateway._balancer.handle = lambda event, now: (seen.append(event), inner(event, now))[1]
+        proxy.gateway._balancer.handle = lambda event, now: (events.append(event), inner(event, now))[1]
         first = proxy.client(OPEN)
         attempt = proxy.next_attempt()
         read_line(attempt)
@@ -120,7 +120,7 @@
         proxy.wait_until(lambda: not proxy.gateway.request_count())
         client, _ = establish(proxy, keys.token())
         client.close()
-        tenants = [event.tenant for event in seen if type(event).__name__ == "Request"]
+        tenants = [event.tenant for event in events if type(event).__name__ == "Request"]
         assert tenants == ["strangers", "tenant-farms"]
 
     proxy_with_identity(identity(anonymous=anonymous), keys.ring()).run(scenario)
