--- a/ironmill/distribution/parent_selector.py
+++ b/ironmill/distribution/parent_selector.py
@@ -166,16 +166,16 @@
         self._next_probe_index = 0
         self._link.notify(ParentLost(parent.endpoint.name))
 
-    def due_probes(self) -> list[ParentCandidate]:
+    def due_probes(self) -> Sequence[ParentCandidate]:
         """Returns the candidates to probe now: some if no parent is usable, else one that is preferred."""
-        now = self._link.now
-        if self.parent is not None and self.is_usable(self.parent):
+        now, parent = self._link.now, self.parent
+        if parent is not None and self.is_usable(parent):
             if now < self._preferred_at:
-                return []
+                return ()
             self._preferred_at = self._next_preferred_at()
             return self._preferred_candidates()[:1]
         if now < self._probe_at:
-            return []
+            return ()
         self._probe_at = now + PROBE_INTERVAL_S * (0.8 + 0.4 * self._link.rng.random())
         chosen = self._choose_probes()
         for candidate in chosen:
--- a/ironmill/distribution/subscriber.py
+++ b/ironmill/distribution/subscriber.py
@@ -84,7 +84,7 @@
         now = self._link.now
         elapsed_s = now - self._ticked_at
         self._ticked_at = now
-        parent = self.parent
+        parent = self._selector.parent
         if parent is not None and elapsed_s > PAUSE_THRESHOLD_S:
             parent.unanswered_polls = 0  # its answers may be there, unread
         self.freshness.update()
@@ -95,7 +95,8 @@
                 self._poll(parent)
         for candidate in self._selector.due_probes():
             self._send_poll(candidate, is_probe=True)
-        self._send_catch_up_requests()
+        if self._catch_up is not None:
+            self._send_catch_up_requests()
 
     def leave(self) -> None:
         """Notifies the parent that this process shuts down."""
@@ -113,7 +114,7 @@
     def _send_poll(self, candidate: ParentCandidate, *, is_probe: bool) -> None:
         replica, now, endpoint = self.replica, self._link.now, candidate.endpoint
         candidate.polled_at = now
-        is_parent = candidate is self.parent
+        is_parent = candidate is self._selector.parent
         received_position = replica.received_position
         if is_parent and self._catch_up is not None and self._catch_up.frontier is not None:
             received_position = self._catch_up.frontier
@@ -124,7 +125,7 @@
             lineage=replica.lineage,
             received_position=received_position,
             applied_position=replica.applied_position,
-            term=self.term,
+            term=self._selector.term,
             attach_count=self._selector.attach_count,
             previous_parents=self._selector.previous_parents(),
             zone=self._link.identity.zone,
@@ -181,7 +182,7 @@
         )
         polled_at = self._schedule.sent_at(response.poll_count)
         selector.record_response(candidate, response, polled_at)
-        if candidate is self.parent:
+        if candidate is selector.parent:
             self._on_parent_response(candidate, response, polled_at)
             if token_had_expired:
                 self._acknowledge()
--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -2,7 +2,7 @@
 
 CPU is that of the state machines alone, by ``time.process_time`` around their calls: what a driver's sockets
 cost is not in it, nor what the simulated network costs. Bytes are those of the datagrams without the headers
-of UDP and IP. Memory is what Python holds, by tracemalloc.
+of UDP and IP. Memory is that of Python, by tracemalloc.
 """
 
 from __future__ import annotations
@@ -43,22 +43,22 @@
 CHILDREN_QUICK = (10, 20, 40, 70, 104)
 PROXIES = (104, 312, 624, 1248, 2800)
 PROXIES_QUICK = (52, 104, 156, 208, 312)
-VALUE = 40  # bytes
-SETTLED = 6.0
-REST, REST_QUICK = 10, 4  # seconds
+VALUE_BYTES = 40
+CONVERGED_AT = 6.0
+IDLE_S, IDLE_QUICK_S = 10, 4
 REVISIONS, REVISIONS_QUICK = 40, 15
-NO_LIMIT = 1e9  # bytes a second
+UNLIMITED_BYTES_PER_S = 1e9
 
 Result = TypeVar("Result")
 
 
 def value_of(at: int) -> bytes:
-    """A value as an entry of a shard has one."""
-    return b"server-%05d" % (at % 9000) + bytes(VALUE - 12)
+    """Returns a value like that of a shard."""
+    return b"server-%05d" % (at % 9000) + bytes(VALUE_BYTES - 12)
 
 
 def keys_of(size: int) -> dict[str, bytes]:
-    """So many entries."""
+    """Returns entries of a keyspace."""
     return {f"shard/{at:06d}": value_of(at) for at in range(size)}
 
 
@@ -66,23 +66,23 @@
 
 
 def keyspace(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Bytes of so many entries, and seconds of CPU of a put among them."""
+    """Measures the memory of a keyspace, and the processor time of a put."""
     rng = random.Random(seed)
     gc.collect()
     tracemalloc.start()
-    held = Keyspace()
+    entries = Keyspace()
     for at in range(size):
-        held.put(f"shard/{at:06d}", value_of(at))
+        entries.put(f"shard/{at:06d}", value_of(at))
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     took = []
     for _ in range(5 if quick else 9):
         keys = [f"shard/{rng.randrange(size):06d}" for _ in range(1000)]
-        new = rng.randbytes(VALUE)
+        new = rng.randbytes(VALUE_BYTES)
         start = time.process_time()
         for key in keys:
-            held.put(key, new)
+            entries.put(key, new)
         took.append((time.process_time() - start) / len(keys))
     return {"keyspace_memory": float(memory), "keyspace_put_cpu": statistics.median(took)}
 
@@ -90,28 +90,29 @@
 # Nodes without a network
 
 
-class Rig:
-    """Nodes that reach each other at once; the CPU of each is counted."""
+class DirectNetwork:
+    """Nodes that reach each other without delay; the processor time of each is counted."""
 
     def __init__(self) -> None:
+        """Begins without nodes."""
         self.now = 0.0
-        self.took: dict[str, float] = {}
+        self.cpu_s: dict[str, float] = {}
         self.received: dict[str, int] = {}
         self._nodes: dict[Address, Node] = {}
         self._queue: deque[tuple[Datagram, Address]] = deque()
 
     def put(self, node: Node) -> None:
-        """One more."""
+        """Adds a node."""
         self._nodes[node.identity.address] = node
-        self.took[node.identity.name] = 0.0
+        self.cpu_s[node.identity.name] = 0.0
         self.received[node.identity.name] = 0
 
     def send(self, node: Node, datagrams: list[Datagram]) -> None:
-        """Put these on their way."""
+        """Queues the datagrams of a node."""
         self._queue.extend((datagram, node.identity.address) for datagram in datagrams)
 
     def drain(self) -> None:
-        """Until nothing is on its way."""
+        """Delivers datagrams until none is queued."""
         while self._queue:
             (address, data), source = self._queue.popleft()
             node = self._nodes.get(address)
@@ -120,7 +121,7 @@
                 self.send(node, self._count(node, partial(node.receive, data, source, self.now)))
 
     def tick(self) -> None:
-        """A tenth of a second."""
+        """Advances the clock by a tick."""
         self.now += TICK_INTERVAL_S
         for node in self._nodes.values():
             self.send(node, self._count(node, partial(node.tick, self.now)))
@@ -129,12 +130,12 @@
     def _count(self, node: Node, call: Callable[[], Result]) -> Result:
         start = time.process_time()
         result = call()
-        self.took[node.identity.name] += time.process_time() - start
+        self.cpu_s[node.identity.name] += time.process_time() - start
         return result
 
 
 def _ignore(_: Event) -> None:
-    """Events are of no interest here."""
+    """Ignores an event."""
 
 
 def _context(identity: MemberIdentity, timing: Timing, codec: Codec, seed: int) -> NodeContext:
@@ -148,7 +149,7 @@
     )
 
 
-def _card(name: str, at: int) -> MemberIdentity:
+def _identity(name: str, at: int) -> MemberIdentity:
     return MemberIdentity(name, f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}", 7100, "z0", "r0", 1000)
 
 
@@ -160,40 +161,43 @@
 
 
 def catch_up(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Bytes both ways and CPU of a proxy that starts with nothing, at a parent beside it, without a rate."""
+    """Measures bytes both ways and processor time of a proxy that starts empty, without a rate limit."""
     del quick
-    timing = Timing(catch_up_bytes_per_s=NO_LIMIT, serve_bytes_per_s=NO_LIMIT)
-    rig = Rig()
-    origin = _origin(_card("origin", 1), size, timing, [])
+    timing = Timing(catch_up_bytes_per_s=UNLIMITED_BYTES_PER_S, serve_bytes_per_s=UNLIMITED_BYTES_PER_S)
+    network = DirectNetwork()
+    origin = _origin(_identity("origin", 1), size, timing, [])
     place = Endpoint("origin", origin.identity.address, "z0", "r0")
-    context = _context(_card("p", 2), timing, Codec("sim", [KEY]), seed)
-    leaf = ProxyNode(context, [place], SimulatedConsumer())
-    rig.put(origin)
-    rig.put(leaf)
-    while leaf.replica.applied_position == START:
-        rig.tick()
-        if rig.now > 600.0:
-            raise TimeoutError(f"{size} entries: no end after {rig.now} s")
+    context = _context(_identity("p", 2), timing, Codec("sim", [KEY]), seed)
+    proxy = ProxyNode(context, [place], SimulatedConsumer())
+    network.put(origin)
+    network.put(proxy)
+    while proxy.replica.applied_position == START:
+        network.tick()
+        if network.now > 600.0:
+            raise TimeoutError(f"{size} entries: no end after {network.now} s")
     return {
-        "catch_up_bytes": float(leaf.sent_bytes + rig.received["p"]),
-        "catch_up_page_cpu": rig.took["p"],
+        "catch_up_bytes": float(proxy.sent_bytes + network.received["p"]),
+        "catch_up_page_cpu": network.cpu_s["p"],
     }
 
 
-class Star(Rig):
+class RelayWithChildren(DirectNetwork):
     """A relay with children, and its origin."""
 
     def __init__(self, children: int, seed: int) -> None:
+        """Runs until all children have the configuration. Raises ``TimeoutError`` if they do not get it."""
         super().__init__()
-        places = [Endpoint(name, _card(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))]
+        places = [
+            Endpoint(name, _identity(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))
+        ]
         timing, codec = Timing(), Codec("sim", [KEY])
-        self.origin = _origin(_card("o", 0), 300, timing, places[1:])
-        self.relay = Relay(_context(_card("r", 1), timing, codec, seed), places[:1], places)
+        self.origin = _origin(_identity("o", 0), 300, timing, places[1:])
+        self.relay = Relay(_context(_identity("r", 1), timing, codec, seed), places[:1], places)
         self.put(self.origin)
         self.put(self.relay)
         self.children = [
             ProxyNode(
-                _context(_card(f"p{at:05d}", at + 2), timing, codec, seed * 10_000 + at),
+                _context(_identity(f"p{at:05d}", at + 2), timing, codec, seed * 10_000 + at),
                 places[1:],
                 SimulatedConsumer(),
             )
@@ -201,57 +205,57 @@
         ]
         for child in self.children:
             self.put(child)
-        while not self.level:
+        while not self.has_converged:
             self.tick()
             if self.now > 600.0:
                 raise TimeoutError(f"{children} children: not all have it after {self.now} s")
 
     @property
-    def level(self) -> bool:
-        """True if all have the newest."""
+    def has_converged(self) -> bool:
+        """Returns True if all children have applied the latest position."""
         return all(
             child.replica.applied_position == self.origin.replica.received_position for child in self.children
         )
 
     def push(self, changes: Changes, at: int) -> None:
-        """One revision; what follows from it at once, without a tick."""
+        """Pushes a revision and delivers what follows, without a tick."""
         self.origin.push(changes, RevisionMetadata(0.0, "sweep", "", f"t{at}"), self.now)
         self.send(self.origin, self.origin.flush())
         self.drain()
 
 
 def relay(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """CPU of a relay with so many children: a second at rest, and a revision."""
-    star = Star(size, seed)
+    """Measures the processor time of a relay: in a second without changes, and for a revision."""
+    network = RelayWithChildren(size, seed)
     for _ in range(20):
-        star.tick()
+        network.tick()
     rest, pushes = [], []
-    for _ in range(REST_QUICK if quick else REST):
-        before = star.took["r"]
+    for _ in range(IDLE_QUICK_S if quick else IDLE_S):
+        before = network.cpu_s["r"]
         for _ in range(round(1.0 / TICK_INTERVAL_S)):
-            star.tick()
-        rest.append(star.took["r"] - before)
+            network.tick()
+        rest.append(network.cpu_s["r"] - before)
     for at in range(REVISIONS_QUICK if quick else REVISIONS):
-        before = star.took["r"]
-        star.push({f"shard/{at:06d}": random.Random(at).randbytes(VALUE)}, at)
-        pushes.append(star.took["r"] - before)
+        before = network.cpu_s["r"]
+        network.push({f"shard/{at:06d}": random.Random(at).randbytes(VALUE_BYTES)}, at)
+        pushes.append(network.cpu_s["r"] - before)
         for _ in range(4):
-            star.tick()
-        if not star.level:
+            network.tick()
+        if not network.has_converged:
             raise TimeoutError(f"{size} children: a revision is not in force at all of them after 0.4 s")
     return {"relay_poll_cpu": statistics.median(rest), "relay_push_cpu": statistics.median(pushes)}
 
 
 def relay_memory(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Bytes that a relay holds for so many children that poll it."""
+    """Measures the memory of a relay's children."""
     del quick
-    places = [Endpoint(name, _card(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))]
+    places = [Endpoint(name, _identity(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))]
     codec = Codec("sim", [KEY])
-    node = Relay(_context(_card("r", 1), Timing(), codec, seed), places[:1], places)
+    node = Relay(_context(_identity("r", 1), Timing(), codec, seed), places[:1], places)
     node.tick(1.0)
     polls = []
     for at in range(size):
-        card = _card(f"p{at:05d}", at + 2)
+        card = _identity(f"p{at:05d}", at + 2)
         echo = node.link.tokens.issue(card.name, card.incarnation, 1.0)
         poll = Poll(echo, 1, False, 0, START, START, 0, 1, [], "z0", -1, START, [])
         polls.append((codec.encode(card, "r", 1, poll), card.address))
@@ -270,56 +274,56 @@
 # Fleets
 
 
-class Clocked(SimulatedFleet):
-    """A simulated fleet that counts the CPU of its proxies' state machines."""
+class MeteredFleet(SimulatedFleet):
+    """A simulated fleet that counts the processor time of its proxies' nodes."""
 
     proxy_took = 0.0
 
-    def start(self, name: str, ahead: float = 0.0) -> None:
-        """Start it, with a clock around what it does."""
-        super().start(name, ahead)
+    def start(self, name: str, clock_offset_s: float = 0.0) -> None:
+        """Starts a process; the processor time of a proxy's node is counted."""
+        super().start(name, clock_offset_s)
         process: FleetProcess = self.processes[name]
         if process.role == "subscriber" and process.node is not None:
             node = process.node
-            setattr(node, "tick", self._clocked(node.tick))  # noqa: B010
-            setattr(node, "receive", self._clocked(node.receive))  # noqa: B010
+            setattr(node, "tick", self._metered(node.tick))  # noqa: B010
+            setattr(node, "receive", self._metered(node.receive))  # noqa: B010
 
-    def _clocked(self, call: Callable[..., Result]) -> Callable[..., Result]:
-        def clocked(*args: Any) -> Result:
+    def _metered(self, call: Callable[..., Result]) -> Callable[..., Result]:
+        def metered(*args: Any) -> Result:
             start = time.process_time()
             result = call(*args)
             self.proxy_took += time.process_time() - start
             return result
 
-        return clocked
+        return metered
 
 
 def fleet(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """What proxies and control send and compute at rest, and how long changes take, one machine each 104."""
+    """Measures a fleet without changes, and how long changes take."""
     plan = scaled(size, seed=seed)
-    fleet = Clocked(plan)
-    fleet.converge(SETTLED + 20.0)  # all have gone home
-    seconds = REST_QUICK if quick else REST
-    proxies = [process.node for process in fleet.proxies if process.node is not None]
-    everyone = [process.node for process in fleet.processes.values() if process.node is not None]
+    simulated = MeteredFleet(plan)
+    simulated.converge(CONVERGED_AT + 20.0)  # all are at their preferred parents
+    seconds = IDLE_QUICK_S if quick else IDLE_S
+    proxies = [process.node for process in simulated.proxies if process.node is not None]
+    everyone = [process.node for process in simulated.processes.values() if process.node is not None]
     own, sent = sum(node.sent_bytes for node in proxies), sum(node.sent_bytes for node in everyone)
     took: list[float] = []
     for _ in range(seconds):
-        before = fleet.proxy_took
-        fleet.run(fleet.now + 1.0)
-        took.append(fleet.proxy_took - before)
+        before = simulated.proxy_took
+        simulated.run(simulated.now + 1.0)
+        took.append(simulated.proxy_took - before)
     found = {
         "subscriber_rest_bytes": (sum(node.sent_bytes for node in proxies) - own) / seconds / size,
         "subscriber_rest_cpu": statistics.median(took) / size,
         "control_rest_bytes": (sum(node.sent_bytes for node in everyone) - sent) / seconds,
     }
     for at in range(REVISIONS_QUICK if quick else REVISIONS):
-        fleet.push({f"shard/{at:06d}": value_of(at + 7)})
-        fleet.run(fleet.now + 0.5)
-    fleet.run(fleet.now + 3.0)
-    if fleet.observer.lost():
-        raise RuntimeError(f"changes were lost: {fleet.observer.broken}")
-    latencies = sorted(fleet.observer.latencies)
+        simulated.push({f"shard/{at:06d}": value_of(at + 7)})
+        simulated.run(simulated.now + 0.5)
+    simulated.run(simulated.now + 3.0)
+    if simulated.observer.lost():
+        raise RuntimeError(f"changes were lost: {simulated.observer.broken}")
+    latencies = sorted(simulated.observer.latencies)
     found["change_latency_p99"] = latencies[int(0.99 * len(latencies))]
     return found
 
--- a/ironmill_testbed/faults/control_plane_cluster.py
+++ b/ironmill_testbed/faults/control_plane_cluster.py
@@ -1,4 +1,4 @@
-"""Several processes of ``ironmill serve`` and their control machines, behind a switch."""
+"""Processes of ``ironmill serve`` and their control machines, connected by a switch that injects faults."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from ironmill_testbed.processes import Process, ProxyProcess
 
 ORIGIN = "c00"
-CALL_WAIT = 3.0
-Form = tuple[int, int]  # epoch, number
+REQUEST_TIMEOUT_S = 3.0
+PositionPair = tuple[int, int]  # epoch, number
 
 
-def place(text: str) -> Form:
-    """A position as it is format_address."""
+def parse_position(text: str) -> PositionPair:
+    """Returns a position that is spelled EPOCH.NUMBER."""
     epoch, _, number = text.partition(".")
     return int(epoch), int(number)
 
 
 class ControlPlaneCluster(ProcessCluster):
-    """``c00`` is the origin, the other ``c`` are relays, ``p`` are proxies. Their logs are the story."""
+    """``c00`` is the origin, other ``c`` are relays, ``p`` are proxies. Tests read their logs."""
 
     def __init__(self, folder: Path, proxies: int = 8, controls: int = 3, identity: str = "") -> None:
         """``identity`` is an element of the proxies' settings."""
@@ -36,7 +36,7 @@
         super().__init__(folder, 0, names=[*self.machines, *self.proxies])
 
     def zone(self, name: str) -> str:
-        """The zone of one of them."""
+        """Returns the zone of a process."""
         return f"z{int(name[1:]) % 3}"
 
     def _write(self, name: str) -> None:
@@ -80,11 +80,11 @@
         ]
         return Process(words, self.folder, name)
 
-    # Calls
+    # Admin API
 
     def call(self, name: str, method: str, path: str, body: object = None) -> tuple[int, Any]:
-        """Status and answer of a staff call; 0 where nobody answers."""
-        call = http.client.HTTPConnection(*self.admin_addresses[name], timeout=CALL_WAIT)
+        """Returns status and body of a request to the admin API; status 0 if there is no answer."""
+        call = http.client.HTTPConnection(*self.admin_addresses[name], timeout=REQUEST_TIMEOUT_S)
         try:
             data = None if body is None else orjson.dumps(body)
             call.request(method, path, data)
@@ -97,29 +97,29 @@
             call.close()
 
     def status(self, name: str) -> dict[str, Any]:
-        """What it tells of distribution; empty where it does not answer."""
+        """Returns a node's status; empty if it does not answer."""
         found: dict[str, Any] = self.call(name, "GET", "/admin/configuration")[1] or {}
         return found
 
-    def push(self, changes: dict[str, str | None], note: str = "") -> Form:
-        """One more revision by the origin; its position. RuntimeError where it was not taken."""
+    def push(self, changes: dict[str, str | None], note: str = "") -> PositionPair:
+        """Pushes a revision; returns its position. Raises ``RuntimeError`` if it is not accepted."""
         self._ticket += 1
         body = {"changes": changes, "author": "town", "note": note, "ticket": f"t{self._ticket}"}
-        status, told = self.call(ORIGIN, "POST", "/admin/configuration/revisions", body)
+        status, response = self.call(ORIGIN, "POST", "/admin/configuration/revisions", body)
         if status != 201:
-            raise RuntimeError(f"not taken: {status} {told}")
-        return place(told["position"])
+            raise RuntimeError(f"not taken: {status} {response}")
+        return parse_position(response["position"])
 
-    def in_force(self, name: str) -> Form:
-        """What is in force there; (0, 0) where it does not answer."""
-        return place(self.status(name).get("in_force", "0.0"))
+    def applied_position(self, name: str) -> PositionPair:
+        """Returns what a process has applied; (0, 0) if it does not answer."""
+        return parse_position(self.status(name).get("in_force", "0.0"))
 
-    def all_at(self, position: Form, names: list[str] | None = None) -> bool:
-        """True if that, or something newer, is in force at all of these, by default all proxies."""
-        return all(self.in_force(name) >= position for name in names or self.proxies)
+    def all_at(self, position: PositionPair, names: list[str] | None = None) -> bool:
+        """Returns True if all of these, by default all proxies, have applied the position or a later one."""
+        return all(self.applied_position(name) >= position for name in names or self.proxies)
 
     def logged_events(self) -> list[LoggedEvent]:
-        """What all have logged of distribution."""
+        """Returns what all processes have logged of distribution."""
         return read_logs(self.folder, self.names, "distribution")
 
     def addresses(self) -> list[Address]:
--- a/ironmill_testbed/faults/memory_store.py
+++ b/ironmill_testbed/faults/memory_store.py
@@ -1,4 +1,4 @@
-"""A store of revisions in memory, with switches for a disk that fails or is full."""
+"""A store of revisions in memory, with simulated failures of the disk."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class Disk:
-    """What stays when a writer ends: its stores come and go, and each opening fences the one before."""
+    """The durable state. Each opening makes a store and fences the previous one."""
 
-    def __init__(self, lineage: int = 77, keep: int = 4096) -> None:
-        """``keep``: so many of the last revisions can be undone."""
+    def __init__(self, lineage: int = 77, max_kept: int = 4096) -> None:
+        """``max_kept`` of the last revisions can be undone."""
         self.lineage = lineage
         self.epoch = 0
         self.observed = 0
         self.position = START
         self.values: dict[str, bytes] = {}
-        self.kept: list[tuple[StoredRevision, Changes]] = []  # with what its keys had before
+        self.kept: list[tuple[StoredRevision, Changes]] = []  # with the previous values of its keys
         self.tickets: dict[str, Position] = {}
         self.failure: Literal["", "fails", "full"] = ""
-        self._keep = keep
+        self._max_kept = max_kept
 
     def fill(self, values: dict[str, bytes]) -> None:
-        """As after a long time: these are there, and what led to them is not kept."""
+        """Adds entries as one revision without a history."""
         self.values.update(values)
         self.position = Position(max(1, self.epoch), self.position.number + 1)
 
     def open(self) -> RevisionStore:
-        """A writer's store."""
+        """Opens the store for a writer, with the next epoch."""
         self.epoch = max(self.epoch, self.observed) + 1
         return MemoryStore(self)
 
     def commit(self, entry: StoredRevision, ticket: str) -> None:
-        """Keep it."""
+        """Stores a revision."""
         before = {key: self.values.get(key) for key in entry.changes}
         for key, value in entry.changes.items():
             if value is None:
@@ -45,12 +45,13 @@
             else:
                 self.values[key] = value
         self.kept.append((entry, before))
-        del self.kept[: -self._keep]
-        self.tickets[ticket] = self.position = entry.position
+        del self.kept[: -self._max_kept]
+        self.tickets[ticket] = entry.position
+        self.position = entry.position
 
 
 class MemoryStore:
-    """One writer's store."""
+    """One writer's store; once another writer opens it, it is fenced."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
@@ -59,7 +60,7 @@
 
     @property
     def position(self) -> Position:
-        """Of the last revision."""
+        """Position of the last revision."""
         return self._disk.position
 
     @position.setter
@@ -67,11 +68,11 @@
         self._disk.position = position
 
     def entries(self) -> Iterator[tuple[str, bytes]]:
-        """All keys and values."""
+        """Yields all keys and values."""
         return iter(list(self._disk.values.items()))
 
     def commit(self, changes: Changes, metadata: RevisionMetadata) -> Position:
-        """Keep the changes as the next revision; FencedError, StoreError."""
+        """Stores the changes as the next revision. Raises ``FencedError`` and ``StoreError``."""
         if self._disk.failure:
             raise StoreError(f"the store cannot be written: the disk {self._disk.failure}")
         if self.fenced():
@@ -85,15 +86,15 @@
         return position
 
     def committed(self, ticket: str) -> Position | None:
-        """The position that this ticket got."""
+        """Returns the position of the revision with this ticket, or None."""
         return self._disk.tickets.get(ticket)
 
     def history(self, max_count: int) -> list[StoredRevision]:
-        """The last revisions, the newest first."""
+        """Returns the last revisions, the newest first."""
         return [entry for entry, _ in reversed(self._disk.kept[-max_count:])]
 
     def undo(self, number: int) -> Changes:
-        """What brings every key back to its value as of that revision; StoreError."""
+        """Returns the changes that restore a revision's values. Raises ``StoreError``."""
         last = self._disk.position.number
         if number > last or number < last - len(self._disk.kept):
             raise StoreError(f"revision {number} is not kept")
@@ -104,11 +105,11 @@
         return {key: value for key, value in changes.items() if self._disk.values.get(key) != value}
 
     def fenced(self) -> bool:
-        """True once another writer has opened it."""
+        """Returns True once another writer has opened the store."""
         return self.epoch != self._disk.epoch
 
     def observe(self, epoch: int) -> None:
-        """The next opening takes a higher one; StoreError."""
+        """Makes the next opening take a higher epoch. Raises ``StoreError``."""
         if self._disk.failure:
             raise StoreError(f"the store cannot be written: the disk {self._disk.failure}")
         self._disk.observed = max(self._disk.observed, epoch)
--- a/tests/system/test_distribution_processes.py
+++ b/tests/system/test_distribution_processes.py
@@ -18,7 +18,7 @@
 from ironmill.membership.identity import format_address
 from ironmill_testbed.client_load import ClientLoad
 from ironmill_testbed.faults.checker import LoggedEvent
-from ironmill_testbed.faults.control_plane_cluster import ORIGIN, ControlPlaneCluster, Form
+from ironmill_testbed.faults.control_plane_cluster import ORIGIN, ControlPlaneCluster, PositionPair
 from ironmill_testbed.faults.schedule import Fault, both_ways
 
 STALE_AFTER = 5.0  # seconds: by then a proxy must know
@@ -36,7 +36,7 @@
     return sum(zone["proxies"] for zone in town.status(ORIGIN).get("zones", []))
 
 
-def _everywhere(town: ControlPlaneCluster, position: Form) -> bool:
+def _everywhere(town: ControlPlaneCluster, position: PositionPair) -> bool:
     status = town.status(ORIGIN)
     return bool(status.get("everywhere")) and status["held"] == f"{position[0]}.{position[1]}"
 
@@ -47,8 +47,8 @@
 
 def _check_order(seen: list[LoggedEvent], proxies: list[str]) -> None:
     """Never an older one after a newer one within a process, and one state for each position."""
-    states: dict[Form, set[str]] = {}
-    last: dict[str, Form] = {}
+    states: dict[PositionPair, set[str]] = {}
+    last: dict[str, PositionPair] = {}
     for one in seen:
         if one.what == "distribution":
             last.pop(one.name, None)  # a process that has just begun
