--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -15,7 +15,7 @@
 from collections import deque
 from collections.abc import Callable
 from functools import partial
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from ironmill.distribution.changes import Changes
 from ironmill.distribution.codec import Codec
@@ -289,7 +289,7 @@
             setattr(node, "receive", self._metered(node.receive))  # noqa: B010
 
     def _metered(self, call: Callable[..., Result]) -> Callable[..., Result]:
-        def metered(*args: Any) -> Result:
+        def metered(*args: object) -> Result:
             start = time.process_time()
             result = call(*args)
             self.proxy_took += time.process_time() - start
--- a/ironmill_testbed/faults/fleet_observer.py
+++ b/ironmill_testbed/faults/fleet_observer.py
@@ -9,7 +9,7 @@
 import math
 from array import array
 from collections.abc import Callable, Sequence
-from typing import Any, Protocol
+from typing import Protocol
 
 from msgspec import Struct
 
@@ -48,7 +48,7 @@
     links: FleetLinks
     disk: Disk
 
-    def at(self, time: float, action: Callable[..., None], *args: Any) -> None:
+    def at(self, time: float, action: Callable[..., None], *args: object) -> None:
         """Schedules an action."""
 
     def is_running(self, process: FleetProcess) -> bool:
--- a/ironmill_testbed/faults/simulated_fleet.py
+++ b/ironmill_testbed/faults/simulated_fleet.py
@@ -11,7 +11,6 @@
 import random
 from collections.abc import Callable, Sequence
 from functools import partial
-from typing import Any
 
 from msgspec import Struct
 
@@ -71,7 +70,7 @@
         self.check: Callable[[Changes], Rejection | None] = lambda changes: None
         self._by_address: dict[Address, FleetProcess] = {}
         self._rng = random.Random(plan.seed)
-        self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._heap: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._serial = 0
         self._codec = Codec("sim", [KEY])
         self._add_control_machines()
@@ -129,7 +128,7 @@
 
     # The scenario
 
-    def at(self, time: float, action: Callable[..., None], *args: Any) -> None:
+    def at(self, time: float, action: Callable[..., None], *args: object) -> None:
         """Schedules an action."""
         self._serial += 1
         heapq.heappush(self._heap, (time, self._serial, action, args))
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -6,7 +6,7 @@
 import threading
 import time
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Mapping
 from contextlib import ExitStack, suppress
 from pathlib import Path
 from types import TracebackType
@@ -253,7 +253,7 @@
                 return
 
 
-def summed(counts: Any) -> Counter[str]:
+def summed(counts: Iterable[Mapping[str, int]]) -> Counter[str]:
     """Returns the sum of counts."""
     total: Counter[str] = Counter()
     for one in counts:
