--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A real process that may hold just the descriptors it is told of, while idle clients want all of them."""
+"""A process with just the configured number of descriptors, while idle clients take all they can."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 LIMIT = 60.0
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_neither_discovery_nor_staff_nor_requests_out(
+def test_idle_clients_do_not_starve_discovery_admin_api_or_requests_of_descriptors(
     tmp_path: Path,
 ) -> None:
-    """Discovery is down meanwhile: the watch, the second address, probes and attempts have a reserve."""
+    """Discovery is down meanwhile; the watch, the admin API, health checks and attempts have a reserve."""
     with ExitStack() as stack:
         neighbours = stack.enter_context(Neighbours(tmp_path, 3))
         address, control, gone = (("127.0.0.1", free_port()) for _ in range(3))
@@ -46,7 +46,7 @@
             found: int = orjson.loads(body)["known_servers"]
             return found
 
-        def told() -> None:
+        def run_scenario() -> None:
             assert known() == 0
             value["discovery"] = f"{neighbours.discovery[0]}:{neighbours.discovery[1]}"
             write_config(tmp_path, value)
@@ -61,13 +61,13 @@
                 assert client.ask(b"line") == b"line"
                 client.close()
 
-        play(scheduler, told, LIMIT)
+        play(scheduler, run_scenario, LIMIT)
         assert process.popen.poll() is None
         assert "Too many open files" not in process.log.read_text()
         assert len(idle) == 3 * SOCKETS
 
 
-def test_an_attempt_that_finds_no_descriptor_costs_itself_alone() -> None:
+def test_attempt_without_a_descriptor_affects_only_itself() -> None:
     """The next one is made, and served."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -1,4 +1,4 @@
-"""Probes: when the module asks, what it makes of the answers, and how they travel."""
+"""Health checks: how the gateway and their driver carry them out."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.support.requests import FakeTimers, RecordingHandler, config
 
 
-def test_the_gateway_carries_them(timers: FakeTimers) -> None:
+def test_gateway_carries_out_health_checks(timers: FakeTimers) -> None:
     gateway, hosts = Gateway(config(), timers), list[Server]()
 
     class FakeHealthChecker:
@@ -34,7 +34,7 @@
     assert len(handler.attempts) == 1
 
 
-def test_answers_are_read_whole_and_bounded() -> None:
+def test_health_check_replies_are_complete_and_bounded() -> None:
     side = HealthCheckProtocol()
     assert side.receive(b"PONG x0=0.5,ep") is None
     assert side.receive(b"s=0\r\n") == (Outcome.OK, (("x0", 0.5), ("eps", 0.0)))
@@ -42,12 +42,12 @@
     assert HealthCheckProtocol().receive(b"x" * 5000) == (Outcome.ERROR, ())
 
 
-def test_one_connection_serves_question_after_question_and_is_made_anew_when_it_broke() -> None:
-    told: list[tuple[Outcome, LoadReport]] = []
+def test_health_checks_reuse_a_connection_and_replace_a_broken_one() -> None:
+    received: list[tuple[Outcome, LoadReport]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         driver = HealthCheckDriver(
-            proxy.scheduler, 0.5, lambda _, outcome, report: told.append((outcome, report))
+            proxy.scheduler, 0.5, lambda _, outcome, report: received.append((outcome, report))
         )
         host = proxy.gateway.server("s-0")
         assert host is not None
@@ -61,13 +61,13 @@
         for at in range(2):
             assert read_line(attempt) == b"STATS\r\n"
             attempt.send(b"PONG x0=%d\r\n" % at)
-            proxy.wait_until(lambda: len(told) == at + 1)  # noqa: B023
+            proxy.wait_until(lambda: len(received) == at + 1)  # noqa: B023
             ask()
         assert read_line(attempt) == b"STATS\r\n"
         attempt.close()
-        proxy.wait_until(lambda: len(told) == 3)
+        proxy.wait_until(lambda: len(received) == 3)
         ask()
         assert read_line(proxy.next_attempt()) == b"STATS\r\n"
 
     ProxyUnderTest().run(scenario)
-    assert told == [(Outcome.OK, (("x0", 0.0),)), (Outcome.OK, (("x0", 1.0),)), (Outcome.RESET, ())]
+    assert received == [(Outcome.OK, (("x0", 0.0),)), (Outcome.OK, (("x0", 1.0),)), (Outcome.RESET, ())]
--- a/tests/unit/requests/test_response_delay.py
+++ b/tests/unit/requests/test_response_delay.py
@@ -60,8 +60,8 @@
 TestMeterModel = MeterModel.TestCase
 
 
-def test_lines_that_are_never_answered_are_timed_up_to_a_bound() -> None:
-    """Guards memory against a client that sends empty lines at full speed."""
+def test_timed_unanswered_lines_are_bounded() -> None:
+    """A client that sends empty lines at full speed must not use unbounded memory."""
     now = 0.0
     meter = DelayMeter(TimerQueue(lambda: now), 0.05, lambda *_: None, lambda _: None, clock=lambda: now)
     meter.add_connection("a")
