--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -19,7 +19,7 @@
 from ironmill.membership.identity import format_address
 from ironmill_testbed.faults.checker import LoggedEvent, read_logs
 from ironmill_testbed.faults.simulated_proxies import region, zone
-from ironmill_testbed.processes import CommandedProcess, Neighbours, Process, ProxyProcess, Usage, free_port
+from ironmill_testbed.processes import CommandedProcess, Dependencies, Process, ProxyProcess, Usage, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 ORIGIN = "c00"
@@ -58,7 +58,7 @@
     def __enter__(self) -> Self:
         try:
             (self.folder / "members.keys").write_text(KEY + "\n")
-            self.neighbours = self._stack.enter_context(Neighbours(self.folder, 2))
+            self.dependencies = self._stack.enter_context(Dependencies(self.folder, 2))
             for name in self.controls:
                 self._write(name, "origin" if name == ORIGIN else "relay")
             for name in self.real:
@@ -139,10 +139,10 @@
             return Process(words, self.folder, name)
         settings = f"--settings={self.folder / ('plain.xml' if name in self.plain else f'{name}.xml')}"
         value = proxy_config(
-            name, self.clients[name], self.neighbours.discovery, 1024, platform_settings(len(self.real))
+            name, self.clients[name], self.dependencies.discovery, 1024, platform_settings(len(self.real))
         )
         value["control"] = format_address(self.admin_addresses[name])
-        return ProxyProcess(write_config(self.folder, value), self.folder, more=[settings])
+        return ProxyProcess(write_config(self.folder, value), self.folder, options=[settings])
 
     def all(self) -> list[Process]:
         """Returns all processes."""
@@ -199,7 +199,7 @@
 
     def state(self) -> dict[str, Any]:
         """Returns the counts of positions, parents and stale ones of all simulated proxies."""
-        reports = [process.ask("state") for process in self.simulated]
+        reports = [process.execute("state") for process in self.simulated]
         return {
             "in_force": summed(one["in_force"] for one in reports),
             "parents": summed(one["parents"] for one in reports),
@@ -216,7 +216,7 @@
 
     def moved(self, parent: str, since: float) -> tuple[int, float | None]:
         """Returns how many simulated proxies have left a parent since then, and when the last one did."""
-        reports = [process.ask("moved", parent, since) for process in self.simulated]
+        reports = [process.execute("moved", parent, since) for process in self.simulated]
         moments = [one["last"] for one in reports if one["last"] is not None]
         return sum(one["count"] for one in reports), max(moments, default=None)
 
