--- a/ironmill_testbed/faults/fleet_process.py
+++ b/ironmill_testbed/faults/fleet_process.py
@@ -5,10 +5,9 @@
 from collections import deque
 from collections.abc import Mapping
 
-from ironmill.distribution.rejection import Rejection
-
 from ironmill.distribution.interfaces import Consumer
 from ironmill.distribution.node import Node
+from ironmill.distribution.rejection import Rejection
 from ironmill.membership.identity import Address
 
 MAX_KERNEL_QUEUE = 2000  # datagrams that a kernel keeps for a process that does not run
--- a/ironmill_testbed/faults/simulated_fleet.py
+++ b/ironmill_testbed/faults/simulated_fleet.py
@@ -12,7 +12,6 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 
-from ironmill.distribution.rejection import Rejection
 from msgspec import Struct
 
 from ironmill.distribution.changes import Changes
@@ -24,6 +23,7 @@
 from ironmill.distribution.node import Node
 from ironmill.distribution.origin import Origin
 from ironmill.distribution.proxy_node import ProxyNode
+from ironmill.distribution.rejection import Rejection
 from ironmill.distribution.relay import Relay
 from ironmill.distribution.revision import Position, RevisionMetadata
 from ironmill.distribution.timing import TICK_INTERVAL_S, Timing
--- a/ironmill_testbed/faults/simulated_proxies.py
+++ b/ironmill_testbed/faults/simulated_proxies.py
@@ -15,7 +15,6 @@
 from typing import Any
 
 import psutil
-from ironmill.distribution.rejection import Rejection
 
 from ironmill.configuration.operator_files import read_operator_files
 from ironmill.configuration.settings.model import DistributionSettings
@@ -27,6 +26,7 @@
     ParentLost,
     RevisionApplied,
 )
+from ironmill.distribution.rejection import Rejection
 from ironmill.distribution.revision import START, Position
 from ironmill.distribution.timing import TICK_INTERVAL_S
 from ironmill.membership.identity import Address, Datagram
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ironmill.distribution.rejection import Rejection
 from msgspec import Raw
 
 from ironmill.distribution import messages as distribution
+from ironmill.distribution.rejection import Rejection
 from ironmill.distribution.revision import Position
 from ironmill.membership import codec as membership_codec
 from ironmill.membership import messages as membership
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -15,7 +15,6 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from ironmill.distribution.rejection import Rejection
 
 from ironmill.administration import configuration_api
 from ironmill.administration.configuration_api import (
@@ -39,6 +38,7 @@
     RevisionRejectedError,
     StoreError,
 )
+from ironmill.distribution.rejection import Rejection
 from ironmill.distribution.revision import (
     MAX_AUTHOR_LENGTH,
     MAX_NOTE_LENGTH,
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -16,12 +16,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
-from ironmill.distribution.rejection import Rejection
 
 from ironmill.configuration import distributed_keys
 from ironmill.configuration.distributed_keys import AppliedKeys, ConfigurationConsumer, check_form
 from ironmill.distribution.changes import Changes
 from ironmill.distribution.interfaces import Consumer
+from ironmill.distribution.rejection import Rejection
 from ironmill.identity import rules
 from ironmill.identity.authenticator import Admitted, Rejected
 from ironmill.identity.callers import Callers
--- a/tests/unit/distribution/test_random_schedules.py
+++ b/tests/unit/distribution/test_random_schedules.py
@@ -7,13 +7,13 @@
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from ironmill.distribution.rejection import Rejection
 
 from ironmill.distribution.changes import Changes
 from ironmill.distribution.errors import NotOriginError, StoreError
 from ironmill.distribution.events import Event, RevisionApplied
 from ironmill.distribution.origin import Origin
 from ironmill.distribution.proxy_node import ProxyNode
+from ironmill.distribution.rejection import Rejection
 from ironmill.distribution.relay import Relay
 from ironmill.distribution.revision import Position
 from ironmill_testbed.faults.fleet_process import FleetProcess
--- a/tests/unit/distribution/test_replica.py
+++ b/tests/unit/distribution/test_replica.py
@@ -4,12 +4,11 @@
 
 from collections.abc import Mapping
 
-from ironmill.distribution.rejection import Rejection
-
 from ironmill.distribution import messages
 from ironmill.distribution.changes import Changes, packed_size
 from ironmill.distribution.events import Event, RevisionApplied, RevisionRejected
 from ironmill.distribution.keyspace import Keyspace
+from ironmill.distribution.rejection import Rejection
 from ironmill.distribution.replica import MAX_PENDING_BYTES, Replica
 from ironmill.distribution.revision import START, Delta, Position
 from tests.unit.distribution.keyspaces import applied, keyspace_of
