--- a/tests/support/proxy_under_test.py
+++ b/tests/support/proxy_under_test.py
@@ -53,7 +53,7 @@
         ).serve(stream)
 
     def run(self, scenario: Callable[[ProxyUnderTest], None]) -> None:
-        """Runs a scenario in a task of its own; raises what it raises."""
+        """Runs a scenario in a new task; raises what it raises."""
         failed: list[BaseException] = []
 
         def run_scenario() -> None:
@@ -89,7 +89,7 @@
         return self.arrived.pop(0)
 
     def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Lets the others run until the condition is true; fails after some seconds."""
+        """Lets other tasks run until the condition is true; fails after some seconds."""
         for _ in range(3000):
             if condition():
                 return
--- /dev/null
+++ b/tests/system/test_discovery_watch.py
@@ -0,0 +1,203 @@
+"""The watch on discovery, against an agent that the test plays on a loopback socket."""
+
+from __future__ import annotations
+
+import pytest
+
+from ironmill.net import discovery as discovery_module
+from ironmill.net.discovery import Discovery, DiscoveryListener
+from ironmill.net.sockets import Stream
+from ironmill.protocol.discovery import EndpointUpdate
+from ironmill.requests import discovery_backoff
+from tests.support.proxy_under_test import (
+    ONE,
+    ProxyUnderTest,
+    answer_discovery,
+    pace,
+    read_line,
+)
+
+
+def test_discovery_requests_the_full_list_then_changes_and_reconnects(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
+    empty = b'{"rev":%d,"all":%s,"targets":[]}'
+    received: list[EndpointUpdate] = []
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace
+        ).start()
+        agent = proxy.next_attempt()
+        paths = []
+        for body in (empty % (41, b"true"), empty % (43, b"false"), b"{"):
+            paths.append(read_line(agent).split(b" ")[1])
+            agent.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        agent = proxy.next_attempt()  # after a malformed answer it reconnects, from the last revision
+        paths.append(read_line(agent).split(b" ")[1])
+        agent.close()
+        paths.append(read_line(proxy.next_attempt()).split(b" ")[1])
+        watch, again = b"/api/targets?after=%d&wait_ms=1000", b"/api/targets?after=43&wait_ms=0"
+        assert paths == [b"/api/targets", watch % 41, watch % 43, again, again]
+
+    proxy = ProxyUnderTest()
+    proxy.run(scenario)
+    assert [(routing.revision, routing.full) for routing in received] == [(41, True), (43, False)]
+
+
+@pytest.mark.parametrize("again", ["named", "empty", "partly", "silent", "broken"])
+def test_empty_endpoint_list_is_requested_again(again: str) -> None:
+    """An empty list would remove all servers, and is more likely a fault of discovery."""
+    received: list[EndpointUpdate] = []
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(
+            proxy.scheduler,
+            proxy.listeners[0].address,
+            DiscoveryListener(received.append, server_count=proxy.gateway.known_servers),
+            pace,
+            15,
+        ).start()
+        agent = proxy.next_attempt()
+        paths = [read_line(agent).split(b" ")[1]]
+        answer_discovery(agent, 16)
+        paths.append(read_line(agent).split(b" ")[1])
+        assert not received
+        if again == "named":
+            answer_discovery(agent, 17, ONE)
+        elif again == "empty":
+            answer_discovery(agent, 17)
+        elif again == "partly":
+            agent.send(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
+        elif again == "broken":
+            agent.close()
+        proxy.wait_until(lambda: bool(received))
+        assert paths == [b"/api/targets?after=15&wait_ms=1000", b"/api/targets"]
+        if again in ("partly", "silent", "broken"):
+            agent = proxy.next_attempt()  # the watch continues from its revision
+        assert read_line(agent).split(b" ")[1] == b"/api/targets?after=%d&wait_ms=1000" % received[0].revision
+
+    ProxyUnderTest().run(scenario)
+    (routing,) = received
+    assert (routing.revision, len(routing.servers)) == ((17, 1) if again == "named" else (16, 0))
+    assert (routing.age > 0.0) is (again != "named")
+
+
+def test_empty_endpoint_list_is_applied_if_no_server_was_known() -> None:
+    received: list[EndpointUpdate] = []
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace, 15
+        ).start()
+        answer_discovery(proxy.next_attempt(), 16)
+        proxy.wait_until(lambda: bool(received))
+
+    ProxyUnderTest().run(scenario)
+    assert received == [EndpointUpdate(16, True, ())]
+
+
+def test_watch_without_answers_reconnects_soon(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An agent may block a call indefinitely, and a drain would go unnoticed meanwhile.
+
+    Only a call without an answer has a short timeout: a busy machine may answer the others late.
+    """
+    assert discovery_module.POLL_WAIT_MS / 1000.0 + discovery_module.CALL_TIMEOUT_S <= 2.5
+    monkeypatch.setattr(discovery_module, "POLL_WAIT_MS", 20)
+    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 30.0)
+    revisions: list[int] = []
+    ended = [0, 0]  # calls that were answered, and all that ended
+
+    def take(routing: EndpointUpdate) -> None:
+        revisions.append(routing.revision)
+        ended[0] += 1
+        monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)  # of the next call
+
+    def called() -> None:
+        ended[1] += 1
+        if ended[1] > ended[0] * 2 - 1:  # a silent call behind each answered one
+            monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 30.0)
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        address = proxy.listeners[0].address
+        Discovery(proxy.scheduler, address, DiscoveryListener(take, called), pace).start()
+        agent = proxy.next_attempt()
+        read_line(agent)
+        for revision in (41, 42):
+            answer_discovery(agent, revision)
+            proxy.wait_until(lambda: revisions[-1:] == [revision])  # noqa: B023
+            silent_agent = agent
+            agent = proxy.next_attempt()  # on a new connection, for the last one brings no answer
+            assert b"after=%d&" % revision in read_line(agent)
+            assert b"after=%d&" % revision in read_line(silent_agent)
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_watch_starts_from_the_known_revision_and_logs_failures_once(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
+    monkeypatch.setattr(discovery_backoff, "MEAN_CALL_INTERVAL_S", 0.01)
+    received: list[EndpointUpdate] = []
+    agents: list[Stream] = []
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace, 15
+        ).start()
+        for answer in (
+            b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+            b"HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy",
+            b'HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{"rev":16',
+            b"",
+            b'HTTP/1.1 200 OK\r\nContent-Length: 36\r\n\r\n{"rev":16,"all":false,"targets":[4]}',
+            b'HTTP/1.1 200 OK\r\nContent-Length: 35\r\n\r\n{"rev":17,"all":false,"targets":[]}',
+        ):
+            agent = proxy.next_attempt()
+            wait_ms = 0 if agents else 1000  # the first call waits for a change, a retry does not
+            agents[:] = [agent]
+            assert read_line(agent).split(b" ")[1] == b"/api/targets?after=15&wait_ms=%d" % wait_ms
+            agent.send(answer)
+            if b"17" not in answer:
+                agent.close()
+        proxy.wait_until(lambda: bool(received))
+
+    ProxyUnderTest().run(scenario)
+    assert [routing.revision for routing in received] == [17]
+    assert [record.getMessage() for record in caplog.records if record.name == "ironmill.discovery"] == [
+        "discovery: HttpError status 503"
+    ]
+
+
+def test_discovery_changes_its_address_after_the_full_list() -> None:
+    received: list[int] = []
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        discovery = Discovery(
+            proxy.scheduler,
+            proxy.listeners[0].address,
+            DiscoveryListener(lambda update: received.append(update.revision)),
+            pace,
+        )
+        discovery.start()
+        old = proxy.next_attempt()
+        read_line(old)
+        answer_discovery(old, 41)
+        read_line(old)
+        discovery.watch_at(proxy.listeners[1].address)
+        proxy.next_attempt()
+        discovery.watch_at(proxy.listeners[2].address)  # before the second address has answered
+        new = proxy.next_attempt()
+        assert read_line(new).startswith(b"GET /api/targets HTTP")
+        answer_discovery(old, 42)  # still applied, for the new watch has no list yet
+        proxy.wait_until(lambda: received == [41, 42])
+        answer_discovery(new, 7)
+        proxy.wait_until(lambda: received == [41, 42, 7])
+        data = b""
+        while piece := old.receive(5.0):
+            data += piece
+        assert data.count(b"GET") <= 1
+
+    ProxyUnderTest(3).run(scenario)
