--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -2,6 +2,15 @@
 
 from __future__ import annotations
 
+import socket
+
+import pytest
+from msgspec import structs
+
+from ironmill.net import sockets as sockets_module
+from ironmill.net.sockets import READ_BYTES
+from tests.support.balancing import SETTINGS
+from tests.support.clients import raw_client, read_to_end
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 
@@ -31,3 +40,57 @@
         assert proxy.established_pair()
 
     ProxyUnderTest(sockets=64).run(scenario)
+
+
+def test_last_answer_precedes_the_close_without_lingering() -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        proxy.admission.max_leaving = 0
+        with raw_client(proxy, b"HELLO\r\n" + b"x" * (READ_BYTES + 9)) as client:
+            assert read_to_end(proxy, client) == b"ERR\r\n"
+        proxy.admission.max_descriptors = 0
+        with raw_client(proxy, OPEN + b"x" * READ_BYTES) as client:
+            assert read_to_end(proxy, client) == b"BUSY 500\r\n"
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_silent_client_with_an_unread_request_is_not_evicted() -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        with raw_client(proxy) as oldest, raw_client(proxy) as second:
+            proxy.wait_until(lambda: len(proxy.admission._silent) == 2)
+            proxy.admission.max_silent = 2
+            oldest.sendall(OPEN)
+            ticket = proxy.admission.enter(lambda *, immediately: True)
+            assert ticket is not None
+            assert read_to_end(proxy, second) == b"BUSY 500\r\n"
+            read_line(proxy.next_attempt())
+            proxy.admission.leave(ticket)
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_rejection_states_no_time_where_the_settings_forbid_it() -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        proxy.admission.max_descriptors = 0
+        with raw_client(proxy, OPEN) as client:
+            assert read_to_end(proxy, client) == b"BUSY\r\n"
+
+    ProxyUnderTest(settings=structs.replace(SETTINGS, max_retry_after=0.0)).run(scenario)
+
+
+def test_immediate_rejection_is_complete_despite_short_writes(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Each write takes one byte, and the connection closes after the whole answer."""
+
+    class Short(socket.socket):
+        def send(self, data: bytes, flags: int = 0) -> int:  # type: ignore[override]
+            return super().send(data[:1], flags)
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        proxy.admission.max_descriptors = 0
+        monkeypatch.setattr(sockets_module.socket, "socket", Short)
+        with raw_client(proxy, OPEN) as client:
+            assert read_to_end(proxy, client) == b"BUSY 500\r\n"
+
+    ProxyUnderTest().run(scenario)
--- a/tests/system/test_attempts.py
+++ b/tests/system/test_attempts.py
@@ -2,9 +2,26 @@
 
 from __future__ import annotations
 
-from ironmill.balancing.interface import Stage
+import pytest
+from msgspec import structs
+
+from ironmill.balancing.balancer import Balancer
+from ironmill.balancing.interface import (
+    DeduplicationScope,
+    Ended,
+    Event,
+    Reject,
+    Stage,
+    TimerFired,
+)
+from ironmill.net.attempt import AttemptDriver
+from ironmill.net.clients import attempts as attempts_module
+from ironmill.net.clients.connection import ClientConnection
+from ironmill.net.sockets import Stream
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer
 from ironmill.requests.metrics import ClassMetrics
+from tests.support.balancing import IDEMPOTENT, NOT_IDEMPOTENT, SETTINGS, WITH_KEY
+from tests.support.clients import DEADLINES_S, connect_instantly, raw_client
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 
@@ -84,3 +101,179 @@
         assert read_line(attempt) == b"hey\r\n"
 
     ProxyUnderTest(2).run(scenario)
+
+
+def test_request_of_a_client_that_closed_before_the_read_is_not_forwarded() -> None:
+    """The client's end follows its request line, and the attempt must not be written before it is read."""
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        servers = connect_instantly(proxy)
+        with raw_client(proxy, OPEN):
+            pass
+        proxy.wait_until(lambda: proxy.gateway.metrics.classes["read"].abandoned == 1)
+        assert proxy.gateway.metrics.attempts == 0
+        assert not servers
+        assert not proxy.gateway.request_count()
+        assert not proxy.admission.used()
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_request_of_a_client_that_closes_during_the_connect_is_not_forwarded() -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        servers = connect_instantly(proxy)
+        dial = proxy.dial
+        assert dial is not None
+        with raw_client(proxy, OPEN) as client:
+
+            def close_client(address: tuple[str, int], timeout: float) -> Stream:
+                client.close()  # in the turn in which the connection is established
+                return dial(address, timeout)
+
+            proxy.dial = close_client
+            proxy.wait_until(lambda: proxy.gateway.metrics.classes["read"].abandoned == 1)
+        assert servers[0].receive(5.0) == b""
+        assert proxy.gateway.counts == {"attempts": 1, "attempt CANCELLED": 1}
+
+    ProxyUnderTest().run(scenario)
+
+
+@pytest.mark.parametrize(
+    ("scope", "answer"), [(DeduplicationScope.ZONE, b"ERR"), (DeduplicationScope.ALL, b"BUSY")]
+)
+def test_retry_that_connects_after_its_window_is_not_sent(
+    scope: DeduplicationScope, answer: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Servers drop duplicates only within the window: a later attempt could take effect a second time."""
+    window = 10.0
+    keyed = structs.replace(WITH_KEY, deduplication_scope=scope, deduplication_window=window)
+    settings = structs.replace(SETTINGS, classes=(IDEMPOTENT, keyed, NOT_IDEMPOTENT))
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        dial, now = Stream.connect, proxy.gateway.now
+
+        def late(address: tuple[str, int], timeout: float) -> Stream:
+            stream = dial(proxy.scheduler, address, timeout)
+            if proxy.gateway.counts["attempts"] == 2:
+                # The connection is established as the window ends. The clock is moved, for on a busy machine
+                # a window in real time could end before the second attempt starts.
+                monkeypatch.setattr(proxy.gateway, "now", lambda: now() + window)
+            return stream
+
+        proxy.dial = late
+        line = OPEN.replace(b"c=read", b"c=write").replace(b"d=1500", b"d=15000")
+        client = proxy.client(line)
+        first = proxy.next_attempt()
+        read_line(first)
+        first.abort()  # it may have run
+        second = proxy.next_attempt()
+        assert second.receive(5.0) == b""
+        assert read_line(client).split()[0] == answer
+        assert proxy.gateway.counts == {"attempts": 2, "attempt RESET": 1, "attempt NOT_SENT": 1}
+
+    ProxyUnderTest(2, settings=settings, default_deadlines_s=DEADLINES_S).run(scenario)
+
+
+def test_resume_stops_when_its_client_closes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A resume is retried only while its client is connected."""
+    monkeypatch.setattr(attempts_module, "RESUME_RETRY_INTERVAL_S", 0.0)
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        servers = connect_instantly(proxy)
+        dial = proxy.dial
+        assert dial is not None
+        with raw_client(proxy, b"OPEN 1a 2b c=read,at=s-0\r\n") as client:
+
+            def close_client(address: tuple[str, int], timeout: float) -> Stream:
+                client.close()
+                return dial(address, timeout)
+
+            proxy.dial = close_client
+            proxy.wait_until(lambda: proxy.gateway.metrics.classes["read"].abandoned == 1)
+        for _ in range(20):
+            proxy.scheduler.sleep(0.0)
+        assert len(servers) == 1
+        assert servers[0].receive(5.0) == b""
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_request_of_a_closed_client_is_not_retried() -> None:
+    """An attempt that starts more than 0.1 s after the client's end is a lost request."""
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(OPEN)
+        attempt = proxy.next_attempt()
+        read_line(attempt)
+        attempt.send(b"ERR\r\n")  # another attempt follows after a pause
+        client.close()
+        proxy.wait_until(lambda: proxy.gateway.metrics.classes["read"].abandoned == 1)
+        proxy.scheduler.sleep(0.3)
+        assert not proxy.arrived
+        assert proxy.gateway.counts["attempts"] == 1
+
+    ProxyUnderTest(2).run(scenario)
+
+
+@pytest.mark.parametrize("step", ["_request", "close_gracefully"])
+def test_failed_task_releases_all_resources_of_its_connection(
+    monkeypatch: pytest.MonkeyPatch, step: str
+) -> None:
+    """During its attempt and during its last answer: no slot, id or descriptor leaks."""
+    received: list[Ended] = []
+    handle = Balancer.handle
+
+    def recorded(balancer: Balancer, event: Event, now: float) -> object:
+        if isinstance(event, Ended):
+            received.append(event)
+        return handle(balancer, event, now)
+
+    def fails(*_: object) -> None:
+        raise ZeroDivisionError
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client()
+        monkeypatch.setattr(Balancer, "handle", recorded)
+        monkeypatch.setattr(AttemptDriver if step == "_request" else Stream, step, fails)
+        client.send(OPEN)
+        attempt = proxy.next_attempt()
+        if step == "close_gracefully":
+            read_line(attempt)
+            proxy.gateway.resolve_all()
+        assert read_line(client).split()[0] == (b"ERR" if step == "_request" else b"BUSY")
+        proxy.wait_until(lambda: not proxy.admission.used())
+        assert not proxy.gateway.request_count()
+        assert not proxy.admission._client_ids
+        counted = proxy.gateway.metrics.classes["read"]
+        assert (counted.received, counted.failed + counted.rejected, counted.pending) == (1, 1, 0)
+        assert proxy.gateway.metrics.in_progress == 0
+
+    ProxyUnderTest().run(scenario)
+    assert len(received) == 1
+
+
+def test_failed_action_does_not_affect_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One event may lead to the answers of several clients."""
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        first, second = (proxy.client(OPEN.replace(b"1a", name)) for name in (b"1a", b"1b"))
+        proxy.wait_until(lambda: proxy.gateway.pending_count() == 2)
+        ids = list(proxy.gateway.requests.by_id)
+        decisions = [Reject(ids[0], 0.1), Reject(ids[1], 0.1)]
+        handler = proxy.gateway.requests.by_id[ids[0]].handler
+
+        def failing(self: ClientConnection, retry_after: float) -> None:
+            if self is handler:
+                raise ZeroDivisionError
+            reject(self, retry_after)
+
+        monkeypatch.setattr(ClientConnection, "reject", failing)
+        monkeypatch.setattr(Balancer, "handle", lambda *_: decisions)
+        proxy.gateway.feed(TimerFired("any"))
+        monkeypatch.undo()
+        assert read_line(second) == b"BUSY 100\r\n"
+        first.close()
+        proxy.wait_until(lambda: not proxy.admission.used())
+
+    reject = ClientConnection.reject
+    ProxyUnderTest(0).run(scenario)
--- a/tests/system/test_discovery_watch.py
+++ b/tests/system/test_discovery_watch.py
@@ -9,6 +9,7 @@
 from ironmill.net.sockets import Stream
 from ironmill.protocol.discovery import EndpointUpdate
 from ironmill.requests import discovery_backoff
+from tests.support.clients import requested_path
 from tests.support.proxy_under_test import (
     ONE,
     ProxyUnderTest,
@@ -201,3 +202,97 @@
         assert data.count(b"GET") <= 1
 
     ProxyUnderTest(3).run(scenario)
+
+
+@pytest.mark.parametrize("part", ["head", "body"])
+def test_endless_answer_of_discovery_does_not_block_the_watch(
+    monkeypatch: pytest.MonkeyPatch, part: str
+) -> None:
+    """Each piece of the answer arrives in time."""
+    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
+        ).start()
+        agent = proxy.next_attempt()
+        agent.send(b"HTTP/1.1 200 OK\r\n" + (b"Content-Length: 9999\r\n\r\n" if part == "body" else b""))
+
+        def send_bytes_singly() -> None:
+            while True:
+                agent.send(b"x")
+                proxy.scheduler.sleep(0.01)
+
+        sender = proxy.scheduler.spawn(send_bytes_singly)
+        assert requested_path(proxy.next_attempt()) == b"/api/targets"  # on a new connection
+        proxy.scheduler.kill(sender)
+
+    ProxyUnderTest().run(scenario)
+
+
+@pytest.mark.parametrize("late", [True, False])
+def test_duplicate_answer_of_discovery_does_not_restore_removed_servers(late: bool) -> None:
+    """The duplicate follows the answer directly, or arrives when the next call is pending."""
+    received: list[EndpointUpdate] = []
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace
+        ).start()
+        agent = proxy.next_attempt()
+        requested_path(agent)
+        if late:
+            answer_discovery(agent, 41)
+            assert requested_path(agent) == b"/api/targets?after=41&wait_ms=1000"
+            answer_discovery(agent, 40, ONE)
+        else:
+            old = b'{"rev":40,"all":true,"targets":[%b]}' % ONE
+            new = b'{"rev":41,"all":true,"targets":[]}'
+            head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
+            agent.send(head % len(new) + new + head % len(old) + old)
+        agent = proxy.next_attempt()  # polled again, on a connection without old answers
+        assert requested_path(agent) == b"/api/targets?after=41&wait_ms=%d" % (0 if late else 1000)
+        answer_discovery(agent, 7, ONE)  # a restarted discovery is accepted on a new connection
+        proxy.wait_until(lambda: received[-1].revision == 7)
+
+    ProxyUnderTest().run(scenario)
+    assert [routing.revision for routing in received] == [41, 7]
+
+
+def test_watch_survives_an_exception_in_its_listener(caplog: pytest.LogCaptureFixture) -> None:
+    """Without the watch no change would arrive; an update that was not applied is polled again."""
+    received: list[EndpointUpdate] = []
+
+    def take(routing: EndpointUpdate) -> None:
+        received.append(routing)
+        if len(received) == 1:
+            raise ZeroDivisionError
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(take), pace).start()
+        for _ in range(2):
+            agent = proxy.next_attempt()
+            assert requested_path(agent) == b"/api/targets"
+            answer_discovery(agent, 41, ONE)
+        proxy.wait_until(lambda: len(received) == 2)
+
+    ProxyUnderTest().run(scenario)
+    assert "a call failed" in caplog.text
+
+
+def test_watch_reconnects_immediately_after_a_close_between_calls(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
+        ).start()
+        agent = proxy.next_attempt()
+        requested_path(agent)
+        answer_discovery(agent, 41)
+        agent.close()  # before the next call is written
+        assert requested_path(proxy.next_attempt()) == b"/api/targets?after=41&wait_ms=1000"
+
+    ProxyUnderTest().run(scenario)
+    assert not caplog.records
--- a/tests/system/test_migration_and_shutdown.py
+++ b/tests/system/test_migration_and_shutdown.py
@@ -9,8 +9,13 @@
 
 from ironmill.net import shutdown as shutdown_module
 from ironmill.net.clients import migration as migration_module
+from ironmill.net.clients.attempts import ClientAttempt
+from ironmill.net.migration import Migration
 from ironmill.net.shutdown import Shutdown, ShutdownContext, ShutdownSchedule
 from ironmill.net.signals import Signals
+from ironmill.net.sockets import Stream
+from ironmill.runtime.lifecycle import LifecycleEvent, ProcessState
+from tests.support.clients import DEADLINES_S, raw_client, read_to_end
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 
@@ -123,3 +128,161 @@
     times = ShutdownSchedule.for_deadline(longest)
     assert times.close_at >= 0.4 + 0.04
     assert times.close_at < times.end_at - shutdown_module.FINAL_FLUSH_S  # the last requests are decided
+
+
+def shutdown_of(proxy: ProxyUnderTest, monkeypatch: pytest.MonkeyPatch) -> Shutdown:
+    for name, value in {"ACCEPT_PERIOD_S": 0.02, "MAX_DEADLINE_S": 0.05, "KILL_GRACE_S": 0.6}.items():
+        monkeypatch.setattr(shutdown_module, name, value)
+    return Shutdown(
+        ShutdownContext(proxy.scheduler, proxy.gateway, proxy.listener, proxy.config, proxy.admission)
+    )
+
+
+@pytest.mark.parametrize(
+    ("cls", "written", "answer"),
+    [
+        ("read", True, b"BUSY"),
+        ("read", False, b"BUSY"),
+        ("order", False, b"BUSY"),
+        ("order", True, b"ERR"),
+        ("write", False, b"BUSY"),
+        ("write", True, b"ERR"),
+    ],
+)
+def test_attempt_in_progress_at_shutdown_is_answered_by_what_may_have_run(
+    cls: str, written: bool, answer: bytes
+) -> None:
+    """An attempt that may have run must not be rejected as harmless to retry, unless it is."""
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        if not written:
+            proxy.dial = lambda address, timeout: proxy.scheduler.sleep(60.0)  # type: ignore[assignment,return-value]
+        client = proxy.client(OPEN.replace(b"c=read", b"c=" + cls.encode()))
+        if written:
+            attempt = proxy.next_attempt()
+            read_line(attempt)
+        proxy.wait_until(lambda: proxy.gateway.counts.get("attempts") == 1)
+        proxy.gateway.resolve_all()
+        assert not proxy.gateway.pending_count()
+        assert read_line(client).split()[0] == answer
+        assert client.receive(5.0) == b""
+        if written:
+            assert attempt.receive(5.0) == b""
+        proxy.wait_until(lambda: not proxy.gateway.request_count())
+        assert proxy.gateway.counts["attempts"] == 1
+        assert "overdue" not in proxy.gateway.counts
+
+    ProxyUnderTest(default_deadlines_s=DEADLINES_S).run(scenario)
+
+
+def test_waiting_request_is_rejected_at_shutdown() -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(OPEN.replace(b"c=read", b"c=order"))
+        proxy.wait_until(lambda: proxy.gateway.pending_count() == 1)
+        proxy.gateway.resolve_all()
+        assert read_line(client).startswith(b"BUSY ")
+
+    ProxyUnderTest(0, default_deadlines_s=DEADLINES_S).run(scenario)
+
+
+def test_idle_connections_are_notified_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A request that arrives at that moment is answered already, and no reset overtakes the answer."""
+    answers: list[bytes] = []
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        with (
+            raw_client(proxy, b"PING\r\n") as idle,
+            raw_client(proxy) as silent,
+            raw_client(proxy) as late,
+        ):
+            proxy.wait_until(lambda: len(proxy.admission._silent) == 3)
+
+            def received(state: ProcessState) -> None:
+                if state is ProcessState.FINALIZING:
+                    late.sendall(OPEN)  # not read yet when the idle connections are closed
+
+            proxy.gateway.lifecycle.add_listener(received)
+            proxy.scheduler.spawn(shutdown_of(proxy, monkeypatch).run)
+            assert read_line(Stream(proxy.scheduler, silent.dup())) == b"BUSY 200\r\n"
+            silent.sendall(OPEN)  # too late: it is answered already
+            answers.extend(read_to_end(proxy, client) for client in (silent, idle, late))
+
+    proxy = ProxyUnderTest()
+    proxy.run(scenario)  # until the process would exit
+    assert answers == [b"", b"PONG\r\nBUSY 200\r\n", b"BUSY 200\r\n"]
+    assert not proxy.arrived
+    assert proxy.gateway.metrics.classes["read"].rejected == 1
+
+
+def test_no_request_starts_while_settling() -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(b"PING\r\n")
+        assert read_line(client) == b"PONG\r\n"
+        for step in (
+            LifecycleEvent.STARTED,
+            LifecycleEvent.SHUTDOWN_REQUESTED,
+            LifecycleEvent.GRACE_PERIOD_ENDED,
+        ):
+            proxy.gateway.lifecycle.handle(step)
+        client.send(OPEN)
+        assert read_line(client) == b"BUSY 200\r\n"
+        assert client.receive(5.0) == b""
+        assert not proxy.arrived
+
+    ProxyUnderTest().run(scenario)
+
+
+@pytest.mark.parametrize("known", [True, False])
+def test_resuming_connection_is_failed_at_shutdown(known: bool) -> None:
+    """Its server has not answered, or discovery has not listed it yet."""
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client = proxy.client(b"OPEN 1a 2b c=read,at=%b\r\n" % (b"s-0" if known else b"s-9"))
+        if known:
+            read_line(proxy.next_attempt())
+        proxy.wait_until(lambda: bool(proxy.gateway.resuming))
+        proxy.gateway.resolve_all()
+        assert read_line(client) == b"ERR\r\n"
+        assert client.receive(5.0) == b""
+        client.close()
+        proxy.wait_until(lambda: not proxy.admission.used())
+        assert not proxy.gateway.resuming
+        assert proxy.gateway.metrics.classes["read"].failed == 1
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_connection_established_after_the_last_round_is_migrated_as_well(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    received: list[bytes] = []
+    monkeypatch.setattr(
+        Migration, "migrate_all", lambda self, deadline: None
+    )  # no connection was established in the last round
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, _ = proxy.established_pair()
+        proxy.scheduler.spawn(shutdown_of(proxy, monkeypatch).run)
+        received.append(read_line(client))
+        received.append(client.receive(5.0))
+
+    ProxyUnderTest().run(scenario)
+    assert received == [b"MOVE\r\n", b""]
+
+
+def test_resumed_connection_gets_no_second_answer_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The server's first line is not processed yet when the process ends."""
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        monkeypatch.setattr(ClientAttempt, "on_server_data", lambda *_: proxy.scheduler.sleep(60.0))
+        client = proxy.client(b"OPEN 1a 2b c=read,at=s-0\r\n")
+        server = proxy.next_attempt()
+        read_line(server)
+        server.send(b"UP r1\r\nline\r\n")
+        assert read_line(client) == b"UP r1\r\n"
+        proxy.gateway.resolve_all()
+        (request,) = proxy.gateway.established()
+        request.handler.migrate()
+        assert read_line(client) == b"MOVE\r\n"  # and nothing before it
+
+    ProxyUnderTest().run(scenario)
--- a/tests/system/test_relaying.py
+++ b/tests/system/test_relaying.py
@@ -2,10 +2,16 @@
 
 from __future__ import annotations
 
+import socket
+
 import pytest
 
-from ironmill.net.sockets import READ_BYTES
+from ironmill.net import sockets as sockets_module
+from ironmill.net.clients import connection as connection_module
+from ironmill.net.clients.connection import ClientConnection
+from ironmill.net.sockets import READ_BYTES, Stream, TimedOutError
 from ironmill.requests.response_delay import DelayMeter
+from tests.support.clients import fill_buffers
 from tests.support.proxy_under_test import OPEN, ProxyUnderTest, read_line
 
 
@@ -124,3 +130,86 @@
         proxy.scheduler.kill(sender)
 
     ProxyUnderTest().run(scenario)
+
+
+@pytest.mark.parametrize("end", ["reset", "finish"])
+def test_server_close_is_noticed_while_the_client_does_not_read(end: str) -> None:
+    """The server is not read while the write to the client waits."""
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, attempt = proxy.established_pair()
+        (request,) = proxy.gateway.established()
+        driver = request.handler
+        assert isinstance(driver, ClientConnection)
+        if end == "reset":
+            fill_buffers(proxy, attempt)
+            attempt.abort()
+        else:
+            # With small buffers on the way to the client the rest waits at the proxy, followed by the end.
+            driver.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            client._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            while not driver.is_writing:
+                attempt.send(b"z" * 1024)
+                proxy.scheduler.sleep(0.0)
+            attempt.shutdown_write()
+        proxy.wait_until(lambda: not proxy.gateway.request_count())
+        assert not proxy.admission.used()
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_client_close_is_noticed_while_the_server_does_not_read() -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, attempt = proxy.established_pair()
+        fill_buffers(proxy, client)
+        client.abort()
+        proxy.wait_until(lambda: not proxy.gateway.request_count())
+        with pytest.raises(ConnectionResetError):  # not all that was sent has been received
+            while attempt.receive(5.0):
+                pass
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_slow_reader_gets_all_data_of_a_closed_server(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Only a client that reads nothing at all times out."""
+    monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_CHECK_INTERVAL_S", 0.01)
+    monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_TIMEOUT_S", 0.4)
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        client, attempt = proxy.established_pair()
+        client._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
+        (request,) = proxy.gateway.established()
+        assert isinstance(request.handler, ClientConnection)
+        request.handler.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
+        attempt.send(b"z" * 800_000)
+        attempt.shutdown_write()
+        received = 0
+        while piece := client.receive(5.0):
+            received += len(piece)
+            proxy.scheduler.sleep(0.02)  # longer in all than the timeout of a client that reads nothing
+        assert received == 800_000
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_early_data_that_cannot_be_written_ends_with_its_client(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The server has accepted the connection and reads nothing, and the client has closed."""
+    failed: list[object] = []
+    monkeypatch.setattr(connection_module.log, "exception", lambda *args: failed.append(args))
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        def time_out(stream: Stream, data: bytes, source: Stream) -> None:
+            raise TimedOutError
+
+        monkeypatch.setattr(Stream, "send_from", time_out)
+        client = proxy.client(OPEN.replace(b"g=3c", b"g=3c,mid=1") + b"early\r\n")
+        server = proxy.next_attempt()
+        read_line(server)
+        server.send(b"UP r1\r\n")
+        assert read_line(client) == b"UP r1\r\n"
+        proxy.wait_until(lambda: not proxy.gateway.request_count())
+        assert not proxy.admission.used()
+
+    ProxyUnderTest().run(scenario)
+    assert not failed
--- a/tests/system/test_sockets.py
+++ b/tests/system/test_sockets.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import contextlib
 import errno
 import socket
 from typing import Any
 
 import pytest
 
+from ironmill.net import sockets as sockets_module
 from ironmill.net.sockets import Stream, TimedOutError
 from ironmill.runtime.scheduler import READ, Scheduler
 from tests.support.proxy_under_test import ProxyUnderTest, read_line
@@ -97,3 +99,93 @@
         full.close()
 
     ProxyUnderTest().run(scenario)
+
+
+def test_unread_bytes_are_read_before_the_close(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The wait for the peer's end has timed out, and its bytes have just arrived."""
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        ours, theirs = socket.socketpair()
+        stream = Stream(proxy.scheduler, ours)
+
+        def late(timeout: float | None = None) -> bytes:
+            theirs.sendall(b"late")
+            raise TimedOutError
+
+        monkeypatch.setattr(Stream, "receive", lambda self, timeout=None: late(timeout))
+        stream.send_nowait(b"last\r\n")
+        stream.close_gracefully(1.0)
+        assert theirs.recv(99) == b"last\r\n"
+        assert theirs.recv(99) == b""  # a Unix socket also resets on a close with unread bytes
+        theirs.close()
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_accepted_connections_disable_the_nagle_algorithm() -> None:
+    def scenario(proxy: ProxyUnderTest) -> None:
+        with socket.create_connection(proxy.listeners[0].address):
+            assert proxy.next_attempt()._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+
+    ProxyUnderTest().run(scenario)
+
+
+class BrokenSocket:
+    """A socket some of whose calls fail."""
+
+    def __init__(self, sock: socket.socket, **errors: int) -> None:
+        self._sock, self._errors = sock, errors
+
+    def __getattr__(self, name: str) -> object:
+        if name in self._errors:
+            code = self._errors[name]
+
+            def fail(*_: object) -> None:
+                raise OSError(code, "broken")
+
+            return fail
+        return getattr(self._sock, name)
+
+
+@pytest.mark.parametrize("code", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETRESET])
+@pytest.mark.parametrize("call", ["recv", "send", "setsockopt"])
+def test_broken_connection_is_closed_and_counted(call: str, code: int) -> None:
+    """A broken connection may raise ETIMEDOUT or EHOSTUNREACH; no descriptor leaks."""
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        accepted: list[Stream] = []
+        accept = proxy.listener._on_connection
+        proxy.listener._on_connection = lambda stream: (accepted.append(stream), accept(stream))[1]
+        client, attempt = proxy.established_pair()
+        (stream,) = accepted
+        stream._sock = BrokenSocket(stream._sock, **{call: code})  # type: ignore[assignment]
+        if call == "setsockopt":
+            attempt.abort()  # the client's side is to be aborted as well
+        elif call == "send":
+            attempt.send(b"line\r\n")
+        else:
+            client.send(b"line\r\n")
+        proxy.wait_until(lambda: not proxy.gateway.request_count() and not proxy.admission.used())
+        assert stream.closed
+        if call != "setsockopt":
+            with contextlib.suppress(ConnectionResetError):
+                while attempt.receive(5.0):
+                    pass
+        assert proxy.gateway.metrics.classes["read"].established == 1
+
+    ProxyUnderTest().run(scenario)
+
+
+def test_interrupted_connect_continues(monkeypatch: pytest.MonkeyPatch) -> None:
+    """connect(2): after EINTR the connection is established asynchronously."""
+
+    class Interrupted(socket.socket):
+        def connect_ex(self, address: object) -> int:
+            code = super().connect_ex(address)  # type: ignore[arg-type]
+            return errno.EINTR if code == errno.EINPROGRESS else code
+
+    def scenario(proxy: ProxyUnderTest) -> None:
+        monkeypatch.setattr(sockets_module.socket, "socket", Interrupted)
+        assert proxy.established_pair()
+
+    ProxyUnderTest().run(scenario)
