--- a/ironmill_testbed/faults/simulated_fleet.py
+++ b/ironmill_testbed/faults/simulated_fleet.py
@@ -11,9 +11,7 @@
 import random
 from collections.abc import Callable, Sequence
 from functools import partial
-from typing import Any
 
-from ironmill.distribution.rejection import Rejection
 from msgspec import Struct
 
 from ironmill.distribution.changes import Changes
@@ -25,6 +23,7 @@
 from ironmill.distribution.node import Node
 from ironmill.distribution.origin import Origin
 from ironmill.distribution.proxy_node import ProxyNode
+from ironmill.distribution.rejection import Rejection
 from ironmill.distribution.relay import Relay
 from ironmill.distribution.revision import Position, RevisionMetadata
 from ironmill.distribution.timing import TICK_INTERVAL_S, Timing
@@ -72,7 +71,7 @@
         self.check: Callable[[Changes], Rejection | None] = lambda changes: None
         self._by_address: dict[Address, FleetProcess] = {}
         self._rng = random.Random(plan.seed)
-        self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._heap: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._serial = 0
         self._codec = Codec("sim", [KEY])
         self._add_control_machines()
@@ -130,7 +129,7 @@
 
     # The scenario
 
-    def at(self, time: float, action: Callable[..., None], *args: Any) -> None:
+    def at(self, time: float, action: Callable[..., None], *args: object) -> None:
         """Schedules an action."""
         self._serial += 1
         heapq.heappush(self._heap, (time, self._serial, action, args))
