--- a/ironmill_testbed/capacity/scenarios.py
+++ b/ironmill_testbed/capacity/scenarios.py
@@ -53,7 +53,7 @@
     def schedule(self, start: float, end: float, rate: float) -> None:
         """Schedules pushes from ``start`` to ``end`` at a rate per second."""
         for at in range(int((end - start) * rate)):
-            self.fleet.at(start + (at + self._rng.random()) / rate, self.once)
+            self.fleet.schedule(start + (at + self._rng.random()) / rate, self.once)
 
     def once(self) -> None:
         """Pushes one revision; counts it if there is no origin that accepts it."""
@@ -87,8 +87,8 @@
     of_zone = [process.name for process in fleet.proxies if process.zone == "z1"]
     names = ["c01", *of_zone[: max(2, round(RACK_FRACTION * len(fleet.proxies)))]]
     for name in names:
-        fleet.at(FAULTS_AT, fleet.kill, name)
-        fleet.at(FAULTS_AT + length / 2, fleet.start, name)
+        fleet.schedule(FAULTS_AT, fleet.kill, name)
+        fleet.schedule(FAULTS_AT + length / 2, fleet.start, name)
     load.schedule(FAULTS_AT, FAULTS_AT + length, BUSY_CHANGES_PER_S)
     return FAULTS_AT + length
 
@@ -96,8 +96,8 @@
 def zone(fleet: SimulatedFleet, load: OperatorLoad, length: float) -> float:
     """A whole zone fails, and returns at once."""
     for name in fleet.names(["zone:z1"]):
-        fleet.at(FAULTS_AT, fleet.kill, name)
-        fleet.at(FAULTS_AT + length / 2, fleet.start, name)
+        fleet.schedule(FAULTS_AT, fleet.kill, name)
+        fleet.schedule(FAULTS_AT + length / 2, fleet.start, name)
     load.schedule(FAULTS_AT, FAULTS_AT + length, BUSY_CHANGES_PER_S)
     return FAULTS_AT + length
 
@@ -120,8 +120,8 @@
     count = round(RESTARTED_FRACTION * len(fleet.proxies))
     for at, process in enumerate(rng.sample(fleet.proxies, count)):
         when = FAULTS_AT + length * (at + rng.random()) / count
-        fleet.at(when, fleet.leave if at % 2 else fleet.kill, process.name)
-        fleet.at(when + 1.0 + 2.0 * rng.random(), fleet.start, process.name)
+        fleet.schedule(when, fleet.leave if at % 2 else fleet.kill, process.name)
+        fleet.schedule(when + 1.0 + 2.0 * rng.random(), fleet.start, process.name)
     load.schedule(FAULTS_AT, FAULTS_AT + length, ORDINARY_CHANGES_PER_S)
     return FAULTS_AT + length + 3.0
 
@@ -137,9 +137,9 @@
     count = max(1, len(fleet.relays) // 3)
     for at, process in enumerate(fleet.relays[:count]):
         when = FAULTS_AT + at * length / 2 / count
-        fleet.at(when, fleet.kill, process.name)
-        fleet.at(when + length / 2, fleet.start, process.name)
-    fleet.at(FAULTS_AT + 1.0, fleet.pause, fleet.relays[-1].name, FAULTS_AT + 1.0 + length / 4)
+        fleet.schedule(when, fleet.kill, process.name)
+        fleet.schedule(when + length / 2, fleet.start, process.name)
+    fleet.schedule(FAULTS_AT + 1.0, fleet.pause, fleet.relays[-1].name, FAULTS_AT + 1.0 + length / 4)
     load.schedule(FAULTS_AT, FAULTS_AT + length, BUSY_CHANGES_PER_S)
     return FAULTS_AT + length
 
@@ -162,8 +162,8 @@
 
 def origin_restart(fleet: SimulatedFleet, load: OperatorLoad, length: float) -> float:
     """The origin is killed and restarted on its store; then another writer opens the store."""
-    fleet.at(FAULTS_AT, fleet.kill, "origin")
-    fleet.at(FAULTS_AT + length / 4, fleet.start, "origin")
+    fleet.schedule(FAULTS_AT, fleet.kill, "origin")
+    fleet.schedule(FAULTS_AT + length / 4, fleet.start, "origin")
 
     def second() -> None:
         fleet.start("origin-b")
@@ -171,8 +171,8 @@
     def changed() -> None:
         load.origin = "origin-b"
 
-    fleet.at(FAULTS_AT + length / 2, second)
-    fleet.at(
+    fleet.schedule(FAULTS_AT + length / 2, second)
+    fleet.schedule(
         FAULTS_AT + length / 2 + 0.5, changed
     )  # until then pushes go to the first one, which rejects them
     load.schedule(FAULTS_AT, FAULTS_AT + length, BUSY_CHANGES_PER_S)
--- a/ironmill_testbed/faults/fleet_observer.py
+++ b/ironmill_testbed/faults/fleet_observer.py
@@ -48,7 +48,7 @@
     links: FleetLinks
     disk: Disk
 
-    def at(self, time: float, action: Callable[..., None], *args: object) -> None:
+    def schedule(self, at_s: float, action: Callable[..., None], *args: object) -> None:
         """Schedules an action."""
 
     def is_running(self, process: FleetProcess) -> bool:
@@ -181,7 +181,7 @@
             observed.cut_since = math.inf  # it cannot report anything
         elif observed.cut_since == math.inf:
             observed.cut_since = now
-            self._fleet.at(now + MAX_STALENESS_DETECTION_S, self._check_staleness, proxy, node, now)
+            self._fleet.schedule(now + MAX_STALENESS_DETECTION_S, self._check_staleness, proxy, node, now)
 
     def _has_link(self, name: str, other: str) -> bool:
         now, links = self._fleet.now, self._fleet.links
@@ -309,11 +309,11 @@
     def measure_traffic(self) -> None:
         """Measures the traffic of each second from now on."""
         self.traffic.begin()
-        self._fleet.at(self._fleet.now + 1.0, self._measure_second)
+        self._fleet.schedule(self._fleet.now + 1.0, self._measure_second)
 
     def _measure_second(self) -> None:
         self.traffic.measure()
-        self._fleet.at(self._fleet.now + 1.0, self._measure_second)
+        self._fleet.schedule(self._fleet.now + 1.0, self._measure_second)
 
 
 def _parent_name(proxy: FleetProcess) -> str:
--- a/ironmill_testbed/faults/fleet_process.py
+++ b/ironmill_testbed/faults/fleet_process.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Mapping
 
 from ironmill.distribution.interfaces import Consumer
 from ironmill.distribution.node import Node
 from ironmill.distribution.rejection import Rejection
 from ironmill.membership.identity import Address
-
-MAX_KERNEL_QUEUE = 2000  # datagrams that a kernel keeps for a process that does not run
+from ironmill_testbed.faults.simulated_network import NetworkProcess
 
 
 class SimulatedConsumer:
@@ -36,19 +34,17 @@
 _ACCEPTS_ALL = SimulatedConsumer()
 
 
-class FleetProcess:
+class FleetProcess(NetworkProcess):
     """One process of the fleet, running or not."""
 
     def __init__(self, name: str, role: str, zone: str, region: str, address: Address) -> None:
         """``role`` is that of its node; it does not run yet."""
-        self.name = name
+        super().__init__(name, zone, address)
         self.role = role
-        self.zone = zone
         self.region = region
-        self.address = address
         self.node: Node | None = None  # None while it does not exist
-        self.starts = 0
-        self.paused_until = 0.0
-        self.kernel_queue: deque[tuple[bytes, Address]] = deque(maxlen=MAX_KERNEL_QUEUE)
-        self.received_bytes = 0
         self.consumer: Consumer = _ACCEPTS_ALL
+
+    def state_machine(self) -> Node | None:
+        """Returns the node."""
+        return self.node
--- a/ironmill_testbed/faults/simulated_cluster.py
+++ b/ironmill_testbed/faults/simulated_cluster.py
@@ -2,11 +2,9 @@
 
 from __future__ import annotations
 
-import heapq
 import random
-from collections import deque
 from collections.abc import Callable, Sequence
-from typing import Any, Protocol
+from typing import Protocol
 
 from msgspec import Struct
 
@@ -18,12 +16,11 @@
 from ironmill.membership.messages import MemberRecord
 from ironmill.membership.timing import TICK_INTERVAL_S, Timing
 from ironmill_testbed.faults.schedule import Fault, Links
+from ironmill_testbed.faults.simulated_network import NetworkProcess, SimulatedNetwork
 
 KEY = b"a key of the simulated cluster.."
 CLUSTER = "sim"
 START_UNIX_TIME_S = 1_700_000_000.0
-MAX_BUFFERED_DATAGRAMS = 2000  # in the socket of a paused process
-RESUME_DELAY_S = 0.001  # from the end of a pause to the first tick
 
 
 class SimulatedMember(Protocol):
@@ -73,22 +70,21 @@
     event: Event
 
 
-class SimulatedProcess:
-    """One process, which may be killed, paused and started again."""
+class SimulatedProcess(NetworkProcess):
+    """The process of one member."""
 
     def __init__(self, name: str, zone: str, address: Address) -> None:
         """Starts without a running member."""
-        self.name = name
-        self.zone = zone
-        self.address = address
+        super().__init__(name, zone, address)
         self.member: SimulatedMember | None = None
-        self.starts = 0
-        self.paused_until = 0.0
-        self.buffered: deque[tuple[bytes, Address]] = deque(maxlen=MAX_BUFFERED_DATAGRAMS)
 
+    def state_machine(self) -> SimulatedMember | None:
+        """Returns the member."""
+        return self.member
 
-class SimulatedCluster:
-    """Processes, the links between them and the clock."""
+
+class SimulatedCluster(SimulatedNetwork[SimulatedProcess]):
+    """The processes of a cluster of members."""
 
     def __init__(
         self,
@@ -98,39 +94,20 @@
         options: ClusterOptions | None = None,
     ) -> None:
         """Creates ``count`` processes, none of which runs yet."""
+        self.links = Links(list(faults), seed)
+        super().__init__(self.links, TICK_INTERVAL_S)
         self._options = options or ClusterOptions()
-        self.now = 0.0
         self.events: list[ClusterEvent] = []
-        self.datagrams = 0
         self._rng = random.Random(seed)
-        self.links = Links(list(faults), seed)
-        self._actions: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._last_action = 0
-        self.processes: dict[str, SimulatedProcess] = {}
-        self._by_address: dict[Address, SimulatedProcess] = {}
         for at in range(count):
             address = (f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}", 7000)
-            process = SimulatedProcess(f"p{at:05d}", f"z{at % self._options.zones}", address)
-            self.processes[process.name] = process
-            self._by_address[address] = process
+            self.add_process(SimulatedProcess(f"p{at:05d}", f"z{at % self._options.zones}", address))
         self._seeds = list(self._by_address)[: self._options.seed_members]
         for fault in faults:
             self._schedule_fault(fault)
 
     # Time
 
-    def schedule(self, at_s: float, action: Callable[..., None], *args: Any) -> None:
-        """Schedules an action."""
-        self._last_action += 1
-        heapq.heappush(self._actions, (at_s, self._last_action, action, args))
-
-    def run(self, until: float) -> None:
-        """Runs until a time of the virtual clock."""
-        while self._actions and self._actions[0][0] <= until:
-            self.now, _, action, args = heapq.heappop(self._actions)
-            action(*args)
-        self.now = until
-
     def run_until(self, condition: Callable[[], bool], limit_s: float) -> float | None:
         """Runs until a condition is true; returns the seconds that took, or None after ``limit_s``."""
         start = self.now
@@ -145,9 +122,7 @@
     def start(self, name: str, clock_offset_s: float = 0.0) -> None:
         """Starts a process, or starts it again, with a wall clock that is ahead by ``clock_offset_s``."""
         process = self.processes[name]
-        process.starts += 1
-        process.buffered.clear()
-        process.paused_until = 0.0
+        process.reset()
         unix_time_ms = int((START_UNIX_TIME_S + clock_offset_s + self.now) * 1000.0)
         identity = MemberIdentity(name, *process.address, process.zone, "r1", unix_time_ms + process.starts)
         process.member = self._options.make_member(
@@ -229,32 +204,3 @@
                 self.schedule(fault.start, self.kill, name)
             elif fault.kind == "start":
                 self.schedule(fault.start, self.start, name)
-
-    def _tick(self, process: SimulatedProcess, member: SimulatedMember) -> None:
-        if process.member is not member:
-            return  # the process was killed or started again
-        if self.now < process.paused_until:
-            self.schedule(process.paused_until + RESUME_DELAY_S, self._tick, process, member)
-            return
-        self._send(process, member.tick(self.now))
-        while process.buffered:
-            data, source = process.buffered.popleft()
-            self._send(process, member.receive(data, source, self.now))
-        self.schedule(self.now + TICK_INTERVAL_S, self._tick, process, member)
-
-    def _send(self, process: SimulatedProcess, datagrams: list[Datagram]) -> None:
-        for address, data in datagrams:
-            self.datagrams += 1
-            target = self._by_address.get(address)
-            if target is None:
-                continue
-            for delay, copy in self.links.deliver(self.now, process.name, target.name, data):
-                self.schedule(self.now + delay, self._arrive, target, copy, process.address)
-
-    def _arrive(self, process: SimulatedProcess, data: bytes, source: Address) -> None:
-        if process.member is None:
-            return
-        if self.now < process.paused_until:
-            process.buffered.append((data, source))
-            return
-        self._send(process, process.member.receive(data, source, self.now))
--- a/ironmill_testbed/faults/simulated_fleet.py
+++ b/ironmill_testbed/faults/simulated_fleet.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import heapq
 import random
 from collections.abc import Callable, Sequence
 from functools import partial
@@ -27,12 +26,13 @@
 from ironmill.distribution.relay import Relay
 from ironmill.distribution.revision import Position, RevisionMetadata
 from ironmill.distribution.timing import TICK_INTERVAL_S, Timing
-from ironmill.membership.identity import Address, Datagram, MemberIdentity
+from ironmill.membership.identity import MemberIdentity
 from ironmill_testbed.faults.fleet_links import FleetLinks
 from ironmill_testbed.faults.fleet_observer import FleetObserver
 from ironmill_testbed.faults.fleet_process import FleetProcess
 from ironmill_testbed.faults.memory_store import Disk
 from ironmill_testbed.faults.schedule import Fault
+from ironmill_testbed.faults.simulated_network import SimulatedNetwork
 
 KEY = b"a key of the simulated cluster.."
 START_TIME = 1_700_000_000.0  # Unix time at the start of a scenario
@@ -54,25 +54,20 @@
     seed: int = 1
 
 
-class SimulatedFleet:
-    """Processes, links and the clock."""
+class SimulatedFleet(SimulatedNetwork[FleetProcess]):
+    """The processes of a fleet of distribution."""
 
     def __init__(
         self, plan: Plan, faults: Sequence[Fault] = (), timing: Timing | None = None, disk: Disk | None = None
     ) -> None:
         """Makes processes that do not run yet: ``converge`` or ``start_all`` starts them."""
+        self.links = FleetLinks(faults, plan.seed)
+        super().__init__(self.links, TICK_INTERVAL_S)
         self.plan = plan
-        self.now = 0.0
-        self.datagrams = 0
         self.timing = timing or Timing()
         self.disk = disk or Disk()
-        self.links = FleetLinks(faults, plan.seed)
-        self.processes: dict[str, FleetProcess] = {}
         self.check: Callable[[Changes], Rejection | None] = lambda changes: None
-        self._by_address: dict[Address, FleetProcess] = {}
         self._rng = random.Random(plan.seed)
-        self._heap: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
-        self._serial = 0
         self._codec = Codec("sim", [KEY])
         self._add_control_machines()
         endpoints = [
@@ -86,7 +81,7 @@
         self.relays = [process for process in self.processes.values() if process.role == "relay"]
         self.proxies = [process for process in self.processes.values() if process.role == "subscriber"]
         self.observer = FleetObserver(self)
-        self._schedule(faults)
+        self._schedule_faults(faults)
 
     def _add_control_machines(self) -> None:
         self._add(ORIGIN, "origin", 0, ("control",))
@@ -100,23 +95,22 @@
         zone = index % self.plan.zones
         address = (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", PORT)
         process = FleetProcess(name, role, f"z{zone}", f"r{zone % self.plan.regions}", address)
-        self.processes[name] = process
-        self._by_address[address] = process
+        self.add_process(process)
         self.links.place(name, process.zone, process.region, groups)
 
-    def _schedule(self, faults: Sequence[Fault]) -> None:
+    def _schedule_faults(self, faults: Sequence[Fault]) -> None:
         for fault in faults:
             for name in self.names(fault.names):
                 if fault.kind == "pause":
-                    self.at(fault.start, self.pause, name, fault.end)
+                    self.schedule(fault.start, self.pause, name, fault.end)
                 elif fault.kind == "kill":
-                    self.at(fault.start, self.kill, name)
+                    self.schedule(fault.start, self.kill, name)
                 elif fault.kind == "start":
-                    self.at(fault.start, self.start, name)
+                    self.schedule(fault.start, self.start, name)
             if fault.kind == "cut":
-                self.at(fault.start, self.observer.update_reachability)
+                self.schedule(fault.start, self.observer.update_reachability)
                 if fault.end < float("inf"):
-                    self.at(fault.end, self.observer.update_reachability)
+                    self.schedule(fault.end, self.observer.update_reachability)
 
     def names(self, groups: Sequence[str]) -> list[str]:
         """Returns the processes of these names and groups. The standby origin must be named itself."""
@@ -129,28 +123,12 @@
 
     # The scenario
 
-    def at(self, time: float, action: Callable[..., None], *args: object) -> None:
-        """Schedules an action."""
-        self._serial += 1
-        heapq.heappush(self._heap, (time, self._serial, action, args))
-
-    def run(self, until: float) -> None:
-        """Advances the clock, and does what is due."""
-        heap = self._heap
-        while heap and heap[0][0] <= until:
-            self.now, _, action, args = heapq.heappop(heap)
-            action(*args)
-        self.now = until
-
     def start(self, name: str, clock_offset_s: float = 0.0) -> None:
         """Starts or restarts a process, with its wall clock off by so much. An origin opens its store."""
         process = self.processes[name]
-        process.starts += 1
+        process.reset()
         incarnation = int((START_TIME + clock_offset_s + self.now) * 1000.0) + process.starts
         identity = MemberIdentity(name, *process.address, process.zone, process.region, incarnation)
-        process.kernel_queue.clear()
-        process.paused_until = 0.0
-        process.received_bytes = 0
         context = NodeContext(
             identity=identity,
             codec=self._codec,
@@ -162,7 +140,7 @@
         self.observer.on_started(process)
         process.node = self._make_node(process, context)
         self.observer.update_reachability(process)
-        self.at(self.now + TICK_INTERVAL_S * self._rng.random(), self._tick, process, process.node)
+        self.schedule(self.now + TICK_INTERVAL_S * self._rng.random(), self._tick, process, process.node)
 
     def _make_node(self, process: FleetProcess, context: NodeContext) -> Node:
         if process.role == "subscriber":
@@ -183,7 +161,7 @@
         self.disk.fill(_shard_entries(self.plan.entries))
         for name in self.processes:
             if name != STANDBY_ORIGIN:
-                self.at(self.now + window_s * self._rng.random(), self.start, name)
+                self.schedule(self.now + window_s * self._rng.random(), self.start, name)
 
     def converge(self, seconds: float = 6.0) -> None:
         """Starts all but the standby origin, with the latest configuration, and runs for some time."""
@@ -218,7 +196,7 @@
         process = self.processes[name]
         process.paused_until = until
         self.observer.update_reachability(process)
-        self.at(until, self.observer.update_reachability, process)
+        self.schedule(until, self.observer.update_reachability, process)
 
     def push(self, changes: Changes, ticket: str = "", origin: str = ORIGIN) -> Position:
         """Pushes changes to an origin. Raises what ``Origin.push`` raises."""
@@ -244,38 +222,6 @@
         """Returns True if the process exists and is not paused."""
         return process.node is not None and self.now >= process.paused_until
 
-    # The network
-
-    def _tick(self, process: FleetProcess, node: Node) -> None:
-        if process.node is not node:
-            return  # the process has been replaced
-        if self.now < process.paused_until:
-            self.at(process.paused_until + RESUME_DELAY_S, self._tick, process, node)
-            return
-        self._send(process, node.tick(self.now))
-        while process.kernel_queue:
-            data, source = process.kernel_queue.popleft()
-            self._send(process, node.receive(data, source, self.now))
-        self.at(self.now + TICK_INTERVAL_S, self._tick, process, node)
-
-    def _send(self, process: FleetProcess, datagrams: list[Datagram]) -> None:
-        for address, data in datagrams:
-            self.datagrams += 1
-            target = self._by_address.get(address)
-            if target is None:
-                continue
-            for delay, copy in self.links.deliver(self.now, process.name, target.name, data):
-                self.at(self.now + delay, self._arrive, target, copy, process.address)
-
-    def _arrive(self, process: FleetProcess, data: bytes, source: Address) -> None:
-        if process.node is None:
-            return
-        process.received_bytes += len(data)
-        if self.now < process.paused_until:
-            process.kernel_queue.append((data, source))
-            return
-        self._send(process, process.node.receive(data, source, self.now))
-
 
 def _shard_entries(count: int) -> dict[str, bytes]:
     return {f"shard/{index:06d}": b"server-%05d" % (index % 90) for index in range(count)}
--- a/tests/unit/distribution/test_random_schedules.py
+++ b/tests/unit/distribution/test_random_schedules.py
@@ -212,28 +212,28 @@
     """Schedules all other acts."""
     for at, kind, what in acts:
         if kind == "change":
-            fleet.at(at, fleet.change, what)
+            fleet.schedule(at, fleet.change, what)
         elif kind == "large":
             changes = {f"large/{one:03d}": bytes([one]) * 400 for one in range(what)}
-            fleet.at(at, fleet.change, changes)
+            fleet.schedule(at, fleet.change, changes)
         elif kind == "revert":
-            fleet.at(at, fleet.revert, what)
+            fleet.schedule(at, fleet.revert, what)
         elif kind == "restart":
             name, length, orderly = what
             if name == "origin-b":
                 continue  # it runs once it has taken over
-            fleet.at(at, fleet.leave if orderly else fleet.kill, name)
-            fleet.at(min(END, at + length), revive, fleet, name)
+            fleet.schedule(at, fleet.leave if orderly else fleet.kill, name)
+            fleet.schedule(min(END, at + length), revive, fleet, name)
         elif kind == "pause":
             name, length = what
             if fleet.processes[name].role != "origin" or name == "origin":
-                fleet.at(at, fleet.pause, name, min(END, at + length))
+                fleet.schedule(at, fleet.pause, name, min(END, at + length))
         elif kind == "trouble":
             failure, length = what
-            fleet.at(at, fleet.set_disk_failure, failure)
-            fleet.at(min(END, at + length), fleet.set_disk_failure, "")
+            fleet.schedule(at, fleet.set_disk_failure, failure)
+            fleet.schedule(min(END, at + length), fleet.set_disk_failure, "")
         elif kind == "take over":
-            fleet.at(at, fleet.take_over)
+            fleet.schedule(at, fleet.take_over)
 
 
 def revive(fleet: ModelledFleet, name: str) -> None:
