--- a/ironmill_testbed/faults/control_plane_cluster.py
+++ b/ironmill_testbed/faults/control_plane_cluster.py
@@ -11,7 +11,7 @@
 from ironmill.membership.identity import Address, format_address
 from ironmill_testbed.faults.checker import LoggedEvent, read_logs
 from ironmill_testbed.faults.process_cluster import ProcessCluster
-from ironmill_testbed.processes import Process, ProxyProcess
+from ironmill_testbed.processes import Process, ProxyProcess, start_control_machine
 
 ORIGIN = "c00"
 REQUEST_TIMEOUT_S = 3.0
@@ -67,18 +67,10 @@
         return ' origin="true"' if name == ORIGIN else ""
 
     def _process(self, name: str) -> Process:
+        if name not in self.proxies:
+            return start_control_machine(name, self.folder, self.admin_addresses[name])
         settings = f"--settings={self.folder / f'{name}.xml'}"
-        if name in self.proxies:
-            return ProxyProcess(self.folder / f"{name}.json", self.folder, options=[settings])
-        words = [
-            "-m",
-            "ironmill",
-            "control",
-            name,
-            settings,
-            f"--staff={format_address(self.admin_addresses[name])}",
-        ]
-        return Process(words, self.folder, name)
+        return ProxyProcess(self.folder / f"{name}.json", self.folder, options=[settings])
 
     # Admin API
 
--- a/ironmill_testbed/faults/simulated_cluster.py
+++ b/ironmill_testbed/faults/simulated_cluster.py
@@ -104,7 +104,7 @@
             self.add_process(SimulatedProcess(f"p{at:05d}", f"z{at % self._options.zones}", address))
         self._seeds = list(self._by_address)[: self._options.seed_members]
         for fault in faults:
-            self._schedule_fault(fault)
+            self.schedule_fault(fault, fault.names)
 
     # Time
 
@@ -193,14 +193,3 @@
             for one in self.events
             if isinstance(one.event, MemberRemoved) and one.at_s >= since and one.event.member != one.observer
         ]
-
-    # The network
-
-    def _schedule_fault(self, fault: Fault) -> None:
-        for name in fault.names:
-            if fault.kind == "pause":
-                self.schedule(fault.start, self.pause, name, fault.end)
-            elif fault.kind == "kill":
-                self.schedule(fault.start, self.kill, name)
-            elif fault.kind == "start":
-                self.schedule(fault.start, self.start, name)
--- a/ironmill_testbed/faults/simulated_fleet.py
+++ b/ironmill_testbed/faults/simulated_fleet.py
@@ -100,13 +100,7 @@
 
     def _schedule_faults(self, faults: Sequence[Fault]) -> None:
         for fault in faults:
-            for name in self.names(fault.names):
-                if fault.kind == "pause":
-                    self.schedule(fault.start, self.pause, name, fault.end)
-                elif fault.kind == "kill":
-                    self.schedule(fault.start, self.kill, name)
-                elif fault.kind == "start":
-                    self.schedule(fault.start, self.start, name)
+            self.schedule_fault(fault, self.names(fault.names))
             if fault.kind == "cut":
                 self.schedule(fault.start, self.observer.update_reachability)
                 if fault.end < float("inf"):
--- a/ironmill_testbed/faults/simulated_network.py
+++ b/ironmill_testbed/faults/simulated_network.py
@@ -8,6 +8,7 @@
 from typing import Any, Generic, Protocol, TypeVar
 
 from ironmill.membership.identity import Address, Datagram
+from ironmill_testbed.faults.schedule import Fault
 
 MAX_QUEUED_DATAGRAMS = 2000  # in the socket of a paused process
 RESUME_DELAY_S = 0.001  # from the end of a pause to the first tick
@@ -90,6 +91,28 @@
             action(*args)
         self.now = until
 
+    def start(self, name: str, clock_offset_s: float = 0.0) -> None:
+        """Starts a process, or starts it again, with its wall clock ahead by so much."""
+        raise NotImplementedError
+
+    def kill(self, name: str) -> None:
+        """Ends a process without notice."""
+        raise NotImplementedError
+
+    def pause(self, name: str, until: float) -> None:
+        """Stops a process until a time, as SIGSTOP does."""
+        raise NotImplementedError
+
+    def schedule_fault(self, fault: Fault, names: Iterable[str]) -> None:
+        """Schedules what a fault does to these processes; the links do the rest."""
+        for name in names:
+            if fault.kind == "pause":
+                self.schedule(fault.start, self.pause, name, fault.end)
+            elif fault.kind == "kill":
+                self.schedule(fault.start, self.kill, name)
+            elif fault.kind == "start":
+                self.schedule(fault.start, self.start, name)
+
     def _tick(self, process: Process, machine: StateMachine) -> None:
         if process.state_machine() is not machine:
             return  # the process was killed or started again
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -19,7 +19,15 @@
 from ironmill.membership.identity import format_address
 from ironmill_testbed.faults.checker import LoggedEvent, read_logs
 from ironmill_testbed.faults.simulated_proxies import region, zone
-from ironmill_testbed.processes import CommandedProcess, Dependencies, Process, ProxyProcess, Usage, free_port
+from ironmill_testbed.processes import (
+    CommandedProcess,
+    Dependencies,
+    Process,
+    ProxyProcess,
+    Usage,
+    free_port,
+    start_control_machine,
+)
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 ORIGIN = "c00"
@@ -127,16 +135,7 @@
 
     def _process(self, name: str) -> Process:
         if name in self.controls:
-            settings = f"--settings={self.folder / f'{name}.xml'}"
-            words = [
-                "-m",
-                "ironmill",
-                "control",
-                name,
-                settings,
-                f"--staff={format_address(self.admin_addresses[name])}",
-            ]
-            return Process(words, self.folder, name)
+            return start_control_machine(name, self.folder, self.admin_addresses[name])
         settings = f"--settings={self.folder / ('plain.xml' if name in self.plain else f'{name}.xml')}"
         value = proxy_config(
             name, self.clients[name], self.dependencies.discovery, 1024, platform_settings(len(self.real))
--- a/ironmill_testbed/processes.py
+++ b/ironmill_testbed/processes.py
@@ -198,6 +198,13 @@
         wait_for_answer(self, self.address, b"PING\r\n")
 
 
+def start_control_machine(name: str, folder: Path, admin_address: Address) -> Process:
+    """Starts a control machine with the settings ``NAME.xml`` in the folder."""
+    settings = f"--settings={folder / f'{name}.xml'}"
+    words = ["-m", "ironmill", "control", name, settings, f"--staff={format_address(admin_address)}"]
+    return Process(words, folder, name)
+
+
 def wait_for_answer(process: Process, address: Address, question: bytes) -> None:
     """Waits until the question is answered at the address. Raises ``ProcessFailedError`` if it is not."""
     deadline = time.monotonic() + READY_TIMEOUT_S
