--- a/ironmill/balancing/balancer.py
+++ b/ironmill/balancing/balancer.py
@@ -30,7 +30,7 @@
     WatchEventKind,
 )
 from ironmill.balancing.load_shedding import AdmissionControl, LoadShedder
-from ironmill.balancing.migration import Migration
+from ironmill.balancing.migration_policy import MigrationPolicy
 from ironmill.balancing.overload import OverloadTracker
 from ironmill.balancing.own_connections import OwnConnections
 from ironmill.balancing.placement import Placement
@@ -59,11 +59,11 @@
         shedder = LoadShedder(state.rng, now)
         admission = AdmissionControl(state, shedder, self._overload, quotas)
         self._requests = RequestLifetime(state, admission, self._placement, self._connections, self._overload)
-        self._migration = Migration(state, shedder, self._overload)
+        self._migration_policy = MigrationPolicy(state, shedder, self._overload)
         self._health_checks = HealthChecker(
-            state, self._counts, self._breaker, self._overload, self._migration
+            state, self._counts, self._breaker, self._overload, self._migration_policy
         )
-        self._draining = Draining(state, self._slow_start, shedder, self._migration)
+        self._draining = Draining(state, self._slow_start, shedder, self._migration_policy)
         self._endpoints = EndpointList(state, self._counts, self._placement, self._draining)
         self._subscription = Subscription(state)
         self._subscription.start()
@@ -81,7 +81,7 @@
             case Established():
                 self._requests.attempt_established(event)
             case ConnectionSample():
-                self._migration.sample_received(event)
+                self._migration_policy.sample_received(event)
             case TimerFired():
                 self._timer_fired(event.name)
             case WatchEvent():
--- a/ironmill/balancing/draining.py
+++ b/ironmill/balancing/draining.py
@@ -4,7 +4,7 @@
 
 from ironmill.balancing.interface import SetTimer
 from ironmill.balancing.load_shedding import LoadShedder
-from ironmill.balancing.migration import Migration
+from ironmill.balancing.migration_policy import MigrationPolicy
 from ironmill.balancing.slow_start import SlowStartBudget
 from ironmill.balancing.state import BalancerState
 
@@ -22,13 +22,13 @@
         state: BalancerState,
         slow_start: SlowStartBudget,
         shedder: LoadShedder,
-        migration: Migration,
+        migration_policy: MigrationPolicy,
     ) -> None:
         """Takes the modules that a drain depends on."""
         self._state = state
         self._slow_start = slow_start
         self._shedder = shedder
-        self._migration = migration
+        self._migration_policy = migration_policy
 
     def schedule(self, server_id: int) -> None:
         """Sets the timer of the next migration off a server."""
@@ -55,6 +55,8 @@
         ]
         established = [tracked for tracked in in_flight if tracked.established and not tracked.migrating]
         if established and not self._shedder.is_shedding:
-            self._migration.migrate(max(established, key=lambda one: one.request_class.priority_weight))
+            self._migration_policy.migrate(
+                max(established, key=lambda one: one.request_class.priority_weight)
+            )
         if in_flight:
             self.schedule(server_id)
--- a/ironmill/balancing/health_checks.py
+++ b/ironmill/balancing/health_checks.py
@@ -7,7 +7,7 @@
 from ironmill.balancing.circuit_breaker import CircuitBreaker
 from ironmill.balancing.interface import CheckHealth, HealthChecked, Outcome, SetTimer
 from ironmill.balancing.load_shedding import OVERLOADED_LOAD
-from ironmill.balancing.migration import Migration
+from ironmill.balancing.migration_policy import MigrationPolicy
 from ironmill.balancing.overload import OverloadTracker
 from ironmill.balancing.server_counts import ServerCounts
 from ironmill.balancing.server_state import ServerState
@@ -30,14 +30,14 @@
         counts: ServerCounts,
         breaker: CircuitBreaker,
         overload: OverloadTracker,
-        migration: Migration,
+        migration_policy: MigrationPolicy,
     ) -> None:
         """Takes the modules that use a server's report."""
         self._state = state
         self._counts = counts
         self._breaker = breaker
         self._overload = overload
-        self._migration = migration
+        self._migration_policy = migration_policy
 
     def start(self) -> None:
         """Sets the timer of the first check, where the settings allow health checks."""
@@ -81,7 +81,7 @@
             self._counts.update(server)
             return
         self._overload.record_latency(server, load)
-        self._migration.relieve(server)
+        self._migration_policy.relieve(server)
 
     def _set_timer(self, intervals: float) -> None:
         delay = HEALTH_CHECK_INTERVAL_S * self._state.fleet_scale * intervals
--- a/ironmill/balancing/migration.py
+++ b/ironmill/balancing/migration_policy.py
@@ -17,7 +17,7 @@
 MIGRATION_TARGET_LOAD = 0.8
 
 
-class Migration:
+class MigrationPolicy:
     """Sends clients away from overloaded servers while other servers can take them.
 
     If most servers are overloaded and no requests are shed, migrated clients would only add to the load.
