--- a/ironmill/net/migration.py
+++ b/ironmill/net/bulk_migration.py
@@ -18,7 +18,7 @@
     return math.ceil(waiting * MIGRATION_INTERVAL_S / spread_s)
 
 
-class Migration:
+class BulkMigration:
     """Migrates every established connection once, also those established while it runs."""
 
     def __init__(self, scheduler: Scheduler, gateway: Gateway) -> None:
--- a/ironmill/net/drain.py
+++ b/ironmill/net/drain.py
@@ -9,7 +9,7 @@
 import logging
 import time
 
-from ironmill.net.migration import Migration
+from ironmill.net.bulk_migration import BulkMigration
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.lifecycle import POLICIES, LifecycleEvent, ProcessState
 from ironmill.runtime.scheduler import Scheduler, Task
@@ -51,13 +51,13 @@
         log.info("draining: %d pending, %d established", self._gateway.pending_count(), self._established())
         self._scheduler.sleep(FRONT_UPDATE_DELAY_S)
         self._gateway.lifecycle.handle(LifecycleEvent.DRAIN_PROPAGATED)
-        migration = None if self._keeps_established else Migration(self._scheduler, self._gateway)
-        if migration is not None:
-            migration.migrate_all(started_at + MIGRATION_DEADLINE_S)
+        bulk_migration = None if self._keeps_established else BulkMigration(self._scheduler, self._gateway)
+        if bulk_migration is not None:
+            bulk_migration.migrate_all(started_at + MIGRATION_DEADLINE_S)
         self._scheduler.sleep(max(0.0, started_at + FINAL_ANSWER_DEADLINE_S - time.monotonic()))
         self._gateway.resolve_all()
-        if migration is not None:
-            migration.migrate_all(time.monotonic() + LATE_MIGRATION_S)
+        if bulk_migration is not None:
+            bulk_migration.migrate_all(time.monotonic() + LATE_MIGRATION_S)
         log.info("drained: %d established", self._established())
 
     def _established(self) -> int:
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -9,8 +9,8 @@
 from msgspec import Struct
 
 from ironmill.configuration.proxy_config import Config
+from ironmill.net.bulk_migration import BulkMigration
 from ironmill.net.clients.closing import REJECTED_CLOSE_TIMEOUT_S
-from ironmill.net.migration import Migration
 from ironmill.requests.admission import Admission
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.lifecycle import TERMINAL_STATES, LifecycleEvent
@@ -114,7 +114,7 @@
         self._acceptor.yield_to_successor()  # again: a successor may have begun to listen only now
         self._acceptor.close(max(0.0, min(MAX_ACCEPT_RETRY_S, flush_at - time.monotonic())))
         self._scheduler.sleep(max(0.0, started_at + schedule.migrate_at - time.monotonic()))
-        Migration(self._scheduler, self._gateway).migrate_all(flush_at)
+        BulkMigration(self._scheduler, self._gateway).migrate_all(flush_at)
 
     def _finalize(self) -> None:
         """Answers everything that is still open, and lets the answers leave. Nothing begins any more."""
--- a/tests/system/test_migration_and_shutdown.py
+++ b/tests/system/test_migration_and_shutdown.py
@@ -8,9 +8,9 @@
 import pytest
 
 from ironmill.net import shutdown as shutdown_module
+from ironmill.net.bulk_migration import BulkMigration
 from ironmill.net.clients import migration as migration_module
 from ironmill.net.clients.attempts import ClientAttempt
-from ironmill.net.migration import Migration
 from ironmill.net.shutdown import Shutdown, ShutdownContext, ShutdownSchedule
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import Stream
@@ -257,7 +257,7 @@
 ) -> None:
     received: list[bytes] = []
     monkeypatch.setattr(
-        Migration, "migrate_all", lambda self, deadline: None
+        BulkMigration, "migrate_all", lambda self, deadline: None
     )  # no connection was established in the last round
 
     def scenario(proxy: ProxyUnderTest) -> None:
