--- a/ironmill/net/clients/migration.py
+++ b/ironmill/net/clients/connection_migrator.py
@@ -14,7 +14,7 @@
 MIGRATION_TIMEOUT_S = 0.9  # for the current line to end; the client must not wait longer for its MOVE
 
 
-class Migrator:
+class ConnectionMigrator:
     """Sends ``MOVE`` once no line is incomplete; closes after ``MIGRATION_TIMEOUT_S`` in any case."""
 
     __slots__ = ("_closer", "_scheduler")
--- a/ironmill/net/clients/service.py
+++ b/ironmill/net/clients/service.py
@@ -11,8 +11,8 @@
 from ironmill.net.attempt import Dial
 from ironmill.net.clients.closing import ConnectionCloser
 from ironmill.net.clients.connection import ClientConnection
+from ironmill.net.clients.connection_migrator import ConnectionMigrator
 from ironmill.net.clients.intake import RequestIntake
-from ironmill.net.clients.migration import Migrator
 from ironmill.net.clients.reading import ClientReader
 from ironmill.net.clients.relaying import DataRelay
 from ironmill.net.sockets import Stream
@@ -66,7 +66,7 @@
             self.admission,
             sends_retry_after=self.config.settings.max_retry_after > 0.0,
         )
-        self.migrator = Migrator(self.scheduler, self.closer)
+        self.migrator = ConnectionMigrator(self.scheduler, self.closer)
         self.relay = DataRelay(self.gateway, self.closer)
         self.intake = RequestIntake(self)
         self.reader = ClientReader(self)
--- a/tests/system/test_migration_and_shutdown.py
+++ b/tests/system/test_migration_and_shutdown.py
@@ -9,7 +9,7 @@
 
 from ironmill.net import shutdown as shutdown_module
 from ironmill.net.bulk_migration import BulkMigration
-from ironmill.net.clients import migration as migration_module
+from ironmill.net.clients import connection_migrator as migrator_module
 from ironmill.net.clients.attempts import ClientAttempt
 from ironmill.net.shutdown import Shutdown, ShutdownContext, ShutdownSchedule
 from ironmill.net.signals import Signals
@@ -39,7 +39,7 @@
 
 
 def test_migration_is_forced_if_the_line_does_not_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(migration_module, "MIGRATION_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(migrator_module, "MIGRATION_TIMEOUT_S", 0.05)
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
