--- a/ironmill/balancing/draining.py
+++ b/ironmill/balancing/draining.py
@@ -49,11 +49,15 @@
         if server is None or server.ready:
             return
         in_flight = [
-            tracked
-            for tracked in self._state.requests.values()
-            if tracked.in_flight and tracked.server_id == server_id
+            request_state
+            for request_state in self._state.requests.values()
+            if request_state.in_flight and request_state.server_id == server_id
+        ]
+        established = [
+            request_state
+            for request_state in in_flight
+            if request_state.established and not request_state.migrating
         ]
-        established = [tracked for tracked in in_flight if tracked.established and not tracked.migrating]
         if established and not self._shedder.is_shedding:
             self._migration_policy.migrate(
                 max(established, key=lambda one: one.request_class.priority_weight)
--- a/ironmill/balancing/migration_policy.py
+++ b/ironmill/balancing/migration_policy.py
@@ -5,9 +5,9 @@
 from ironmill.balancing.interface import ConnectionSample, Migrate, SampleKind
 from ironmill.balancing.load_shedding import LoadShedder
 from ironmill.balancing.overload import OVERLOAD_LATENCY_FRACTION, OverloadTracker
+from ironmill.balancing.request_state import RequestState
 from ironmill.balancing.server_state import ServerState
 from ironmill.balancing.state import BalancerState
-from ironmill.balancing.tracked_request import TrackedRequest
 
 # A sample that takes this fraction of its latency objective migrates its connection with this probability.
 MIGRATION_LATENCY_FRACTION = 0.7
@@ -31,45 +31,51 @@
 
     def sample_received(self, event: ConnectionSample) -> None:
         """Takes in the delay of a message, and may migrate its connection."""
-        tracked = self._state.requests.get(event.request_id)
-        if event.kind is not SampleKind.DELAY or tracked is None or not tracked.is_current(event.attempt):
+        request_state = self._state.requests.get(event.request_id)
+        if (
+            event.kind is not SampleKind.DELAY
+            or request_state is None
+            or not request_state.is_current(event.attempt)
+        ):
             return
-        server = self._state.servers[tracked.server_id]
-        fraction = event.value / 1000.0 / tracked.request_class.message_latency_objective
+        server = self._state.servers[request_state.server_id]
+        fraction = event.value / 1000.0 / request_state.request_class.message_latency_objective
         self._overload.record_latency(server, fraction)
         if fraction < OVERLOAD_LATENCY_FRACTION:
             self._overload.clear(server)
-        if fraction < MIGRATION_LATENCY_FRACTION or not tracked.established or not self._may_help():
+        if fraction < MIGRATION_LATENCY_FRACTION or not request_state.established or not self._may_help():
             return
         if self._state.rng.random() < MIGRATION_PROBABILITY / self._state.fleet_scale:
-            self.migrate(tracked)
+            self.migrate(request_state)
 
     def relieve(self, server: ServerState) -> None:
         """Migrates some connections off a server that reports overload, those of small groups first."""
         if not self._may_help():
             return
         present = [
-            tracked
-            for tracked in self._state.requests.values()
-            if tracked.in_flight
-            and tracked.established
-            and not tracked.migrating
-            and tracked.server_id == server.server_id
+            request_state
+            for request_state in self._state.requests.values()
+            if request_state.in_flight
+            and request_state.established
+            and not request_state.migrating
+            and request_state.server_id == server.server_id
         ]
         group_sizes: dict[int | None, int] = {}
-        for tracked in present:
-            group_sizes[tracked.request.group] = group_sizes.get(tracked.request.group, 0) + 1
-        present.sort(key=lambda tracked: (group_sizes[tracked.request.group], self._state.rng.random()))
+        for request_state in present:
+            group_sizes[request_state.request.group] = group_sizes.get(request_state.request.group, 0) + 1
+        present.sort(
+            key=lambda request_state: (group_sizes[request_state.request.group], self._state.rng.random())
+        )
         excess = max(0.0, 1.0 - MIGRATION_TARGET_LOAD / server.load)
         count = 1 + int(excess * len(present) * MIGRATION_FRACTION)
-        for tracked in present[:count]:
-            self.migrate(tracked)
+        for request_state in present[:count]:
+            self.migrate(request_state)
 
-    def migrate(self, tracked: TrackedRequest) -> None:
+    def migrate(self, request_state: RequestState) -> None:
         """Sends the client of an established connection away, once."""
-        if not tracked.migrating:
-            tracked.migrating = True
-            self._state.actions.append(Migrate(tracked.request.id))
+        if not request_state.migrating:
+            request_state.migrating = True
+            self._state.actions.append(Migrate(request_state.request.id))
 
     def _may_help(self) -> bool:
         return self._shedder.is_shedding or self._overload.is_local()
--- a/ironmill/balancing/placement.py
+++ b/ironmill/balancing/placement.py
@@ -14,11 +14,11 @@
 from functools import partial
 
 from ironmill.balancing.connection_groups import GroupConnections, preference
+from ironmill.balancing.request_state import RequestState
 from ironmill.balancing.server_counts import ServerCounts
 from ironmill.balancing.server_state import ServerState
 from ironmill.balancing.slow_start import SlowStartBudget
 from ironmill.balancing.state import BalancerState
-from ironmill.balancing.tracked_request import TrackedRequest
 
 # The rule's parameter: the threshold falls if the fraction of green servers is at least 1 - ALPHA.
 ALPHA = 0.9
@@ -47,7 +47,7 @@
         self._slow_start = slow_start
         self._groups = groups
 
-    def select(self, tracked: TrackedRequest) -> ServerState | None:
+    def select(self, request_state: RequestState) -> ServerState | None:
         """Returns the server for the next attempt, or None if no server may get it now."""
         self._counts.refresh()
         table = self._counts.table
@@ -58,7 +58,7 @@
         ready = len(table)
         # By colour: the end of its servers in the table, and the exclusive limit of their counts.
         colours = ((green, self.threshold), (yellow, self.threshold + 1), (ready, math.inf))
-        server_id = self._select_from(colours, tracked)
+        server_id = self._select_from(colours, request_state)
         if server_id is None:
             return None
         if yellow <= 1:
@@ -81,11 +81,11 @@
             mean = table.mean()
             self.threshold += (mean > self.threshold) - (mean < self.threshold)
 
-    def _select_from(self, colours: tuple[tuple[int, float], ...], tracked: TrackedRequest) -> int | None:
+    def _select_from(self, colours: tuple[tuple[int, float], ...], request_state: RequestState) -> int | None:
         state, table = self._state, self._counts.table
         servers, random_number, now = state.servers, state.rng.random, state.now
         max_weight, by_weight = self._counts.max_weight, not state.settings.live_weights
-        tried, may_retry_anywhere = tracked.tried, tracked.uncertain_attempt is None
+        tried, may_retry_anywhere = request_state.tried, request_state.uncertain_attempt is None
 
         def accepts(server_id: int) -> bool:
             # A server of half the weight is accepted for half of its draws.
@@ -93,30 +93,30 @@
                 return False
             if server_id in tried:
                 return False
-            return may_retry_anywhere or tracked.may_retry_at(servers[server_id], now)
+            return may_retry_anywhere or request_state.may_retry_at(servers[server_id], now)
 
         start = 0
         for end, count_limit in colours:
-            if tracked.request.group is None:
+            if request_state.request.group is None:
                 selected = table.draw(start, end, state.rng, accepts)
             else:
-                selected = self._select_for_group(tracked, end, count_limit, accepts)
+                selected = self._select_for_group(request_state, end, count_limit, accepts)
             if selected is not None:
                 return selected
             start = end
         # All were tried before, or not accepted by weight.
         return table.draw(
-            0, len(table), state.rng, lambda server_id: tracked.may_retry_at(servers[server_id], now)
+            0, len(table), state.rng, lambda server_id: request_state.may_retry_at(servers[server_id], now)
         )
 
     def _select_for_group(
-        self, tracked: TrackedRequest, end: int, count_limit: float, accepts: Callable[[int], bool]
+        self, request_state: RequestState, end: int, count_limit: float, accepts: Callable[[int], bool]
     ) -> int | None:
         """Returns the server that the request's group prefers among those before ``end`` in the table.
 
         A server that has connections of the group, here or probably elsewhere, may have a higher count.
         """
-        group, rerouted = tracked.request.group, tracked.request.rerouted
+        group, rerouted = request_state.request.group, request_state.request.rerouted
         assert group is not None
         table, own = self._counts.table, self._groups.counts(group)
         discounted = dict.fromkeys(own)
--- a/ironmill/balancing/request_lifetime.py
+++ b/ironmill/balancing/request_lifetime.py
@@ -22,9 +22,9 @@
 from ironmill.balancing.overload import OverloadTracker
 from ironmill.balancing.own_connections import OwnConnections
 from ironmill.balancing.placement import Placement
+from ironmill.balancing.request_state import RequestState, UncertainAttempt
 from ironmill.balancing.server_state import ServerState
 from ironmill.balancing.state import BalancerState
-from ironmill.balancing.tracked_request import TrackedRequest, UncertainAttempt
 
 RETRY_BACKOFF_S = 0.03  # doubled with each attempt, with full jitter
 PLACEMENT_INTERVAL_S = 0.1  # between two tries to place a request that no server may get
@@ -60,60 +60,62 @@
         """Places a request, has it wait, or rejects it."""
         if request.id in self._state.requests:
             return
-        tracked = TrackedRequest(request, self._class_of(request))
-        self._state.requests[request.id] = tracked
+        request_state = RequestState(request, self._class_of(request))
+        self._state.requests[request.id] = request_state
         if not request.returning:
             self._connections.request_arrived()
         if self._admission.admits(request):
-            self._place_or_wait(tracked)
+            self._place_or_wait(request_state)
         else:
-            self._answer(tracked)
+            self._answer(request_state)
 
     def connection_resumed(self, event: Resumed) -> None:
         """Tracks a connection that was open before the proxy started."""
         if event.request.id in self._state.requests:
             return
-        tracked = TrackedRequest(event.request, self._class_of(event.request))
-        self._state.requests[event.request.id] = tracked
-        self._connections.resumed(tracked, event.server_id)
+        request_state = RequestState(event.request, self._class_of(event.request))
+        self._state.requests[event.request.id] = request_state
+        self._connections.resumed(request_state, event.server_id)
 
     def attempt_established(self, event: Established) -> None:
         """Ends the request's wait, and takes in how long its connection took."""
-        tracked = self._state.requests.get(event.request_id)
-        if tracked is None or not tracked.is_current(event.attempt):
+        request_state = self._state.requests.get(event.request_id)
+        if request_state is None or not request_state.is_current(event.attempt):
             return
-        server = self._connections.established(tracked)
-        objective = tracked.request_class.message_latency_objective
+        server = self._connections.established(request_state)
+        objective = request_state.request_class.message_latency_objective
         if event.delay > objective * MIN_SLOW_FRACTION:
             # A new connection waits behind the same work as a message.
             self._overload.record_latency(server, event.delay / objective)
 
     def attempt_ended(self, event: Ended) -> None:
         """Retries the request or answers it, unless its connection was established."""
-        tracked = self._state.requests.get(event.request_id)
-        if tracked is None or not tracked.is_current(event.attempt):
+        request_state = self._state.requests.get(event.request_id)
+        if request_state is None or not request_state.is_current(event.attempt):
             return
-        server = self._connections.ended(tracked, event.outcome)
-        if event.final or tracked.answered:
+        server = self._connections.ended(request_state, event.outcome)
+        if event.final or request_state.answered:
             del self._state.requests[event.request_id]
             return
         never_ran = event.outcome.never_ran
-        if tracked.uncertain_attempt is None and not never_ran:
-            tracked.uncertain_attempt = UncertainAttempt(server, tracked.attempt_started_at)
-        if event.outcome is Outcome.NOT_SENT or tracked.answer_due:
-            self._answer(tracked)
-        elif tracked.attempts == 1 and never_ran:
-            self._place_or_wait(tracked)
+        if request_state.uncertain_attempt is None and not never_ran:
+            request_state.uncertain_attempt = UncertainAttempt(server, request_state.attempt_started_at)
+        if event.outcome is Outcome.NOT_SENT or request_state.answer_due:
+            self._answer(request_state)
+        elif request_state.attempts == 1 and never_ran:
+            self._place_or_wait(request_state)
         else:
-            self._wait(tracked, RETRY_BACKOFF_S * 2.0**tracked.attempts * self._state.rng.random())
+            self._wait(
+                request_state, RETRY_BACKOFF_S * 2.0**request_state.attempts * self._state.rng.random()
+            )
 
     def request_abandoned(self, event: Abandoned) -> None:
         """Forgets a request that is owed no answer any more, once no attempt is in flight."""
-        tracked = self._state.requests.get(event.request_id)
-        if tracked is None:
+        request_state = self._state.requests.get(event.request_id)
+        if request_state is None:
             return
-        tracked.answered = True
-        if not tracked.in_flight:
+        request_state.answered = True
+        if not request_state.in_flight:
             del self._state.requests[event.request_id]
 
     def answer_due(self, event: AnswerDue) -> None:
@@ -121,18 +123,18 @@
 
         An attempt in flight may have run. Its end is waited for, as it shows whether a retry is harmless.
         """
-        tracked = self._state.requests.get(event.request_id)
-        if tracked is None or tracked.answered:
+        request_state = self._state.requests.get(event.request_id)
+        if request_state is None or request_state.answered:
             return
-        tracked.answer_due = True
-        if not tracked.in_flight:
-            self._answer(tracked)
+        request_state.answer_due = True
+        if not request_state.in_flight:
+            self._answer(request_state)
 
     def timer_fired(self, request_id: str) -> None:
         """Goes on with a request that waits for its next attempt."""
-        tracked = self._state.requests.get(request_id)
-        if tracked is not None and not tracked.in_flight and not tracked.answered:
-            self._place_or_wait(tracked)
+        request_state = self._state.requests.get(request_id)
+        if request_state is not None and not request_state.in_flight and not request_state.answered:
+            self._place_or_wait(request_state)
 
     def _class_of(self, request: Request) -> RequestClass:
         known = self._classes.get(request.class_name)
@@ -142,42 +144,42 @@
         left = max(0.0, request.deadline - self._state.now)
         return RequestClass(request.class_name, left, 0.0, left, Idempotency.NONE)
 
-    def _place_or_wait(self, tracked: TrackedRequest) -> None:
+    def _place_or_wait(self, request_state: RequestState) -> None:
         """Sends the request, sets a timer for the next try, or answers it if it may get no attempt."""
         if (
-            self._time_left(tracked) < MIN_ATTEMPT_S
-            or tracked.attempts >= self._max_attempts
-            or self._state.now >= tracked.retry_deadline()
+            self._time_left(request_state) < MIN_ATTEMPT_S
+            or request_state.attempts >= self._max_attempts
+            or self._state.now >= request_state.retry_deadline()
         ):
-            self._answer(tracked)
+            self._answer(request_state)
             return
-        server = self._placement.select(tracked)
+        server = self._placement.select(request_state)
         if server is None:
-            self._wait(tracked, PLACEMENT_INTERVAL_S * (0.5 + self._state.rng.random()))
+            self._wait(request_state, PLACEMENT_INTERVAL_S * (0.5 + self._state.rng.random()))
         else:
-            self._send(tracked, server)
+            self._send(request_state, server)
 
-    def _wait(self, tracked: TrackedRequest, pause: float) -> None:
-        delay = max(0.0, min(pause, self._time_left(tracked)))
-        self._state.actions.append(SetTimer(delay, tracked.request.id))
+    def _wait(self, request_state: RequestState, pause: float) -> None:
+        delay = max(0.0, min(pause, self._time_left(request_state)))
+        self._state.actions.append(SetTimer(delay, request_state.request.id))
 
-    def _time_left(self, tracked: TrackedRequest) -> float:
-        return tracked.request.deadline - self._state.now - self._margin
+    def _time_left(self, request_state: RequestState) -> float:
+        return request_state.request.deadline - self._state.now - self._margin
 
-    def _send(self, tracked: TrackedRequest, server: ServerState) -> None:
-        state, request = self._state, tracked.request
+    def _send(self, request_state: RequestState, server: ServerState) -> None:
+        state, request = self._state, request_state.request
         timeout = request.deadline - state.now
-        if tracked.attempts + 1 < self._max_attempts:
-            timeout = min(timeout, tracked.request_class.latency_objective)
-        self._connections.attempt_started(tracked, server)
-        state.actions.append(Send(request.id, server.server_id, timeout, tracked.retry_deadline()))
+        if request_state.attempts + 1 < self._max_attempts:
+            timeout = min(timeout, request_state.request_class.latency_objective)
+        self._connections.attempt_started(request_state, server)
+        state.actions.append(Send(request.id, server.server_id, timeout, request_state.retry_deadline()))
 
-    def _answer(self, tracked: TrackedRequest) -> None:
+    def _answer(self, request_state: RequestState) -> None:
         """Gives the one final answer. A rejection promises that a retry is harmless."""
-        tracked.answered = True
-        request_id = tracked.request.id
+        request_state.answered = True
+        request_id = request_state.request.id
         del self._state.requests[request_id]
-        if not tracked.is_client_retry_harmless():
+        if not request_state.is_client_retry_harmless():
             self._state.actions.append(Fail(request_id))
             return
         fraction = MIN_RETRY_AFTER_FRACTION + RETRY_AFTER_JITTER * self._state.rng.random()
--- a/ironmill/balancing/tracked_request.py
+++ b/ironmill/balancing/request_state.py
@@ -17,7 +17,7 @@
     started_at: float
 
 
-class TrackedRequest:
+class RequestState:
     """A request that is owed an answer, or whose connection is established."""
 
     __slots__ = (
--- a/ironmill/balancing/state.py
+++ b/ironmill/balancing/state.py
@@ -5,8 +5,8 @@
 import random
 
 from ironmill.balancing.interface import Action, Settings
+from ironmill.balancing.request_state import RequestState
 from ironmill.balancing.server_state import ServerState
-from ironmill.balancing.tracked_request import TrackedRequest
 
 # Rates of health checks and migrations hold for a fleet of this size. In a larger one each proxy acts less
 # often, so that the whole fleet does not act more, and an own connection counts for those of more proxies.
@@ -25,5 +25,5 @@
         self.now = now
         self.fleet_scale = max(1.0, settings.proxies / REFERENCE_PROXIES)
         self.servers: dict[int, ServerState] = {}
-        self.requests: dict[str, TrackedRequest] = {}
+        self.requests: dict[str, RequestState] = {}
         self.actions: list[Action] = []  # to be returned for the current event
