--- a/ironmill/net/clients/attempts.py
+++ b/ironmill/net/clients/attempts.py
@@ -10,7 +10,7 @@
 from ironmill.net.clients.closing import GRACEFUL_CLOSE_TIMEOUT_S
 from ironmill.protocol.client import ClientState
 from ironmill.protocol.server import ServerDataReceived
-from ironmill.requests.tracked_request import Attempt
+from ironmill.requests.client_request import Attempt
 
 if TYPE_CHECKING:
     from ironmill.net.clients.connection import ClientConnection
--- a/ironmill/net/clients/connection.py
+++ b/ironmill/net/clients/connection.py
@@ -15,8 +15,8 @@
 from ironmill.protocol.lines import LINE_END
 from ironmill.protocol.request import MalformedLineError, RequestLine, parse_request_line
 from ironmill.requests.admission import Ticket
+from ironmill.requests.client_request import Attempt, ClientRequest
 from ironmill.requests.metrics import RequestCounter
-from ironmill.requests.tracked_request import Attempt, TrackedRequest
 from ironmill.runtime.scheduler import Task
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
         self.request_line: RequestLine | None = None  # until the connection is established
         self.request_line_deadline = 0.0
         self.counter: RequestCounter | None = None  # from the request line on
-        self.request: TrackedRequest | None = None
+        self.request: ClientRequest | None = None
         self.reader_task: Task | None = None
         self.attempt: Attempt | None = None  # the current one, as the gateway knows it
         self.attempt_task: Task | None = None
--- a/ironmill/net/clients/intake.py
+++ b/ironmill/net/clients/intake.py
@@ -12,7 +12,7 @@
 from ironmill.net.clients.closing import DRAINING_RETRY_AFTER_S, NO_CAPACITY_RETRY_AFTER_S
 from ironmill.protocol.client import ClientState
 from ironmill.protocol.request import RequestLine, request_attributes
-from ironmill.requests.tracked_request import IncomingRequest
+from ironmill.requests.client_request import IncomingRequest
 
 if TYPE_CHECKING:
     from ironmill.net.clients.connection import ClientConnection
--- a/ironmill/requests/action_executor.py
+++ b/ironmill/requests/action_executor.py
@@ -20,10 +20,10 @@
     Subscribe,
     TimerFired,
 )
+from ironmill.requests.client_request import Attempt, ClientRequest, HealthChecker
 from ironmill.requests.metrics import EventCounts
 from ironmill.requests.request_registry import RequestRegistry
 from ironmill.requests.routing_table import RoutingTable
-from ironmill.requests.tracked_request import Attempt, HealthChecker, TrackedRequest
 from ironmill.runtime.scheduler import Timers
 
 
@@ -86,7 +86,7 @@
         self._counts.add("attempts")
         request.handler.start_attempt(attempt)
 
-    def _may_attempt(self, request: TrackedRequest) -> bool:
+    def _may_attempt(self, request: ClientRequest) -> bool:
         return (
             not request.resolved
             and request.attempt is None  # attempts never overlap
@@ -105,7 +105,7 @@
             request.counter.failed()
             self._requests.finish(request).fail()
 
-    def _unresolved(self, request_id: str) -> TrackedRequest | None:
+    def _unresolved(self, request_id: str) -> ClientRequest | None:
         request = self._requests.by_id.get(request_id)
         return None if request is None or request.resolved else request
 
--- a/ironmill/requests/tracked_request.py
+++ b/ironmill/requests/client_request.py
@@ -72,7 +72,7 @@
     counter: RequestCounter | None = None  # if its driver has counted it already
 
 
-class TrackedRequest(Struct, eq=False):
+class ClientRequest(Struct, eq=False):
     """A client's request, from its arrival until its connection is closed."""
 
     id: str
@@ -90,7 +90,7 @@
 class Attempt(Struct, eq=False):
     """One attempt of a request at one server."""
 
-    request: TrackedRequest
+    request: ClientRequest
     number: int
     server: Server
     started_at: float
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -24,18 +24,18 @@
 from ironmill.configuration.proxy_config import Config
 from ironmill.protocol.discovery import EndpointUpdate
 from ironmill.requests.action_executor import ActionExecutor, ExecutorParts
-from ironmill.requests.decision_loop import DecisionLoop
-from ironmill.requests.metrics import EventCounts, RequestMetrics
-from ironmill.requests.request_registry import RequestRegistry
-from ironmill.requests.round_trips import RoundTripObserver
-from ironmill.requests.routing_table import RoutingTable, Server
-from ironmill.requests.tracked_request import (
+from ironmill.requests.client_request import (
     Attempt,
+    ClientRequest,
     HealthChecker,
     IncomingRequest,
     RequestHandler,
-    TrackedRequest,
 )
+from ironmill.requests.decision_loop import DecisionLoop
+from ironmill.requests.metrics import EventCounts, RequestMetrics
+from ironmill.requests.request_registry import RequestRegistry
+from ironmill.requests.round_trips import RoundTripObserver
+from ironmill.requests.routing_table import RoutingTable, Server
 from ironmill.runtime.lifecycle import Lifecycle, ProcessState
 from ironmill.runtime.scheduler import Timers
 
@@ -104,7 +104,7 @@
         """Returns how many requests there are, established ones included."""
         return len(self.requests)
 
-    def established(self) -> list[TrackedRequest]:
+    def established(self) -> list[ClientRequest]:
         """Returns the requests whose connections are established."""
         return self.requests.established()
 
@@ -153,7 +153,7 @@
         """Notes that a process of the same proxy serves beside this one for at most so many seconds."""
         self.feed(HandoverStarted(self.now() + max_overlap_s))
 
-    def open_request(self, handler: RequestHandler, incoming: IncomingRequest) -> TrackedRequest:
+    def open_request(self, handler: RequestHandler, incoming: IncomingRequest) -> ClientRequest:
         """Takes a new request; its handler gets the orders that follow."""
         class_name = incoming.class_name
         deadline_s = incoming.deadline_s
@@ -216,7 +216,7 @@
         delay = self.now() - attempt.started_at
         self.feed(Ended(request.id, attempt.number, attempt.server.number, outcome, delay, final, report))
 
-    def on_client_closed(self, request: TrackedRequest) -> None:
+    def on_client_closed(self, request: ClientRequest) -> None:
         """Takes a client's close before its final answer. The driver then ends the current attempt."""
         if request.resolved:
             return
@@ -262,7 +262,7 @@
             if not request.resolved:
                 self._resolve_now(request)
 
-    def _resolve_now(self, request: TrackedRequest) -> None:
+    def _resolve_now(self, request: ClientRequest) -> None:
         self.counts.add("resolved at shutdown")
         self.feed(AnswerDue(request.id))
         attempt = request.attempt
@@ -296,7 +296,7 @@
             request.handler.migrate()
 
 
-def _decision_request(request: TrackedRequest, incoming: IncomingRequest) -> Request:
+def _decision_request(request: ClientRequest, incoming: IncomingRequest) -> Request:
     attributes = incoming.attributes
     return Request(
         request.id,
--- a/ironmill/requests/request_registry.py
+++ b/ironmill/requests/request_registry.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from ironmill.balancing.interface import Abandoned, Event
+from ironmill.requests.client_request import NULL_HANDLER, ClientRequest, RequestHandler
 from ironmill.requests.metrics import EventCounts, RequestCounter
-from ironmill.requests.tracked_request import NULL_HANDLER, RequestHandler, TrackedRequest
 from ironmill.runtime.scheduler import Timers
 
 # The gateway itself fails a request that has no decision so long after its deadline.
@@ -29,23 +29,23 @@
         self._feed = feed
         self._counts = counts
         self._serial = itertools.count()
-        self.by_id: dict[str, TrackedRequest] = {}
+        self.by_id: dict[str, ClientRequest] = {}
 
     def __len__(self) -> int:
         """The number of requests, established ones included."""
         return len(self.by_id)
 
-    def add(self, handler: RequestHandler, give_up_at: float, counter: RequestCounter) -> TrackedRequest:
+    def add(self, handler: RequestHandler, give_up_at: float, counter: RequestCounter) -> ClientRequest:
         """Creates a request. Its id is unique in this process, unlike the client's."""
-        request = TrackedRequest(f"a{next(self._serial)}", give_up_at, handler, counter)
+        request = ClientRequest(f"a{next(self._serial)}", give_up_at, handler, counter)
         self.by_id[request.id] = request
         return request
 
-    def all(self) -> list[TrackedRequest]:
+    def all(self) -> list[ClientRequest]:
         """Returns all requests as they are now."""
         return list(self.by_id.values())
 
-    def established(self) -> list[TrackedRequest]:
+    def established(self) -> list[ClientRequest]:
         """Returns the requests whose connections are established."""
         return [request for request in self.by_id.values() if request.established]
 
@@ -53,19 +53,19 @@
         """Returns how many requests have no final answer yet."""
         return sum(1 for request in self.by_id.values() if not request.resolved)
 
-    def watch_deadline(self, request: TrackedRequest) -> None:
+    def watch_deadline(self, request: ClientRequest) -> None:
         """Fails the request if nothing has resolved it shortly after its deadline."""
         request.deadline_timer = self._timers.call_later(
             request.give_up_at - self._now() + OVERDUE_DELAY_S, self.fail_overdue, request
         )
 
-    def resolve(self, request: TrackedRequest) -> None:
+    def resolve(self, request: ClientRequest) -> None:
         """Records that no answer is due any more."""
         request.resolved = True
         self._timers.cancel(request.deadline_timer)
         request.deadline_timer = None
 
-    def finish(self, request: TrackedRequest) -> RequestHandler:
+    def finish(self, request: ClientRequest) -> RequestHandler:
         """Resolves the request and removes it unless an attempt is running; returns its handler."""
         self.resolve(request)
         handler = request.handler
@@ -73,19 +73,19 @@
             self.remove(request)
         return handler
 
-    def abandon(self, request: TrackedRequest) -> RequestHandler:
+    def abandon(self, request: ClientRequest) -> RequestHandler:
         """Finishes a request that the balancer has not decided, and notifies it; returns the handler."""
         handler = self.finish(request)
         self._feed(Abandoned(request.id))
         return handler
 
-    def remove(self, request: TrackedRequest) -> None:
+    def remove(self, request: ClientRequest) -> None:
         """Forgets a request whose connection is closed."""
         self.by_id.pop(request.id, None)
         request.counter.closed()
         request.handler = NULL_HANDLER
 
-    def fail_overdue(self, request: TrackedRequest) -> None:
+    def fail_overdue(self, request: ClientRequest) -> None:
         """Fails a request that has no decision; does nothing if it is resolved."""
         if request.resolved:
             return
--- a/ironmill/requests/round_trips.py
+++ b/ironmill/requests/round_trips.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
+from ironmill.requests.client_request import Attempt
 from ironmill.requests.response_delay import DelayMeter
 from ironmill.requests.routing_table import Server
-from ironmill.requests.tracked_request import Attempt
 from ironmill.runtime.scheduler import Timers
 
 
--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -11,7 +11,7 @@
 from ironmill.balancing.interface import Stage
 from ironmill.configuration.proxy_config import Config
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer
-from ironmill.requests.tracked_request import Attempt
+from ironmill.requests.client_request import Attempt
 from ironmill.runtime.timers import TimerQueue
 from tests.support.balancing import SETTINGS
 
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -9,9 +9,9 @@
 from ironmill.net.health_check import HealthCheckDriver
 from ironmill.net.sockets import Stream
 from ironmill.protocol.server import HealthCheckProtocol, LoadReport
+from ironmill.requests.client_request import IncomingRequest
 from ironmill.requests.gateway import Gateway
 from ironmill.requests.routing_table import Server
-from ironmill.requests.tracked_request import IncomingRequest
 from tests.support.proxy_under_test import ProxyUnderTest, read_line
 from tests.support.requests import FakeTimers, RecordingHandler, config
 
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -14,11 +14,11 @@
 from ironmill.protocol.discovery import EndpointUpdate, parse_endpoint_update
 from ironmill.protocol.json_object import JsonObject, MalformedError
 from ironmill.protocol.request import RequestAttributes
+from ironmill.requests.client_request import Attempt, IncomingRequest
 from ironmill.requests.gateway import Gateway
 from ironmill.requests.request_registry import OVERDUE_DELAY_S
 from ironmill.requests.response_delay import UNRESPONSIVE_TIMEOUT_S, DelayMeter
 from ironmill.requests.routing_table import RoutingTable
-from ironmill.requests.tracked_request import Attempt, IncomingRequest
 from tests.support.balancing import SETTINGS
 from tests.support.requests import FakeTimers, RecordingHandler, config, listed
 
--- a/tests/unit/requests/test_longest_turn.py
+++ b/tests/unit/requests/test_longest_turn.py
@@ -8,8 +8,8 @@
 from ironmill.balancing.interface import Stage
 from ironmill.protocol.discovery import EndpointUpdate
 from ironmill.protocol.request import RequestAttributes
+from ironmill.requests.client_request import IncomingRequest
 from ironmill.requests.gateway import Gateway
-from ironmill.requests.tracked_request import IncomingRequest
 from tests.support.requests import FakeTimers, RecordingHandler, config, listed
 
 SERVERS = 3200
