--- a/ironmill/net/admin_server.py
+++ b/ironmill/net/admin_server.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from ironmill.administration.http import HttpExchange
 
-MAX_CONNECTIONS = 12  # at once; their descriptors are among those that Admission reserves
+MAX_CONNECTIONS = 12  # at once; their descriptors are among those that ConnectionLimiter reserves
 REQUEST_TIMEOUT_S = 3.0  # from the accept to the end of the request
 RESPONSE_TIMEOUT_S = 1.0  # for the response to be written
 CLOSE_TIMEOUT_S = 0.2  # for the peer to close as well
--- a/ironmill/net/clients/closing.py
+++ b/ironmill/net/clients/closing.py
@@ -9,7 +9,7 @@
 from ironmill.net.sockets import TimedOutError
 from ironmill.protocol.client import ERROR_LINE
 from ironmill.protocol.request import busy_line
-from ironmill.requests.admission import Admission
+from ironmill.requests.connection_limiter import ConnectionLimiter
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.scheduler import Scheduler
 
@@ -25,15 +25,20 @@
 class ConnectionCloser:
     """Gives final answers and closes connections."""
 
-    __slots__ = ("_admission", "_gateway", "_scheduler", "_sends_retry_after")
+    __slots__ = ("_connection_limiter", "_gateway", "_scheduler", "_sends_retry_after")
 
     def __init__(
-        self, scheduler: Scheduler, gateway: Gateway, admission: Admission, *, sends_retry_after: bool
+        self,
+        scheduler: Scheduler,
+        gateway: Gateway,
+        connection_limiter: ConnectionLimiter,
+        *,
+        sends_retry_after: bool,
     ) -> None:
         """``sends_retry_after``: the settings allow a time in the line ``BUSY``."""
         self._scheduler = scheduler
         self._gateway = gateway
-        self._admission = admission
+        self._connection_limiter = connection_limiter
         self._sends_retry_after = sends_retry_after
 
     def busy(self, retry_after_s: float) -> bytes:
@@ -49,7 +54,7 @@
         stream = connection.stream
         if stream.closed:
             return
-        may_linger = connection.ticket is None or self._admission.start_leaving(connection.ticket)
+        may_linger = connection.slot is None or self._connection_limiter.start_leaving(connection.slot)
         try:
             stream.send(line, GRACEFUL_CLOSE_TIMEOUT_S)
         except (OSError, TimedOutError):
@@ -80,7 +85,7 @@
     def reject_violation(self, connection: ClientConnection, reason: str | None) -> None:
         """Answers a client that broke the protocol with one error line; logs the reason if there is one."""
         if reason is not None:
-            self._admission.log_violation(reason)
+            self._connection_limiter.log_violation(reason)
         connection.protocol.close()
         if connection.counter is not None:
             connection.counter.failed()
--- a/ironmill/net/clients/connection.py
+++ b/ironmill/net/clients/connection.py
@@ -14,8 +14,8 @@
 from ironmill.protocol.client import ERROR_LINE, ClientProtocol, ClientState
 from ironmill.protocol.lines import LINE_END
 from ironmill.protocol.request import MalformedLineError, RequestLine, parse_request_line
-from ironmill.requests.admission import Ticket
 from ironmill.requests.client_request import Attempt, ClientRequest
+from ironmill.requests.connection_limiter import ConnectionSlot
 from ironmill.requests.metrics import RequestCounter
 from ironmill.runtime.scheduler import Task
 
@@ -44,8 +44,8 @@
         "request_line",
         "request_line_deadline",
         "service",
+        "slot",
         "stream",
-        "ticket",
     )
 
     def __init__(self, service: ClientService, stream: Stream) -> None:
@@ -58,7 +58,7 @@
         self.caller: CallerSession | None = (
             None if callers is None else callers.new_session(self, stream.peer_address())
         )
-        self.ticket: Ticket | None = None
+        self.slot: ConnectionSlot | None = None
         self.request_line: RequestLine | None = None  # until the connection is established
         self.request_line_deadline = 0.0
         self.counter: RequestCounter | None = None  # from the request line on
@@ -73,8 +73,8 @@
 
     def start(self) -> None:
         """Begins to read, or rejects the client if there is no capacity."""
-        self.ticket = self.service.admission.enter(self._evict)
-        if self.ticket is None:
+        self.slot = self.service.connection_limiter.enter(self._evict)
+        if self.slot is None:
             self._count_unread_request()
             self.service.closer.reject_immediately(self, NO_CAPACITY_RETRY_AFTER_S)
             return
@@ -163,12 +163,12 @@
             if self.request is not None:
                 self.service.gateway.on_client_closed(self.request)
             self.service.closer.finish(self, b"" if was_established else ERROR_LINE)
-        finally:  # a second exception must not leak the descriptor, the id or the ticket
+        finally:  # a second exception must not leak the descriptor, the id or the slot
             self.stream.abort()
 
     def _on_stream_closed(self) -> None:
-        if self.ticket is not None:
-            self.service.admission.leave(self.ticket)
+        if self.slot is not None:
+            self.service.connection_limiter.leave(self.slot)
         if self.counter is not None:
             self.counter.closed()
         if self.caller is not None:
--- a/ironmill/net/clients/intake.py
+++ b/ironmill/net/clients/intake.py
@@ -22,11 +22,11 @@
 class RequestIntake:
     """Decides whether a request is passed to the gateway."""
 
-    __slots__ = ("_admission", "_closer", "_gateway", "_scheduler")
+    __slots__ = ("_closer", "_connection_limiter", "_gateway", "_scheduler")
 
     def __init__(self, service: ClientService) -> None:
         """Uses the service's closer, which must exist."""
-        self._admission = service.admission
+        self._connection_limiter = service.connection_limiter
         self._closer = service.closer
         self._gateway = service.gateway
         self._scheduler = service.scheduler
@@ -76,8 +76,8 @@
 
     def _admit(self, connection: ClientConnection, line: RequestLine) -> bool:
         """Returns False if the request got its final answer: draining, not permitted, or no capacity."""
-        ticket = connection.ticket
-        assert ticket is not None
+        slot = connection.slot
+        assert slot is not None
         if not self._gateway.lifecycle.policy.admits_requests:
             self._closer.reject(connection, DRAINING_RETRY_AFTER_S)
             return False
@@ -86,10 +86,10 @@
             connection, caller.request_connection(line.class_name)
         ):
             return False
-        if not self._admission.claim_id(ticket, line.id):
+        if not self._connection_limiter.claim_id(slot, line.id):
             self._closer.reject_violation(connection, "the id of an open connection")
             return False
-        if not self._admission.admit(ticket):
+        if not self._connection_limiter.admit(slot):
             self._closer.reject(connection, NO_CAPACITY_RETRY_AFTER_S)
             return False
         return True
--- a/ironmill/net/clients/reading.py
+++ b/ironmill/net/clients/reading.py
@@ -34,11 +34,11 @@
 class ClientReader:
     """Reads from clients and dispatches the events."""
 
-    __slots__ = ("_admission", "_closer", "_gateway", "_intake", "_relay", "_scheduler")
+    __slots__ = ("_closer", "_connection_limiter", "_gateway", "_intake", "_relay", "_scheduler")
 
     def __init__(self, service: ClientService) -> None:
         """Uses the service's other parts, which must exist."""
-        self._admission = service.admission
+        self._connection_limiter = service.connection_limiter
         self._closer = service.closer
         self._gateway = service.gateway
         self._intake = service.intake
@@ -58,7 +58,7 @@
         except OSError as error:
             is_first = protocol.state is ClientState.AWAITING_REQUEST
             if is_first and not isinstance(error, ConnectionResetError):
-                self._admission.log_violation(str(error))
+                self._connection_limiter.log_violation(str(error))
             self._closer.client_closed(connection, reset=True)
         else:
             has_request = connection.request is not None or connection.request_line is not None
@@ -114,7 +114,7 @@
         if connection.protocol.has_partial_line:
             self._closer.reject_violation(connection, "the request line was not complete in time")
         else:
-            self._admission.log_violation("no request line in time")
+            self._connection_limiter.log_violation("no request line in time")
             self._closer.finish(connection, self._closer.busy(NO_CAPACITY_RETRY_AFTER_S))
 
     def _handle(self, connection: ClientConnection, event: ClientEvent) -> None:
--- a/ironmill/net/clients/service.py
+++ b/ironmill/net/clients/service.py
@@ -16,7 +16,7 @@
 from ironmill.net.clients.reading import ClientReader
 from ironmill.net.clients.relaying import DataRelay
 from ironmill.net.sockets import Stream
-from ironmill.requests.admission import Admission
+from ironmill.requests.connection_limiter import ConnectionLimiter
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.scheduler import Scheduler
 
@@ -30,7 +30,7 @@
     scheduler: Scheduler
     gateway: Gateway
     config: Config
-    admission: Admission
+    connection_limiter: ConnectionLimiter
     callers: Callers | None = None  # None where callers are not identified
     dial: Dial | None = None  # None: plain TCP
 
@@ -39,10 +39,10 @@
     """Serves accepted clients."""
 
     __slots__ = (
-        "admission",
         "callers",
         "closer",
         "config",
+        "connection_limiter",
         "dial",
         "gateway",
         "intake",
@@ -57,13 +57,13 @@
         self.scheduler = dependencies.scheduler
         self.gateway = dependencies.gateway
         self.config = dependencies.config
-        self.admission = dependencies.admission
+        self.connection_limiter = dependencies.connection_limiter
         self.callers = dependencies.callers
         self.dial = dependencies.dial or partial(Stream.connect, self.scheduler)
         self.closer = ConnectionCloser(
             self.scheduler,
             self.gateway,
-            self.admission,
+            self.connection_limiter,
             sends_retry_after=self.config.settings.max_retry_after > 0.0,
         )
         self.migrator = ConnectionMigrator(self.scheduler, self.closer)
--- a/ironmill/net/health_check.py
+++ b/ironmill/net/health_check.py
@@ -15,7 +15,8 @@
 from ironmill.runtime.system_calls import RESOURCE_EXHAUSTED_ERRNOS
 
 REPLY_TIMEOUT_S = 0.5
-MAX_CONNECTIONS = 20  # reserved in ``admission.RESERVED_DESCRIPTORS``; the least recently used is closed
+# Reserved in ``connection_limiter.RESERVED_DESCRIPTORS``; the least recently used is closed.
+MAX_CONNECTIONS = 20
 
 
 class HealthCheckDriver:
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -22,7 +22,7 @@
 from ironmill.net.shutdown import Shutdown, ShutdownContext
 from ironmill.net.signals import Signals
 from ironmill.net.sockets import Stream
-from ironmill.requests.admission import Admission
+from ironmill.requests.connection_limiter import ConnectionLimiter
 from ironmill.requests.discovery_backoff import DiscoveryBackoff
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.gc_schedule import GcSchedule
@@ -72,7 +72,7 @@
         if self.listener.has_predecessor:
             self.gateway.on_predecessor(MAX_SUCCESSION_S)
         self.discovery = self._build_discovery()
-        self.admission = Admission(config.sockets)
+        self.connection_limiter = ConnectionLimiter(config.sockets)
         self._features = self._build_features(options)
         self._clients = self._build_clients()
         self.reload = self._build_reload(options)
@@ -120,7 +120,7 @@
         callers = None if self._features is None else self._features.callers
         return ClientService(
             ClientDependencies(
-                self.scheduler, self.gateway, self._config, self.admission, callers, self._connect
+                self.scheduler, self.gateway, self._config, self.connection_limiter, callers, self._connect
             )
         )
 
@@ -167,7 +167,7 @@
 
     def _handle_signals(self) -> None:
         context = ShutdownContext(
-            self.scheduler, self.gateway, self, self._config, self.admission, self.admin_server
+            self.scheduler, self.gateway, self, self._config, self.connection_limiter, self.admin_server
         )
         shutdown = Shutdown(context)
         self._signals.on(signal.SIGHUP, self.reload.run)
@@ -181,7 +181,11 @@
             log.info("another process listens there: clients are accepted once discovery has answered")
         for listener in self._listeners[1:]:
             log.info("listening for TLS on %s:%d", *listener.address)
-        log.info("of %d descriptors %d are for clients", self._config.sockets, self.admission.max_descriptors)
+        log.info(
+            "of %d descriptors %d are for clients",
+            self._config.sockets,
+            self.connection_limiter.max_descriptors,
+        )
 
     def _first_poll_timeout_s(self) -> float:
         if self.listener.has_predecessor:
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -11,7 +11,7 @@
 from ironmill.configuration.proxy_config import Config
 from ironmill.net.bulk_migration import BulkMigration
 from ironmill.net.clients.closing import REJECTED_CLOSE_TIMEOUT_S
-from ironmill.requests.admission import Admission
+from ironmill.requests.connection_limiter import ConnectionLimiter
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.lifecycle import TERMINAL_STATES, LifecycleEvent
 from ironmill.runtime.scheduler import Scheduler
@@ -75,7 +75,7 @@
     gateway: Gateway
     acceptor: ConnectionAcceptor
     config: Config
-    admission: Admission
+    connection_limiter: ConnectionLimiter
     admin_server: AdminServer | None = None
 
 
@@ -88,7 +88,7 @@
         self._gateway = context.gateway
         self._acceptor = context.acceptor
         self._config = context.config
-        self._admission = context.admission
+        self._connection_limiter = context.connection_limiter
         self._admin_server = context.admin_server
 
     def run(self) -> None:
@@ -135,5 +135,5 @@
         later round if the line is still incomplete then.
         """
         while time.monotonic() < until:
-            self._admission.evict_silent()
+            self._connection_limiter.evict_silent()
             self._scheduler.sleep(EVICTION_INTERVAL_S)
--- a/ironmill/requests/admission.py
+++ b/ironmill/requests/connection_limiter.py
@@ -52,19 +52,19 @@
     return False
 
 
-class Ticket:
+class ConnectionSlot:
     """One client's connection, as it is counted."""
 
     __slots__ = ("client_id", "evict", "phase")
 
     def __init__(self, evict: Evict) -> None:
-        """Is created by ``Admission.enter``."""
+        """Is created by ``ConnectionLimiter.enter``."""
         self.evict = evict
         self.client_id = ""  # once it is claimed
         self.phase = Phase.SILENT
 
 
-class Admission:
+class ConnectionLimiter:
     """Counts clients' connections and their attempts, and knows which client ids are in use."""
 
     def __init__(self, sockets: int) -> None:
@@ -72,7 +72,7 @@
         self.max_descriptors = max(MIN_CLIENT_DESCRIPTORS, sockets - RESERVED_DESCRIPTORS)
         self.max_silent = max(MIN_CLIENT_DESCRIPTORS // 2, sockets // SILENT_DIVISOR)
         self.max_leaving = max(MIN_CLIENT_DESCRIPTORS // 4, sockets // LEAVING_DIVISOR)
-        self._silent: dict[Ticket, None] = {}  # the oldest first
+        self._silent: dict[ConnectionSlot, None] = {}  # the oldest first
         self._admitted = 0
         self._leaving = 0
         self._client_ids: set[str] = set()
@@ -82,53 +82,53 @@
         """Returns how many descriptors clients use or have reserved for their attempts."""
         return len(self._silent) + 2 * self._admitted + self._leaving
 
-    def enter(self, evict: Evict) -> Ticket | None:
+    def enter(self, evict: Evict) -> ConnectionSlot | None:
         """Counts an accepted connection; evicts a silent one if necessary. None if there is no room."""
         if len(self._silent) >= self.max_silent or self.used() >= self.max_descriptors:
             self._make_room()
         if self.used() >= self.max_descriptors:
             return None
-        ticket = Ticket(evict)
-        self._silent[ticket] = None
-        return ticket
+        slot = ConnectionSlot(evict)
+        self._silent[slot] = None
+        return slot
 
-    def admit(self, ticket: Ticket) -> bool:
+    def admit(self, slot: ConnectionSlot) -> bool:
         """Reserves a descriptor for the attempt of a silent connection. Returns False if there is none."""
-        if ticket.phase is not Phase.SILENT:
+        if slot.phase is not Phase.SILENT:
             return False
-        del self._silent[ticket]
+        del self._silent[slot]
         if self.used() + 2 > self.max_descriptors:
             self._make_room()
         if self.used() + 2 > self.max_descriptors:
-            self._silent[ticket] = None
+            self._silent[slot] = None
             return False
-        ticket.phase = Phase.ADMITTED
+        slot.phase = Phase.ADMITTED
         self._admitted += 1
         return True
 
-    def claim_id(self, ticket: Ticket, client_id: str) -> bool:
+    def claim_id(self, slot: ConnectionSlot, client_id: str) -> bool:
         """Reserves a client id until the connection leaves; False if another open connection has it."""
         if client_id in self._client_ids:
             return False
-        ticket.client_id = client_id
+        slot.client_id = client_id
         self._client_ids.add(client_id)
         return True
 
-    def start_leaving(self, ticket: Ticket) -> bool:
+    def start_leaving(self, slot: ConnectionSlot) -> bool:
         """Counts a connection that has its final answer.
 
         Returns False if too many are leaving; the connection must then be closed without a delay.
         """
-        self._uncount(ticket)
+        self._uncount(slot)
         if self._leaving >= self.max_leaving:
             return False
-        ticket.phase = Phase.LEAVING
+        slot.phase = Phase.LEAVING
         self._leaving += 1
         return True
 
-    def leave(self, ticket: Ticket) -> None:
+    def leave(self, slot: ConnectionSlot) -> None:
         """Ends the count of a connection whose socket is closed. Further calls do nothing."""
-        self._uncount(ticket)
+        self._uncount(slot)
 
     def log_violation(self, reason: str) -> None:
         """Logs why a client was rejected, at a limited rate."""
@@ -138,24 +138,24 @@
 
     def evict_silent(self) -> None:
         """Ends all silent connections at shutdown, with time for their answers to arrive."""
-        for ticket in list(self._silent):
-            ticket.evict(immediately=False)
+        for slot in list(self._silent):
+            slot.evict(immediately=False)
 
     def _make_room(self) -> None:
         """Evicts the oldest silent connection that has no unread bytes; others are about to be read."""
-        for ticket in islice(self._silent, MAX_EVICTION_CANDIDATES):
-            if ticket.evict(immediately=True):
-                self._uncount(ticket)
+        for slot in islice(self._silent, MAX_EVICTION_CANDIDATES):
+            if slot.evict(immediately=True):
+                self._uncount(slot)
                 return
 
-    def _uncount(self, ticket: Ticket) -> None:
-        if ticket.phase is Phase.SILENT:
-            self._silent.pop(ticket, None)
-        elif ticket.phase is Phase.ADMITTED:
+    def _uncount(self, slot: ConnectionSlot) -> None:
+        if slot.phase is Phase.SILENT:
+            self._silent.pop(slot, None)
+        elif slot.phase is Phase.ADMITTED:
             self._admitted -= 1
-        elif ticket.phase is Phase.LEAVING:
+        elif slot.phase is Phase.LEAVING:
             self._leaving -= 1
-        ticket.phase = Phase.CLOSED
-        ticket.evict = _nothing_to_evict  # breaks the cycle between the ticket and its connection
-        self._client_ids.discard(ticket.client_id)
-        ticket.client_id = ""
+        slot.phase = Phase.CLOSED
+        slot.evict = _nothing_to_evict  # breaks the cycle between the slot and its connection
+        self._client_ids.discard(slot.client_id)
+        slot.client_id = ""
--- a/tests/support/proxy_under_test.py
+++ b/tests/support/proxy_under_test.py
@@ -13,7 +13,7 @@
 from ironmill.net.listener import Listener
 from ironmill.net.sockets import Stream
 from ironmill.protocol.discovery import EndpointUpdate, ListedServer
-from ironmill.requests.admission import Admission
+from ironmill.requests.connection_limiter import ConnectionLimiter
 from ironmill.requests.discovery_backoff import DiscoveryBackoff
 from ironmill.requests.gateway import Gateway
 from ironmill.runtime.scheduler import Scheduler
@@ -38,7 +38,7 @@
         )
         self.config = config(EndpointUpdate(1, True, listed), **changes)
         self.gateway = Gateway(self.config, self.scheduler)
-        self.admission = Admission(self.config.sockets)
+        self.connection_limiter = ConnectionLimiter(self.config.sockets)
         self.callers: Callers | None = None
         self.dial: Dial | None = None
         self.listener = Listener(self.scheduler, ("127.0.0.1", 0), self._take)
@@ -48,7 +48,7 @@
     def _take(self, stream: Stream) -> None:
         ClientService(
             ClientDependencies(
-                self.scheduler, self.gateway, self.config, self.admission, self.callers, self.dial
+                self.scheduler, self.gateway, self.config, self.connection_limiter, self.callers, self.dial
             )
         ).serve(stream)
 
--- a/tests/support/tls.py
+++ b/tests/support/tls.py
@@ -81,7 +81,7 @@
 
 def wait_until_released(proxy: ProxyUnderTest) -> None:
     """Waits until the proxy has neither requests nor descriptors of clients."""
-    proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.admission.used() == 0)
+    proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.connection_limiter.used() == 0)
 
 
 class UpstreamTlsProxyUnderTest(ProxyUnderTest):
--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -16,11 +16,11 @@
 
 def test_evicts_silent_clients_for_clients_with_requests() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
-        max_silent = proxy.admission.max_silent
+        max_silent = proxy.connection_limiter.max_silent
         silent = [proxy.client() for _ in range(max_silent + 2)]
         assert read_line(silent[0]) == read_line(silent[1]) == b"BUSY 500\r\n"
         assert proxy.established_pair()
-        assert proxy.admission.used() <= proxy.admission.max_descriptors
+        assert proxy.connection_limiter.used() <= proxy.connection_limiter.max_descriptors
 
     ProxyUnderTest(sockets=64).run(scenario)
 
@@ -28,7 +28,7 @@
 def test_rejects_client_immediately_if_nothing_can_be_evicted() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         pairs = []
-        for at in range(proxy.admission.max_descriptors // 2):
+        for at in range(proxy.connection_limiter.max_descriptors // 2):
             pairs.append(proxy.client(OPEN.replace(b"1a", b"%x" % at)))
             attempt = proxy.next_attempt()
             read_line(attempt)
@@ -36,7 +36,9 @@
         late = proxy.client(OPEN.replace(b"1a", b"ffff"))
         assert read_line(late).startswith(b"BUSY ")
         pairs[0].close()
-        proxy.wait_until(lambda: proxy.admission.used() <= proxy.admission.max_descriptors - 2)
+        proxy.wait_until(
+            lambda: proxy.connection_limiter.used() <= proxy.connection_limiter.max_descriptors - 2
+        )
         assert proxy.established_pair()
 
     ProxyUnderTest(sockets=64).run(scenario)
@@ -44,10 +46,10 @@
 
 def test_last_answer_precedes_the_close_without_lingering() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
-        proxy.admission.max_leaving = 0
+        proxy.connection_limiter.max_leaving = 0
         with raw_client(proxy, b"HELLO\r\n" + b"x" * (READ_BYTES + 9)) as client:
             assert read_to_end(proxy, client) == b"ERR\r\n"
-        proxy.admission.max_descriptors = 0
+        proxy.connection_limiter.max_descriptors = 0
         with raw_client(proxy, OPEN + b"x" * READ_BYTES) as client:
             assert read_to_end(proxy, client) == b"BUSY 500\r\n"
 
@@ -57,21 +59,21 @@
 def test_silent_client_with_an_unread_request_is_not_evicted() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         with raw_client(proxy) as oldest, raw_client(proxy) as second:
-            proxy.wait_until(lambda: len(proxy.admission._silent) == 2)
-            proxy.admission.max_silent = 2
+            proxy.wait_until(lambda: len(proxy.connection_limiter._silent) == 2)
+            proxy.connection_limiter.max_silent = 2
             oldest.sendall(OPEN)
-            ticket = proxy.admission.enter(lambda *, immediately: True)
-            assert ticket is not None
+            slot = proxy.connection_limiter.enter(lambda *, immediately: True)
+            assert slot is not None
             assert read_to_end(proxy, second) == b"BUSY 500\r\n"
             read_line(proxy.next_attempt())
-            proxy.admission.leave(ticket)
+            proxy.connection_limiter.leave(slot)
 
     ProxyUnderTest().run(scenario)
 
 
 def test_rejection_states_no_time_where_the_settings_forbid_it() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
-        proxy.admission.max_descriptors = 0
+        proxy.connection_limiter.max_descriptors = 0
         with raw_client(proxy, OPEN) as client:
             assert read_to_end(proxy, client) == b"BUSY\r\n"
 
@@ -88,7 +90,7 @@
             return super().send(data[:1], flags)
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        proxy.admission.max_descriptors = 0
+        proxy.connection_limiter.max_descriptors = 0
         monkeypatch.setattr(sockets_module.socket, "socket", Short)
         with raw_client(proxy, OPEN) as client:
             assert read_to_end(proxy, client) == b"BUSY 500\r\n"
--- a/tests/system/test_attempts.py
+++ b/tests/system/test_attempts.py
@@ -114,7 +114,7 @@
         assert proxy.gateway.metrics.attempts == 0
         assert not servers
         assert not proxy.gateway.request_count()
-        assert not proxy.admission.used()
+        assert not proxy.connection_limiter.used()
 
     ProxyUnderTest().run(scenario)
 
@@ -241,9 +241,9 @@
             read_line(attempt)
             proxy.gateway.resolve_all()
         assert read_line(client).split()[0] == (b"ERR" if step == "_request" else b"BUSY")
-        proxy.wait_until(lambda: not proxy.admission.used())
+        proxy.wait_until(lambda: not proxy.connection_limiter.used())
         assert not proxy.gateway.request_count()
-        assert not proxy.admission._client_ids
+        assert not proxy.connection_limiter._client_ids
         counted = proxy.gateway.metrics.classes["read"]
         assert (counted.received, counted.failed + counted.rejected, counted.pending) == (1, 1, 0)
         assert proxy.gateway.metrics.in_progress == 0
@@ -273,7 +273,7 @@
         monkeypatch.undo()
         assert read_line(second) == b"BUSY 100\r\n"
         first.close()
-        proxy.wait_until(lambda: not proxy.admission.used())
+        proxy.wait_until(lambda: not proxy.connection_limiter.used())
 
     reject = ClientConnection.reject
     ProxyUnderTest(0).run(scenario)
--- a/tests/system/test_garbage_collection.py
+++ b/tests/system/test_garbage_collection.py
@@ -91,13 +91,15 @@
 
     def run(proxy: ProxyUnderTest) -> None:
         scenario(proxy)
-        proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.admission.used() == 0)
+        proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.connection_limiter.used() == 0)
         gc.collect()
         gc.set_debug(gc.DEBUG_SAVEALL)
         try:
             for _ in range(3):
                 scenario(proxy)
-                proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.admission.used() == 0)
+                proxy.wait_until(
+                    lambda: not proxy.gateway.request_count() and proxy.connection_limiter.used() == 0
+                )
             proxy.scheduler.sleep(0.01)
             gc.collect()
             seen.update(
--- a/tests/system/test_migration_and_shutdown.py
+++ b/tests/system/test_migration_and_shutdown.py
@@ -68,7 +68,9 @@
         signals.on(
             signal.SIGTERM,
             Shutdown(
-                ShutdownContext(proxy.scheduler, proxy.gateway, proxy.listener, proxy.config, proxy.admission)
+                ShutdownContext(
+                    proxy.scheduler, proxy.gateway, proxy.listener, proxy.config, proxy.connection_limiter
+                )
             ).run,
         )
         signals.on(signal.SIGHUP, lambda: hung_up.append(True))
@@ -134,7 +136,9 @@
     for name, value in {"ACCEPT_PERIOD_S": 0.02, "MAX_DEADLINE_S": 0.05, "KILL_GRACE_S": 0.6}.items():
         monkeypatch.setattr(shutdown_module, name, value)
     return Shutdown(
-        ShutdownContext(proxy.scheduler, proxy.gateway, proxy.listener, proxy.config, proxy.admission)
+        ShutdownContext(
+            proxy.scheduler, proxy.gateway, proxy.listener, proxy.config, proxy.connection_limiter
+        )
     )
 
 
@@ -195,7 +199,7 @@
             raw_client(proxy) as silent,
             raw_client(proxy) as late,
         ):
-            proxy.wait_until(lambda: len(proxy.admission._silent) == 3)
+            proxy.wait_until(lambda: len(proxy.connection_limiter._silent) == 3)
 
             def received(state: ProcessState) -> None:
                 if state is ProcessState.FINALIZING:
@@ -245,7 +249,7 @@
         assert read_line(client) == b"ERR\r\n"
         assert client.receive(5.0) == b""
         client.close()
-        proxy.wait_until(lambda: not proxy.admission.used())
+        proxy.wait_until(lambda: not proxy.connection_limiter.used())
         assert not proxy.gateway.resuming
         assert proxy.gateway.metrics.classes["read"].failed == 1
 
--- a/tests/system/test_relaying.py
+++ b/tests/system/test_relaying.py
@@ -153,7 +153,7 @@
                 proxy.scheduler.sleep(0.0)
             attempt.shutdown_write()
         proxy.wait_until(lambda: not proxy.gateway.request_count())
-        assert not proxy.admission.used()
+        assert not proxy.connection_limiter.used()
 
     ProxyUnderTest().run(scenario)
 
@@ -209,7 +209,7 @@
         server.send(b"UP r1\r\n")
         assert read_line(client) == b"UP r1\r\n"
         proxy.wait_until(lambda: not proxy.gateway.request_count())
-        assert not proxy.admission.used()
+        assert not proxy.connection_limiter.used()
 
     ProxyUnderTest().run(scenario)
     assert not failed
--- a/tests/system/test_request_intake.py
+++ b/tests/system/test_request_intake.py
@@ -69,7 +69,7 @@
         assert read_line(attempt) == b"hey\r\n"
         client.close()
         assert attempt.receive(5.0) == b""
-        proxy.wait_until(lambda: not proxy.admission.used())
+        proxy.wait_until(lambda: not proxy.connection_limiter.used())
         assert proxy.established_pair()  # the id is free again
 
     ProxyUnderTest().run(scenario)
--- a/tests/system/test_sockets.py
+++ b/tests/system/test_sockets.py
@@ -165,7 +165,7 @@
             attempt.send(b"line\r\n")
         else:
             client.send(b"line\r\n")
-        proxy.wait_until(lambda: not proxy.gateway.request_count() and not proxy.admission.used())
+        proxy.wait_until(lambda: not proxy.gateway.request_count() and not proxy.connection_limiter.used())
         assert stream.closed
         if call != "setsockopt":
             with contextlib.suppress(ConnectionResetError):
