--- a/ironmill/balancing/__init__.py
+++ b/ironmill/balancing/__init__.py
@@ -1,8 +1,8 @@
-"""Every decision on placement, retries, load shedding and migration.
+"""Decision logic for placement, retries, load shedding and migration.
 
-Owns what one proxy knows of servers, connection groups and requests. It has no I/O and no clock: a caller
-hands in events with their time and carries out the actions that are returned. Imports nothing else of the
-project.
+The package holds the state that one proxy keeps of servers, connection groups and requests. It does no I/O
+and reads no clock: the caller passes in each event with its time and carries out the returned actions. It
+imports no other package of the project.
 """
 
 from ironmill.balancing.balancer import Balancer
--- a/ironmill/balancing/balancer.py
+++ b/ironmill/balancing/balancer.py
@@ -1,9 +1,9 @@
-"""The decisions of one proxy: dispatches each event to the module that owns its concern.
+"""The decision engine of one proxy, which dispatches each event to the module responsible for it.
 
-A proxy hands each event to its ``Balancer`` with the time, and carries out the actions that are returned.
-Requests are placed by the self-learning threshold rule (``placement``). The other modules change the counts
-that the rule compares, which servers are ready, or when a connection is placed or migrated;
-``docs/design.md`` lists them with their conditions.
+A proxy passes each event and its time to its ``Balancer`` and carries out the returned actions. Requests are
+placed by the self-learning threshold rule (``placement``). The other modules determine the counts that the
+rule compares, which servers are ready, and when a connection is placed or migrated; ``docs/design.md`` lists
+them with their conditions.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 
 
 class Balancer:
-    """The decisions of one proxy. Equal settings, seed and events give equal actions."""
+    """The decision engine of one proxy. Equal settings, seeds and events produce equal actions."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        """Creates the decisions of a proxy that starts at ``now``."""
+        """Creates the engine of a proxy that starts at ``now``. Random decisions depend on ``seed``."""
         state = BalancerState(settings, seed, now)
         self._state = state
         self._slow_start = SlowStartBudget(settings, state.rng, now)
@@ -70,7 +70,7 @@
         self._health_checks.start()
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Takes in one event and returns the actions to carry out, in order."""
+        """Processes one event and returns the actions to carry out, in order."""
         state = self._state
         state.now = now
         match event:
@@ -89,33 +89,33 @@
             case Resumed():
                 self._requests.connection_resumed(event)
             case HealthChecked():
-                self._health_checks.checked(event)
+                self._health_checks.result_received(event)
             case Abandoned():
                 self._requests.request_abandoned(event)
             case AnswerDue():
                 self._requests.answer_due(event)
             case HandoverStarted():
-                self._slow_start.grant_from(event.until)
+                self._slow_start.withhold_until(event.until)
         actions = state.actions
         state.actions = []
         return actions
 
     @property
     def threshold(self) -> int:
-        """The threshold of the rule, 0 before the first placement."""
+        """The current threshold of the placement rule, or 0 before the first placement."""
         return self._placement.threshold or 0
 
     def connection_counts(self) -> dict[int, int]:
-        """Returns the own connections and attempts in flight, by server."""
+        """Returns the number of this proxy's connections and attempts in flight on each server."""
         return {server.server_id: server.connections for server in self._state.servers.values()}
 
     def token_counts(self) -> dict[int, int]:
-        """Returns the count of each ready server that the rule compares."""
+        """Returns the count that the rule compares, for each server that may receive new connections."""
         table = self._counts.table
         return {server_id: table.count(server_id) for server_id in self._state.servers if server_id in table}
 
     def ejected(self) -> set[int]:
-        """Returns the ready servers that get nothing new after consecutive failures."""
+        """Returns the ready servers that receive no new requests because of consecutive failures."""
         return self._breaker.ejected()
 
     def _endpoints_changed(self, event: WatchEvent) -> None:
@@ -127,7 +127,7 @@
 
     def _timer_fired(self, name: str) -> None:
         if name == SUBSCRIBE_TIMER:
-            self._subscription.call()
+            self._subscription.subscribe()
         elif name == HEALTH_CHECK_TIMER:
             self._health_checks.check_next()
         elif name.startswith(DRAIN_TIMER_PREFIX):
--- a/ironmill/balancing/circuit_breaker.py
+++ b/ironmill/balancing/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: a server on which attempts keep failing gets no traffic for a while."""
+"""Outlier ejection: a server on which attempts keep failing gets no new requests for a limited time."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 from ironmill.balancing.state import BalancerState
 
 EJECT_AFTER_FAILURES = 3
-MIN_EJECTION_S = 1.0  # doubled with each further failure
+MIN_EJECTION_S = 1.0  # doubles with each further failure
 MAX_EJECTION_S = 8.0
 MAX_DOUBLINGS = 8
-MAX_EJECTED_FRACTION = 0.5  # of the ready servers
+MAX_EJECTED_FRACTION = 0.5  # of the ready servers; if more of them fail, none is ejected
 
 
 class CircuitBreaker:
     """Ejects servers after consecutive failures, and readmits them after one success.
 
-    A server that fails at once has the fewest connections, so without an ejection it would be chosen again as
-    soon as its penalty has decayed. When the ejection ends, one attempt at a time tries the server.
+    A server that fails immediately has the fewest connections, so without an ejection it would be selected
+    again as soon as its penalty has decayed. After the ejection, the server gets one attempt at a time until
+    one succeeds.
     """
 
     def __init__(self, state: BalancerState) -> None:
-        """Uses the time, the servers and the random generator of the state."""
+        """Creates a circuit breaker for the servers in ``state``."""
         self._state = state
 
     def record_failure(self, server: ServerState) -> None:
@@ -35,12 +36,12 @@
 
     @staticmethod
     def reset(server: ServerState) -> None:
-        """Forgets all failures of a server, after an attempt was established there."""
+        """Clears the failures of a server that has established an attempt or has restarted."""
         server.failures = 0
         server.ejected_until = -math.inf
 
     def is_ejected(self, server: ServerState) -> bool:
-        """Returns True while the server is ejected, or the one attempt that tries it is in flight."""
+        """Returns True while the server is ejected, or the one attempt allowed afterwards is in flight."""
         if server.failures < EJECT_AFTER_FAILURES:
             return False
         if self._state.now >= server.ejected_until and server.attempts_connecting == 0:
--- a/ironmill/balancing/draining.py
+++ b/ironmill/balancing/draining.py
@@ -8,14 +8,14 @@
 from ironmill.balancing.slow_start import SlowStartBudget
 from ironmill.balancing.state import BalancerState
 
-DRAIN_INTERVAL_S = 0.2  # between two migrations off one server
-# Migrated clients connect again at once, and while a server is in slow start all go to the others.
+DRAIN_INTERVAL_S = 0.2  # mean time between two migrations off one server
+# Migrated clients reconnect at once. While a server is in slow start, nearly all of them go to the others.
 DRAIN_INTERVAL_IN_SLOW_START_S = 1.0
-DRAIN_TIMER_PREFIX = "drain:"  # timer names are visible on the simulator's wire
+DRAIN_TIMER_PREFIX = "drain:"  # timer names are part of the simulator's protocol
 
 
 class Draining:
-    """Migrates the connections of a draining server one at a time, before it stops and cuts them off."""
+    """Migrates the connections of a draining server one at a time, before the server stops and drops them."""
 
     def __init__(
         self,
@@ -24,14 +24,14 @@
         shedder: LoadShedder,
         migration_policy: MigrationPolicy,
     ) -> None:
-        """Takes the modules that a drain depends on."""
+        """Creates the drain logic, which is paced by slow start and pauses during load shedding."""
         self._state = state
         self._slow_start = slow_start
         self._shedder = shedder
         self._migration_policy = migration_policy
 
     def schedule(self, server_id: int) -> None:
-        """Sets the timer of the next migration off a server."""
+        """Sets the timer for the next migration off a server."""
         warming_up = any(
             server.ready and self._slow_start.is_warming_up(server, self._state.now)
             for server in self._state.servers.values()
@@ -41,9 +41,10 @@
         self._state.actions.append(SetTimer(delay, f"{DRAIN_TIMER_PREFIX}{server_id}"))
 
     def migrate_next(self, server_id: int) -> None:
-        """Migrates the connection of the highest priority, unless new requests are shed.
+        """Migrates the connection with the highest priority weight, unless new requests are being shed.
 
-        Goes on until nothing is in flight on the server, since an attempt may still be established.
+        Sets the timer again while anything is in flight on the server, since an attempt may become
+        established.
         """
         server = self._state.servers.get(server_id)
         if server is None or server.ready:
@@ -60,7 +61,7 @@
         ]
         if established and not self._shedder.is_shedding:
             self._migration_policy.migrate(
-                max(established, key=lambda one: one.request_class.priority_weight)
+                max(established, key=lambda request_state: request_state.request_class.priority_weight)
             )
         if in_flight:
             self.schedule(server_id)
--- a/ironmill/balancing/endpoint_list.py
+++ b/ironmill/balancing/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which servers are ready, draining or gone, as discovery lists them."""
+"""The endpoint list: which servers discovery lists as ready, draining or gone."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EndpointList:
-    """Applies watch events to the servers."""
+    """Applies watch events to the servers in the state."""
 
     def __init__(
         self,
@@ -25,14 +25,14 @@
         placement: Placement,
         draining: Draining,
     ) -> None:
-        """Takes the modules that depend on the list."""
+        """Creates the logic that applies events; the given modules are updated when the list changes."""
         self._state = state
         self._counts = counts
         self._placement = placement
         self._draining = draining
 
     def apply(self, event: WatchEvent) -> None:
-        """Applies a full list or a delta. Must not be called for a failed call to discovery."""
+        """Applies a full list or a delta. Must not be called with a ``FAILED`` event."""
         if event.kind is WatchEventKind.FULL:
             listed = {entry.server_id for entry in event.entries}
             for server in list(self._state.servers.values()):
@@ -42,7 +42,7 @@
             self._apply_entry(entry)
         self._counts.weights_changed(listed=bool(event.entries))
         if self._state.settings.live_weights and event.entries:
-            self._placement.follow_list()
+            self._placement.adapt_to_list()
 
     def _apply_entry(self, entry: EndpointEntry) -> None:
         server = self._state.servers.get(entry.server_id)
@@ -64,14 +64,14 @@
         self._counts.update(server)
 
     def _restarted(self, server: ServerState, started_at: float) -> None:
-        """Forgets the faults and the load of the server's previous process."""
+        """Discards the faults and the load report of the server's previous process."""
         server.started_at = started_at
         server.penalty = 0.0
         server.load_reported_at = -math.inf
         CircuitBreaker.reset(server)
 
     def _retire(self, server: ServerState) -> None:
-        """Sends nothing new to a server. Its connections may go on."""
+        """Stops sending new requests to a server. Its open connections may continue."""
         server.ready = False
         self._counts.update(server)
         if server.connections == 0:
--- a/ironmill/balancing/fault_penalty.py
+++ b/ironmill/balancing/fault_penalty.py
@@ -1,8 +1,8 @@
-"""Penalties that keep new connections off a faulty server for a while.
+"""Penalties that keep new connections away from a faulty server for a limited time.
 
-A server that fails or slows down loses its connections, so by its connection count alone it would be chosen
-first. The penalty is added to that count and decays exponentially. It does not exclude a server: where most
-servers have faults, all counts are higher and the order between the servers stays.
+A server that fails or slows down loses its connections, so by its connection count alone it would be
+selected first. The penalty is added to that count and decays exponentially. It does not exclude a server: if
+most servers have faults, all their counts rise and their order stays the same.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from ironmill.balancing.interface import Outcome
 from ironmill.balancing.server_state import ServerState
 
-# Penalties are in connections.
+# Penalties are in units of one connection.
 MAX_PENALTY = 6.0
-MIN_PENALTY = 0.5  # a lower one counts as none
+MIN_PENALTY = 0.5  # a lower penalty is treated as 0
 PENALTY_HALF_LIFE_S = 4.0
 OUTCOME_PENALTY = {
     Outcome.ERROR: 2.0,
@@ -21,13 +21,13 @@
     Outcome.CONNECT_FAILED: 4.0,
     Outcome.RESET: 3.0,
 }
-LATENCY_PENALTY = 2.0  # of a delay that equals the latency objective
-MIN_SLOW_FRACTION = 0.33  # a shorter delay, as a fraction of the objective, is no fault
-MAX_PENALTY_WHEN_FAST = 1.0
+LATENCY_PENALTY = 2.0  # for a delay that equals the latency objective
+MIN_SLOW_FRACTION = 0.33  # a delay below this fraction of the latency objective is no fault
+MAX_PENALTY_WHEN_FAST = 1.0  # after a delay that is no fault
 
 
 def current_penalty(server: ServerState, now: float) -> float:
-    """Returns the decayed penalty of a server, 0 if it is too low to count."""
+    """Returns the decayed penalty of a server, or 0 if it is below ``MIN_PENALTY``."""
     if server.penalty == 0.0:
         return 0.0
     penalty = server.penalty * 0.5 ** ((now - server.penalty_updated_at) / PENALTY_HALF_LIFE_S)
@@ -35,15 +35,16 @@
 
 
 def add_penalty(server: ServerState, penalty: float, now: float) -> None:
-    """Adds the penalty of one more fault to the current one."""
+    """Adds the penalty of another fault to the current penalty, up to ``MAX_PENALTY``."""
     server.penalty = min(MAX_PENALTY, current_penalty(server, now) + penalty)
     server.penalty_updated_at = now
 
 
 def set_latency_penalty(server: ServerState, fraction: float, now: float) -> None:
-    """Adjusts the penalty to a delay, given as a fraction of its objective.
+    """Adjusts the penalty to a delay, given as a fraction of its latency objective.
 
-    A delay is a level, so repeated slow samples do not add up. A fast sample lowers the penalty.
+    Repeated slow samples do not add up, because they all measure the same condition. A fast sample lowers the
+    penalty.
     """
     if fraction >= MIN_SLOW_FRACTION:
         server.penalty = max(current_penalty(server, now), min(MAX_PENALTY, fraction * LATENCY_PENALTY))
--- a/ironmill/balancing/health_checks.py
+++ b/ironmill/balancing/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: requests for the load reports of servers."""
+"""Health checks, which request load reports from servers."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from ironmill.balancing.server_state import ServerState
 from ironmill.balancing.state import BalancerState
 
-HEALTH_CHECK_INTERVAL_S = 0.25  # between two checks of a proxy, each of another server
-HEALTH_CHECK_TIMER = "probe"  # timer names are visible on the simulator's wire
-LOAD_KEY = "x0"  # of a report: requested work over capacity
+HEALTH_CHECK_INTERVAL_S = 0.25  # mean time between two checks by one proxy, which takes the servers in turn
+HEALTH_CHECK_TIMER = "probe"  # timer names are part of the simulator's protocol
+LOAD_KEY = "x0"  # key in a load report: the ratio of requested work to capacity
 MAX_REPORTED_LOAD = 4.0
-STALE_AFTER_IDENTICAL_REPORTS = 4  # true reports vary a little
+STALE_AFTER_IDENTICAL_REPORTS = 4  # reports of a working server vary slightly
 FAILED_OUTCOMES = (Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
 
 
 class HealthChecker:
-    """Checks the ready servers in turn and takes in their load reports."""
+    """Checks the ready servers in turn and processes their load reports."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         overload: OverloadTracker,
         migration_policy: MigrationPolicy,
     ) -> None:
-        """Takes the modules that use a server's report."""
+        """Creates a health checker; the given modules are updated with its results."""
         self._state = state
         self._counts = counts
         self._breaker = breaker
@@ -40,12 +40,12 @@
         self._migration_policy = migration_policy
 
     def start(self) -> None:
-        """Sets the timer of the first check, where the settings allow health checks."""
+        """Sets the timer for the first check if the settings allow health checks."""
         if self._state.settings.health_checks:
             self._set_timer(self._state.rng.random())
 
     def check_next(self) -> None:
-        """Checks the server whose last check is the longest ago; by chance if several were never checked."""
+        """Checks the ready server that was checked least recently, a random one of them in case of a tie."""
         rng = self._state.rng
         self._set_timer(0.75 + 0.5 * rng.random())
         ready = [server for server in self._state.servers.values() if server.ready]
@@ -54,13 +54,13 @@
             server.health_checked_at = self._state.now
             self._state.actions.append(CheckHealth(server.server_id))
 
-    def checked(self, event: HealthChecked) -> None:
-        """Takes in the result of a health check."""
+    def result_received(self, event: HealthChecked) -> None:
+        """Processes the result of a health check."""
         server = self._state.servers.get(event.server_id)
         if server is None:
             return
         if event.outcome in FAILED_OUTCOMES:
-            # Only this ejects a server whose machine is gone and which gets no other traffic.
+            # This is the only way to eject an unreachable server that gets no other traffic.
             self._breaker.record_failure(server)
             server.load_reported_at = -math.inf
             self._counts.update(server)
--- a/ironmill/balancing/interface.py
+++ b/ironmill/balancing/interface.py
@@ -1,8 +1,8 @@
-"""The interface of the decisions: settings, events and actions.
+"""The interface of a ``Balancer``: settings, events and actions.
 
-Everything that enters or leaves a ``Balancer`` is one of the types below. They are independent of any wire
-format; an adapter maps the names of its wire to them. All durations are in seconds. Points in time are in
-seconds on the clock that the caller hands in with each event.
+Every input and output of a ``Balancer`` has one of the types below. They are independent of any wire format;
+an adapter converts between them and the names on its wire. All durations are in seconds. Points in time are
+in seconds on the clock from which the caller takes the time of each event.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
     """Whether a request may run more than once."""
 
     ALWAYS = "always"
-    BY_KEY = "by_key"  # servers that share a memory drop repeats of a key, for a limited time
+    BY_KEY = "by_key"  # servers with a shared deduplication store drop repeats of a key for a limited time
     NONE = "none"
 
 
 class DeduplicationScope(Enum):
-    """Which servers share the memory that drops repeats of an idempotency key."""
+    """Which servers share the store that is used to drop repeats of an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,7 +31,7 @@
 
 
 class Stage(Enum):
-    """The stage of a server's life, as discovery lists it."""
+    """The lifecycle stage of a server, as listed by discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -47,7 +47,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended. The second value says whether that proves the attempt never ran."""
+    """How an attempt ended. The second item of a value is True if this proves that the attempt never ran."""
 
     OK = ("ok", False)
     ERROR = ("error", False)
@@ -56,36 +56,36 @@
     CONNECT_FAILED = ("connect_failed", True)
     RESET = ("reset", False)
     CANCELLED = ("cancelled", False)
-    NOT_SENT = ("not_sent", True)  # the request was over, too late, or out of attempts before the first byte
-    OTHER = ("other", False)  # an outcome unknown to this version; it may have run
+    NOT_SENT = ("not_sent", True)  # the request had ended, was late or had no attempts left
+    OTHER = ("other", False)  # an outcome that this version does not know; the attempt may have run
 
     @property
     def never_ran(self) -> bool:
-        """True if the server certainly did nothing for the attempt."""
+        """True if the server certainly did no work for the attempt."""
         return self.value[1]
 
 
 class SampleKind(Enum):
-    """What is measured on an established connection."""
+    """What a sample of an established connection measures."""
 
-    LOAD = "load"  # microseconds of work per second that the connection needs now
+    LOAD = "load"  # microseconds of work per second that the connection currently needs
     DELAY = "delay"  # milliseconds until the server answers a message
 
 
 class RequestClass(Struct, frozen=True):
-    """One class of requests."""
+    """A class of requests with the same objectives, priority and idempotency."""
 
     name: str
-    latency_objective: float  # a connection that is established within it has its full value
+    latency_objective: float  # a connection established within this time has its full value
     priority_weight: float
-    message_latency_objective: float  # for an answer to a message on an established connection
+    message_latency_objective: float  # for the answer to a message on an established connection
     idempotency: Idempotency = Idempotency.ALWAYS
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window: float = 0.0  # how long repeats of a key are dropped, from the first send
+    deduplication_window: float = 0.0  # time after the first send in which repeats of a key are dropped
 
 
 class Tenant(Struct, frozen=True):
-    """A customer with a quota of the fleet. Work beyond the quota has low priority."""
+    """A customer with a quota of the fleet's capacity. Work above the quota has low priority."""
 
     name: str
     quota_rate: float
@@ -93,72 +93,71 @@
 
 
 class Costs(Struct, frozen=True):
-    """Costs that weigh in a decision, in units of the value of one request."""
+    """Costs that decisions take into account, in units of the value of one request."""
 
-    handshake: float = 0.0
+    handshake: float = 0.0  # of a new link to a server
 
 
 class Settings(Struct, frozen=True):
-    """Settings of a proxy that stay the same during its run."""
+    """Settings of a proxy that do not change while it runs."""
 
-    proxies: int  # size of the fleet
+    proxies: int  # number of proxies in the fleet
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
     costs: Costs
-    subscribes_to_discovery: bool  # True: discovery sends changes only to subscribers
-    discovery_poll_interval: float  # an unsubscribed proxy must poll at least this often
-    initial_capacity_fraction: float  # of its capacity, when a server starts
-    slow_start_duration: float  # until a started server has its whole capacity
-    slow_start_rate_multiple: (
-        float  # a server in slow start fails when sent this multiple of its capacity ...
-    )
-    slow_start_window: float  # ... over this time
+    subscribes_to_discovery: bool  # True if discovery reports changes only to subscribers
+    discovery_poll_interval: float  # a proxy without a subscription must poll at least this often
+    initial_capacity_fraction: float  # fraction of its capacity that a server has when it starts
+    slow_start_duration: float  # time from its start until a server has its full capacity
+    # A server in slow start fails if it is sent this multiple of its capacity within the window.
+    slow_start_rate_multiple: float
+    slow_start_window: float
     max_attempts: int
-    max_retry_after: float  # longest Retry-After that a client respects; 0 where clients get none
-    keepalive_timeout: float  # an idle link to a server stays open this long
-    min_round_interval: float  # shortest time between two calls of the proxy
-    health_checks: bool = False  # servers may be asked for a load report
-    reports_delay: bool = True  # messages' delays are sampled
-    live_weights: bool = False  # a listed weight is size / (1 + connections per core of all proxies)
+    max_retry_after: float  # longest Retry-After that clients respect; 0 if clients get no Retry-After
+    keepalive_timeout: float  # time that an idle link to a server stays open
+    min_round_interval: float  # shortest time between two rounds in which the proxy handles events
+    health_checks: bool = False  # True if servers may be asked for load reports
+    reports_delay: bool = True  # True if the delays of messages are sampled
+    live_weights: bool = False  # True if a listed weight is size / (1 + connections of all proxies per core)
 
 
 # --- events --------------------------------------------------------------------------------------
 
 
 class EndpointEntry(Struct, frozen=True):
-    """A server as discovery lists it."""
+    """A server as listed by discovery."""
 
     server_id: int
     stage: Stage
     zone: str = ""
     cell: int = 0
-    started_at: float = 0.0  # 0: unknown, or long ago
+    started_at: float = 0.0  # 0 if unknown or long ago
     weight: float = 1.0
 
 
 class WatchEvent(Struct, frozen=True):
-    """A change of the endpoint list, or the failure of a call to discovery."""
+    """A change of the endpoint list, or a failed call to discovery."""
 
     kind: WatchEventKind
     entries: tuple[EndpointEntry, ...] = ()
 
 
 class Request(Struct, frozen=True):
-    """A client requests a connection."""
+    """A client's request for a connection."""
 
     id: str
     class_name: str
     deadline: float
     tenant: str = ""
     key: int | None = None  # the idempotency key
-    group: int | None = None  # connections of one group share work at a server
-    load_hint: float = 0.0  # work per second on a standard core; 0: unknown
-    returning: bool = False  # the client comes back after a lost connection, a migration or a failed request
-    rerouted: bool = False  # packets from the middle of a connection that some server still serves
+    group: int | None = None  # connections of one group share work on a server
+    load_hint: float = 0.0  # work per second on a standard core; 0 if unknown
+    returning: bool = False  # the client reconnects after a lost connection, a migration or a failed request
+    rerouted: bool = False  # mid-flow packets of a connection that some server still serves
 
 
 class Resumed(Struct, frozen=True):
-    """A connection was already open through this proxy when it started."""
+    """A connection through this proxy was already open when the proxy started."""
 
     request: Request
     server_id: int
@@ -174,14 +173,14 @@
 
 
 class Ended(Struct, frozen=True):
-    """The attempt is over. Exactly one follows each ``Send``."""
+    """The attempt or its connection has ended. Each ``Send`` is followed by exactly one of these events."""
 
     request_id: str
     attempt: int
     server_id: int
     outcome: Outcome
     delay: float
-    final: bool  # the request is over too; no answer is owed any more
+    final: bool  # the request has ended too and needs no answer
     report: tuple[tuple[str, float], ...] = ()
 
 
@@ -204,25 +203,25 @@
 
 
 class Abandoned(Struct, frozen=True):
-    """The client left; no answer is owed any more."""
+    """The client disconnected, so the request needs no answer."""
 
     request_id: str
 
 
 class AnswerDue(Struct, frozen=True):
-    """The proxy shuts down: the request is answered now, or when the attempt in flight has ended."""
+    """The proxy shuts down: the request must be answered now, or once its attempt in flight has ended."""
 
     request_id: str
 
 
 class HandoverStarted(Struct, frozen=True):
-    """The process that this one replaces may serve beside it until the given time."""
+    """The previous process of this proxy may continue to serve in parallel until the given time."""
 
     until: float
 
 
 class TimerFired(Struct, frozen=True):
-    """A timer set by ``SetTimer`` ran out."""
+    """A timer that was set by ``SetTimer`` has expired."""
 
     name: str
 
@@ -246,46 +245,46 @@
 
 
 class Send(Struct, frozen=True):
-    """Start an attempt for the request at a server."""
+    """Starts an attempt for the request on a server."""
 
     request_id: str
     server_id: int
     timeout: float
-    start_by: float = math.inf  # an attempt that begins later could take effect a second time
+    start_by: float = math.inf  # an attempt that starts later could take effect a second time
 
 
 class Reject(Struct, frozen=True):
-    """Final answer: rejected, and a retry is harmless."""
+    """Gives the final answer that the request is rejected and that a retry is harmless."""
 
     request_id: str
     retry_after: float = 0.0
 
 
 class Fail(Struct, frozen=True):
-    """Final answer: failed. The request may have taken effect."""
+    """Gives the final answer that the request failed. It may have taken effect."""
 
     request_id: str
 
 
 class Migrate(Struct, frozen=True):
-    """Close an established connection gracefully, so that its client connects anew at once."""
+    """Closes an established connection gracefully, so that its client reconnects at once."""
 
     request_id: str
 
 
 class SetTimer(Struct, frozen=True):
-    """Have a ``TimerFired`` with this name delivered after the delay."""
+    """Requests a ``TimerFired`` event with this name after the delay."""
 
     delay: float
     name: str
 
 
 class Subscribe(Struct, frozen=True):
-    """Subscribe to all further changes of discovery's endpoint list."""
+    """Subscribes to all further changes of discovery's endpoint list."""
 
 
 class CheckHealth(Struct, frozen=True):
-    """Ask a server for its load report. One ``HealthChecked`` follows each."""
+    """Asks a server for its load report. Each is followed by exactly one ``HealthChecked`` event."""
 
     server_id: int
 
--- a/ironmill/balancing/load_shedding.py
+++ b/ironmill/balancing/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: which fraction of new requests is admitted while most servers are overloaded."""
+"""Load shedding: the fraction of new requests that is admitted while many servers are overloaded."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ironmill.balancing.state import BalancerState
 from ironmill.balancing.tenant_quotas import TenantQuotas
 
-OVERLOADED_LOAD = 0.9  # reported load from which a server misses its latency objectives
+OVERLOADED_LOAD = 0.9  # reported load from which on a server misses its latency objectives
 
 
 class SheddingThresholds(Struct, frozen=True):
-    """Overloaded fractions above which shedding increases, and below which it decreases."""
+    """The overloaded fractions above which shedding increases and below which it decreases."""
 
     increase_above: float
     decrease_below: float
@@ -26,26 +26,26 @@
 BY_REPORTS = SheddingThresholds(increase_above=0.3, decrease_below=0.2)
 
 STEP_INTERVAL_S = 0.5
-MAX_INCREASE_STEPS = 20  # at once, after a time without requests
+MAX_INCREASE_STEPS = 20  # in one update, which may follow a period without requests
 DECREASE_FACTOR = 0.35
 INCREASE = 0.04
 MIN_ADMITTED_FRACTION = 0.02
-OVER_QUOTA_EXPONENT = 3  # of the probability that work over a tenant's quota is admitted
+OVER_QUOTA_EXPONENT = 3  # applied to the admission probability of work over a tenant's quota
 
-MIN_OVERLOADED_SERVERS = 2  # a single one is a fault of that server
-MIN_MEAN_LOAD = 0.7  # below it the other servers can take over from the overloaded ones
-MIN_CONNECTIONS = 8  # fewer are too few to judge by
+MIN_OVERLOADED_SERVERS = 2  # if only one server is overloaded, the fault is in that server
+MIN_MEAN_LOAD = 0.7  # below this, the other servers can take load from the overloaded ones
+MIN_CONNECTIONS = 8  # a smaller number is too small a sample, and is treated as this many
 
 
 class LoadShedder:
-    """The admitted fraction of new requests: decreased multiplicatively, increased additively.
+    """Controls the admitted fraction of new requests by multiplicative decrease and additive increase.
 
-    If the fleet gets more work than it can do, every server queues work, drops connections and takes them
-    back a moment later. That state does not end by itself, and only fewer connections end it.
+    If the fleet gets more work than it can do, every server queues work, drops connections and accepts them
+    again shortly afterwards. Only a lower number of connections ends this state.
     """
 
     def __init__(self, rng: random.Random, now: float) -> None:
-        """Admits all requests until the first update."""
+        """Creates a shedder that admits all requests until the first update."""
         self._rng = rng
         self._admitted_fraction = 1.0
         self._stepped_at = now
@@ -56,7 +56,7 @@
         return self._admitted_fraction < 1.0
 
     def update(self, overloaded_fraction: float, thresholds: SheddingThresholds, now: float) -> None:
-        """Takes the steps that are due."""
+        """Adjusts the admitted fraction if ``STEP_INTERVAL_S`` has passed since the last adjustment."""
         elapsed = now - self._stepped_at
         if elapsed < STEP_INTERVAL_S:
             return
@@ -68,7 +68,7 @@
             self._admitted_fraction = min(1.0, self._admitted_fraction + INCREASE * steps)
 
     def admits(self, *, over_quota: bool) -> bool:
-        """Decides by chance, so that proxies with the same view do not act in step."""
+        """Decides at random, so that proxies with the same information do not all decide alike."""
         probability = self._admitted_fraction
         if over_quota:
             probability = probability**OVER_QUOTA_EXPONENT
@@ -76,35 +76,35 @@
 
 
 class AdmissionControl:
-    """Admits new requests by the load of the fleet and the quota of the tenant."""
+    """Admits new requests depending on the load of the fleet and the quota of the tenant."""
 
     def __init__(
         self, state: BalancerState, shedder: LoadShedder, overload: OverloadTracker, quotas: TenantQuotas
     ) -> None:
-        """Takes the modules that an admission depends on."""
+        """Creates an admission control that uses the given shedder, overload tracker and quotas."""
         self._state = state
         self._shedder = shedder
         self._overload = overload
         self._quotas = quotas
 
     def admits(self, request: Request) -> bool:
-        """Returns False if the request is to be rejected."""
+        """Returns False if the request must be rejected."""
         self._update()
         if request.rerouted:
             return True
         return self._shedder.admits(over_quota=self._quotas.is_exceeded(request.tenant))
 
     def _update(self) -> None:
-        """Updates the shedder by fresh load reports; by own connections where too few servers report.
+        """Updates the shedder from fresh load reports, or from own connections if too few servers report.
 
-        Reports come first, since connections that are slow to establish may only mean that many clients
+        Reports take precedence, since slow establishment of connections may only mean that many clients
         reconnect at once. A proxy of a large fleet checks each server too rarely to have many fresh reports.
         """
         now = self._state.now
         loads = [
             server.load
             for server in self._state.servers.values()
-            # First what rules out most servers; inlined, for this runs for each server at each request.
+            # Inlined, with the most selective test first, since this runs for every server on each request.
             if now - server.load_reported_at <= REPORT_LIFETIME_S and server.ready
         ]
         if len(loads) < MIN_OVERLOADED_SERVERS:
--- a/ironmill/balancing/migration_policy.py
+++ b/ironmill/balancing/migration_policy.py
@@ -9,28 +9,28 @@
 from ironmill.balancing.server_state import ServerState
 from ironmill.balancing.state import BalancerState
 
-# A sample that takes this fraction of its latency objective migrates its connection with this probability.
+# A message delay of this fraction of its latency objective migrates the connection with this probability.
 MIGRATION_LATENCY_FRACTION = 0.7
 MIGRATION_PROBABILITY = 0.35
-# A load report migrates one connection, and this fraction of those above the target load.
+# A report of overload migrates one connection, plus this fraction of the connections above the target load.
 MIGRATION_FRACTION = 0.5
 MIGRATION_TARGET_LOAD = 0.8
 
 
 class MigrationPolicy:
-    """Sends clients away from overloaded servers while other servers can take them.
+    """Migrates connections off overloaded servers while other servers can accept them.
 
-    If most servers are overloaded and no requests are shed, migrated clients would only add to the load.
+    If most servers are overloaded and no requests are shed, reconnecting clients would only add to the load.
     """
 
     def __init__(self, state: BalancerState, shedder: LoadShedder, overload: OverloadTracker) -> None:
-        """Takes the modules that a migration depends on."""
+        """Creates a policy that depends on load shedding and on which servers are overloaded."""
         self._state = state
         self._shedder = shedder
         self._overload = overload
 
     def sample_received(self, event: ConnectionSample) -> None:
-        """Takes in the delay of a message, and may migrate its connection."""
+        """Processes the measured delay of a message, and may migrate its connection."""
         request_state = self._state.requests.get(event.request_id)
         if (
             event.kind is not SampleKind.DELAY
@@ -39,20 +39,24 @@
         ):
             return
         server = self._state.servers[request_state.server_id]
-        fraction = event.value / 1000.0 / request_state.request_class.message_latency_objective
-        self._overload.record_latency(server, fraction)
-        if fraction < OVERLOAD_LATENCY_FRACTION:
+        latency_fraction = event.value / 1000.0 / request_state.request_class.message_latency_objective
+        self._overload.record_latency(server, latency_fraction)
+        if latency_fraction < OVERLOAD_LATENCY_FRACTION:
             self._overload.clear(server)
-        if fraction < MIGRATION_LATENCY_FRACTION or not request_state.established or not self._may_help():
+        if (
+            latency_fraction < MIGRATION_LATENCY_FRACTION
+            or not request_state.established
+            or not self._migration_helps()
+        ):
             return
         if self._state.rng.random() < MIGRATION_PROBABILITY / self._state.fleet_scale:
             self.migrate(request_state)
 
     def relieve(self, server: ServerState) -> None:
         """Migrates some connections off a server that reports overload, those of small groups first."""
-        if not self._may_help():
+        if not self._migration_helps():
             return
-        present = [
+        migratable = [
             request_state
             for request_state in self._state.requests.values()
             if request_state.in_flight
@@ -61,21 +65,21 @@
             and request_state.server_id == server.server_id
         ]
         group_sizes: dict[int | None, int] = {}
-        for request_state in present:
+        for request_state in migratable:
             group_sizes[request_state.request.group] = group_sizes.get(request_state.request.group, 0) + 1
-        present.sort(
+        migratable.sort(
             key=lambda request_state: (group_sizes[request_state.request.group], self._state.rng.random())
         )
         excess = max(0.0, 1.0 - MIGRATION_TARGET_LOAD / server.load)
-        count = 1 + int(excess * len(present) * MIGRATION_FRACTION)
-        for request_state in present[:count]:
+        count = 1 + int(excess * len(migratable) * MIGRATION_FRACTION)
+        for request_state in migratable[:count]:
             self.migrate(request_state)
 
     def migrate(self, request_state: RequestState) -> None:
-        """Sends the client of an established connection away, once."""
+        """Migrates an established connection, unless its migration has already started."""
         if not request_state.migrating:
             request_state.migrating = True
             self._state.actions.append(Migrate(request_state.request.id))
 
-    def _may_help(self) -> bool:
+    def _migration_helps(self) -> bool:
         return self._shedder.is_shedding or self._overload.is_local()
--- a/ironmill/balancing/own_connections.py
+++ b/ironmill/balancing/own_connections.py
@@ -13,12 +13,12 @@
 from ironmill.balancing.state import BalancerState
 from ironmill.balancing.tenant_quotas import TenantQuotas
 
-# After these the link to the server stays open for another connection.
+# After these outcomes, the link to the server stays open for another connection.
 LINK_REUSABLE_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.CANCELLED)
 
 
 class OwnConnections:
-    """Counts what starts and ends, and attributes failures to servers."""
+    """Counts attempts and connections as they start and end, and attributes failures to servers."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         breaker: CircuitBreaker,
         quotas: TenantQuotas,
     ) -> None:
-        """Takes the modules that a connection changes."""
+        """Creates the counters; the given modules are updated with each attempt and connection."""
         self.groups = GroupConnections()
         self._state = state
         self._counts = counts
@@ -37,11 +37,11 @@
         self._quotas = quotas
 
     def request_arrived(self) -> None:
-        """Counts a new request towards the ordinary rate. Must not be called for clients that return."""
+        """Counts a new request for the ordinary arrival rate. Must not be called for returning clients."""
         self._slow_start.request_arrived(len(self._counts.table), self._state.now)
 
     def attempt_started(self, request_state: RequestState, server: ServerState) -> None:
-        """Counts an attempt that is sent to the server now."""
+        """Counts an attempt that starts now on the server."""
         now = self._state.now
         request_state.server_id = server.server_id
         request_state.attempt_started_at = now
@@ -75,7 +75,7 @@
         self._counts.update(server)
 
     def established(self, request_state: RequestState) -> ServerState:
-        """Counts the connection of the current attempt, and returns its server."""
+        """Counts the current attempt as established, and returns its server."""
         request_state.answered = True
         self._opened(request_state)
         server = self._state.servers[request_state.server_id]
--- a/ironmill/balancing/placement.py
+++ b/ironmill/balancing/placement.py
@@ -1,9 +1,9 @@
 """Placement by the self-learning threshold rule of Goldsztajn, Borst and van Leeuwaarden.
 
-A server whose count is below the threshold has a green token, and one whose count equals it a yellow token. A
-request goes to a random server with a green token, else to one with a yellow token, else to any ready one.
-After a placement the threshold rises by one if at most one server had a token, and falls by one if most
-servers had a green token.
+A server whose count is below the threshold has a green token, and one whose count equals it has a yellow
+token. A request goes to a random server with a green token, else to one with a yellow token, else to any
+ready server. After a placement, the threshold rises by one if at most one server had a token, and falls by
+one if most servers had a green token.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from ironmill.balancing.slow_start import SlowStartBudget
 from ironmill.balancing.state import BalancerState
 
-# The rule's parameter: the threshold falls if the fraction of green servers is at least 1 - ALPHA.
+# Parameter of the rule: the threshold falls if the fraction of green servers is at least 1 - ALPHA.
 ALPHA = 0.9
-# Each server with connections of a group pays for the group once, so for that group its count is lower by so
-# many connections.
+# Some work is done once per group on each server that has connections of it. So when a further connection of
+# the group is placed, the count of such a server is taken as lower by this many connections.
 GROUP_DISCOUNT = 3
-# With live weights the discount also holds for the servers that the group prefers, as the other proxies
-# probably have connections of the group there.
+# With live weights, the discount also applies to this many servers that the group prefers, because other
+# proxies probably have connections of the group there.
 GROUP_PREFERRED_SERVERS = 3
 
 
@@ -40,8 +40,8 @@
         slow_start: SlowStartBudget,
         groups: GroupConnections,
     ) -> None:
-        """Takes the modules that a placement depends on."""
-        self.threshold: int | None = None  # set at the first placement
+        """Creates a placement without a threshold, which the first request sets."""
+        self.threshold: int | None = None  # set by the first placement
         self._state = state
         self._counts = counts
         self._slow_start = slow_start
@@ -52,13 +52,13 @@
         self._counts.refresh()
         table = self._counts.table
         if self.threshold is None:
-            self.threshold = table.mean()  # of the connections that were open before
+            self.threshold = table.mean()  # of the resumed connections
         green = table.below(self.threshold)
         yellow = table.below(self.threshold + 1)
         ready = len(table)
-        # By colour: the end of its servers in the table, and the exclusive limit of their counts.
-        colours = ((green, self.threshold), (yellow, self.threshold + 1), (ready, math.inf))
-        server_id = self._select_from(colours, request_state)
+        # Green, yellow and all servers: the end index in the table, and the exclusive limit of the counts.
+        token_ranges = ((green, self.threshold), (yellow, self.threshold + 1), (ready, math.inf))
+        server_id = self._select_from(token_ranges, request_state)
         if server_id is None:
             return None
         if yellow <= 1:
@@ -67,11 +67,11 @@
             self.threshold -= 1
         return self._state.servers[server_id]
 
-    def follow_list(self) -> None:
-        """Moves the threshold one step towards the mean count, which the list of live weights has changed.
+    def adapt_to_list(self) -> None:
+        """Moves the threshold by at most one step towards the mean count, after a list of live weights.
 
-        The own placements of a proxy are too rare in a large fleet for its threshold to follow the load. So
-        the probability of a step is larger in a larger fleet.
+        In a large fleet, each proxy places too few requests for its threshold to follow the load. So the
+        probability of a step grows with the fleet.
         """
         probability = 1.0 - 1.0 / self._state.fleet_scale
         table = self._counts.table
@@ -81,14 +81,16 @@
             mean = table.mean()
             self.threshold += (mean > self.threshold) - (mean < self.threshold)
 
-    def _select_from(self, colours: tuple[tuple[int, float], ...], request_state: RequestState) -> int | None:
+    def _select_from(
+        self, token_ranges: tuple[tuple[int, float], ...], request_state: RequestState
+    ) -> int | None:
         state, table = self._state, self._counts.table
         servers, random_number, now = state.servers, state.rng.random, state.now
         max_weight, by_weight = self._counts.max_weight, not state.settings.live_weights
         tried, may_retry_anywhere = request_state.tried, request_state.uncertain_attempt is None
 
         def accepts(server_id: int) -> bool:
-            # A server of half the weight is accepted for half of its draws.
+            # A server with half of the largest weight is accepted in half of its draws.
             if by_weight and random_number() * max_weight > servers[server_id].weight:
                 return False
             if server_id in tried:
@@ -96,7 +98,7 @@
             return may_retry_anywhere or request_state.may_retry_at(servers[server_id], now)
 
         start = 0
-        for end, count_limit in colours:
+        for end, count_limit in token_ranges:
             if request_state.request.group is None:
                 selected = table.draw(start, end, state.rng, accepts)
             else:
@@ -104,7 +106,7 @@
             if selected is not None:
                 return selected
             start = end
-        # All were tried before, or not accepted by weight.
+        # Each server was tried before, or was not accepted because of its weight.
         return table.draw(
             0, len(table), state.rng, lambda server_id: request_state.may_retry_at(servers[server_id], now)
         )
@@ -114,19 +116,20 @@
     ) -> int | None:
         """Returns the server that the request's group prefers among those before ``end`` in the table.
 
-        A server that has connections of the group, here or probably elsewhere, may have a higher count.
+        Servers with connections of the group, own ones or probably those of other proxies, may have a higher
+        count.
         """
         group, rerouted = request_state.request.group, request_state.request.rerouted
         assert group is not None
-        table, own = self._counts.table, self._groups.counts(group)
-        discounted = dict.fromkeys(own)
+        table, own_counts = self._counts.table, self._groups.counts(group)
+        discounted = dict.fromkeys(own_counts)
         if self._state.settings.live_weights:
             preferred = heapq.nlargest(
                 GROUP_PREFERRED_SERVERS, table.first(len(table)), partial(preference, group)
             )
             discounted |= dict.fromkeys(preferred)
             if not rerouted and not self._has_server_in_slow_start():
-                # The same result as below, without a look at every server of a large fleet.
+                # Has the same result as the code below, without examining every server of a large fleet.
                 for server_id in preferred:
                     if table.count(server_id) < count_limit + GROUP_DISCOUNT and accepts(server_id):
                         return server_id
@@ -139,13 +142,17 @@
             and accepts(server_id)
         ]
         if rerouted:
-            # The connection is probably open where most of its group is, with a token or not.
-            present = [server_id for server_id in own if server_id in table and accepts(server_id)]
-            if present:
-                return max(present, key=lambda server_id: (own[server_id], server_id))
+            # The connection is probably open on the server with most of the group, even if that has no token.
+            used_servers = [
+                server_id for server_id in own_counts if server_id in table and accepts(server_id)
+            ]
+            if used_servers:
+                return max(used_servers, key=lambda server_id: (own_counts[server_id], server_id))
         else:
-            # First a server in slow start, for its budget is not carried over.
-            candidates = [one for one in candidates if self._is_warming_up(one)] or candidates
+            # Servers in slow start take precedence, because their unused budget is not carried over.
+            candidates = [
+                server_id for server_id in candidates if self._is_warming_up(server_id)
+            ] or candidates
         return max(candidates, key=partial(preference, group), default=None)
 
     def _is_warming_up(self, server_id: int) -> bool:
--- a/ironmill/balancing/request_lifetime.py
+++ b/ironmill/balancing/request_lifetime.py
@@ -26,17 +26,17 @@
 from ironmill.balancing.server_state import ServerState
 from ironmill.balancing.state import BalancerState
 
-RETRY_BACKOFF_S = 0.03  # doubled with each attempt, with full jitter
-PLACEMENT_INTERVAL_S = 0.1  # between two tries to place a request that no server may get
-MIN_ATTEMPT_S = 0.02  # with less time left no attempt is made
-ANSWER_MARGIN_S = 0.005  # the answer leaves this long before the deadline, and
-ANSWER_MARGIN_ROUNDS = 3.0  # so many rounds, since a proxy acts only once a round
-MIN_RETRY_AFTER_FRACTION = 0.1  # of the longest Retry-After; a random part is added
-RETRY_AFTER_JITTER = 0.2
+RETRY_BACKOFF_S = 0.03  # doubles with each attempt, with full jitter
+PLACEMENT_INTERVAL_S = 0.1  # mean time between two tries to place a request while no server is available
+MIN_ATTEMPT_S = 0.02  # no attempt is made with less time left before the deadline
+ANSWER_MARGIN_S = 0.005  # the answer is sent this long before the deadline ...
+ANSWER_MARGIN_ROUNDS = 3.0  # ... plus this many rounds, since a proxy acts only once per round
+MIN_RETRY_AFTER_FRACTION = 0.1  # of the longest Retry-After; a random part is added, see below
+RETRY_AFTER_JITTER = 0.2  # largest random part, as a fraction of the longest Retry-After
 
 
 class RequestLifetime:
-    """Takes each request from its arrival to its final answer or its connection's end."""
+    """Handles each request from its arrival until its final answer or the end of its connection."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         connections: OwnConnections,
         overload: OverloadTracker,
     ) -> None:
-        """Takes the modules that a request passes."""
+        """Creates a handler that tracks its requests in ``state``."""
         self._state = state
         self._admission = admission
         self._placement = placement
@@ -54,10 +54,10 @@
         self._overload = overload
         self._classes = {cls.name: cls for cls in state.settings.classes}
         self._max_attempts = state.settings.max_attempts
-        self._margin = ANSWER_MARGIN_S + ANSWER_MARGIN_ROUNDS * state.settings.min_round_interval
+        self._answer_margin = ANSWER_MARGIN_S + ANSWER_MARGIN_ROUNDS * state.settings.min_round_interval
 
     def request_arrived(self, request: Request) -> None:
-        """Places a request, has it wait, or rejects it."""
+        """Sends a request to a server, delays its placement, or rejects it."""
         if request.id in self._state.requests:
             return
         request_state = RequestState(request, self._class_of(request))
@@ -78,18 +78,18 @@
         self._connections.resumed(request_state, event.server_id)
 
     def attempt_established(self, event: Established) -> None:
-        """Ends the request's wait, and takes in how long its connection took."""
+        """Marks a request's current attempt as established, and records the delay if it was slow."""
         request_state = self._state.requests.get(event.request_id)
         if request_state is None or not request_state.is_current(event.attempt):
             return
         server = self._connections.established(request_state)
         objective = request_state.request_class.message_latency_objective
         if event.delay > objective * MIN_SLOW_FRACTION:
-            # A new connection waits behind the same work as a message.
+            # A new connection is queued behind the same work as a message.
             self._overload.record_latency(server, event.delay / objective)
 
     def attempt_ended(self, event: Ended) -> None:
-        """Retries the request or answers it, unless its connection was established."""
+        """Retries or answers a request, unless its connection was established."""
         request_state = self._state.requests.get(event.request_id)
         if request_state is None or not request_state.is_current(event.attempt):
             return
@@ -110,7 +110,7 @@
             )
 
     def request_abandoned(self, event: Abandoned) -> None:
-        """Forgets a request that is owed no answer any more, once no attempt is in flight."""
+        """Marks a request as needing no answer, and removes it unless an attempt is in flight."""
         request_state = self._state.requests.get(event.request_id)
         if request_state is None:
             return
@@ -121,7 +121,8 @@
     def answer_due(self, event: AnswerDue) -> None:
         """Answers a request at shutdown.
 
-        An attempt in flight may have run. Its end is waited for, as it shows whether a retry is harmless.
+        An attempt in flight may have run, and its outcome shows whether a retry is harmless. So the answer is
+        given only after that attempt has ended.
         """
         request_state = self._state.requests.get(event.request_id)
         if request_state is None or request_state.answered:
@@ -131,21 +132,21 @@
             self._answer(request_state)
 
     def timer_fired(self, request_id: str) -> None:
-        """Goes on with a request that waits for its next attempt."""
+        """Places a request that has waited for its next attempt."""
         request_state = self._state.requests.get(request_id)
         if request_state is not None and not request_state.in_flight and not request_state.answered:
             self._place_or_wait(request_state)
 
     def _class_of(self, request: Request) -> RequestClass:
-        known = self._classes.get(request.class_name)
-        if known is not None:
-            return known
-        # A class that the settings do not name is never repeated.
-        left = max(0.0, request.deadline - self._state.now)
-        return RequestClass(request.class_name, left, 0.0, left, Idempotency.NONE)
+        configured_class = self._classes.get(request.class_name)
+        if configured_class is not None:
+            return configured_class
+        # Requests of a class that is not in the settings count as not idempotent.
+        time_left = max(0.0, request.deadline - self._state.now)
+        return RequestClass(request.class_name, time_left, 0.0, time_left, Idempotency.NONE)
 
     def _place_or_wait(self, request_state: RequestState) -> None:
-        """Sends the request, sets a timer for the next try, or answers it if it may get no attempt."""
+        """Sends the request, sets a timer for another try, or answers it if no attempt is allowed."""
         if (
             self._time_left(request_state) < MIN_ATTEMPT_S
             or request_state.attempts >= self._max_attempts
@@ -164,7 +165,7 @@
         self._state.actions.append(SetTimer(delay, request_state.request.id))
 
     def _time_left(self, request_state: RequestState) -> float:
-        return request_state.request.deadline - self._state.now - self._margin
+        return request_state.request.deadline - self._state.now - self._answer_margin
 
     def _send(self, request_state: RequestState, server: ServerState) -> None:
         state, request = self._state, request_state.request
@@ -175,7 +176,7 @@
         state.actions.append(Send(request.id, server.server_id, timeout, request_state.retry_deadline()))
 
     def _answer(self, request_state: RequestState) -> None:
-        """Gives the one final answer. A rejection promises that a retry is harmless."""
+        """Gives the final answer: a rejection if a retry is harmless, else a failure."""
         request_state.answered = True
         request_id = request_state.request.id
         del self._state.requests[request_id]
--- a/ironmill/balancing/request_state.py
+++ b/ironmill/balancing/request_state.py
@@ -18,7 +18,7 @@
 
 
 class RequestState:
-    """A request that is owed an answer, or whose connection is established."""
+    """A request that still needs an answer, or whose connection is established."""
 
     __slots__ = (
         "answer_due",
@@ -36,26 +36,26 @@
     )
 
     def __init__(self, request: Request, request_class: RequestClass) -> None:
-        """Tracks a request that was not sent yet."""
+        """Creates the state of a request that has had no attempt."""
         self.request = request
         self.request_class = request_class
         self.attempts = 0
         self.attempt_started_at = 0.0
-        self.in_flight = False  # an attempt is under way or its connection is established
+        self.in_flight = False  # an attempt is running or its connection is established
         self.established = False
-        self.migrating = False  # its client was sent away
-        self.answered = False  # no answer is owed any more
-        self.answer_due = False  # it is answered as soon as no attempt is in flight
+        self.migrating = False  # a migration of its connection has started
+        self.answered = False  # it needs no answer any more
+        self.answer_due = False  # it must be answered as soon as no attempt is in flight
         self.server_id = -1
-        self.tried: list[int] = []  # servers
-        self.uncertain_attempt: UncertainAttempt | None = None  # the first one
+        self.tried: list[int] = []  # IDs of the servers of all attempts
+        self.uncertain_attempt: UncertainAttempt | None = None  # the first such attempt
 
     def is_current(self, attempt: int) -> bool:
-        """Returns True if the attempt of this number is in flight or established."""
+        """Returns True if the attempt with this number is in flight or established."""
         return self.in_flight and attempt == self.attempts - 1
 
     def retry_deadline(self) -> float:
-        """Returns until when a retry may begin: infinite if it cannot take effect a second time."""
+        """Returns the time before which a retry must start; infinite if a second effect is impossible."""
         uncertain, idempotency = self.uncertain_attempt, self.request_class.idempotency
         if uncertain is None or idempotency is Idempotency.ALWAYS:
             return math.inf
@@ -65,20 +65,20 @@
 
     def may_retry_at(self, server: ServerState, now: float) -> bool:
         """Returns False if a retry at the server could take effect a second time."""
-        first = self.uncertain_attempt
-        if first is None or self.request_class.idempotency is Idempotency.ALWAYS:
+        uncertain = self.uncertain_attempt
+        if uncertain is None or self.request_class.idempotency is Idempotency.ALWAYS:
             return True
         if now >= self.retry_deadline():
             return False
         scope = self.request_class.deduplication_scope
         if scope is DeduplicationScope.ZONE:
-            return server.zone == first.server.zone
+            return server.zone == uncertain.server.zone
         if scope is DeduplicationScope.CELL:
-            return (server.zone, server.cell) == (first.server.zone, first.server.cell)
+            return (server.zone, server.cell) == (uncertain.server.zone, uncertain.server.cell)
         return True
 
     def is_client_retry_harmless(self) -> bool:
-        """Returns True if the client may repeat the request anywhere, at any time."""
+        """Returns True if the client may repeat the request at any time, with any server."""
         cls = self.request_class
         return (
             self.uncertain_attempt is None
--- a/ironmill/balancing/server_counts.py
+++ b/ironmill/balancing/server_counts.py
@@ -9,12 +9,12 @@
 from ironmill.balancing.state import BalancerState
 from ironmill.balancing.token_table import TokenTable
 
-LIST_DELAY_S = 1.2  # a listed live weight does not include own sends younger than this
-# Limits of what a load report changes in the listed connections of a server.
+LIST_DELAY_S = 1.2  # a listed live weight does not include own sends more recent than this
+# Limits of the factor by which a load report corrects the listed connections of a server.
 MIN_COST_RATIO = 0.7
 MAX_COST_RATIO = 3.0
-# A new connection to a server without an idle link costs a handshake. Where that cost is relevant, the count
-# is higher by this many connections.
+# A new connection to a server without an idle link costs a handshake. If that cost is at least the minimum,
+# the count of the server is higher by the surcharge, in connections.
 MIN_HANDSHAKE_COST = 0.02
 NEW_LINK_SURCHARGE = 2
 ROUNDING_TOLERANCE = 1e-9
@@ -22,7 +22,7 @@
 
 
 class ServerCounts:
-    """Keeps the token table up to date: the only class that writes to it.
+    """Maintains the token table. No other class writes to it.
 
     A count is the number of connections on a server, plus its fault penalty, plus the cost of a new link. A
     server is in the table while it may get new connections.
@@ -31,7 +31,7 @@
     def __init__(self, state: BalancerState, slow_start: SlowStartBudget, breaker: CircuitBreaker) -> None:
         """Creates an empty token table."""
         self.table = TokenTable()
-        self.max_weight = 1.0  # of the listed servers
+        self.max_weight = 1.0  # of the ready servers
         self.time_dependent: dict[int, None] = {}  # servers whose count changes with time
         self._state = state
         self._slow_start = slow_start
@@ -41,12 +41,12 @@
         if state.settings.costs.handshake >= MIN_HANDSHAKE_COST:
             self._new_link_surcharge = NEW_LINK_SURCHARGE
         self._mean_weight = 1.0
-        self._largest_weight = 0.0  # ever listed: the size of a server where weights are live
-        # Mean reported load of an own connection; with live weights of a listed connection.
+        self._largest_weight = 0.0  # ever listed; with live weights, the size of an empty server
+        # Mean reported load per own connection, or per listed connection with live weights.
         self._connection_cost = 0.0
 
     def update(self, server: ServerState) -> None:
-        """Recomputes the count of one server. To be called after each change of its state."""
+        """Recomputes the count of one server. Must be called after each change of its state."""
         now = self._state.now
         idle = server.idle_links_until
         while idle and idle[0] <= now:
@@ -56,7 +56,7 @@
         if (
             server.ready
             and (server.failures == 0 or not self._breaker.is_ejected(server))
-            # Without connections it would win every draw, so it is ready only within its budget.
+            # In slow start its count is the lowest, so it is in the table only while it has budget left.
             and (not warming_up or self._slow_start.allows(server, now))
         ):
             connections = int(self._connections_on(server) + ROUNDING_TOLERANCE)
@@ -82,7 +82,7 @@
             self.update(servers[server_id])
 
     def weights_changed(self, *, listed: bool) -> None:
-        """Recomputes what depends on the weights of all servers; ``listed`` if an event listed any server."""
+        """Recomputes what depends on the weights of all servers; ``listed`` if the event has entries."""
         weights = [server.weight for server in self._state.servers.values() if server.ready]
         self.max_weight = max(weights, default=1.0)
         self._mean_weight = sum(weights) / max(1, len(weights))
@@ -93,16 +93,20 @@
             self._update_slow_start()
 
     def report_received(self, server: ServerState) -> None:
-        """Takes in the load report of a server. The caller updates its count."""
+        """Updates the cost of connections from a server's load report. The caller must update its count."""
         server.connection_cost = server.load * server.weight / self._largest_weight
         now = self._state.now
-        reporting = [one for one in self._state.servers.values() if one.ready and one.has_fresh_report(now)]
+        reporting = [
+            reporter
+            for reporter in self._state.servers.values()
+            if reporter.ready and reporter.has_fresh_report(now)
+        ]
         if self._live_weights:
-            total = sum(one.connection_cost for one in reporting)
+            total = sum(reporter.connection_cost for reporter in reporting)
             self._connection_cost = total / len(reporting) if reporting else 0.0
             return
-        connections = sum(one.connections_at_report for one in reporting)
-        total = sum(one.load for one in reporting)
+        connections = sum(reporter.connections_at_report for reporter in reporting)
+        total = sum(reporter.load for reporter in reporting)
         self._connection_cost = total / connections if connections > 0 else 0.0
 
     def _update_listed(self, *, every_server: bool) -> None:
@@ -125,14 +129,14 @@
         self._slow_start.set_listed_connections(mean, full)
 
     def _connections_on(self, server: ServerState) -> float:
-        """Returns the connections on a server, in units of the count.
+        """Returns the connections on a server, in the unit of the count.
 
         Live weights show the connections of all proxies per core, with a delay. An own send that is not yet
-        listed counts for those of the other proxies too, for they choose by the same list. A fresh report
-        corrects the number where a connection costs more or less than elsewhere.
+        listed also stands for sends of the other proxies, since they select servers by the same list. A fresh
+        report corrects the number if a connection costs more or less than on other servers.
 
-        Without live weights, own connections count. A fresh report replaces them, since it also includes the
-        other proxies and other load on the machine; own changes since the report are added to it.
+        Without live weights, own connections are counted. A fresh report replaces them, since it includes the
+        other proxies and other load on the machine; changes of own connections since then are added to it.
         """
         fleet_scale = self._state.fleet_scale
         has_cost = self._connection_cost > 0.0 and server.has_fresh_report(self._state.now)
--- a/ironmill/balancing/server_state.py
+++ b/ironmill/balancing/server_state.py
@@ -4,11 +4,11 @@
 
 import math
 
-REPORT_LIFETIME_S = 8.0
+REPORT_LIFETIME_S = 8.0  # an older load report is not used
 
 
 class ServerState:
-    """What this proxy knows of one server. Times are in seconds on the caller's clock."""
+    """The state that this proxy keeps of one server. Times are in seconds on the caller's clock."""
 
     __slots__ = (
         "attempts_connecting",
@@ -46,22 +46,24 @@
         self.weight = 1.0  # as listed, relative to other servers
         self.ready = False
         self.connections = 0  # own established connections and attempts in flight
-        self.attempts_connecting = 0  # own attempts in flight that are not established
-        self.idle_links_until: list[float] = []  # when each own idle link to it will be closed
-        self.unlisted_sends: list[float] = []  # own sends that are too recent for any listed weight
-        self.penalty = 0.0  # of its faults, in connections, as of penalty_updated_at
+        self.attempts_connecting = 0  # own attempts in flight that are not yet established
+        self.idle_links_until: list[float] = []  # when each idle link from this proxy will be closed
+        self.unlisted_sends: list[
+            float
+        ] = []  # times of own sends that the listed weight does not yet include
+        self.penalty = 0.0  # for its faults, in connections, at penalty_updated_at
         self.penalty_updated_at = 0.0
         self.failures = 0  # consecutive failed attempts and health checks
         self.ejected_until = -math.inf
         self.health_checked_at = -math.inf
         self.report: tuple[tuple[str, float], ...] = ()
-        self.load = 0.0  # as last reported: requested work over capacity
+        self.load = 0.0  # last reported ratio of requested work to capacity
         self.load_reported_at = -math.inf
-        self.connection_cost = 0.0  # reported load over listed load, as of the last report
+        self.connection_cost = 0.0  # ratio of reported to listed load, at the last report
         self.connections_at_report = 0
-        self.identical_reports = 0  # consecutive reports that did not change at all
-        self.overloaded_at = -math.inf  # when it was last slow enough to count as overloaded
-        self.slow_start_window = -1  # number of the window that slow_start_tokens are for
+        self.identical_reports = 0  # number of consecutive reports that equal the one before
+        self.overloaded_at = -math.inf  # when it last counted as overloaded
+        self.slow_start_window = -1  # number of the window for which slow_start_tokens were granted
         self.slow_start_tokens = 0
 
     def has_fresh_report(self, now: float) -> bool:
--- a/ironmill/balancing/state.py
+++ b/ironmill/balancing/state.py
@@ -8,8 +8,8 @@
 from ironmill.balancing.request_state import RequestState
 from ironmill.balancing.server_state import ServerState
 
-# Rates of health checks and migrations hold for a fleet of this size. In a larger one each proxy acts less
-# often, so that the whole fleet does not act more, and an own connection counts for those of more proxies.
+# The rates of health checks and migrations apply to a fleet of this size. In a larger fleet each proxy acts
+# less often, so that the total does not grow, and an own connection stands for those of more proxies.
 REFERENCE_PROXIES = 4
 
 
@@ -26,4 +26,4 @@
         self.fleet_scale = max(1.0, settings.proxies / REFERENCE_PROXIES)
         self.servers: dict[int, ServerState] = {}
         self.requests: dict[str, RequestState] = {}
-        self.actions: list[Action] = []  # to be returned for the current event
+        self.actions: list[Action] = []  # for the current event
--- a/ironmill/balancing/tenant_quotas.py
+++ b/ironmill/balancing/tenant_quotas.py
@@ -1,17 +1,17 @@
-"""What each tenant has open through this proxy, against its quota."""
+"""The connections of each tenant through this proxy, compared with its quota."""
 
 from __future__ import annotations
 
 from ironmill.balancing.interface import Settings
 
-QUOTA_SLACK = 1.25  # traffic of a tenant is uneven between proxies
+QUOTA_SLACK = 1.25  # the traffic of a tenant is not evenly distributed over the proxies
 
 
 class TenantQuotas:
     """Counts connections and attempts in flight by tenant."""
 
     def __init__(self, settings: Settings) -> None:
-        """Computes this proxy's part of each quota."""
+        """Computes this proxy's share of each quota."""
         self._quotas = {
             tenant.name: tenant.quota_connections / max(1, settings.proxies)
             for tenant in settings.tenants
@@ -20,13 +20,13 @@
         self._connections: dict[str, int] = {}
 
     def change(self, tenant: str, difference: int) -> None:
-        """Adds to the number of a tenant's connections."""
+        """Adds ``difference`` to the number of a tenant's connections."""
         self._connections[tenant] = self._connections.get(tenant, 0) + difference
 
     def is_exceeded(self, tenant: str) -> bool:
-        """Returns True if the tenant has more open here than this proxy's part of its quota.
+        """Returns True if the tenant has more connections here than this proxy's share of its quota.
 
-        A part below one connection allows one all the same.
+        A share of less than one connection still allows one.
         """
         quota = self._quotas.get(tenant)
         return quota is not None and self._connections.get(tenant, 0) > 1.0 + QUOTA_SLACK * quota
--- a/ironmill/balancing/token_table.py
+++ b/ironmill/balancing/token_table.py
@@ -11,7 +11,7 @@
 class TokenTable:
     """The ready servers in one list, ordered by count.
 
-    Servers of equal count form a contiguous bucket, so all servers under a count are a prefix of the list. A
+    Servers of equal count form a contiguous bucket, so all servers below a count are a prefix of the list. A
     draw is one random index, a change of a count by one is one swap with the edge of its bucket, and a step
     of the threshold moves no server. The cost of all three is independent of the number of servers.
     """
@@ -21,7 +21,7 @@
         self._order: list[int] = []
         self._index: dict[int, int] = {}
         self._count: dict[int, int] = {}
-        self._below: list[int] = [0, 0]  # _below[c]: number of servers with a count under c
+        self._below: list[int] = [0, 0]  # _below[c] is the number of servers with a count below c
 
     def __len__(self) -> int:
         """Returns the number of servers in the table."""
@@ -36,11 +36,11 @@
         return self._count[server_id]
 
     def below(self, count: int) -> int:
-        """Returns the number of servers under a count: the tokens of that threshold."""
+        """Returns the number of servers with a lower count; for the threshold, those with a green token."""
         return self._below[count] if count < len(self._below) else len(self._order)
 
     def put(self, server_id: int, count: int) -> None:
-        """Adds a server with this count, or changes its count."""
+        """Adds a server with the given count, or changes its count."""
         if server_id not in self._count:
             self._index[server_id] = len(self._order)
             self._order.append(server_id)
@@ -61,15 +61,15 @@
         self._below[-1] -= 1
 
     def draw(self, start: int, end: int, rng: random.Random, accepts: Callable[[int], bool]) -> int | None:
-        """Returns a random acceptable server at an index in ``range(start, end)``, or None."""
+        """Returns a random accepted server with an index in ``range(start, end)``, or None."""
         if end <= start:
             return None
         for _ in range(MAX_RANDOM_DRAWS):
             server_id = self._order[start + int(rng.random() * (end - start))]
             if accepts(server_id):
                 return server_id
-        acceptable = [server_id for server_id in self._order[start:end] if accepts(server_id)]
-        return rng.choice(acceptable) if acceptable else None
+        accepted = [server_id for server_id in self._order[start:end] if accepts(server_id)]
+        return rng.choice(accepted) if accepted else None
 
     def mean(self) -> int:
         """Returns the mean count, rounded down; 0 for an empty table."""
@@ -95,11 +95,11 @@
         self._below[count] = edge + 1
         self._count[server_id] = count - 1
 
-    def _swap(self, server_id: int, to: int) -> None:
+    def _swap(self, server_id: int, new_index: int) -> None:
         order, index = self._order, self._index
-        other = order[to]
-        at = index[server_id]
-        order[at] = other
-        order[to] = server_id
-        index[other] = at
-        index[server_id] = to
+        other_id = order[new_index]
+        old_index = index[server_id]
+        order[old_index] = other_id
+        order[new_index] = server_id
+        index[other_id] = old_index
+        index[server_id] = new_index
--- a/tests/unit/balancing/test_migration.py
+++ b/tests/unit/balancing/test_migration.py
@@ -44,10 +44,10 @@
     proxy = SimulatedProxy(2)
     first = sends(proxy.request())[0]
     proxy.establish(first, delay=0.2 * IDEMPOTENT.message_latency_objective)
-    assert proxy.balancer._overload.server_ids == {}
+    assert proxy.balancer._overload.overloaded_server_ids == {}
     second = sends(proxy.request())[0]
     proxy.establish(second, delay=0.6 * IDEMPOTENT.message_latency_objective)
-    assert list(proxy.balancer._overload.server_ids) == [second.server_id]
+    assert list(proxy.balancer._overload.overloaded_server_ids) == [second.server_id]
     third = sends(proxy.request())[0]
     proxy.establish(third, delay=5.0 * IDEMPOTENT.message_latency_objective)
     assert (
