--- a/ironmill/balancing/draining.py
+++ b/ironmill/balancing/draining.py
@@ -61,7 +61,7 @@
         ]
         if established and not self._shedder.is_shedding:
             self._migration_policy.migrate(
-                max(established, key=lambda request_state: request_state.request_class.priority_weight)
+                max(established, key=lambda candidate: candidate.request_class.priority_weight)
             )
         if in_flight:
             self.schedule(server_id)
--- a/ironmill/balancing/health_checks.py
+++ b/ironmill/balancing/health_checks.py
@@ -45,7 +45,7 @@
             self._set_timer(self._state.rng.random())
 
     def check_next(self) -> None:
-        """Checks the ready server that was checked least recently, a random one of them in case of a tie."""
+        """Checks the ready server that was checked least recently, a random one in case of a tie."""
         rng = self._state.rng
         self._set_timer(0.75 + 0.5 * rng.random())
         ready = [server for server in self._state.servers.values() if server.ready]
--- a/ironmill/balancing/interface.py
+++ b/ironmill/balancing/interface.py
@@ -56,7 +56,7 @@
     CONNECT_FAILED = ("connect_failed", True)
     RESET = ("reset", False)
     CANCELLED = ("cancelled", False)
-    NOT_SENT = ("not_sent", True)  # the request had ended, was late or had no attempts left
+    NOT_SENT = ("not_sent", True)  # the request was over, late or out of attempts before the first byte
     OTHER = ("other", False)  # an outcome that this version does not know; the attempt may have run
 
     @property
--- a/ironmill/balancing/load_shedding.py
+++ b/ironmill/balancing/load_shedding.py
@@ -12,7 +12,7 @@
 from ironmill.balancing.state import BalancerState
 from ironmill.balancing.tenant_quotas import TenantQuotas
 
-OVERLOADED_LOAD = 0.9  # reported load from which on a server misses its latency objectives
+OVERLOADED_LOAD = 0.9  # a server that reports this load or more misses its latency objectives
 
 
 class SheddingThresholds(Struct, frozen=True):
--- a/ironmill/balancing/placement.py
+++ b/ironmill/balancing/placement.py
@@ -116,8 +116,8 @@
     ) -> int | None:
         """Returns the server that the request's group prefers among those before ``end`` in the table.
 
-        Servers with connections of the group, own ones or probably those of other proxies, may have a higher
-        count.
+        A server may have a higher count if it has connections of the group, from this proxy or probably from
+        others.
         """
         group, rerouted = request_state.request.group, request_state.request.rerouted
         assert group is not None
@@ -151,7 +151,7 @@
         else:
             # Servers in slow start take precedence, because their unused budget is not carried over.
             candidates = [
-                server_id for server_id in candidates if self._is_warming_up(server_id)
+                candidate for candidate in candidates if self._is_warming_up(candidate)
             ] or candidates
         return max(candidates, key=partial(preference, group), default=None)
 
--- a/ironmill/balancing/request_lifetime.py
+++ b/ironmill/balancing/request_lifetime.py
@@ -31,7 +31,7 @@
 MIN_ATTEMPT_S = 0.02  # no attempt is made with less time left before the deadline
 ANSWER_MARGIN_S = 0.005  # the answer is sent this long before the deadline ...
 ANSWER_MARGIN_ROUNDS = 3.0  # ... plus this many rounds, since a proxy acts only once per round
-MIN_RETRY_AFTER_FRACTION = 0.1  # of the longest Retry-After; a random part is added, see below
+MIN_RETRY_AFTER_FRACTION = 0.1  # of the longest Retry-After; a random part is added
 RETRY_AFTER_JITTER = 0.2  # largest random part, as a fraction of the longest Retry-After
 
 
--- a/ironmill/balancing/request_state.py
+++ b/ironmill/balancing/request_state.py
@@ -48,14 +48,14 @@
         self.answer_due = False  # it must be answered as soon as no attempt is in flight
         self.server_id = -1
         self.tried: list[int] = []  # IDs of the servers of all attempts
-        self.uncertain_attempt: UncertainAttempt | None = None  # the first such attempt
+        self.uncertain_attempt: UncertainAttempt | None = None  # the first attempt that may have run
 
     def is_current(self, attempt: int) -> bool:
         """Returns True if the attempt with this number is in flight or established."""
         return self.in_flight and attempt == self.attempts - 1
 
     def retry_deadline(self) -> float:
-        """Returns the time before which a retry must start; infinite if a second effect is impossible."""
+        """Returns the time before which a retry must start; infinite if a retry cannot take effect twice."""
         uncertain, idempotency = self.uncertain_attempt, self.request_class.idempotency
         if uncertain is None or idempotency is Idempotency.ALWAYS:
             return math.inf
--- a/ironmill/balancing/server_counts.py
+++ b/ironmill/balancing/server_counts.py
@@ -113,7 +113,9 @@
         now = self._state.now
         for server in self._state.servers.values():
             if every_server or server.unlisted_sends or server.server_id in self.time_dependent:
-                server.unlisted_sends = [at for at in server.unlisted_sends if now - at < LIST_DELAY_S]
+                server.unlisted_sends = [
+                    sent_at for sent_at in server.unlisted_sends if now - sent_at < LIST_DELAY_S
+                ]
                 self.update(server)
 
     def _update_slow_start(self) -> None:
--- a/ironmill/balancing/slow_start.py
+++ b/ironmill/balancing/slow_start.py
@@ -25,11 +25,11 @@
 class SlowStartBudget:
     """Limits the connections that this proxy opens to servers in slow start.
 
-    A server in slow start has no connections, so every proxy would select it. But a rule limits what all
-    proxies together may send it in a window of ``slow_start_window``. Each proxy limits itself to its rate to
-    an ordinary server, times ``slow_start_rate_multiple`` and the server's current fraction of its capacity;
-    then all proxies together keep the rule. Grants of a fraction of a connection are rounded at random. An
-    unused grant is not carried over to the next window, so grants cannot accumulate to a burst.
+    A server in slow start has no connections, so every proxy would select it. But the slow-start rule limits
+    what all proxies together may send it in a window of ``slow_start_window``. Each proxy limits itself to
+    its rate to an ordinary server, times ``slow_start_rate_multiple`` and the server's current fraction of
+    its capacity; then all proxies together keep the rule. Grants of a fraction of a connection are rounded at
+    random. An unused grant is not carried over to the next window, so grants cannot accumulate to a burst.
 
     With live weights, a server in slow start may also be filled as its capacity grows, because the rule
     measures capacity by the connections that fill the server during its warm-up.
@@ -52,7 +52,7 @@
         self._listed_full_server = 0.0
 
     def set_listed_connections(self, mean: float, full: float) -> None:
-        """Sets the connections of all proxies that the list shows on an average and on a full server."""
+        """Sets the listed connections of an average and of a full server, of those not in slow start."""
         self._listed_mean = mean
         self._listed_full_server = full
 
--- a/tests/support/balancing.py
+++ b/tests/support/balancing.py
@@ -1,4 +1,4 @@
-"""A simulated proxy and builders for tests of the decisions."""
+"""A simulated proxy, and settings and endpoint entries, for tests of ``Balancer``."""
 
 from __future__ import annotations
 
@@ -67,16 +67,18 @@
 )
 
 
-def entries(count: int, **changes: Any) -> tuple[EndpointEntry, ...]:
-    """Ready servers 1 to count, in two zones."""
+def endpoint_entries(count: int, **changes: Any) -> tuple[EndpointEntry, ...]:
+    """Returns the entries of ready servers 1 to ``count``, in two zones and four cells."""
     return tuple(
-        structs.replace(EndpointEntry(server, Stage.READY, zone="ab"[server % 2], cell=server % 4), **changes)
-        for server in range(1, count + 1)
+        structs.replace(
+            EndpointEntry(server_id, Stage.READY, zone="ab"[server_id % 2], cell=server_id % 4), **changes
+        )
+        for server_id in range(1, count + 1)
     )
 
 
 class SimulatedProxy:
-    """A proxy without I/O: advances a clock, hands events to a balancer and records its actions."""
+    """A proxy without I/O that advances a clock, passes events to a balancer and records its actions."""
 
     def __init__(self, servers: int = 0, seed: int = 1, **changes: Any) -> None:
         self.settings = structs.replace(SETTINGS, **changes)
@@ -84,13 +86,15 @@
         self.balancer = Balancer(self.settings, seed, self.now)
         self.actions: list[Action] = []
         self.timers: list[tuple[float, str]] = []
-        self.serial = 0
+        self.request_count = 0
         if servers:
-            self.watch(*entries(servers), kind=WatchEventKind.FULL)
+            self.watch(*endpoint_entries(servers), kind=WatchEventKind.FULL)
 
     def handle(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(event, self.now)
-        self.timers += [(self.now + a.delay, a.name) for a in actions if isinstance(a, SetTimer)]
+        self.timers += [
+            (self.now + action.delay, action.name) for action in actions if isinstance(action, SetTimer)
+        ]
         self.actions += actions
         return actions
 
@@ -105,9 +109,11 @@
             ConnectionSample(send.request_id, 0, send.server_id, SampleKind.DELAY, milliseconds)
         )
 
-    def request(self, cls: RequestClass = IDEMPOTENT, wait: float = 2.0, **fields: Any) -> list[Action]:
-        self.serial += 1
-        return self.handle(Request(f"r{self.serial}", cls.name, self.now + wait, **fields))
+    def request(
+        self, cls: RequestClass = IDEMPOTENT, deadline_in: float = 2.0, **fields: Any
+    ) -> list[Action]:
+        self.request_count += 1
+        return self.handle(Request(f"r{self.request_count}", cls.name, self.now + deadline_in, **fields))
 
     def establish(self, send: Send, attempt: int = 0, delay: float = 0.01) -> list[Action]:
         return self.handle(Established(send.request_id, attempt, send.server_id, delay))
@@ -116,8 +122,8 @@
         return self.handle(Ended(send.request_id, attempt, send.server_id, outcome, 0.01, final))
 
     def run_until(self, until: float) -> list[Action]:
-        """Advances the clock and fires the timers that come due."""
-        fired: list[Action] = []
+        """Advances the clock, fires the timers that expire, and returns the resulting actions."""
+        fired_actions: list[Action] = []
         while True:
             due = [timer for timer in self.timers if timer[0] <= until]
             if not due:
@@ -125,9 +131,9 @@
             timer = min(due)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            fired += self.handle(TimerFired(timer[1]))
+            fired_actions += self.handle(TimerFired(timer[1]))
         self.now = until
-        return fired
+        return fired_actions
 
 
 def sends(actions: list[Action]) -> list[Send]:
--- a/tests/unit/balancing/test_fleet.py
+++ b/tests/unit/balancing/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of forty proxies: what one of them may do but all together must not."""
+"""A fleet of 40 proxies: actions that are harmless for one proxy but not for all of them at once."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from ironmill.balancing.server_state import ServerState
 from ironmill.balancing.slow_start import ASSUMED_LIFETIME_S, SlowStartBudget
 from ironmill.configuration.site_settings import parse_settings
-from tests.support.balancing import SETTINGS as BASE
-from tests.support.balancing import SimulatedProxy, entries, sends
-from tests.unit.simulator.test_simulator import SETTINGS
+from tests.support.balancing import SETTINGS as PROXY_SETTINGS
+from tests.support.balancing import SimulatedProxy, endpoint_entries, sends
+from tests.unit.simulator.test_simulator import SETTINGS as SIMULATOR_SETTINGS
 
 FLEET_SIZE = 40
 
@@ -37,19 +37,20 @@
 
 
 def list_connections(proxy: SimulatedProxy, connections: dict[int, float], size: float = 4.0) -> None:
-    """Lists the connections of servers per core, as live weights."""
+    """Sends the proxy a list whose live weights show these connections per core, by server."""
     listed = tuple(
-        EndpointEntry(number, Stage.READY, weight=size / (1.0 + load)) for number, load in connections.items()
+        EndpointEntry(server_id, Stage.READY, weight=size / (1.0 + load))
+        for server_id, load in connections.items()
     )
     proxy.watch(*listed)
 
 
-def count(actions: list[Action], kind: type) -> int:
+def count_actions(actions: list[Action], kind: type) -> int:
     return sum(isinstance(action, kind) for action in actions)
 
 
 def test_group_opened_by_all_proxies_at_once_uses_several_servers() -> None:
-    """All prefer the same server, and no load was reported yet. Further ones go to the next in order."""
+    """All proxies prefer the same server before any load is reported. The excess must go to other servers."""
     proxies = fleet(live_weights=True)
     placements: Counter[int] = Counter()
     for proxy in proxies:
@@ -59,17 +60,17 @@
             placements[send.server_id] += 1
     assert sum(placements.values()) == 4 * FLEET_SIZE
     assert max(placements.values()) <= 1.25 * FLEET_SIZE
-    assert len(placements) <= 6, "the group stays on few servers"
+    assert len(placements) <= 6, "the group uses too many servers"
 
 
 def test_proxies_with_few_connections_keep_group_together_by_shared_preference() -> None:
-    """The least loaded server changes with each list. A group that followed it would use every server."""
+    """The least loaded server changes with each list, and a group that followed it would use every server."""
     proxies, rng = fleet(0, live_weights=True), random.Random(5)
     for proxy in proxies:
-        proxy.watch(*entries(12, weight=4.0), kind=WatchEventKind.FULL)
+        proxy.watch(*endpoint_entries(12, weight=4.0), kind=WatchEventKind.FULL)
     placements: Counter[int] = Counter()
     for _ in range(8):
-        connections = {number: rng.uniform(4.0, 6.0) for number in range(1, 13)}
+        connections = {server_id: rng.uniform(4.0, 6.0) for server_id in range(1, 13)}
         for proxy in proxies:
             proxy.now += 5.0
             list_connections(proxy, connections)
@@ -77,22 +78,26 @@
             placements[send.server_id] += 1
             proxy.establish(send)
             proxy.end(send, Outcome.OK, final=True)
-    assert sum(count for _, count in placements.most_common(3)) >= 0.8 * 8 * FLEET_SIZE
+    assert sum(placed for _, placed in placements.most_common(3)) >= 0.8 * 8 * FLEET_SIZE
 
 
 def test_rerouted_connections_go_to_server_that_all_proxies_prefer_for_group() -> None:
-    """A proxy that replaced another has no connection of the group, and loads do not show where it is."""
+    """A restarted proxy has no connection of the group, and loads do not show where the group is."""
     for group in range(1, 20):
         proxy = SimulatedProxy(0, proxies=FLEET_SIZE, live_weights=True)
-        proxy.watch(*entries(12, weight=4.0), kind=WatchEventKind.FULL)
-        first = max(range(1, 13), key=lambda server: preference(group, server))
-        list_connections(proxy, {number: 5.0 if number == first else 4.0 for number in range(1, 13)})
-        assert [send.server_id for send in sends(proxy.request(group=group, rerouted=True))] == [first]
+        proxy.watch(*endpoint_entries(12, weight=4.0), kind=WatchEventKind.FULL)
+        preferred_server = max(range(1, 13), key=lambda server: preference(group, server))
+        list_connections(
+            proxy, {server_id: 5.0 if server_id == preferred_server else 4.0 for server_id in range(1, 13)}
+        )
+        assert [send.server_id for send in sends(proxy.request(group=group, rerouted=True))] == [
+            preferred_server
+        ]
 
 
 def test_live_weights_include_placements_of_other_proxies() -> None:
     for proxy in fleet(4, live_weights=True):
-        list_connections(proxy, {1: 0.0, 2: 0.0, 3: 0.0, 4: 0.0})  # their size
+        list_connections(proxy, {1: 0.0, 2: 0.0, 3: 0.0, 4: 0.0})  # shows the size of the servers
         proxy.now += 5.0
         list_connections(proxy, {1: 5.0, 2: 4.5, 3: 0.5, 4: 6.0})
         assert [send.server_id for send in sends(proxy.request())] == [3]
@@ -105,7 +110,7 @@
     proxy.establish(send)
     assert proxy.balancer.token_counts()[send.server_id] == FLEET_SIZE // 4
     proxy.now += 0.5
-    list_connections(proxy, {send.server_id: 0.0})  # too early to include it
+    list_connections(proxy, {send.server_id: 0.0})  # too early to include the send
     assert proxy.balancer.token_counts()[send.server_id] == FLEET_SIZE // 4
     proxy.now += 1.5
     list_connections(proxy, {send.server_id: 0.25})
@@ -127,88 +132,90 @@
 def test_health_checks_of_fleet_do_not_grow_with_its_size() -> None:
     checks = [
         sum(
-            count(proxy.run_until(proxy.now + 10.0), CheckHealth)
-            for proxy in fleet(60, many, health_checks=True)
+            count_actions(proxy.run_until(proxy.now + 10.0), CheckHealth)
+            for proxy in fleet(60, fleet_size, health_checks=True)
         )
-        for many in (4, FLEET_SIZE)
+        for fleet_size in (4, FLEET_SIZE)
     ]
     assert abs(checks[1] - checks[0]) <= 0.15 * checks[0]
 
 
-def establish_each(proxies: list[SimulatedProxy], each: int) -> None:
-    """Each proxy has so many connections, all on server 1."""
+def establish_on_server_1(proxies: list[SimulatedProxy], connections_per_proxy: int) -> None:
+    """Establishes connections of each proxy on server 1, the only one listed, and then lists four servers."""
     for proxy in proxies:
-        for _ in range(each):
+        for _ in range(connections_per_proxy):
             for send in sends(proxy.request()):
                 proxy.establish(send)
-        proxy.watch(*entries(4), kind=WatchEventKind.FULL)
+        proxy.watch(*endpoint_entries(4), kind=WatchEventKind.FULL)
         proxy.actions.clear()
 
 
 def test_fleet_migrates_some_but_not_all_connections_off_overloaded_server() -> None:
-    """A report reaches one proxy of many, which has to act on it; but all together must not act at once."""
+    """Each report reaches only one proxy, which must act on it, but not all proxies may act at once."""
     proxies = fleet(1, health_checks=True)
-    establish_each(proxies, 1)
+    establish_on_server_1(proxies, 1)
     migrated = 0
     for proxy in proxies:
-        end, early = proxy.now + 5.0, 0
+        end, own_migrations = proxy.now + 5.0, 0
         while due := [timer for timer in proxy.timers if timer[0] <= end]:
             for action in proxy.run_until(min(due)[0]):
                 if isinstance(action, CheckHealth):
                     load = 1.0 if action.server_id == 1 else 0.3
-                    early += count(
+                    own_migrations += count_actions(
                         proxy.handle(HealthChecked(action.server_id, Outcome.OK, (("x0", load),))), Migrate
                     )
-        assert early <= 1
-        migrated += early
+        assert own_migrations <= 1
+        migrated += own_migrations
     assert 0.2 * FLEET_SIZE <= migrated <= 0.7 * FLEET_SIZE
 
 
 def test_slow_messages_migrate_no_more_connections_in_larger_fleet() -> None:
     proxies = fleet(1)
-    establish_each(proxies, 1)
+    establish_on_server_1(proxies, 1)
     slow = [proxy.handle(ConnectionSample("r1", 0, 1, SampleKind.DELAY, 200.0)) for proxy in proxies]
-    assert sum(count(actions, Migrate) for actions in slow) <= 0.2 * FLEET_SIZE
+    assert sum(count_actions(actions, Migrate) for actions in slow) <= 0.2 * FLEET_SIZE
 
 
 def test_fleet_drains_server_gradually() -> None:
     proxies = fleet(1)
-    establish_each(proxies, 1)
-    first = later = 0
+    establish_on_server_1(proxies, 1)
+    in_first_second = later = 0
     for proxy in proxies:
         proxy.watch(EndpointEntry(1, Stage.DRAINING))
-        first += count(proxy.run_until(proxy.now + 1.0), Migrate)
-        later += count(proxy.run_until(proxy.now + 9.0), Migrate)
-    assert first <= 0.4 * FLEET_SIZE
-    assert first + later == FLEET_SIZE
+        in_first_second += count_actions(proxy.run_until(proxy.now + 1.0), Migrate)
+        later += count_actions(proxy.run_until(proxy.now + 9.0), Migrate)
+    assert in_first_second <= 0.4 * FLEET_SIZE
+    assert in_first_second + later == FLEET_SIZE
 
 
 def test_unused_slow_start_budget_is_not_carried_over() -> None:
-    """Grants carried over would allow the fleet more than the rule in one window."""
+    """With grants carried over, the fleet could exceed the rule in one window."""
     granted = next_window = later_window = 0
     for seed in range(2000):
-        budget = SlowStartBudget(structs.replace(BASE, proxies=FLEET_SIZE), random.Random(seed), 0.0)
-        for at in range(4, 84, 4):
-            budget.request_arrived(10, float(at))
+        budget = SlowStartBudget(
+            structs.replace(PROXY_SETTINGS, proxies=FLEET_SIZE), random.Random(seed), 0.0
+        )
+        for second in range(4, 84, 4):
+            budget.request_arrived(10, float(second))
         server = ServerState(1)
         server.started_at = 84.0
         if budget.allows(server, 84.0):
             granted += 1
             next_window += budget.allows(server, 86.0)
             later_window += budget.allows(server, 88.0)
-    assert 20 <= granted <= 60  # about one in fifty proxies in one window
-    assert next_window <= 3  # no more often than any other proxy is granted one then
-    assert later_window < granted, "not carried over"
+    assert 20 <= granted <= 60  # about one in fifty proxies gets a grant in one window
+    assert next_window <= 3  # no more often than for any other proxy
+    assert later_window < granted, "unused grants are carried over"
 
 
 def test_threshold_of_proxy_with_few_placements_follows_list() -> None:
-    """Otherwise all proxies of a large fleet would use the few servers that the list shows as idle."""
+    """Otherwise all proxies of a large fleet would use only the few servers that are listed as idle."""
     for proxy in fleet(10, proxies=200, live_weights=True):
         proxy.request()
         assert proxy.balancer.threshold <= 1
         for _ in range(6):
             proxy.now += 1.5
-            list_connections(proxy, {number: float(number % 7) for number in range(1, 11)})
+            list_connections(proxy, {server_id: float(server_id % 7) for server_id in range(1, 11)})
         assert 2 <= proxy.balancer.threshold <= 3
 
 
@@ -217,35 +224,41 @@
 
     They have observed no arrivals, so their budget depends only on the listed connections.
     """
-    size, connections = 4.0, 20.0  # of each ordinary server
+    size, connections = 4.0, 20.0  # cores and connections of each ordinary server
     proxies = fleet(0, proxies=200, live_weights=True)
     placements: dict[int, list[float]] = {8: [], 9: [], 10: []}
     for proxy in proxies:
-        proxy.watch(*entries(10, weight=size), kind=WatchEventKind.FULL)
+        proxy.watch(*endpoint_entries(10, weight=size), kind=WatchEventKind.FULL)
         list_connections(proxy, dict.fromkeys(range(1, 8), connections / size))
         start = proxy.now
-        starting = tuple(
-            EndpointEntry(number, Stage.READY, weight=size, started_at=start) for number in placements
+        starting_entries = tuple(
+            EndpointEntry(server_id, Stage.READY, weight=size, started_at=start) for server_id in placements
         )
-        proxy.watch(*starting)
+        proxy.watch(*starting_entries)
         while proxy.now < start + 7.5:
             proxy.now += 0.5
             for send in sends(proxy.request(returning=True)):
                 if send.server_id in placements:
                     placements[send.server_id].append(proxy.now - start)
     for times in placements.values():
-        assert len(times) >= 0.5 * connections, "the others are overloaded meanwhile"
-        for at in (0.0, 2.0, 4.0):
-            age = (at + BASE.slow_start_window / 2.0) / BASE.slow_start_duration
-            capacity = BASE.initial_capacity_fraction + (1.0 - BASE.initial_capacity_fraction) * age
-            rule = (
-                BASE.slow_start_rate_multiple
+        assert len(times) >= 0.5 * connections, "too few connections in slow start overload the other servers"
+        for window_start in (0.0, 2.0, 4.0):
+            age = (window_start + PROXY_SETTINGS.slow_start_window / 2.0) / PROXY_SETTINGS.slow_start_duration
+            capacity = (
+                PROXY_SETTINGS.initial_capacity_fraction
+                + (1.0 - PROXY_SETTINGS.initial_capacity_fraction) * age
+            )
+            allowed = (
+                PROXY_SETTINGS.slow_start_rate_multiple
                 * capacity
                 * connections
-                / BASE.slow_start_duration
-                * BASE.slow_start_window
+                / PROXY_SETTINGS.slow_start_duration
+                * PROXY_SETTINGS.slow_start_window
+            )
+            assert (
+                sum(window_start < time <= window_start + PROXY_SETTINGS.slow_start_window for time in times)
+                <= allowed
             )
-            assert sum(at < time <= at + BASE.slow_start_window for time in times) <= rule
 
 
 def test_slow_start_budget_goes_before_group_preference() -> None:
@@ -255,10 +268,10 @@
         list_connections(proxy, dict.fromkeys(range(1, 10), 0.0))
         proxy.now += 5.0
         list_connections(proxy, dict.fromkeys(range(1, 10), 9.0))
-        starting = EndpointEntry(10, Stage.READY, weight=4.0, started_at=proxy.now)
-        proxy.watch(starting)
-        proxy.watch(EndpointEntry(9, Stage.READY, weight=4.0))  # as empty, but not in slow start
-        granted = 10 in proxy.balancer.token_counts()  # by chance
+        starting_entry = EndpointEntry(10, Stage.READY, weight=4.0, started_at=proxy.now)
+        proxy.watch(starting_entry)
+        proxy.watch(EndpointEntry(9, Stage.READY, weight=4.0))  # listed as empty too, but not in slow start
+        granted = 10 in proxy.balancer.token_counts()  # decided at random
         (send,) = sends(proxy.request(group=7))
         used += send.server_id == 10
         assert (send.server_id == 10) is granted
@@ -266,7 +279,7 @@
 
 
 def test_mean_lifetime_is_learned_from_own_connections() -> None:
-    budget = SlowStartBudget(BASE, random.Random(1), 0.0)
+    budget = SlowStartBudget(PROXY_SETTINGS, random.Random(1), 0.0)
     assert budget.mean_lifetime(0.0) == ASSUMED_LIFETIME_S
     for number in range(30):
         budget.connection_established(float(number))
@@ -276,5 +289,5 @@
 
 
 def test_settings_enable_live_weights() -> None:
-    assert parse_settings(json.dumps(SETTINGS | {"weightSource": "live"})).live_weights
-    assert not parse_settings(json.dumps(SETTINGS | {"weightSource": "nominal"})).live_weights
+    assert parse_settings(json.dumps(SIMULATOR_SETTINGS | {"weightSource": "live"})).live_weights
+    assert not parse_settings(json.dumps(SIMULATOR_SETTINGS | {"weightSource": "nominal"})).live_weights
--- a/tests/unit/balancing/test_health_checks.py
+++ b/tests/unit/balancing/test_health_checks.py
@@ -12,9 +12,11 @@
 from tests.support.balancing import SimulatedProxy
 
 
-def checked(proxy: SimulatedProxy, span: float) -> list[int]:
+def checked(proxy: SimulatedProxy, duration: float) -> list[int]:
     return [
-        action.server_id for action in proxy.run_until(proxy.now + span) if isinstance(action, CheckHealth)
+        action.server_id
+        for action in proxy.run_until(proxy.now + duration)
+        if isinstance(action, CheckHealth)
     ]
 
 
@@ -22,7 +24,7 @@
     proxy = SimulatedProxy(3, health_checks=True)
     order = checked(proxy, 6.0)
     assert set(order) == {1, 2, 3}
-    assert all(one != other for one, other in pairwise(order))
+    assert all(previous != following for previous, following in pairwise(order))
     assert checked(SimulatedProxy(3), 6.0) == []
 
 
--- a/tests/unit/balancing/test_load_shedding.py
+++ b/tests/unit/balancing/test_load_shedding.py
@@ -9,16 +9,16 @@
 def overload(proxy: SimulatedProxy, servers: set[int], seconds: int) -> float:
     """Samples slow messages on the given servers for a while; returns the fraction of requests rejected."""
     established = sends(proxy.actions)
-    rejected = tried = 0
+    rejected = request_count = 0
     for _ in range(seconds):
         proxy.now += 1.0
         for send in established:
             if send.server_id in servers:
                 proxy.sample_delay(send, 900.0)
         for _ in range(5):
-            tried += 1
+            request_count += 1
             rejected += any(isinstance(action, Reject) for action in proxy.request())
-    return rejected / tried
+    return rejected / request_count
 
 
 def proxy_with_connections(seed: int, *, health_checks: bool = False) -> SimulatedProxy:
@@ -42,17 +42,17 @@
     """A proxy of a large fleet checks servers too rarely to detect overload by reports alone."""
 
     def rejected(reports: int) -> float:
-        parts = []
+        fractions = []
         for seed in range(10):
             proxy = proxy_with_connections(seed, health_checks=True)
             for server in range(1, 1 + reports):
                 proxy.report_load(server, 0.2)
-            parts.append(overload(proxy, set(range(1, 11)), 3))
-        return sum(parts) / len(parts)
+            fractions.append(overload(proxy, set(range(1, 11)), 3))
+        return sum(fractions) / len(fractions)
 
     assert rejected(0) > 0.2
     assert rejected(1) > 0.2
-    assert rejected(2) == 0.0  # the reports say that there is none
+    assert rejected(2) == 0.0  # the reports show no overload
 
 
 def test_admits_all_again_after_overload() -> None:
@@ -64,7 +64,8 @@
 
 def test_sheds_work_over_tenant_quota_first() -> None:
     """Work over a tenant's quota has low priority and must not displace other work."""
-    tenants = (Tenant("greedy", 4.0, 8.0), Tenant("modest", 4.0, 40.0))  # over 4 proxies: 2 and 10 here
+    # Each of the 4 proxies has a share of 2 and 10 connections.
+    tenants = (Tenant("greedy", 4.0, 8.0), Tenant("modest", 4.0, 40.0))
     admitted = {"greedy": 0, "modest": 0}
     for seed in range(20):
         proxy = SimulatedProxy(10, seed=seed, tenants=tenants)
@@ -77,7 +78,9 @@
             for send in established:
                 proxy.sample_delay(send, 60.0)
             for tenant in admitted:
-                admitted[tenant] += not any(isinstance(a, Reject) for a in proxy.request(tenant=tenant))
+                admitted[tenant] += not any(
+                    isinstance(action, Reject) for action in proxy.request(tenant=tenant)
+                )
     assert admitted["modest"] > 2 * admitted["greedy"]
 
 
@@ -91,12 +94,12 @@
     assert all(sends(proxy.request()) for _ in range(10))
     proxy.report_load(1, 1.4)
     proxy.run_until(proxy.now + 1.0)
-    assert all(sends(proxy.request()) for _ in range(10))  # one is a fault of that server
+    assert all(sends(proxy.request()) for _ in range(10))  # a single overloaded server has a fault of its own
     proxy.report_load(2, 0.92)
     for server in (3, 4):
         proxy.report_load(server, 0.15)
     proxy.run_until(proxy.now + 1.0)
-    assert all(sends(proxy.request()) for _ in range(10))  # the others are half idle
+    assert all(sends(proxy.request()) for _ in range(10))  # the other servers can take the load
     for server in (3, 4):
         proxy.report_load(server, 0.8)
     proxy.run_until(proxy.now + 1.0)
--- a/tests/unit/balancing/test_migration.py
+++ b/tests/unit/balancing/test_migration.py
@@ -42,31 +42,32 @@
 def test_slow_establishment_counts_as_overload() -> None:
     """Messages on established connections may be fast although the server is overloaded."""
     proxy = SimulatedProxy(2)
-    first = sends(proxy.request())[0]
-    proxy.establish(first, delay=0.2 * IDEMPOTENT.message_latency_objective)
+    first_send = sends(proxy.request())[0]
+    proxy.establish(first_send, delay=0.2 * IDEMPOTENT.message_latency_objective)
     assert proxy.balancer._overload.overloaded_server_ids == {}
-    second = sends(proxy.request())[0]
-    proxy.establish(second, delay=0.6 * IDEMPOTENT.message_latency_objective)
-    assert list(proxy.balancer._overload.overloaded_server_ids) == [second.server_id]
-    third = sends(proxy.request())[0]
-    proxy.establish(third, delay=5.0 * IDEMPOTENT.message_latency_objective)
+    second_send = sends(proxy.request())[0]
+    proxy.establish(second_send, delay=0.6 * IDEMPOTENT.message_latency_objective)
+    assert list(proxy.balancer._overload.overloaded_server_ids) == [second_send.server_id]
+    third_send = sends(proxy.request())[0]
+    proxy.establish(third_send, delay=5.0 * IDEMPOTENT.message_latency_objective)
     assert (
-        proxy.balancer.token_counts()[third.server_id] > proxy.balancer.connection_counts()[third.server_id]
+        proxy.balancer.token_counts()[third_send.server_id]
+        > proxy.balancer.connection_counts()[third_send.server_id]
     )
 
 
 def test_reported_overload_adds_penalty_and_migrates_connection() -> None:
     proxy = SimulatedProxy(4, health_checks=True, reports_delay=False)
-    out = [send for _ in range(4) for send in sends(proxy.request())]
-    for send in out:
+    established = [send for _ in range(4) for send in sends(proxy.request())]
+    for send in established:
         proxy.establish(send)
-    bad, good = out[0].server_id, out[1].server_id
-    before = proxy.balancer.token_counts()
-    assert proxy.report_load(good, OVERLOADED_LOAD - 0.1) == []
-    assert proxy.handle(HealthChecked(good, Outcome.TIMEOUT)) == []
+    overloaded_id, healthy_id = established[0].server_id, established[1].server_id
+    counts_before = proxy.balancer.token_counts()
+    assert proxy.report_load(healthy_id, OVERLOADED_LOAD - 0.1) == []
+    assert proxy.handle(HealthChecked(healthy_id, Outcome.TIMEOUT)) == []
     assert proxy.report_load(99, 5.0) == []
-    (action,) = proxy.report_load(bad, 1.5)
+    (action,) = proxy.report_load(overloaded_id, 1.5)
     assert isinstance(action, Migrate)
-    after = proxy.balancer.token_counts()
-    assert after[bad] > before[bad]
-    assert after[good] == before[good]
+    counts_after = proxy.balancer.token_counts()
+    assert counts_after[overloaded_id] > counts_before[overloaded_id]
+    assert counts_after[healthy_id] == counts_before[healthy_id]
--- a/tests/unit/balancing/test_request_lifetime.py
+++ b/tests/unit/balancing/test_request_lifetime.py
@@ -1,4 +1,4 @@
-"""The lifetime of a request: attempts, retries, answers."""
+"""The lifetime of a request: attempts, retries and the final answer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     TimerFired,
     WatchEventKind,
 )
-from tests.support.balancing import NOT_IDEMPOTENT, WITH_KEY, SimulatedProxy, entries, sends
+from tests.support.balancing import NOT_IDEMPOTENT, WITH_KEY, SimulatedProxy, endpoint_entries, sends
 
 
 def answers(proxy: SimulatedProxy) -> list[object]:
@@ -42,7 +42,7 @@
 
 def test_timeout_at_deadline_is_answered() -> None:
     proxy = SimulatedProxy(3)
-    proxy.request(wait=0.2)
+    proxy.request(deadline_in=0.2)
     proxy.now += 0.2
     proxy.end(sends(proxy.actions)[0], Outcome.TIMEOUT)
     proxy.run_until(proxy.now + 0.001)
@@ -51,13 +51,13 @@
 
 def test_attempt_timeout_leaves_time_for_retry() -> None:
     proxy = SimulatedProxy(3)
-    proxy.request(wait=2.0)
+    proxy.request(deadline_in=2.0)
     assert sends(proxy.actions)[0].timeout == pytest.approx(0.3)
 
 
 def test_request_without_ready_server_waits_and_is_answered_in_time() -> None:
     proxy = SimulatedProxy()
-    proxy.request(wait=1.0)
+    proxy.request(deadline_in=1.0)
     start = proxy.now
     assert not answers(proxy)
     proxy.run_until(start + 0.7)
@@ -69,8 +69,8 @@
 
 def test_waiting_request_is_sent_when_server_is_listed() -> None:
     proxy = SimulatedProxy()
-    proxy.request(wait=1.0)
-    proxy.watch(*entries(1))
+    proxy.request(deadline_in=1.0)
+    proxy.watch(*endpoint_entries(1))
     proxy.run_until(proxy.now + 0.3)
     assert len(sends(proxy.actions)) == 1
 
@@ -96,7 +96,7 @@
 
 def test_request_with_key_is_retried_only_in_its_scope_and_window() -> None:
     proxy = SimulatedProxy(8)
-    zones = {entry.server_id: entry.zone for entry in entries(8)}
+    zones = {entry.server_id: entry.zone for entry in endpoint_entries(8)}
     for _ in range(40):
         proxy.actions.clear()
         proxy.request(WITH_KEY)
@@ -105,7 +105,7 @@
         sent = sends(proxy.actions)
         assert len(sent) == 2
         assert zones[sent[1].server_id] == zones[sent[0].server_id]
-        proxy.now += 0.8  # past the window of one second
+        proxy.now += 0.8  # past the deduplication window of 1 s
         proxy.end(sent[1], Outcome.TIMEOUT, 1)
         proxy.run_until(proxy.now + 1)
         assert len(sends(proxy.actions)) == 2
@@ -155,7 +155,9 @@
 def test_draining_and_missing_servers_get_nothing_new() -> None:
     proxy = SimulatedProxy(4)
     proxy.watch(EndpointEntry(1, Stage.DRAINING), EndpointEntry(2, Stage.GONE))
-    proxy.watch(*entries(1, stage=Stage.DRAINING), *entries(3)[2:], kind=WatchEventKind.FULL)
+    proxy.watch(
+        *endpoint_entries(1, stage=Stage.DRAINING), *endpoint_entries(3)[2:], kind=WatchEventKind.FULL
+    )
     for _ in range(20):
         proxy.request()
     assert {send.server_id for send in sends(proxy.actions)} == {3}
--- a/tests/unit/balancing/test_server_counts.py
+++ b/tests/unit/balancing/test_server_counts.py
@@ -15,24 +15,24 @@
 
 def test_idle_link_is_reused_where_handshakes_have_cost() -> None:
     """With far fewer connections than servers, a random draw opens a new link nearly every time."""
-    used = {}
-    for price in (0.0, 0.1):
-        proxy = SimulatedProxy(30, costs=Costs(handshake=price))
-        hits = 0
+    reuses_by_cost = {}
+    for handshake_cost in (0.0, 0.1):
+        proxy = SimulatedProxy(30, costs=Costs(handshake=handshake_cost))
+        reuses = 0
         for _ in range(40):
-            links = {send.server_id for send in sends(proxy.actions)[-1:]}
+            idle_servers = {send.server_id for send in sends(proxy.actions)[-1:]}
             proxy.now += 0.5
             send = sends(proxy.request())[0]
-            hits += send.server_id in links
+            reuses += send.server_id in idle_servers
             proxy.establish(send)
             proxy.end(send, Outcome.OK, final=True)
-        used[price] = hits
-    assert used[0.0] < 10
-    assert used[0.1] > 20
+        reuses_by_cost[handshake_cost] = reuses
+    assert reuses_by_cost[0.0] < 10
+    assert reuses_by_cost[0.1] > 20
 
 
 def test_reported_load_includes_other_load_on_machine() -> None:
-    """Own connections do not show other load on a machine."""
+    """The load of other processes on a server's machine does not show in the proxy's own connections."""
     proxy = SimulatedProxy(3, health_checks=True)
     for _ in range(6):
         for send in sends(proxy.request()):
@@ -41,12 +41,12 @@
         proxy.report_load(server, load)
     (send,) = sends(proxy.request())
     counts = proxy.balancer.token_counts()
-    assert counts.pop(1) == 4  # four sixths of the reported load, whatever its connections
-    assert counts.pop(send.server_id) == 2  # and one placed since
+    assert counts.pop(1) == 4  # 0.8 / 1.2 of the reported load, times 6 connections
+    assert counts.pop(send.server_id) == 2  # 1 by the report, and 1 placed since
     assert list(counts.values()) == [1]
     proxy.run_until(proxy.now + REPORT_LIFETIME_S + 1.0)
     proxy.request()
-    assert sum(proxy.balancer.token_counts().values()) == 8  # old reports no longer count
+    assert sum(proxy.balancer.token_counts().values()) == 8  # expired reports are not used
 
 
 def test_unchanged_and_invalid_reports_do_not_count() -> None:
@@ -54,11 +54,11 @@
     for _ in range(4):
         for send in sends(proxy.request()):
             proxy.establish(send)
-    live = proxy.balancer.connection_counts()
-    for bad in (math.nan, math.inf, -1.0):
-        proxy.report_load(1, bad)
-    assert proxy.balancer.token_counts() == live
-    for at in range(STALE_AFTER_IDENTICAL_REPORTS + 1):
+    connection_counts = proxy.balancer.connection_counts()
+    for invalid_load in (math.nan, math.inf, -1.0):
+        proxy.report_load(1, invalid_load)
+    assert proxy.balancer.token_counts() == connection_counts
+    for index in range(STALE_AFTER_IDENTICAL_REPORTS + 1):
         proxy.report_load(1, 0.1)
-        proxy.report_load(2, 0.5 + at / 100.0)
-    assert proxy.balancer.token_counts()[1] == live[1]
+        proxy.report_load(2, 0.5 + index / 100.0)
+    assert proxy.balancer.token_counts()[1] == connection_counts[1]
--- a/tests/unit/balancing/test_subscription.py
+++ b/tests/unit/balancing/test_subscription.py
@@ -1,14 +1,16 @@
-"""Calls to a discovery that reports changes only to subscribers."""
+"""Calls to a discovery service that reports changes only to subscribers."""
 
 from __future__ import annotations
 
 from ironmill.balancing.interface import SetTimer, Subscribe, WatchEventKind
-from tests.support.balancing import SimulatedProxy, entries
+from tests.support.balancing import SimulatedProxy, endpoint_entries
 
 
 def first_call(proxy: SimulatedProxy) -> float:
-    proxy.watch(*entries(3), kind=WatchEventKind.FULL)
-    return next(a.delay for a in proxy.actions if isinstance(a, SetTimer) and a.name == "ask")
+    proxy.watch(*endpoint_entries(3), kind=WatchEventKind.FULL)
+    return next(
+        action.delay for action in proxy.actions if isinstance(action, SetTimer) and action.name == "ask"
+    )
 
 
 def test_first_calls_are_spread_and_in_time() -> None:
@@ -18,20 +20,21 @@
 
 
 def test_failed_calls_back_off_with_jitter_and_never_stop() -> None:
-    pauses = []
+    delays_by_proxy = []
     for seed in range(20):
         proxy = SimulatedProxy(3, seed=seed, subscribes_to_discovery=True)
         proxy.run_until(proxy.now + 5.0)
         assert Subscribe() in proxy.actions
-        own = []
+        delays = []
         for _ in range(6):
             actions = proxy.watch(kind=WatchEventKind.FAILED)
-            own += [action.delay for action in actions if isinstance(action, SetTimer)]
-        assert len(own) == 6
-        assert own[4] > own[0]
-        pauses.append(own)
-    assert max(max(own) for own in pauses) < 40.0  # four times the poll interval, after a failed call
-    assert len({own[0] for own in pauses}) == 20
+            delays += [action.delay for action in actions if isinstance(action, SetTimer)]
+        assert len(delays) == 6
+        assert delays[4] > delays[0]
+        delays_by_proxy.append(delays)
+    # The limit is four times the poll interval, after a failed call.
+    assert max(max(delays) for delays in delays_by_proxy) < 40.0
+    assert len({delays[0] for delays in delays_by_proxy}) == 20
 
 
 def test_success_ends_backoff() -> None:
--- a/tests/unit/balancing/test_threshold.py
+++ b/tests/unit/balancing/test_threshold.py
@@ -1,4 +1,4 @@
-"""The threshold rule: green, yellow, any server, and one step of the threshold after each placement."""
+"""The threshold rule: order of green, yellow and other servers, and steps of the threshold."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     WatchEventKind,
 )
 from ironmill.balancing.placement import ALPHA
-from tests.support.balancing import SimulatedProxy, entries, sends
+from tests.support.balancing import SimulatedProxy, endpoint_entries, sends
 
 
 def resumed(number: int, server: int) -> Resumed:
@@ -47,12 +47,12 @@
     for _ in range(3):
         proxy.request()
         assert proxy.balancer.threshold == 0
-    proxy.request()  # the fourth takes the last yellow token
+    proxy.request()  # the fourth request takes the last yellow token
     assert proxy.balancer.threshold == 1
     assert len({send.server_id for send in sends(proxy.actions)}) == 4
 
 
-def test_threshold_falls_when_green_is_plenty_and_never_below_zero() -> None:
+def test_threshold_falls_when_most_servers_are_green_and_never_below_zero() -> None:
     proxy = SimulatedProxy(20)
     for number in range(20):
         proxy.handle(resumed(number, 1 + number))
@@ -78,71 +78,75 @@
 @settings(max_examples=80, database=None, deadline=None)
 @given(STEPS)
 def test_counts_agree_with_a_recount_over_any_events(steps: list[tuple[int, int, Outcome, float]]) -> None:
-    """Counts never leak or go negative, one attempt at most is in flight, and each request has one answer."""
+    """Counts never leak or become negative, and each request has one answer and one attempt at a time."""
     proxy = SimulatedProxy(6)
-    out: dict[str, Send] = {}
+    in_flight: dict[str, Send] = {}
     attempts: dict[str, int] = {}
-    over: set[str] = set()
-    answered: dict[str, int] = {}
+    finished: set[str] = set()
+    answer_counts: dict[str, int] = {}
 
-    def take(actions: list[object]) -> None:
+    def record_actions(actions: list[object]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                assert action.request_id not in out, "two attempts in flight"
-                assert action.request_id not in over, "sent after the end"
-                out[action.request_id] = action
+                assert action.request_id not in in_flight, "two attempts in flight"
+                assert action.request_id not in finished, "attempt after the request has ended"
+                in_flight[action.request_id] = action
                 attempts[action.request_id] = attempts.get(action.request_id, -1) + 1
             elif type(action).__name__ in ("Reject", "Fail"):
-                answered[action.request_id] = answered.get(action.request_id, 0) + 1  # type: ignore[attr-defined]
-                over.add(action.request_id)  # type: ignore[attr-defined]
-
-    for kind, pick, outcome, wait in steps:
-        if kind <= 3:
-            take(list(proxy.request(wait=wait)))
-        elif kind == 4:
-            take(list(proxy.run_until(proxy.now + wait)))
-        elif kind == 5:
-            stage = (Stage.READY, Stage.DRAINING, Stage.GONE)[pick % 3]
-            entry = EndpointEntry(1 + pick % 6, stage, started_at=proxy.now if pick % 2 else 0.0)
-            take(list(proxy.watch(entry)))
-        elif out:
-            send = list(out.values())[pick % len(out)]
-            if kind == 6:
-                take(
+                answer_counts[action.request_id] = answer_counts.get(action.request_id, 0) + 1  # type: ignore[attr-defined]
+                finished.add(action.request_id)  # type: ignore[attr-defined]
+
+    for step_kind, choice, outcome, duration in steps:
+        if step_kind <= 3:
+            record_actions(list(proxy.request(deadline_in=duration)))
+        elif step_kind == 4:
+            record_actions(list(proxy.run_until(proxy.now + duration)))
+        elif step_kind == 5:
+            stage = (Stage.READY, Stage.DRAINING, Stage.GONE)[choice % 3]
+            entry = EndpointEntry(1 + choice % 6, stage, started_at=proxy.now if choice % 2 else 0.0)
+            record_actions(list(proxy.watch(entry)))
+        elif in_flight:
+            send = list(in_flight.values())[choice % len(in_flight)]
+            if step_kind == 6:
+                record_actions(
                     list(
                         proxy.handle(
                             Established(send.request_id, attempts[send.request_id], send.server_id, 0.2)
                         )
                     )
                 )
-                over.add(send.request_id)
-            elif kind == 7:
-                over.add(send.request_id)
-                take(list(proxy.handle(Abandoned(send.request_id))))
+                finished.add(send.request_id)
+            elif step_kind == 7:
+                finished.add(send.request_id)
+                record_actions(list(proxy.handle(Abandoned(send.request_id))))
             else:
-                del out[send.request_id]
-                final = outcome is Outcome.OK or send.request_id in over
+                del in_flight[send.request_id]
+                final = outcome is Outcome.OK or send.request_id in finished
                 if final:
-                    over.add(send.request_id)
-                take(list(proxy.end(send, outcome, attempts[send.request_id], final)))
-        live = proxy.balancer.connection_counts()
-        for server, count in live.items():
-            assert count == sum(send.server_id == server for send in out.values())
-        for server, count in proxy.balancer.token_counts().items():
-            assert count >= live[server] >= 0
-    take(list(proxy.run_until(proxy.now + 5.0)))
-    for send in list(out.values()):
-        take(list(proxy.end(send, Outcome.TIMEOUT, attempts[send.request_id], send.request_id in over)))
-        over.discard("")
-    take(list(proxy.run_until(proxy.now + 5.0)))
-    for number in range(1, proxy.serial + 1):
-        assert answered.get(f"r{number}", 0) == 1 or f"r{number}" in over or f"r{number}" in out
-    assert all(count == 1 for count in answered.values())
+                    finished.add(send.request_id)
+                record_actions(list(proxy.end(send, outcome, attempts[send.request_id], final)))
+        connection_counts = proxy.balancer.connection_counts()
+        for server_id, count in connection_counts.items():
+            assert count == sum(send.server_id == server_id for send in in_flight.values())
+        for server_id, count in proxy.balancer.token_counts().items():
+            assert count >= connection_counts[server_id] >= 0
+    record_actions(list(proxy.run_until(proxy.now + 5.0)))
+    for send in list(in_flight.values()):
+        record_actions(
+            list(proxy.end(send, Outcome.TIMEOUT, attempts[send.request_id], send.request_id in finished))
+        )
+        finished.discard("")
+    record_actions(list(proxy.run_until(proxy.now + 5.0)))
+    for number in range(1, proxy.request_count + 1):
+        assert (
+            answer_counts.get(f"r{number}", 0) == 1 or f"r{number}" in finished or f"r{number}" in in_flight
+        )
+    assert all(count == 1 for count in answer_counts.values())
 
 
 def test_list_changes_keep_token_table_complete() -> None:
     proxy = SimulatedProxy(5)
-    proxy.watch(*entries(3), kind=WatchEventKind.FULL)
+    proxy.watch(*endpoint_entries(3), kind=WatchEventKind.FULL)
     assert sorted(proxy.balancer.token_counts()) == [1, 2, 3]
     proxy.watch(EndpointEntry(9, Stage.READY), EndpointEntry(2, Stage.GONE))
     assert sorted(proxy.balancer.token_counts()) == [1, 3, 9]
@@ -153,22 +157,23 @@
 def test_server_of_half_the_weight_gets_half_of_the_placements() -> None:
     """Servers have different sizes; equal draws would overload the small ones."""
     small = large = 0
-    for number in range(400):
-        proxy = SimulatedProxy(seed=number)
+    for proxy_seed in range(400):
+        proxy = SimulatedProxy(seed=proxy_seed)
         fleet = [
-            EndpointEntry(server, Stage.READY, weight=1.0 if server <= 5 else 2.0) for server in range(1, 11)
+            EndpointEntry(server_id, Stage.READY, weight=1.0 if server_id <= 5 else 2.0)
+            for server_id in range(1, 11)
         ]
         proxy.watch(*fleet, kind=WatchEventKind.FULL)
-        chosen = sends(proxy.request())[0].server_id
-        small += chosen <= 5
-        large += chosen > 5
+        selected_id = sends(proxy.request())[0].server_id
+        small += selected_id <= 5
+        large += selected_id > 5
     assert 1.5 < large / small < 2.7
 
 
 def test_small_server_is_used_when_large_one_is_not_ready() -> None:
-    """Skipping small servers must never leave a request waiting while a server is ready."""
-    for number in range(60):
-        proxy = SimulatedProxy(seed=number)
+    """The draw by weight must never leave a request unplaced while a server is ready."""
+    for proxy_seed in range(60):
+        proxy = SimulatedProxy(seed=proxy_seed)
         starting = EndpointEntry(2, Stage.READY, weight=50.0, started_at=proxy.now)
         proxy.watch(EndpointEntry(1, Stage.READY, weight=1.0), starting, kind=WatchEventKind.FULL)
         assert len(sends(proxy.request(returning=True))) == 1
