--- a/ironmill/membership/__init__.py
+++ b/ironmill/membership/__init__.py
@@ -1,5 +1,6 @@
-"""Failure detection and agreement on the members of a cluster, as state machines without I/O and clock.
+"""Failure detection and agreement on the members of a cluster, by a protocol that is similar to SWIM.
 
-Owns the view of one process, the membership protocol, and the signed envelope that distribution uses as well.
-May import ``ironmill.errors``; ``docs/membership.md`` describes the protocol.
+The package contains the view of one process, the membership protocol, and the signed envelope that
+``ironmill.distribution`` also uses. Its state machines do no I/O and read no clock: callers pass in the time
+and the datagrams. It may import ``ironmill.errors``. ``docs/membership.md`` describes the protocol.
 """
--- a/ironmill/membership/codec.py
+++ b/ironmill/membership/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the datagrams of membership and the gossip updates in them."""
+"""Encoding of the membership datagrams and of the gossip updates in them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ironmill.membership.messages import GossipUpdate, MemberRecord, Message, Opinion, StateSyncPage
 from ironmill.membership.validation import validate_update
 
-# An opinion is an array of six elements; a record has fewer. The first byte of MessagePack tells them apart.
+# The first MessagePack byte of an opinion: an array of six elements. Records have fewer elements.
 _OPINION_HEADER = b"\x96"
 
 _ENVELOPE = msgspec.msgpack.Decoder(Envelope[Message])
@@ -20,12 +20,15 @@
 
 
 def encode_update(update: GossipUpdate) -> bytes:
-    """Returns a gossip update as it is embedded in a ping or an ack."""
+    """Returns the encoded form of a gossip update, which pings and acks embed."""
     return _ENCODER.encode(update)
 
 
 def decode_update(raw: msgspec.Raw) -> GossipUpdate:
-    """Returns the gossip update; raises ``DroppedError`` if it is malformed or a value is out of range."""
+    """Returns the decoded gossip update.
+
+    Raises ``DroppedError`` if the update is malformed or one of its values is out of range.
+    """
     data = bytes(raw)
     try:
         update: GossipUpdate = _OPINION.decode(data) if data[:1] == _OPINION_HEADER else _RECORD.decode(data)
@@ -36,14 +39,14 @@
 
 
 class Codec(SignedCodec[Message]):
-    """Encodes and decodes the datagrams of membership."""
+    """Encodes and decodes the membership datagrams."""
 
     def __init__(self, cluster: str, keys: Sequence[bytes]) -> None:
-        """Raises ``ValueError`` if the cluster's name or the keys are out of range."""
+        """Creates a codec for one cluster; raises ``ValueError`` if its name or the keys are out of range."""
         super().__init__(cluster, keys, _ENVELOPE)
 
     def validate(self, message: Message) -> None:
-        """Validates the records of a page. Updates in pings and acks are validated as they are decoded."""
+        """Validates the records of a state sync page; ``decode_update`` validates those in pings and acks."""
         if isinstance(message, StateSyncPage):
             for record in message.records:
                 validate_update(record)
--- a/ironmill/membership/config.py
+++ b/ironmill/membership/config.py
@@ -11,10 +11,10 @@
 
 
 class MemberConfig(Struct, frozen=True):
-    """Who a member is, how it finds others and how fast it acts."""
+    """The identity of a member, the addresses through which it joins, and its timeouts."""
 
     identity: MemberIdentity
     timing: Timing
-    seeds: Sequence[Address]  # through which it joins
-    # By name, for members that are not reachable at the address that they announce.
+    seeds: Sequence[Address]  # the addresses that the member pings to join
+    # Addresses by member name, for members that are not reachable at the address that they announce.
     peer_addresses: Mapping[str, Address] = field(default_factory=dict)
--- a/ironmill/membership/envelope.py
+++ b/ironmill/membership/envelope.py
@@ -1,4 +1,4 @@
-"""The signed envelope of every datagram: MessagePack under a keyed hash. Distribution uses it as well."""
+"""The signed envelope of every membership and distribution datagram: a keyed hash, then MessagePack."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 MAC_BYTES = 16
-MAX_KEYS = 2  # the signing key, and another one while keys are being replaced
+MAX_KEYS = 2  # the signing key, and a second key during key rotation
 
 Message = TypeVar("Message")
 
@@ -50,40 +50,43 @@
 
 
 class DroppedError(IronmillError):
-    """Raised where a datagram is dropped. Its text is the reason, by which drops are counted."""
+    """Raised to drop a datagram. Its text is the reason, under which the drop is counted."""
 
     def __init__(self, reason: str) -> None:
-        """``reason`` is a value of ``DropReason``, or of the same enumeration in another package."""
+        """Creates the error; ``reason`` is a value of ``DropReason`` here or in another package."""
         super().__init__(reason)
         self.reason = reason
 
 
 class Envelope(Struct, Generic[Message], frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The content that the hash covers. ``to`` is empty while the receiver's name is unknown."""
+    """The content that the hash covers. ``to`` is empty if the sender does not know the receiver's name."""
 
     cluster: str
     sender: str
     incarnation: int
     to: str
-    count: int  # the sequence number within this incarnation; a repeated one is a replay
+    count: int  # the sequence number within this incarnation; a repeated number is a replay
     message: Message
 
 
 def check_keys(keys: Sequence[bytes]) -> tuple[bytes, ...]:
-    """Returns the keys; raises ``ValueError`` if their number or the length of one is out of range."""
+    """Returns the keys; raises ``ValueError`` if their number or the length of any key is out of range."""
     if not 1 <= len(keys) <= MAX_KEYS or not all(MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES for key in keys):
         lengths, limits = [len(key) for key in keys], f"{MIN_KEY_BYTES} to {MAX_KEY_BYTES}"
-        raise ValueError(f"keys of {lengths} bytes are invalid; expected one or two of {limits} bytes")
+        raise ValueError(f"keys of {lengths} bytes are invalid; expected one or two keys of {limits} bytes")
     return tuple(keys)
 
 
 class SignedCodec(Generic[Message]):
-    """Encodes and decodes the datagrams of one cluster. The first key signs; every key verifies."""
+    """Encodes and decodes the datagrams of one cluster.
+
+    The first key signs datagrams; a received datagram may be signed with any of the keys.
+    """
 
     def __init__(
         self, cluster: str, keys: Sequence[bytes], decoder: msgspec.msgpack.Decoder[Envelope[Message]]
     ) -> None:
-        """Raises ``ValueError`` if the cluster's name or the keys are out of range."""
+        """Creates a codec for one cluster; raises ``ValueError`` if its name or the keys are out of range."""
         if not is_name(cluster):
             raise ValueError(f"cluster name {cluster!r} is invalid; expected 1 to {MAX_TEXT_BYTES} bytes")
         self._cluster = cluster
@@ -92,7 +95,7 @@
 
     @property
     def keys(self) -> Sequence[bytes]:
-        """The keys in use; the first one signs."""
+        """The keys in use; the first one signs datagrams."""
         return self._keys
 
     @keys.setter
@@ -100,7 +103,7 @@
         self._keys = check_keys(keys)
 
     def encode(self, sender: MemberIdentity, to: str, count: int, message: Message) -> bytes:
-        """Returns the datagram; raises ``ValueError`` if it exceeds ``MAX_DATAGRAM_BYTES``."""
+        """Returns the signed datagram; raises ``ValueError`` if it exceeds ``MAX_DATAGRAM_BYTES``."""
         envelope = Envelope(self._cluster, sender.name, sender.incarnation, to, count, message)
         body = _ENCODER.encode(envelope)
         data = self._mac(self._keys[0], body) + body
@@ -123,14 +126,14 @@
             raise DroppedError(DropReason.MALFORMED) from None
         if envelope.cluster != self._cluster:
             raise DroppedError(DropReason.FOREIGN_CLUSTER)
-        numbers = 0 <= envelope.count < INTEGER_LIMIT and 0 < envelope.incarnation < INTEGER_LIMIT
-        if not (numbers and is_name(envelope.sender)):
+        has_valid_numbers = 0 <= envelope.count < INTEGER_LIMIT and 0 < envelope.incarnation < INTEGER_LIMIT
+        if not (has_valid_numbers and is_name(envelope.sender)):
             raise DroppedError(DropReason.MALFORMED)
         self.validate(envelope.message)
         return envelope
 
     def validate(self, message: Message) -> None:
-        """Checks value ranges that types cannot express; raises ``DroppedError`` if one is exceeded."""
+        """Checks ranges that types cannot express; raises ``DroppedError`` if a value is out of range."""
 
     @staticmethod
     def _mac(key: bytes, body: bytes) -> bytes:
--- a/ironmill/membership/events.py
+++ b/ironmill/membership/events.py
@@ -1,4 +1,4 @@
-"""Events that a member emits to its listener, for logs and tests."""
+"""Events that a member passes to its listener, for logs and tests."""
 
 from __future__ import annotations
 
@@ -11,30 +11,33 @@
 class ChangeCause(StrEnum):
     """Why the record of a member changed."""
 
-    STARTED = "start"
-    REJOINED = "rejoin"  # under a new incarnation
-    BOOTSTRAPPED = "bootstrap"  # the first member of a new cluster
-    RESTORED = "restored"  # a view that was known before
-    DECIDED = "decided"  # a quorum of observers, evaluated here
+    STARTED = "start"  # a process that starts and is not yet in the view
+    REJOINED = "rejoin"  # a process that joins again under a new incarnation
+    BOOTSTRAPPED = "bootstrap"  # a seed that became the first member of a new cluster
+    RESTORED = "restored"  # a record of the view with which the member was started
+    DECIDED = "decided"  # a quorum of observers, as counted by this process
     GOSSIP = "gossip"  # a record received from another member
-    READMITTED = "readmitted"  # the own record, received as present
-    REFUTED = "refuted"  # the own record, received as removed
+    READMITTED = "readmitted"  # a received record that says that this process is in the view
+    REFUTED = "refuted"  # a received record that says that this process is removed, which is wrong
     LEFT = "leave"  # a graceful shutdown
 
 
 class ViewChanged(Struct, frozen=True):
-    """Base of the events of a changed view. ``observers`` are those whose opinions supported the change."""
+    """Base of the events about a changed view.
+
+    ``observers`` are the members whose opinions supported the change.
+    """
 
     member: str
     incarnation: int
     cause: ChangeCause = field(name="why")
     observers: list[str] = field(name="by")
     view: str  # the digest of the view, in hexadecimal
-    size: int  # members in the view
+    size: int  # the number of members in the view
 
 
 class MemberJoined(ViewChanged, frozen=True):
-    """A member has come into the view."""
+    """A member has been added to the view."""
 
 
 class MemberLeft(ViewChanged, frozen=True):
@@ -42,11 +45,11 @@
 
 
 class MemberRemoved(ViewChanged, frozen=True):
-    """A member is out of the view; a process emits it for itself when it starts or rejoins."""
+    """A member is out of the view. A process emits this event for itself when it starts or rejoins."""
 
 
 class MemberForgotten(Struct, frozen=True):
-    """The record of a member that was out of the view for long has been deleted."""
+    """The record of a removed member has been deleted after ``Timing.forget_delay_s``."""
 
     member: str
 
@@ -65,13 +68,13 @@
 
 
 class IsolationEnded(Struct, frozen=True):
-    """This process is in contact with another member again, or knows no other one."""
+    """This process is in contact with another member again, or its view contains no other member."""
 
     others: int
 
 
 class PauseDetected(Struct, frozen=True):
-    """This process did not run for some seconds."""
+    """This process was not scheduled for ``seconds``."""
 
     seconds: float
 
@@ -83,7 +86,7 @@
 
 
 class Superseded(Struct, frozen=True):
-    """A newer process uses the name of this one, which takes part no more."""
+    """A newer process uses the name of this process, which stops taking part in the cluster."""
 
     incarnation: int
     newer_incarnation: int = field(name="by")
--- a/ironmill/membership/gossip.py
+++ b/ironmill/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip updates on their way to other members, which travel in pings and acks."""
+"""Queue of gossip updates to be sent to other members, embedded in pings and acks."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 from ironmill.membership.messages import GossipUpdate, MemberRecord
 from ironmill.membership.view import View
 
-MAX_UPDATE_BYTES = 850  # in one datagram, which leaves space for the other fields and the signature
-TRANSMIT_FACTOR = 2.0  # each update is sent this many times the binary logarithm of the known members
+# Total size of the updates in one datagram; the remaining bytes are for the other fields and the signature.
+MAX_UPDATE_BYTES = 850
+TRANSMIT_FACTOR = 2.0  # each update is sent this factor times log2(known members + 2) times
 MAX_PENDING_UPDATES = 4096
 
 assert MAX_UPDATE_BYTES < MAX_DATAGRAM_BYTES
 
 
 class PendingBroadcast(Struct):
-    """An update that has to be sent further."""
+    """An update that is still to be sent, and how often it has been sent."""
 
     update: GossipUpdate
     data: bytes
     transmissions: int = 0
 
 
-def _key(update: GossipUpdate) -> tuple[str, str]:
+def _update_key(update: GossipUpdate) -> tuple[str, str]:
     """Returns the key by which a newer update replaces an older one."""
     if isinstance(update, MemberRecord):
         return "", update.identity.name
@@ -35,7 +36,10 @@
 
 
 class BroadcastQueue:
-    """Pending updates, the one that has waited longest first; a newer update replaces the older one."""
+    """Updates that are still to be sent, in the order of their last transmission or their arrival.
+
+    A newer update replaces an older one of the same key.
+    """
 
     __slots__ = ("_pending",)
 
@@ -48,8 +52,8 @@
         return len(self._pending)
 
     def enqueue(self, update: GossipUpdate) -> None:
-        """Adds an update; drops the oldest one if the queue is full."""
-        key = _key(update)
+        """Adds an update; if the queue is full, drops its first update."""
+        key = _update_key(update)
         self._pending.pop(key, None)
         if len(self._pending) >= MAX_PENDING_UPDATES:
             del self._pending[next(iter(self._pending))]
@@ -59,11 +63,14 @@
         """Drops all updates."""
         self._pending.clear()
 
-    def take(self, view: View, first: Sequence[Raw]) -> list[Raw]:
-        """Returns ``first`` and the pending updates that fit beside them, and counts their transmission."""
+    def take(self, view: View, priority_updates: Sequence[Raw]) -> list[Raw]:
+        """Returns ``priority_updates`` and the pending updates that fit into the same datagram.
+
+        Each returned pending update counts as sent; it is removed after its last transmission.
+        """
         max_transmissions = math.ceil(TRANSMIT_FACTOR * math.log2(len(view.records) + 2))
-        taken = list(first)
-        remaining_bytes = MAX_UPDATE_BYTES - sum(len(bytes(raw)) for raw in first)
+        updates = list(priority_updates)
+        remaining_bytes = MAX_UPDATE_BYTES - sum(len(bytes(raw)) for raw in priority_updates)
         for _ in range(len(self._pending)):
             key = next(iter(self._pending))
             broadcast = self._pending[key]
@@ -74,8 +81,8 @@
             if remaining_bytes < 0:
                 break
             del self._pending[key]
-            taken.append(Raw(broadcast.data))
+            updates.append(Raw(broadcast.data))
             broadcast.transmissions += 1
             if broadcast.transmissions < max_transmissions:
-                self._pending[key] = broadcast  # at the end of the queue
-        return taken
+                self._pending[key] = broadcast  # moves to the end of the queue
+        return updates
--- a/ironmill/membership/identity.py
+++ b/ironmill/membership/identity.py
@@ -1,4 +1,4 @@
-"""The identity and the address of a process in a cluster, shared by membership and distribution."""
+"""Identities and addresses of the processes in a cluster, shared by membership and distribution."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MemberIdentity(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What a process announces about itself. A restart takes a higher incarnation under the same name."""
+    """The identity that a process announces. A restart keeps the name and increases the incarnation."""
 
     name: str
     host: str
@@ -25,5 +25,5 @@
 
     @property
     def address(self) -> Address:
-        """The address that receives its datagrams."""
+        """The address at which the process receives datagrams."""
         return self.host, self.port
--- a/ironmill/membership/limits.py
+++ b/ironmill/membership/limits.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-MAX_DATAGRAM_BYTES = 1200  # fits into one IP packet on every common link
-MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # blake2b takes no longer key
-MAX_TEXT_BYTES = 64  # of a name, a zone, a region, a host or the cluster's name
-INTEGER_LIMIT = 1 << 62  # every integer on the wire is below it, so that sums stay within 64 bits
+MAX_DATAGRAM_BYTES = 1200  # fits into one IP packet on all common links
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # blake2b accepts at most 64 bytes
+MAX_TEXT_BYTES = 64  # of the name of a member, a zone, a region, a host or a cluster, in UTF-8
+INTEGER_LIMIT = 1 << 62  # integers on the wire are less than this, so that their sums fit in 64 bits
 
 
 def fits_text(text: str) -> bool:
@@ -14,5 +14,5 @@
 
 
 def is_name(text: str) -> bool:
-    """Returns whether a text can name a process: it is not empty and fits."""
+    """Returns whether a text is a valid name: it is not empty and has at most ``MAX_TEXT_BYTES`` bytes."""
     return bool(text) and fits_text(text)
