--- a/ironmill/membership/failure_detection.py
+++ b/ironmill/membership/failure_detection.py
@@ -1,4 +1,4 @@
-"""Observes the subjects that the rings assign to a member, and forms opinions of them."""
+"""Failure detection: pings the subjects that the rings assign to a member and derives opinions of them."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 )
 from ironmill.membership.view_agreement import ViewAgreement
 
-# Of an interval between pings: the first one is early, those to a silent member are more frequent.
+# Fractions of the ping interval: the first ping to a new subject is sent earlier, and a subject that does not
+# answer is pinged more often.
 MAX_FIRST_PING_FRACTION, SILENT_PING_FRACTION = 0.5, 0.5
-MIN_JITTER_FACTOR, JITTER_RANGE = 0.9, 0.2  # varies intervals by a tenth in both directions
+MIN_JITTER_FACTOR, JITTER_RANGE = 0.9, 0.2  # ping intervals vary randomly by up to 10 % in both directions
 TAKEOVER_PING_INTERVAL_S = 2.0 * TICK_INTERVAL_S
-DISSEMINATION_INTERVAL_S = 0.2
+DISSEMINATION_INTERVAL_S = 0.2  # between two rounds of pings to random members
 UPDATES_PER_EXTRA_PING, MAX_DISSEMINATION_PINGS = 20, 4
-ISOLATED_DISSEMINATION_PINGS = 2 * HELPER_COUNT  # while no member answers
+ISOLATED_DISSEMINATION_PINGS = 2 * HELPER_COUNT  # per round while no member answers
 
 
 class FailureDetector:
@@ -35,42 +36,42 @@
         health: SelfHealth,
         agreement: ViewAgreement,
     ) -> None:
-        """Starts without subjects; the first call of ``observe`` assigns them."""
+        """Creates a detector without subjects; the first call of ``observe`` determines them."""
         self._state = state
         self._broadcasts = broadcasts
         self._pinger = pinger
         self._health = health
         self._agreement = agreement
-        self._subjects: list[str] = []  # in the view
-        self._removed_subjects: list[str] = []  # out of it
+        self._subjects: list[str] = []  # those in the view
+        self._removed_subjects: list[str] = []  # those out of the view
         self._assignment_version = -1
         self._next_dissemination_at = state.now
 
     def observe(self) -> None:
-        """Pings the subjects that are due and updates the opinions of them."""
+        """Pings the subjects whose ping is due and updates the opinions of all subjects."""
         if self._state.view.assignment_version != self._assignment_version:
             self._update_subjects()
         for name in self._subjects:
             self._observe_member(name)
         for name in self._removed_subjects:
-            self._observe_removed(name)
+            self._observe_removed_member(name)
 
     def disseminate(self) -> None:
-        """Pings random members while gossip is pending or no subject answers.
+        """Pings random members while gossip is pending or no member answers.
 
-        Gossip travels only in pings and acks, so it would not propagate while the subjects are dead.
+        Only pings and acks carry gossip, so it would otherwise not propagate while all subjects are dead.
         """
         state = self._state
         silence_limit_s = 2.0 * TICK_INTERVAL_S + state.timing.ping_interval_s
-        gets_no_answer = (
+        is_unanswered = (
             len(state.view.rings) > 1 and state.now - self._health.last_contact_at > silence_limit_s
         )
         is_due = state.now >= self._next_dissemination_at and state.is_joined
-        if not is_due or not (self._broadcasts or gets_no_answer):
+        if not is_due or not (self._broadcasts or is_unanswered):
             return
         self._next_dissemination_at = state.now + DISSEMINATION_INTERVAL_S
         count = min(MAX_DISSEMINATION_PINGS, 1 + len(self._broadcasts) // UPDATES_PER_EXTRA_PING)
-        if gets_no_answer:
+        if is_unanswered:
             count = ISOLATED_DISSEMINATION_PINGS
         for name in self._pinger.random_members()[:count]:
             self._pinger.ping(name)
@@ -122,25 +123,28 @@
             self._agreement.set_opinion(name, SUSPECT)
 
     def _takes_over(self, name: str, peer: Peer) -> bool:
-        """Returns whether this member replaces a suspected observer and has no proof of life itself."""
+        """Returns whether this member replaces a suspected observer of the subject.
+
+        If so, it has received no ack of the subject, direct or relayed, since it began to observe it.
+        """
         view = self._state.view
         return peer.last_alive_at < peer.observed_since and (
             bool(view.suspecting_observers(name)) or view.has_suspected_members
         )
 
-    def _observe_removed(self, name: str) -> None:
+    def _observe_removed_member(self, name: str) -> None:
         state, peer = self._state, self._state.peer(name)
         timeout_s = state.timing.suspicion_timeout_s
         if state.now >= peer.next_ping_at:
-            answers = state.now - peer.last_ack_at <= timeout_s
-            interval_s = state.timing.ping_interval_s if answers else REMOVED_PING_INTERVAL_S
+            answers_pings = state.now - peer.last_ack_at <= timeout_s
+            interval_s = state.timing.ping_interval_s if answers_pings else REMOVED_PING_INTERVAL_S
             self._ping_and_schedule(name, peer, interval_s)
         is_alive = max(peer.observed_since, state.now - timeout_s) < peer.last_ack_at
-        withholds = self._health.withholds_opinions
-        self._agreement.set_opinion(name, ALIVE if is_alive and not withholds else NEUTRAL)
+        withholds_opinions = self._health.withholds_opinions
+        self._agreement.set_opinion(name, ALIVE if is_alive and not withholds_opinions else NEUTRAL)
 
     def _ping_and_schedule(self, name: str, peer: Peer, interval_s: float) -> None:
-        """Pings a subject; the next ping is due after the interval, with jitter."""
+        """Pings a subject and schedules the next ping after the interval, with jitter."""
         state = self._state
         peer.next_ping_at = state.now + interval_s * (MIN_JITTER_FACTOR + JITTER_RANGE * state.rng.random())
         self._pinger.ping(name)
--- a/ironmill/membership/joining.py
+++ b/ironmill/membership/joining.py
@@ -1,4 +1,4 @@
-"""Joining a cluster, starting one, and the changes of the own record."""
+"""Joining or bootstrapping a cluster, and changes of the record of the local member."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 )
 from ironmill.membership.view_agreement import ViewAgreement
 
-MIN_JITTER_FACTOR, JITTER_RANGE = 0.75, 0.5  # varies intervals by a quarter in both directions
-MAX_RECLAIMS = 3  # of the name while joined
+MIN_JITTER_FACTOR, JITTER_RANGE = 0.75, 0.5  # intervals vary randomly by up to 25 % in both directions
+MAX_RECLAIMS = 3  # how often a joined process reclaims its name from a process at its address
 JOINED_MEMBER_PING_INTERVAL_S = 2.0 * TICK_INTERVAL_S
 
 
 class Joining:
-    """Brings this member into a view and keeps its own record in agreement with the others."""
+    """Joins the local member to a cluster and answers reports of other members about its record."""
 
     def __init__(
         self,
@@ -37,7 +37,10 @@
         health: SelfHealth,
         agreement: ViewAgreement,
     ) -> None:
-        """``seeds`` may contain the own address, which makes this member a seed of that rank."""
+        """Creates the state of a member that has not joined.
+
+        If ``seeds`` contains the address of this member, the member is a seed. Its rank is the index there.
+        """
         own_address = state.identity.address
         self._state = state
         self._pinger = pinger
@@ -45,23 +48,23 @@
         self._agreement = agreement
         self._seeds = [seed for seed in seeds if seed != own_address]
         self._seed_rank = seeds.index(own_address) if own_address in seeds else None
-        self._was_joined = False  # since this process started
-        self._reclaims = 0  # of the name, from an earlier process at the same address
-        self._waiting_since = state.now  # for another member, before this seed starts a cluster
+        self._was_joined = False  # whether this process has ever been in the view
+        self._reclaim_count = 0  # how often it reclaimed its name from a process at the same address
+        self._waiting_since = state.now  # when this seed began to wait for a ping of a joined member
         self._next_seed_ping_at = state.now
         self._next_observer_ping_at = state.now + JOINING_OBSERVER_PING_INTERVAL_S
         self._last_joined_ping_at = NEVER
 
     def start(self) -> None:
-        """Creates the own record, out of the view."""
+        """Adds the record of this member, which is not yet in the view."""
         self._agreement.apply(MemberRecord(self._state.identity, transitions=1), ChangeCause.STARTED)
 
-    def note_joined(self) -> None:
-        """Remembers that this process has been in the view, if it is now."""
+    def record_joined(self) -> None:
+        """Records whether this process is in the view or has been in it."""
         self._was_joined = self._was_joined or self._state.is_joined
 
     def run(self) -> None:
-        """Starts a cluster if this seed has waited long enough; pings seeds and observers if that is due."""
+        """Bootstraps a cluster if this seed has waited long enough; pings seeds and observers if due."""
         if self._may_bootstrap():
             self._agreement.apply_own(self._state.record.transitions + 1, ChangeCause.BOOTSTRAPPED)
         self._ping_seed()
@@ -81,10 +84,11 @@
             self._pinger.ping_unknown(state.rng.choice(seeds))
 
     def _ping_observers(self) -> None:
-        """Brings the own record to the members that decide on it, while this one is out of the view.
+        """Sends the record of this member to its observers while it is out of the view.
 
-        Views are compared by the members that are present. A record that gossip has not brought to all
-        observers of an absent member would therefore never reach them.
+        The observers decide on its admission. State sync does not help here, because it compares digests that
+        cover only the members in the view. A record of a removed member that gossip has not delivered to all
+        of its observers would therefore never reach them.
         """
         state = self._state
         if state.is_joined:
@@ -95,7 +99,7 @@
                 self._pinger.ping(name)
 
     def on_ping_of_joined_member(self, name: str, source: Address) -> None:
-        """Pings back a member of a view, to join there rather than to start a second cluster."""
+        """Pings a member that is in a view, to join that view instead of bootstrapping a second cluster."""
         state = self._state
         self._waiting_since = state.now
         if state.now - self._last_joined_ping_at >= JOINED_MEMBER_PING_INTERVAL_S:
@@ -103,14 +107,14 @@
             self._pinger.ping_unknown(source, name)
 
     def on_own_record(self, record: MemberRecord) -> None:
-        """Handles a record with the own name that another member sent."""
+        """Handles a record with the name of this member that another member sent."""
         own = self._state.record
         if record.identity.incarnation > self._state.identity.incarnation:
             if self._was_joined and not self._has_ended(record):
                 self.supersede(record.identity.incarnation)
             else:
-                # An earlier process of this name, whose wall clock was ahead. If instead both run, the one
-                # that is in the view receives the higher incarnation and withdraws.
+                # The record is from an earlier process of this name whose wall clock was ahead. If both
+                # processes are running, the one in the view receives the higher incarnation and withdraws.
                 self._rejoin(record.identity.incarnation + 1)
         elif record.order > own.order and not own.left:
             if record.is_present:
@@ -121,20 +125,21 @@
                 self._agreement.apply_own(record.transitions, ChangeCause.GOSSIP)
 
     def _has_ended(self, record: MemberRecord) -> bool:
-        """Returns whether a record of the own name is of a process that does not run any more.
+        """Returns whether a record with the name of this member belongs to a process that has ended.
 
-        That is so if it has left, or if it listened where this process listens now. Behind a translation of
-        addresses two machines may listen at the same one, so the latter is believed a few times only.
+        That is the case if the process left, or if it listened at the address of this process. Behind network
+        address translation two machines may have the same address, so the address counts as evidence only
+        ``MAX_RECLAIMS`` times.
         """
         if record.left:
             return True
         if record.identity.address != self._state.identity.address:
             return False
-        self._reclaims += 1
-        return self._reclaims <= MAX_RECLAIMS
+        self._reclaim_count += 1
+        return self._reclaim_count <= MAX_RECLAIMS
 
     def supersede(self, newer_incarnation: int) -> None:
-        """Withdraws permanently, because a newer process uses the name."""
+        """Withdraws from the cluster permanently, because a newer process uses the same name."""
         self._state.is_superseded = True
         self._state.on_event(Superseded(self._state.identity.incarnation, newer_incarnation))
 
@@ -145,7 +150,7 @@
         return state.now - self._waiting_since >= BOOTSTRAP_DELAY_S * (1 + 2 * self._seed_rank)
 
     def _on_removed(self, record: MemberRecord) -> None:
-        """Refutes the removal if this member was healthy all along, and otherwise rejoins."""
+        """Refutes the removal if this member has been healthy for long enough; otherwise rejoins."""
         if self._health.was_healthy and not record.left:
             self._agreement.apply_own(record.transitions + 1, ChangeCause.REFUTED)
             return
--- a/ironmill/membership/member.py
+++ b/ironmill/membership/member.py
@@ -1,4 +1,4 @@
-"""One member as a state machine: it is given datagrams and the time, and returns the datagrams to send."""
+"""One member as a state machine: its inputs are datagrams and the time, its outputs datagrams to send."""
 
 from __future__ import annotations
 
@@ -36,21 +36,25 @@
 from ironmill.membership.view import View
 from ironmill.membership.view_agreement import ViewAgreement
 
-FORGET_INTERVAL_S = 1.0  # between two searches for members to forget
+FORGET_INTERVAL_S = 1.0  # between two searches for records that are due for deletion
 
 
 class Member:
-    """Coordinates the parts of one member: it dispatches ticks and messages to them.
+    """One member of a cluster, which dispatches ticks and messages to its components.
 
-    A sender is believed only if contact works both ways: it acks a ping of this member, or it echoes a token
-    of an ack of this member. A process that can only receive, or only send, therefore changes no view.
+    It accepts updates only from a sender with proven two-way contact: one that acks a ping of this member, or
+    echoes a token from an ack of this member. A process that can only receive, or only send, therefore cannot
+    change any view.
     """
 
     def __init__(
         self, config: MemberConfig, codec: Codec, rng: random.Random, now: float, on_event: EventListener
     ) -> None:
-        """``on_event`` is called with each event, synchronously; it must not call this member."""
-        self.dropped: dict[str, int] = {}  # datagrams by the reason of the drop
+        """Creates a member that is not yet in its view.
+
+        ``on_event`` is called synchronously with each event and must not call this member.
+        """
+        self.dropped: dict[str, int] = {}  # number of dropped datagrams by reason
         self._last_tick_at = now
         self._next_forget_at = now
         self._state = MemberState(config, rng, now, on_event, self._create_view())
@@ -66,7 +70,7 @@
         self._joining = Joining(self._state, config.seeds, self._pinger, self._health, self._agreement)
         self._joining.start()
 
-    # State that others read
+    # State for callers
 
     @property
     def identity(self) -> MemberIdentity:
@@ -75,7 +79,7 @@
 
     @property
     def view(self) -> View:
-        """The view; callers must not change it."""
+        """The view of this member; callers must not change it."""
         return self._state.view
 
     @property
@@ -95,16 +99,16 @@
 
     @property
     def is_superseded(self) -> bool:
-        """Whether a newer process uses the name, so that this one takes part no more."""
+        """Whether a newer process uses the same name, so that this process no longer takes part."""
         return self._state.is_superseded
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of all datagrams so far."""
+        """The total size of all datagrams sent so far."""
         return self._outbox.sent_bytes
 
     def members(self) -> list[MemberRecord]:
-        """Returns the records of the members in the view, by name."""
+        """Returns the records of the members in the view, sorted by name."""
         return self._state.view.members()
 
     def lasting_differences(self) -> dict[str, float]:
@@ -114,7 +118,7 @@
     # Inputs
 
     def tick(self, now: float) -> list[Datagram]:
-        """Runs everything that is due. The driver calls it every ``TICK_INTERVAL_S``.
+        """Performs all work that is due. The driver calls it every ``TICK_INTERVAL_S``.
 
         A call that is late by more than ``PAUSE_THRESHOLD_S`` counts as a pause of this process.
         """
@@ -126,7 +130,7 @@
             return []
         if elapsed_s > PAUSE_THRESHOLD_S:
             self._health.record_pause(elapsed_s)
-        self._joining.note_joined()
+        self._joining.record_joined()
         self._health.update()
         state.view.expire_opinions(now)
         self._agreement.decide()
@@ -138,7 +142,7 @@
         return self._outbox.flush()
 
     def receive(self, data: bytes, source: Address, now: float) -> list[Datagram]:
-        """Handles a datagram; an invalid or unacceptable one is counted in ``dropped``."""
+        """Handles a received datagram; one that is invalid or not acceptable is counted in ``dropped``."""
         self._state.now = now
         try:
             if self._state.is_superseded:
@@ -162,7 +166,7 @@
         return self._outbox.flush()
 
     def restore(self, records: Sequence[MemberRecord], now: float) -> None:
-        """Starts from a view that is known to be true, without broadcasting it."""
+        """Applies the records of a view that is known to be correct, without broadcasting them."""
         self._state.now = now
         for record in records:
             self._agreement.apply(record, ChangeCause.RESTORED)
@@ -224,7 +228,7 @@
     def _on_ack(self, envelope: Envelope[Message], ack: Ack, source: Address, *, is_stale: bool) -> None:
         state, name = self._state, envelope.sender
         ping = self._pinger.match(name, ack)
-        if ack.subject:  # relayed by a helper
+        if ack.subject:  # a helper relayed the ack
             if name not in state.view.records:
                 raise DroppedError(DropReason.UNSOLICITED)
             state.peer(ack.subject).last_alive_at = state.now
@@ -240,7 +244,7 @@
         self._confirm_contact(envelope, source, ack.updates)
         self._sync.compare(name, ack.digest)
         if not ping.target and not state.is_superseded:
-            self._pinger.ping(name)  # a seed, whose name and token are known only now
+            self._pinger.ping(name)  # it is a seed whose name and token have just become known
         self._pinger.relay_ack(ping, name)
 
     def _on_page(self, name: str, page: StateSyncPage) -> None:
@@ -249,7 +253,10 @@
         self._sync.continue_after(name, page)
 
     def _confirm_contact(self, envelope: Envelope[Message], source: Address, updates: Sequence[Raw]) -> None:
-        """Records that contact works both ways, and applies the updates. Nothing is stored before that."""
+        """Records proven two-way contact and applies the updates.
+
+        Nothing is stored about a sender before its contact is proven.
+        """
         peer = self._state.peer(envelope.sender)
         if peer.incarnation != envelope.incarnation:
             peer.incarnation = envelope.incarnation
@@ -271,7 +278,7 @@
         if name == state.name:
             self._joining.on_own_record(update)
         elif old is None or update.order > old.order:
-            self._agreement.consider(update, old)
+            self._agreement.apply_report(update, old)
 
     # Housekeeping
 
@@ -279,7 +286,7 @@
         return View()
 
     def _forget_removed_members(self) -> None:
-        """Deletes the records of members that have been out of the view for long."""
+        """Deletes the records of members that have been out of the view for ``Timing.forget_delay_s``."""
         state = self._state
         if state.now < self._next_forget_at:
             return
--- a/ironmill/membership/member_state.py
+++ b/ironmill/membership/member_state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of one member share."""
+"""The state that the components of one member share."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 from ironmill.membership.replay_window import ReplayWindow
 from ironmill.membership.view import View
 
-NEVER = -math.inf  # a time before all others
+NEVER = -math.inf  # the time of an event that has not happened
 _TOKEN_SECRET_BYTES = 16
 
 
 class Peer(Struct):
-    """What a member stores about another one beside its record. Times are by the member's clock."""
+    """What a member stores about another member besides its record. Times are on the clock of ``now``."""
 
     incarnation: int = 0
     replay_window: ReplayWindow | None = None
-    address: Address | None = None  # the source of its last datagram that proved contact both ways
-    token: int = 0  # to be echoed to it
-    last_alive_at: float = NEVER  # the last ack to a ping, direct or relayed
+    address: Address | None = None  # the source of its last datagram that proved two-way contact
+    token: int = 0  # the token from its last ack, which datagrams to it echo
+    last_alive_at: float = NEVER  # the last ack to a ping of this member, direct or relayed
     last_ack_at: float = NEVER  # the last direct ack to a ping of this member
-    last_contact_at: float = NEVER  # the last proof of contact both ways, by an ack or an echoed token
+    last_contact_at: float = NEVER  # the last proof of two-way contact, by an ack or an echoed token
     next_ping_at: float = 0.0
     indirect_ping_at: float = NEVER
     observed_since: float = NEVER
     opinion_sent_at: float = NEVER
-    quorum_since: float = NEVER  # since when a quorum supports a change
-    changed_at: float = 0.0  # the last change of its record
-    differs_since: float = math.inf  # since when its view is another one; infinite if it is the same
+    quorum_since: float = NEVER  # since when a quorum has supported a change
+    changed_at: float = 0.0  # when its record last changed
+    differs_since: float = math.inf  # since when its view has differed; infinite while it is the same
 
 
 class MemberState:
-    """The state that the parts of one member share. ``now`` is set by ``Member`` before any part runs."""
+    """The state that the components of one member share. ``Member`` sets ``now`` before calling any."""
 
     __slots__ = (
         "identity",
@@ -57,7 +57,7 @@
     def __init__(
         self, config: MemberConfig, rng: random.Random, now: float, on_event: EventListener, view: View
     ) -> None:
-        """Starts without peers; draws the secret of the tokens from ``rng``."""
+        """Starts without peers; draws the secret of the contact tokens from ``rng``."""
         self.identity = config.identity
         self.timing = config.timing
         self.peer_addresses = config.peer_addresses
@@ -85,7 +85,7 @@
         return self.record.is_present
 
     def peer(self, name: str) -> Peer:
-        """Returns what is stored about a member; creates it on first use."""
+        """Returns the stored data about a member, which it creates on the first call."""
         peer = self.peers.get(name)
         if peer is None:
             peer = self.peers[name] = Peer()
--- a/ironmill/membership/messages.py
+++ b/ironmill/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the membership protocol: arrays of MessagePack, whose field order and tags are fixed."""
+"""Messages of the membership protocol, encoded as MessagePack arrays with fixed field order and tags."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from ironmill.membership.identity import MemberIdentity
 
-SUSPECT, NEUTRAL, ALIVE = -1, 0, 1  # values of an opinion
+SUSPECT, NEUTRAL, ALIVE = -1, 0, 1  # the values of an opinion
 
 
 class MemberRecord(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The state of one member in the view. Of two records of one name every member keeps the higher one."""
+    """The state of one member. Of two records with one name, members keep the one of higher ``order``."""
 
     identity: MemberIdentity
-    transitions: int  # between in and out of the view; in the view while even
-    left: bool = False  # shut down gracefully, which is final for this incarnation
+    transitions: int  # how often it entered or left the view; it is in the view if even
+    left: bool = False  # it shut down gracefully, which is final for this incarnation
 
     @property
     def order(self) -> tuple[int, bool, int]:
-        """The key by which records of one name are ordered."""
+        """The sort key of the records with one name; a higher one is newer."""
         return self.identity.incarnation, self.left, self.transitions
 
     @property
@@ -29,17 +29,18 @@
 
 
 class Opinion(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """An observer's opinion of one of its subjects. Of two opinions of one observer the higher stamp wins.
+    """An observer's opinion of one of its subjects.
 
-    It refers to one incarnation and number of transitions of the subject and is void for any other, so that a
-    suspicion from before a partition healed does not count against a member that has come back.
+    Of two opinions of one observer on one subject, the one with the higher stamp is valid. An opinion applies
+    to one incarnation and number of transitions of the subject and is invalid for any other. A suspicion from
+    before a partition healed therefore does not count against a member that has come back.
     """
 
     observer: str
     subject: str
     incarnation: int
     transitions: int
-    stamp: int  # a counter of the observer
+    stamp: int  # a counter that the observer increments with each opinion
     value: int  # SUSPECT, NEUTRAL or ALIVE
 
 
@@ -47,7 +48,7 @@
 
 
 class Ping(Struct, frozen=True, array_like=True, tag=0, forbid_unknown_fields=True):
-    """Requests an ack. ``echo`` is the token of the last ack received, which proves contact both ways."""
+    """Requests an ack. ``echo`` is the token of the last received ack, which proves two-way contact."""
 
     number: int
     echo: int
@@ -56,7 +57,7 @@
 
 
 class Ack(Struct, frozen=True, array_like=True, tag=1, forbid_unknown_fields=True):
-    """Answers a ping. ``subject`` names the answering member where another one relays its ack."""
+    """Answers a ping. In a relayed ack, ``subject`` is the name of the member that answered."""
 
     number: int
     token: int
@@ -66,7 +67,7 @@
 
 
 class IndirectPing(Struct, frozen=True, array_like=True, tag=2, forbid_unknown_fields=True):
-    """Requests that the receiver pings another member and relays its ack."""
+    """Requests the receiver to ping another member and to relay its ack."""
 
     number: int
     echo: int
@@ -74,7 +75,7 @@
 
 
 class StateSyncRequest(Struct, frozen=True, array_like=True, tag=3, forbid_unknown_fields=True):
-    """Requests the page of records whose names follow ``after``. The page echoes ``token``."""
+    """Requests a page of the records whose names sort after ``after``. The page echoes ``token``."""
 
     echo: int
     token: int
@@ -82,7 +83,7 @@
 
 
 class StateSyncPage(Struct, frozen=True, array_like=True, tag=4, forbid_unknown_fields=True):
-    """Records in the order of their names."""
+    """A page of records, sorted by name."""
 
     echo: int
     records: list[MemberRecord]
--- a/ironmill/membership/outbox.py
+++ b/ironmill/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Encodes the messages of a member and collects them until the driver sends them."""
+"""Encodes the messages of a member and queues the datagrams until the driver sends them."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class Outbox:
-    """The datagrams to be sent."""
+    """The queue of encoded datagrams that are to be sent."""
 
-    __slots__ = ("_count", "_datagrams", "_state", "codec", "sent_bytes")
+    __slots__ = ("_datagrams", "_last_sequence_number", "_state", "codec", "sent_bytes")
 
     def __init__(self, state: MemberState, codec: Codec) -> None:
-        """Starts with sequence number 1 and without datagrams."""
+        """Creates an empty queue; the first datagram has sequence number 1."""
         self._state = state
         self.codec = codec
-        self._count = 0  # the last sequence number
+        self._last_sequence_number = 0
         self._datagrams: list[Datagram] = []
         self.sent_bytes = 0
 
     def send(self, name: str, address: Address, message: Message) -> None:
         """Queues a message; ``name`` is empty while the receiver's name is unknown."""
-        self._count += 1
-        data = self.codec.encode(self._state.identity, name, self._count, message)
+        self._last_sequence_number += 1
+        data = self.codec.encode(self._state.identity, name, self._last_sequence_number, message)
         self.sent_bytes += len(data)
         self._datagrams.append((address, data))
 
--- a/ironmill/membership/pinging.py
+++ b/ironmill/membership/pinging.py
@@ -1,4 +1,4 @@
-"""Sends pings, direct and indirect, and acks, and matches the acks that come back."""
+"""Sends direct and indirect pings and acks, and matches received acks to pings."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from ironmill.membership.outbox import Outbox
 from ironmill.membership.timing import INDIRECT_PING_DELAY_S
 
-HELPER_COUNT = 3  # members that are requested to ping a silent one
+HELPER_COUNT = 3  # members that are asked to ping a member that does not answer
 HELPER_CANDIDATES = 4 * HELPER_COUNT
 MAX_OUTSTANDING_PINGS = 1024
-MAX_RELAYED_PINGS = 64  # of those, on behalf of other members
+MAX_RELAYED_PINGS = 64  # outstanding pings that were sent on behalf of other members
 
 
 class RelayRequest(Struct, frozen=True):
-    """The member that requested an indirect ping, and the number that its ack has to carry."""
+    """The member that requested an indirect ping, and the ping number that the relayed ack has to contain."""
 
     requester: str
     number: int
 
 
 class OutstandingPing(Struct):
-    """A ping without an ack so far."""
+    """A ping that has not been answered yet."""
 
     target: str  # empty for a seed whose name is unknown
     sent_at: float
@@ -35,7 +35,7 @@
 
 
 class Pinger:
-    """The pings of one member that are outstanding."""
+    """Sends the pings and acks of one member and tracks its outstanding pings."""
 
     __slots__ = ("_broadcasts", "_last_number", "_outbox", "_outstanding", "_relayed_count", "_state")
 
@@ -53,8 +53,9 @@
     ) -> None:
         """Pings a member.
 
-        ``reported`` is a record of it that own observations contradict. It gives the address of a member that
-        is not yet in the view. A removal travels along, so that the member can refute it.
+        ``reported`` is a record of the member that the observations of this process contradict. It provides
+        the address if the member is not yet in the view. If it is a removal, the ping contains it, so that
+        the member can refute it.
         """
         address = self._state.address_of(name, reported)
         token = self._state.peer(name).token
@@ -64,11 +65,11 @@
         self._outbox.send(name, address, self._build_ping(name, relay, token, updates))
 
     def ping_unknown(self, address: Address, name: str = "") -> None:
-        """Pings an address whose member, token and name may be unknown, such as a seed."""
+        """Pings an address whose member is not known yet, such as a seed. ``name`` may be empty."""
         self._outbox.send(name, address, self._build_ping("", None, 0, []))
 
     def ping_indirectly(self, subject: str) -> None:
-        """Requests some random members to ping the subject and to relay its ack."""
+        """Requests up to ``HELPER_COUNT`` random members to ping the subject and to relay its ack."""
         for helper in self.random_members(excluded=subject)[:HELPER_COUNT]:
             token = self._state.peer(helper).token
             if token:
@@ -78,7 +79,10 @@
                 self.ping(helper)  # its ack brings the token that the next request needs
 
     def relay_ping(self, requester: str, request: IndirectPing) -> None:
-        """Pings a member on behalf of another one; raises ``DroppedError`` if that is not possible."""
+        """Pings a member on behalf of another one.
+
+        Raises ``DroppedError`` if the subject is unknown or too many relayed pings are outstanding.
+        """
         state = self._state
         if request.subject not in state.view.records or request.subject == state.name:
             raise DroppedError(DropReason.UNKNOWN_MEMBER)
@@ -88,7 +92,7 @@
         self.ping(request.subject, RelayRequest(requester, request.number))
 
     def relay_ack(self, ping: OutstandingPing, subject: str) -> None:
-        """Forwards the ack to the member that requested the ping, if there is one and it is known."""
+        """Forwards an ack to the member that requested the ping, if any member did and it is known."""
         state = self._state
         if ping.relay is not None and ping.relay.requester in state.view.records:
             requester = ping.relay.requester
@@ -100,14 +104,14 @@
     ) -> None:
         """Answers a ping.
 
-        Without ``with_gossip`` the answer is about as small as the ping, so that a replayed datagram with a
-        forged source does not direct a larger one to a third party.
+        Without ``with_gossip`` the ack is about as small as the ping, so that replayed datagrams with a
+        forged source address cannot be used for an amplification attack on a third party.
         """
         state = self._state
         token = state.tokens.issue(envelope.sender, envelope.incarnation, state.now)
         updates: list[Raw] = []
         record = state.view.records.get(envelope.sender)
-        # A removed member and a superseded process learn so from the first member that they ping.
+        # A removed member or a superseded process receives that record from the first member that it pings.
         if record is not None and (
             not record.is_present or record.identity.incarnation > envelope.incarnation
         ):
@@ -117,7 +121,7 @@
         self._outbox.send(envelope.sender, source, Ack(ping.number, token, state.view.digest, updates))
 
     def match(self, sender: str, ack: Ack) -> OutstandingPing:
-        """Returns the ping that an ack answers; raises ``DroppedError`` if there is none."""
+        """Returns the outstanding ping that an ack answers; raises ``DroppedError`` if there is none."""
         ping = self._outstanding.get(ack.number)
         if ping is None or (ack.subject or sender) != (ping.target or sender):
             raise DroppedError(DropReason.UNSOLICITED)
@@ -129,21 +133,23 @@
         self._relayed_count -= ping.relay is not None
 
     def expire(self) -> None:
-        """Removes the pings that were not answered within the suspicion timeout."""
+        """Removes the outstanding pings that were not answered within the suspicion timeout."""
         now, timeout_s = self._state.now, self._state.timing.suspicion_timeout_s
-        for number in [n for n, ping in self._outstanding.items() if now - ping.sent_at > timeout_s]:
+        for number in [
+            ping_number for ping_number, ping in self._outstanding.items() if now - ping.sent_at > timeout_s
+        ]:
             self.resolve(number)
 
     def random_members(self, excluded: str = "") -> list[str]:
-        """Returns random unsuspected members of the view, those with recent contact first."""
+        """Returns random members of the view that are not suspected, those with recent contact first."""
         state = self._state
         names = [
             name
             for name in state.view.rings.sample(state.rng, HELPER_CANDIDATES)
             if name not in (excluded, state.name) and not state.view.is_suspected(name)
         ]
-        oldest = state.now - INDIRECT_PING_DELAY_S
-        names.sort(key=lambda name: state.peer(name).last_contact_at < oldest)
+        recent_contact_since = state.now - INDIRECT_PING_DELAY_S
+        names.sort(key=lambda name: state.peer(name).last_contact_at < recent_contact_since)
         return names
 
     def _build_ping(self, name: str, relay: RelayRequest | None, token: int, updates: list[Raw]) -> Ping:
@@ -151,7 +157,8 @@
         number = self._register(name, relay)
         if not state.is_joined:
             updates = [*updates, Raw(encode_update(state.record))]
-        # Gossip to a dead member is lost, and each update is sent a limited number of times.
+        # Only pings to members with recent contact contain gossip: each update is sent a limited number of
+        # times, and a transmission to a dead member is lost.
         if name and state.now - state.peer(name).last_contact_at <= INDIRECT_PING_DELAY_S:
             updates = self._broadcasts.take(state.view, updates)
         return Ping(number, token, state.view.digest, updates)
--- a/ironmill/membership/rings.py
+++ b/ironmill/membership/rings.py
@@ -1,8 +1,8 @@
-"""Assigns observers to members. Every member with the same view computes the same assignment.
+"""Assignment of observers to members. All members with the same view compute the same assignment.
 
-Each member has one position in each of ``RING_COUNT`` rings, given by a hash of its name. In each ring it is
-observed by the next member that is not itself suspected. The observers of different members therefore differ,
-and a partitioned group of members has observers outside of it.
+Each member has one position in each of ``RING_COUNT`` rings, which is a hash of its name. In each ring, the
+next member that is not itself suspected observes it. The observers of different members therefore differ, and
+a partitioned group of members has observers outside the group.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 RING_COUNT = 6
-MAX_RING_STEPS = 64  # past suspected members in one ring; bounds the time of a look-up
+MAX_RING_STEPS = 64  # members that a lookup examines in one ring, which bounds its time
 _POSITION_BYTES = 8
 
 
@@ -26,7 +26,7 @@
 
 
 class Rings:
-    """The members of one view in their rings."""
+    """The rings of the members in one view."""
 
     def __init__(self) -> None:
         """Starts without members."""
@@ -38,7 +38,7 @@
         return len(self._positions)
 
     def __contains__(self, name: str) -> bool:
-        """Returns whether a member is present."""
+        """Returns whether a member is in the rings."""
         return name in self._positions
 
     def add(self, name: str) -> None:
@@ -56,12 +56,15 @@
                 del ring[bisect_left(ring, (position, name))]
 
     def sample(self, rng: random.Random, count: int) -> list[str]:
-        """Returns up to ``count`` different members in random order."""
+        """Returns up to ``count`` distinct members in random order."""
         ring = self._rings[0]
         return [name for _, name in rng.sample(ring, min(count, len(ring)))]
 
     def observers(self, name: str, is_suspected: Callable[[str], bool]) -> list[str]:
-        """Returns the observers of a member, present or not: at most one per ring, in the rings' order."""
+        """Returns the observers of a member, at most one per ring, in the order of the rings.
+
+        The member itself need not be in the rings.
+        """
         positions = self._positions.get(name) or ring_positions(name)
         observers: dict[str, None] = {}
         for ring, position in zip(self._rings, positions, strict=True):
@@ -74,7 +77,10 @@
         return list(observers)
 
     def subjects(self, name: str, is_suspected: Callable[[str], bool]) -> list[str]:
-        """Returns the members that a member observes: in each ring back to the first unsuspected one."""
+        """Returns the members that a member observes.
+
+        In each ring these are the preceding members, up to and including the first that is not suspected.
+        """
         positions = self._positions.get(name) or ring_positions(name)
         subjects: dict[str, None] = {}
         for ring, position in zip(self._rings, positions, strict=True):
--- a/ironmill/membership/self_health.py
+++ b/ironmill/membership/self_health.py
@@ -1,4 +1,4 @@
-"""A member's assessment of its own health, which comes before any opinion of others."""
+"""A member's assessment of its own health, on which its opinions of other members depend."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     )
 
     def __init__(self, state: MemberState) -> None:
-        """Starts healthy."""
+        """Creates the state of a healthy member."""
         self._state = state
         self.is_isolated = False
-        self.last_contact_at = NEVER  # the last direct ack of any member
+        self.last_contact_at = NEVER  # when any member last sent a direct ack
         self._last_without_others_at = state.now  # when the view last contained no other member
         self._recovering_until = state.now
         self._healthy_since = state.now
 
     def record_pause(self, seconds: float) -> None:
-        """Takes note that this process did not run, so what it did not receive counts against no member."""
+        """Records a pause of this process, so that its duration does not count against other members."""
         state = self._state
         for peer in state.peers.values():
             peer.last_alive_at += seconds
@@ -40,11 +40,11 @@
         state.on_event(PauseDetected(round(seconds, 3)))
 
     def update(self) -> None:
-        """Re-evaluates whether this member is isolated."""
+        """Updates whether this member is isolated."""
         state = self._state
         others = len(state.view.rings) - state.is_joined
-        last_good_at = max(self.last_contact_at, self._last_without_others_at)
-        is_isolated = others > 0 and state.now - last_good_at > state.timing.isolation_timeout_s
+        last_connected_at = max(self.last_contact_at, self._last_without_others_at)
+        is_isolated = others > 0 and state.now - last_connected_at > state.timing.isolation_timeout_s
         if not others:
             self._last_without_others_at = state.now
         if is_isolated is not self.is_isolated:
@@ -55,11 +55,11 @@
 
     @property
     def withholds_opinions(self) -> bool:
-        """Whether this member might blame others for a fault of itself, and so keeps its opinions back."""
+        """Whether this member withholds its opinions, because a fault of its own might distort them."""
         return self.is_isolated or self._state.now < self._recovering_until or not self._state.is_joined
 
     @property
     def was_healthy(self) -> bool:
-        """Whether this member was healthy throughout the time in which a failed one is removed."""
+        """Whether this member has been healthy for longer than the removal of a failed member takes."""
         healthy_s = self._state.now - self._healthy_since
         return not self.is_isolated and healthy_s > self._state.timing.max_detection_s
--- a/ironmill/membership/state_sync.py
+++ b/ironmill/membership/state_sync.py
@@ -1,4 +1,4 @@
-"""Fetches records page by page from a member whose view differs for longer than gossip takes."""
+"""Fetches the records of a member, page by page, if its view differs for longer than gossip takes."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 from ironmill.membership.pinging import Pinger
 from ironmill.membership.timing import MAX_CONVERGENCE_S
 
-MAX_PAGE_BYTES = 900  # of the records in one datagram
+MAX_PAGE_BYTES = 900  # total size of the records in one datagram
 MIN_SYNC_INTERVAL_S = 1.0  # between two syncs
-PATIENCE_PING_INTERVALS = 2.0  # in which gossip may remove the difference
-MAX_TOKEN_AGE_S = ContactTokens.ROTATION_INTERVAL_S  # so that the request arrives while it is accepted
+SYNC_DELAY_PING_INTERVALS = 2.0  # ping intervals for gossip to resolve a difference before a sync
+MAX_TOKEN_AGE_S = ContactTokens.ROTATION_INTERVAL_S  # so that the receiver still accepts the echoed token
 
 
 class ViewDifference(Struct):
-    """A member with another view, and since when."""
+    """A member whose view differs, and the time since which it has differed."""
 
     name: str
     since: float
 
 
 class DeferredRequest(Struct, frozen=True):
-    """A request that waits for the ack of the member, which brings the token to echo."""
+    """A request that is sent after the next ack of the member, which contains the token to echo."""
 
     name: str
     after: str
 
 
 class StateSync:
-    """Compares digests of views and requests the records of another member."""
+    """Compares the digests of views and requests records from members whose view differs."""
 
     __slots__ = ("_deferred", "_difference", "_last_request_at", "_outbox", "_pinger", "_state")
 
     def __init__(self, state: MemberState, outbox: Outbox, pinger: Pinger) -> None:
-        """Starts without a difference."""
+        """Creates the state without a known difference."""
         self._state = state
         self._outbox = outbox
         self._pinger = pinger
@@ -49,7 +49,7 @@
         self._last_request_at = NEVER
 
     def compare(self, name: str, digest: int) -> None:
-        """Compares the digest of another member's view; starts a sync if a difference has lasted."""
+        """Compares another member's view digest with this one's; starts a sync if a difference has lasted."""
         state = self._state
         peer = state.peer(name)
         if digest == state.view.digest:
@@ -64,8 +64,8 @@
             return
         if self._difference is None:
             self._difference = ViewDifference(name, state.now)
-        patience_s = PATIENCE_PING_INTERVALS * state.timing.ping_interval_s if state.is_joined else 0.0
-        has_lasted = state.now - self._difference.since >= patience_s
+        sync_delay_s = SYNC_DELAY_PING_INTERVALS * state.timing.ping_interval_s if state.is_joined else 0.0
+        has_lasted = state.now - self._difference.since >= sync_delay_s
         if has_lasted and state.now - self._last_request_at >= MIN_SYNC_INTERVAL_S:
             self._difference = None
             self.request_page(name, "")
@@ -81,10 +81,10 @@
         }
 
     def request_page(self, name: str, after: str) -> None:
-        """Requests the records of the names after ``after``.
+        """Requests the records whose names sort after ``after``.
 
-        A member that observes this one is not necessarily observed by it, so that there may be no token of it
-        or an old one: it is pinged first then, and the request follows its ack.
+        This member does not necessarily ping the other one regularly, so it may have no token of it or only
+        an old one. In that case it sends a ping first, and the request after the ack.
         """
         state = self._state
         self._last_request_at = state.now
@@ -102,11 +102,11 @@
         return self._state.now - self._state.peer(name).last_ack_at <= MAX_TOKEN_AGE_S
 
     def send_page(self, name: str, source: Address, request: StateSyncRequest) -> None:
-        """Answers a request with as many records as fit into one datagram."""
+        """Answers a request with the records that fit into one datagram."""
         records, is_last = self._state.view.page(request.after, MAX_PAGE_BYTES)
         self._outbox.send(name, source, StateSyncPage(request.token, records, is_last))
 
     def continue_after(self, name: str, page: StateSyncPage) -> None:
-        """Requests the page that follows this one, if there is one."""
+        """Requests the page that follows ``page``, if there is one."""
         if not page.is_last and page.records and not self._state.is_superseded:
             self.request_page(name, page.records[-1].identity.name)
--- a/ironmill/membership/validation.py
+++ b/ironmill/membership/validation.py
@@ -1,4 +1,4 @@
-"""Validates value ranges that the types of messages cannot express."""
+"""Validation of value ranges that the types of messages cannot express."""
 
 from __future__ import annotations
 
--- a/ironmill/membership/view.py
+++ b/ironmill/membership/view.py
@@ -1,4 +1,4 @@
-"""The records of one member's view and the opinions about its members; without a clock and without I/O."""
+"""The view of one member: the records of all members and the observers' opinions of them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from ironmill.membership.messages import ALIVE, NEUTRAL, SUSPECT, GossipUpdate, MemberRecord, Opinion
 from ironmill.membership.rings import RING_COUNT, Rings
 
-# Of the observers that are not suspected themselves.
+# Fractions of the observers that are not suspected themselves.
 REMOVAL_QUORUM_FRACTION, ADMISSION_QUORUM_FRACTION = 0.75, 0.6
 MIN_REMOVAL_SUPPORTERS = 2
-# One suspecting observer makes a member suspected while this many members have one; otherwise it takes two.
+# A member counts as suspected if two observers suspect it. One observer is enough if at least this many
+# members have a suspecting observer.
 MASS_FAILURE_MEMBERS = 4
-SMALL_CLUSTER_MEMBERS = 4  # up to this size one suspecting observer is always enough
-MAX_OPINIONS_PER_SUBJECT = 2 * RING_COUNT  # its observers, and those that replace suspected ones
+SMALL_CLUSTER_MEMBERS = 4  # one suspecting observer is also enough in clusters up to this size
+MAX_OPINIONS_PER_SUBJECT = 2 * RING_COUNT  # those of its observers and of their replacements
 _DIGEST_BYTES = 7
 
 
 class StoredOpinion(Struct):
-    """An opinion with its time of expiry."""
+    """An opinion and the time at which it expires."""
 
     opinion: Opinion
     expires_at: float
@@ -39,13 +40,16 @@
 
 
 class View:
-    """Records by name, the rings of the members that are present, and opinions by subject."""
+    """The records of all members by name, the rings of those in the view, and the opinions by subject.
+
+    A view does no I/O and reads no clock.
+    """
 
     def __init__(self) -> None:
         """Starts without records."""
         self.records: dict[str, MemberRecord] = {}
         self.rings = Rings()
-        self.digest = 0  # of all members that are present; equal digests mean equal views
+        self.digest = 0  # of all members in the view; equal digests mean equal views
         self.assignment_version = 0  # increases whenever the assignment of observers may have changed
         self._observers: dict[str, list[str]] = {}  # cached for the current assignment
         self._opinions: dict[str, dict[str, StoredOpinion]] = {}
@@ -57,7 +61,7 @@
         return name in self.rings
 
     def members(self) -> list[MemberRecord]:
-        """Returns the records of the members in the view, by name."""
+        """Returns the records of the members in the view, sorted by name."""
         return [self.records[name] for name in sorted(self.records) if self.is_present(name)]
 
     def removed_members(self) -> Iterable[MemberRecord]:
@@ -65,7 +69,7 @@
         return [record for name, record in self.records.items() if name not in self.rings and not record.left]
 
     def apply(self, record: MemberRecord) -> None:
-        """Replaces the record of a member. A record of another order discards the opinions about it."""
+        """Stores the record of a member; discards the opinions about the member if its ``order`` changes."""
         name = record.identity.name
         old = self.records.get(name)
         if old is not None and old.is_present:
@@ -87,7 +91,10 @@
         self._invalidate_assignment()
 
     def page(self, after: str, max_bytes: int) -> tuple[list[MemberRecord], bool]:
-        """Returns the records of the names after ``after`` that fit, and whether no name follows them."""
+        """Returns a page of the records whose names sort after ``after``, and whether it is the last page.
+
+        The records of a page have at most ``max_bytes`` bytes.
+        """
         names = sorted(name for name in self.records if name > after)
         remaining_bytes = max_bytes
         page: list[MemberRecord] = []
@@ -101,7 +108,10 @@
     # Opinions
 
     def add_opinion(self, opinion: Opinion, expires_at: float) -> bool:
-        """Stores an opinion. Returns False if it is outdated or its observer may not have one."""
+        """Stores an opinion; returns False if it is outdated or not acceptable.
+
+        It is not acceptable if its observer is not in the view or is the subject, or if too many are stored.
+        """
         if not self.is_current(opinion):
             return False
         if opinion.observer not in self.rings or opinion.observer == opinion.subject:
@@ -117,19 +127,19 @@
         return True
 
     def is_current(self, update: GossipUpdate) -> bool:
-        """Returns False for an opinion that refers to an earlier state of its subject."""
+        """Returns whether an update is a record, or an opinion of the current state of its subject."""
         if isinstance(update, MemberRecord):
             return True
         record = self.records.get(update.subject)
         return record is not None and record.order == (update.incarnation, False, update.transitions)
 
     def opinion_value(self, observer: str, subject: str) -> int:
-        """Returns the value of the observer's opinion of the subject; ``NEUTRAL`` if there is none."""
+        """Returns the value of the observer's opinion of the subject, or ``NEUTRAL`` if there is none."""
         stored = self._opinions.get(subject, {}).get(observer)
         return NEUTRAL if stored is None else stored.opinion.value
 
     def expire_opinions(self, now: float) -> None:
-        """Deletes opinions that were not renewed in time."""
+        """Deletes the opinions that have expired."""
         for subject in list(self._opinions):
             opinions = self._opinions[subject]
             for observer in [name for name, stored in opinions.items() if stored.expires_at <= now]:
@@ -153,21 +163,22 @@
         return any(count >= self._min_suspicions for count in self._suspicion_counts.values())
 
     def suspecting_observers(self, name: str) -> list[str]:
-        """Returns the members that suspect this one."""
+        """Returns the observers that suspect a member."""
         opinions = self._opinions.get(name, {})
         return [observer for observer, stored in opinions.items() if stored.opinion.value == SUSPECT]
 
     def observers(self, name: str) -> list[str]:
-        """Returns the observers of a member, whether it is in the view or out of it."""
+        """Returns the observers of a member, which may be in the view or out of it."""
         observers = self._observers.get(name)
         if observers is None:
             observers = self._observers[name] = self.rings.observers(name, self.is_suspected)
         return observers
 
     def supporters_of_change(self, name: str) -> list[str]:
-        """Returns the observers that support moving a member into or out of the view; empty without a quorum.
+        """Returns the observers that support adding a member to the view, or removing one that is in it.
 
-        Only observers that are not suspected themselves count. A member that left gracefully stays out.
+        The result is empty without a quorum. Only observers that are not suspected themselves count. A member
+        that left gracefully stays out of the view.
         """
         record = self.records.get(name)
         if record is None or record.left:
@@ -177,7 +188,11 @@
         if not opinions or all(stored.opinion.value != value for stored in opinions.values()):
             return []
         observers = self.observers(name)
-        supporters = [one for one in observers if one in opinions and opinions[one].opinion.value == value]
+        supporters = [
+            observer
+            for observer in observers
+            if observer in opinions and opinions[observer].opinion.value == value
+        ]
         fraction = REMOVAL_QUORUM_FRACTION if record.is_present else ADMISSION_QUORUM_FRACTION
         minimum = min(MIN_REMOVAL_SUPPORTERS, len(observers)) if record.is_present else 1
         needed = max(_quorum(len(observers), fraction), minimum)
@@ -194,10 +209,10 @@
             self._invalidate_assignment()
 
     def _set_suspicion_count(self, name: str, count: int) -> None:
-        """Sets how many observers suspect a member, and how many are needed for any member.
+        """Sets how many observers suspect a member, and updates how many make any member suspected.
 
-        In a mass failure the observers of a dead member and those that would replace them may all be dead, so
-        there one suspecting observer is enough to replace a member as an observer.
+        In a mass failure the observers of a dead member and their replacements may all be dead. One
+        suspecting observer is then enough for a member to be replaced as an observer.
         """
         if count:
             self._suspicion_counts[name] = count
--- a/ironmill/membership/view_agreement.py
+++ b/ironmill/membership/view_agreement.py
@@ -1,4 +1,4 @@
-"""Changes of the view: decided by a quorum of observers, or reported by other members."""
+"""Changes of the view, which a quorum of observers decides or other members report."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
     OPINION_RENEWAL_INTERVAL_S,
 )
 
-MAX_CONFIRMATIONS_PER_TICK = 8  # pings to members whose reported change is unconfirmed
+MAX_CONFIRMATIONS_PER_TICK = 8  # pings to members with an unconfirmed change
 
 
-class SuspectedChange(Struct):
-    """A reported change of a member that own observations do not confirm."""
+class UnconfirmedChange(Struct):
+    """A reported change of a member that the observations of this process do not confirm."""
 
     record: MemberRecord
     pinged_at: float = math.inf  # infinite until the member is pinged
 
 
 class ViewAgreement:
-    """Applies changes to the view and broadcasts the opinions from which they are decided."""
+    """Applies changes to the view and broadcasts the opinions on which the changes depend."""
 
-    __slots__ = ("_broadcasts", "_health", "_last_stamp", "_pinger", "_state", "_suspected_changes")
+    __slots__ = ("_broadcasts", "_health", "_last_stamp", "_pinger", "_state", "_unconfirmed_changes")
 
     def __init__(
         self, state: MemberState, broadcasts: BroadcastQueue, pinger: Pinger, health: SelfHealth
     ) -> None:
-        """Starts without suspected changes; stamps of opinions start at the own incarnation."""
+        """Starts without unconfirmed changes; opinion stamps start at the incarnation of this process."""
         self._state = state
         self._broadcasts = broadcasts
         self._pinger = pinger
         self._health = health
         self._last_stamp = state.identity.incarnation
-        self._suspected_changes: dict[str, SuspectedChange] = {}
+        self._unconfirmed_changes: dict[str, UnconfirmedChange] = {}
 
     def apply(self, record: MemberRecord, cause: ChangeCause, observers: Sequence[str] = ()) -> None:
-        """Makes a record part of the view and broadcasts it."""
+        """Stores a record in the view, broadcasts it, and emits the event of the change."""
         state = self._state
         name = record.identity.name
         old = state.view.records.get(name)
@@ -64,11 +64,11 @@
             self._emit_change(record, cause, observers)
 
     def apply_own(self, transitions: int, cause: ChangeCause) -> None:
-        """Sets the transitions of the own record."""
+        """Applies the record of this member with a new number of transitions."""
         self.apply(structs.replace(self._state.record, transitions=transitions), cause)
 
     def set_opinion(self, subject: str, value: int) -> None:
-        """Broadcasts the own opinion of a subject if it has changed or has to be renewed."""
+        """Sets this process's opinion of a subject; broadcasts it if it changed or is due for renewal."""
         state = self._state
         old_value = state.view.opinion_value(state.name, subject)
         peer = state.peer(subject)
@@ -90,11 +90,11 @@
             self._broadcasts.enqueue(opinion)
         return is_new
 
-    def consider(self, record: MemberRecord, old: MemberRecord | None) -> None:
-        """Takes a newer record of another member, at once unless own observations contradict it.
+    def apply_report(self, record: MemberRecord, old: MemberRecord | None) -> None:
+        """Handles a newer record of another member; applies it unless the local observations contradict it.
 
-        The delay prevents that the sides of a partition that has just healed remove each other, for each
-        side still reports that the other one is out.
+        A contradicted record waits for confirmation. Without that delay the two sides of a partition that has
+        just healed would remove each other, because each still reports the other one as removed.
         """
         state = self._state
         name = record.identity.name
@@ -105,20 +105,20 @@
         is_confirmed = bool(supporters) or (own_value == SUSPECT and not record.is_present)
         is_undisputed = record.is_present is was_present or record.left or is_newer_process
         if is_undisputed or is_confirmed or not state.is_joined:
-            self._suspected_changes.pop(name, None)
+            self._unconfirmed_changes.pop(name, None)
             self.apply(record, ChangeCause.GOSSIP, supporters)
             return
-        change = self._suspected_changes.get(name)
+        change = self._unconfirmed_changes.get(name)
         if change is None:
-            self._suspected_changes[name] = SuspectedChange(record)
+            self._unconfirmed_changes[name] = UnconfirmedChange(record)
         elif record.order > change.record.order:
             change.record = record
 
     def decide(self) -> None:
-        """Applies the changes that a quorum has supported for long enough, and those that are confirmed."""
+        """Applies changes that a quorum has supported for long enough, and confirmed reports."""
         if not self._health.withholds_opinions:
             self._apply_quorum_decisions()
-        self._resolve_suspected_changes()
+        self._resolve_unconfirmed_changes()
 
     def _apply_quorum_decisions(self) -> None:
         state = self._state
@@ -135,28 +135,28 @@
                 changed = structs.replace(record, transitions=record.transitions + 1)
                 self.apply(changed, ChangeCause.DECIDED, supporters)
 
-    def _resolve_suspected_changes(self) -> None:
+    def _resolve_unconfirmed_changes(self) -> None:
         state = self._state
-        pinged = 0
-        for name, change in list(self._suspected_changes.items()):
+        pinged_count = 0
+        for name, change in list(self._unconfirmed_changes.items()):
             old = state.view.records.get(name)
             if old is not None and change.record.order <= old.order:
-                del self._suspected_changes[name]
+                del self._unconfirmed_changes[name]
                 continue
             supporters = state.view.supporters_of_change(name)
             has_timed_out = state.now >= change.pinged_at + CONFIRMATION_TIMEOUT_S
             if self._is_confirmed(name, change, supporters, has_timed_out=has_timed_out):
-                del self._suspected_changes[name]
+                del self._unconfirmed_changes[name]
                 self.apply(change.record, ChangeCause.GOSSIP, supporters)
             elif has_timed_out:
-                del self._suspected_changes[name]  # the ping contradicts the report
-            elif change.pinged_at == math.inf and pinged < MAX_CONFIRMATIONS_PER_TICK:
-                pinged += 1
+                del self._unconfirmed_changes[name]  # the result of the ping contradicts the report
+            elif change.pinged_at == math.inf and pinged_count < MAX_CONFIRMATIONS_PER_TICK:
+                pinged_count += 1
                 change.pinged_at = state.now
                 self._pinger.ping(name, reported=change.record)
 
     def _is_confirmed(
-        self, name: str, change: SuspectedChange, supporters: Sequence[str], *, has_timed_out: bool
+        self, name: str, change: UnconfirmedChange, supporters: Sequence[str], *, has_timed_out: bool
     ) -> bool:
         has_answered = self._state.peer(name).last_ack_at >= change.pinged_at
         if change.record.is_present:
@@ -165,13 +165,13 @@
 
     def _emit_change(self, record: MemberRecord, cause: ChangeCause, observers: Sequence[str]) -> None:
         view = self._state.view
-        kind: type[MemberJoined | MemberLeft | MemberRemoved] = MemberRemoved
+        event_type: type[MemberJoined | MemberLeft | MemberRemoved] = MemberRemoved
         if record.is_present:
-            kind = MemberJoined
+            event_type = MemberJoined
         elif record.left:
-            kind = MemberLeft
+            event_type = MemberLeft
         self._state.on_event(
-            kind(
+            event_type(
                 record.identity.name,
                 record.identity.incarnation,
                 cause,
