--- a/tests/unit/membership/test_codec.py
+++ b/tests/unit/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams of membership: which are accepted, and which are dropped for which reason."""
+"""Tests of which membership datagrams the codec accepts, and for which reason it drops others."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     assert len(data) < 200
 
 
-def test_datagram_of_no_member_is_dropped_with_its_reason() -> None:
+def test_invalid_datagram_is_dropped_with_its_reason() -> None:
     codec = Codec("north", [KEY])
     data = codec.encode(IDENTITY, "p2", 9, MESSAGES[0])
     assert drop_reason(Codec("north", [OTHER_KEY]), data) == "forged"
@@ -60,18 +60,23 @@
     assert drop_reason(codec, signed) == "malformed"
 
 
-def test_members_understand_each_other_while_keys_are_replaced() -> None:
-    old, both, new = Codec("north", [KEY]), Codec("north", [KEY, OTHER_KEY]), Codec("north", [OTHER_KEY])
-    ahead = Codec("north", [OTHER_KEY, KEY])
-    pairs = ((old, (both, ahead)), (both, (old, ahead)), (ahead, (both, new)), (new, (ahead,)))
-    for writer, readers in pairs:
-        data = writer.encode(IDENTITY, "", 1, MESSAGES[2])
-        for reader in readers:
-            assert reader.decode(data).sender == "p1"
+def test_members_accept_each_others_datagrams_during_key_rotation() -> None:
+    old, old_signs, new = Codec("north", [KEY]), Codec("north", [KEY, OTHER_KEY]), Codec("north", [OTHER_KEY])
+    new_signs = Codec("north", [OTHER_KEY, KEY])
+    pairs = (
+        (old, (old_signs, new_signs)),
+        (old_signs, (old, new_signs)),
+        (new_signs, (old_signs, new)),
+        (new, (new_signs,)),
+    )
+    for sender, receivers in pairs:
+        data = sender.encode(IDENTITY, "", 1, MESSAGES[2])
+        for receiver in receivers:
+            assert receiver.decode(data).sender == "p1"
     assert drop_reason(new, old.encode(IDENTITY, "", 1, MESSAGES[2])) == "forged"
     for keys in ([], [KEY, OTHER_KEY, KEY], [b"short"], [b"x" * 65]):
         with pytest.raises(ValueError, match="keys"):
-            both.keys = keys
+            old_signs.keys = keys
 
 
 @pytest.mark.parametrize(
@@ -95,11 +100,11 @@
 
 @given(st.binary(max_size=300))
 def test_arbitrary_bytes_raise_nothing_but_dropped_error(data: bytes) -> None:
-    """Signed as well, for a faulty member has the key."""
+    """The bytes are also signed, because a faulty member may have the key."""
     codec = Codec("north", [KEY])
-    for one in (data, codec._mac(KEY, data) + data):
+    for datagram in (data, codec._mac(KEY, data) + data):
         try:
-            codec.decode(one)
+            codec.decode(datagram)
         except DroppedError as error:
             assert str(error) in ("forged", "malformed", "truncated", "foreign")
     try:
@@ -111,7 +116,7 @@
 @given(st.data())
 def test_datagram_with_one_changed_byte_is_forged(data: st.DataObject) -> None:
     codec = Codec("north", [KEY])
-    good = codec.encode(IDENTITY, "p2", 9, data.draw(st.sampled_from(MESSAGES)))
-    at = data.draw(st.integers(0, len(good) - 1))
-    bad = good[:at] + bytes([good[at] ^ data.draw(st.integers(1, 255))]) + good[at + 1 :]
-    assert drop_reason(codec, bad) == "forged"
+    valid = codec.encode(IDENTITY, "p2", 9, data.draw(st.sampled_from(MESSAGES)))
+    index = data.draw(st.integers(0, len(valid) - 1))
+    changed = valid[:index] + bytes([valid[index] ^ data.draw(st.integers(1, 255))]) + valid[index + 1 :]
+    assert drop_reason(codec, changed) == "forged"
--- a/tests/unit/membership/test_recorded_run.py
+++ b/tests/unit/membership/test_recorded_run.py
@@ -1,6 +1,7 @@
-"""Simulated runs whose datagrams are recorded: every decision and every draw of the generators is in them.
+"""Tests that simulated runs send the same datagrams as when their digests were recorded.
 
-The digests were made by the code of commit f1ef118. A deliberate change of the protocol replaces them.
+The datagrams depend on every decision of the members and on every number that their generators draw. The
+digests were recorded at commit f1ef118; they may only change with a deliberate change of the protocol.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from ironmill_testbed.faults.simulated_cluster import SimulatedCluster
 
 COUNT = 14
-NAMES = tuple(f"p{at:05d}" for at in range(COUNT))
+NAMES = tuple(f"p{index:05d}" for index in range(COUNT))
 
 
 class RecordedCluster:
-    """A converged cluster, and the digest of all its datagrams with their times, senders and targets."""
+    """A converged cluster, and the digest of all its datagrams with their times, senders and receivers."""
 
     def __init__(self, faults: list[Fault], seed: int) -> None:
         self.cluster = SimulatedCluster(COUNT, faults, seed)
@@ -58,12 +59,12 @@
     ]
     recorded = RecordedCluster(faults, seed=4)
     recorded.cluster.run(50.0)
-    found = (recorded.digest, recorded.cluster.datagrams, len(recorded.cluster.events))
-    assert found == ("936e4252d4ac3be6", 24407, 100)
+    measured = (recorded.digest, recorded.cluster.datagrams, len(recorded.cluster.events))
+    assert measured == ("936e4252d4ac3be6", 24407, 100)
 
 
 def test_run_with_a_pause_is_as_recorded() -> None:
     recorded = RecordedCluster([Fault("pause", 5.0, 35.0, names=NAMES[3:4])], seed=8)
     recorded.cluster.run(45.0)
-    found = (recorded.digest, recorded.cluster.datagrams, len(recorded.cluster.events))
-    assert found == ("8f2e2e73e64f7244", 10347, 47)
+    measured = (recorded.digest, recorded.cluster.datagrams, len(recorded.cluster.events))
+    assert measured == ("8f2e2e73e64f7244", 10347, 47)
--- a/tests/unit/membership/test_replay_window.py
+++ b/tests/unit/membership/test_replay_window.py
@@ -1,4 +1,4 @@
-"""The window of received sequence numbers."""
+"""Tests of the replay window of received sequence numbers."""
 
 from __future__ import annotations
 
--- a/tests/unit/membership/test_rings.py
+++ b/tests/unit/membership/test_rings.py
@@ -1,4 +1,4 @@
-"""The assignment of observers by rings."""
+"""Tests of the assignment of observers by rings."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 20))), st.sets(st.integers(0, 20)))
-def test_observers_and_subjects_agree_with_a_plain_search(
-    steps: list[tuple[bool, int]], suspected_numbers: set[int]
+def test_observers_and_subjects_are_inverse_relations(
+    changes: list[tuple[bool, int]], suspected_numbers: set[int]
 ) -> None:
     rings, present = Rings(), set[str]()
-    for add, at in steps:
-        name = f"m{at}"
-        if add:
+    for is_added, number in changes:
+        name = f"m{number}"
+        if is_added:
             rings.add(name)
             present.add(name)
         else:
             rings.discard(name)
             present.discard(name)
-    suspected = {f"m{at}" for at in suspected_numbers}
+    suspected = {f"m{number}" for number in suspected_numbers}
     assert len(rings) == len(present)
     observers = {name: rings.observers(name, suspected.__contains__) for name in present}
     for name in present:
--- a/tests/unit/membership/test_timing.py
+++ b/tests/unit/membership/test_timing.py
@@ -1,4 +1,4 @@
-"""The relations between the configurable times."""
+"""Tests of the constraints between the configurable times."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
         ({"forget_delay_s": 10.0}, "forget-after"),
     ],
 )
-def test_inconsistent_times_are_named_by_their_attribute(changes: dict[str, float], attribute: str) -> None:
+def test_message_about_inconsistent_times_begins_with_the_attribute(
+    changes: dict[str, float], attribute: str
+) -> None:
     inconsistency = Timing(**changes).inconsistency()
     assert bool(inconsistency) is bool(attribute)
     assert inconsistency.startswith(attribute)
--- a/tests/unit/membership/test_view.py
+++ b/tests/unit/membership/test_view.py
@@ -1,4 +1,4 @@
-"""Records, opinions and quorums of one view."""
+"""Tests of the records, opinions and quorums of one view."""
 
 from __future__ import annotations
 
@@ -53,24 +53,24 @@
     view = View()
     for name in "abcdefghijkl":
         view.apply(record_of(name, 2))
-    first = view.observers("a")
-    for at, name in enumerate(first[:-2]):
-        view.add_opinion(Opinion(name, "a", 5, 2, at, SUSPECT), 10.0)
+    first_observers = view.observers("a")
+    for stamp, name in enumerate(first_observers[:-2]):
+        view.add_opinion(Opinion(name, "a", 5, 2, stamp, SUSPECT), 10.0)
     assert not view.supporters_of_change("a")
-    for name in first[-2:]:  # the remaining observers are suspected themselves, so others replace them
+    for name in first_observers[-2:]:  # they become suspected themselves, so other observers replace them
         for observer in view.observers(name)[:2]:
             view.add_opinion(Opinion(observer, name, 5, 2, 1, SUSPECT), 10.0)
         assert view.is_suspected(name)
-    replacements = [name for name in view.observers("a") if name not in first]
+    replacements = [name for name in view.observers("a") if name not in first_observers]
     assert replacements
     for name in replacements:
         view.add_opinion(Opinion(name, "a", 5, 2, 1, SUSPECT), 10.0)
     assert view.supporters_of_change("a")
     view.apply(record_of("a", 3))
     observers = view.observers("a")
-    needed = math.ceil(0.6 * len(observers))
-    for at, name in enumerate(observers[:needed]):
-        assert not view.supporters_of_change("a"), at
+    quorum = math.ceil(0.6 * len(observers))
+    for supporter_count, name in enumerate(observers[:quorum]):
+        assert not view.supporters_of_change("a"), supporter_count
         view.add_opinion(Opinion(name, "a", 5, 3, 1, ALIVE), 10.0)
     assert view.supporters_of_change("a")
     view.expire_opinions(11.0)
