--- a/tests/unit/membership/test_random_schedules.py
+++ b/tests/unit/membership/test_random_schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults: once they have ended, all members soon have the same view, and keep it."""
+"""Tests with random schedules of faults, after which all members must agree on one view and keep it."""
 
 from __future__ import annotations
 
@@ -11,74 +11,82 @@
 from ironmill_testbed.faults.schedule import Fault, both_ways
 from ironmill_testbed.faults.simulated_cluster import SimulatedCluster
 
-BEGIN_S, END_S = 3.0, 20.0  # of the faults
-MAX_CONVERGENCE_S = 10.0  # after the end of all faults, even if all processes have just started
-STABLE_S = 15.0  # without a removal after that
+BEGIN_S, END_S = 3.0, 20.0  # the faults begin and end within this time
+MAX_CONVERGENCE_S = 10.0  # from the end of all faults, even if all processes have just started
+STABLE_S = 15.0  # how long no member may be removed after convergence
 
-Act = tuple[float, str, Any]
+Action = tuple[float, str, Any]  # the time, the kind, and the arguments
 
 
 class Schedule(Struct, frozen=True):
-    """The members of a cluster, the seed of its draws, and what happens to it: when, what, and to whom."""
+    """The size of a cluster, the seed of its random numbers, and the actions that are applied to it."""
 
     members: int
     seed: int
-    acts: list[Act]
+    actions: list[Action]
 
 
 def names(count: int) -> list[str]:
-    return [f"p{at:05d}" for at in range(count)]
+    return [f"p{index:05d}" for index in range(count)]
 
 
-def end_of(at: float, length: float) -> float:
-    return min(END_S, round(at + length, 2))
+def end_of(start_s: float, duration_s: float) -> float:
+    return min(END_S, round(start_s + duration_s, 2))
 
 
-def faults_of(acts: list[Act]) -> list[Fault]:
-    """Returns the faults of links in a schedule."""
+def link_faults(actions: list[Action]) -> list[Fault]:
+    """Returns the faults of network links among the actions."""
     faults: list[Fault] = []
-    for at, kind, what in acts:
+    for start_s, kind, arguments in actions:
         if kind == "cut":
-            sources, targets, length, both = what
-            one_way = [Fault("cut", at, end_of(at, length), sources, targets)]
-            faults += both_ways(at, end_of(at, length), sources, targets) if both else one_way
+            sources, targets, duration_s, is_two_way = arguments
+            one_way = [Fault("cut", start_s, end_of(start_s, duration_s), sources, targets)]
+            faults += (
+                both_ways(start_s, end_of(start_s, duration_s), sources, targets) if is_two_way else one_way
+            )
         elif kind in ("loss", "duplicate", "delay"):
-            length, fraction, max_delay_s = what
+            duration_s, fraction, max_delay_s = arguments
             faults.append(
-                Fault(kind, at, end_of(at, length), fraction=fraction, max_delay_s=max_delay_s)  # type: ignore[arg-type]
+                Fault(
+                    kind,  # type: ignore[arg-type]
+                    start_s,
+                    end_of(start_s, duration_s),
+                    fraction=fraction,
+                    max_delay_s=max_delay_s,
+                )
             )
     return faults
 
 
-def arrange(cluster: SimulatedCluster, acts: list[Act]) -> None:
-    """Schedules all other acts."""
-    for at, kind, what in acts:
+def schedule_process_actions(cluster: SimulatedCluster, actions: list[Action]) -> None:
+    """Schedules the actions on processes: pauses, and ends with a later restart."""
+    for start_s, kind, arguments in actions:
         if kind == "pause":
-            name, length = what
-            cluster.schedule(at, cluster.pause, name, end_of(at, length))
+            name, duration_s = arguments
+            cluster.schedule(start_s, cluster.pause, name, end_of(start_s, duration_s))
         elif kind in ("kill", "leave"):
-            name, length, clock_offset_s = what
-            cluster.schedule(at, cluster.kill if kind == "kill" else cluster.leave, name)
-            cluster.schedule(end_of(at, length), revive, cluster, name, clock_offset_s)
+            name, duration_s, clock_offset_s = arguments
+            cluster.schedule(start_s, cluster.kill if kind == "kill" else cluster.leave, name)
+            cluster.schedule(end_of(start_s, duration_s), start_if_stopped, cluster, name, clock_offset_s)
 
 
-def revive(cluster: SimulatedCluster, name: str, clock_offset_s: float = 0.0) -> None:
+def start_if_stopped(cluster: SimulatedCluster, name: str, clock_offset_s: float = 0.0) -> None:
     if cluster.processes[name].member is None:
         cluster.start(name, clock_offset_s)
 
 
 def play(schedule: Schedule) -> None:
-    """Runs a schedule, ends all faults, starts what does not run, and checks every view.
+    """Runs a schedule until all faults have ended, starts all stopped processes, and checks every view.
 
-    What observers suspect at the end of a fault may still be decided after it, so views are compared once the
-    time for convergence is over.
+    Suspicions from the end of a fault may still lead to removals after it. Views are therefore compared only
+    when the time for convergence is over.
     """
-    cluster = SimulatedCluster(schedule.members, faults_of(schedule.acts), schedule.seed)
+    cluster = SimulatedCluster(schedule.members, link_faults(schedule.actions), schedule.seed)
     cluster.start_converged()
-    arrange(cluster, schedule.acts)
+    schedule_process_actions(cluster, schedule.actions)
     cluster.run(END_S + 0.01)
     for name in cluster.processes:
-        revive(cluster, name)
+        start_if_stopped(cluster, name)
     converged_at = END_S + MAX_CONVERGENCE_S
     cluster.run(converged_at)
     assert cluster.agree(), cluster.views()
@@ -87,33 +95,33 @@
     assert cluster.removals(converged_at) == []
 
 
-_AT = st.floats(BEGIN_S, END_S - 1.0).map(lambda at: round(at, 2))
-_LENGTH = st.floats(0.2, 8.0).map(lambda length: round(length, 2))
+_START_S = st.floats(BEGIN_S, END_S - 1.0).map(lambda start_s: round(start_s, 2))
+_DURATION_S = st.floats(0.2, 8.0).map(lambda duration_s: round(duration_s, 2))
 _CLOCK_OFFSET_S = st.sampled_from([0.0, 0.0, 0.0, -5.0, 5.0, -3600.0, 3600.0])
 
 
-def _acts(members: int) -> st.SearchStrategy[Act]:
+def _actions(members: int) -> st.SearchStrategy[Action]:
     name = st.sampled_from(names(members))
-    some = st.lists(name, min_size=1, max_size=members - 1, unique=True).map(tuple)
-    end = st.tuples(name, _LENGTH, _CLOCK_OFFSET_S)
+    some_names = st.lists(name, min_size=1, max_size=members - 1, unique=True).map(tuple)
+    end_and_restart = st.tuples(name, _DURATION_S, _CLOCK_OFFSET_S)
     return st.one_of(
-        st.tuples(_AT, st.just("pause"), st.tuples(name, _LENGTH)),
-        st.tuples(_AT, st.just("kill"), end),
-        st.tuples(_AT, st.just("leave"), end),
-        st.tuples(_AT, st.just("leave"), end),
-        st.tuples(_AT, st.just("cut"), st.tuples(some, some, _LENGTH, st.booleans())),
-        st.tuples(_AT, st.just("cut"), st.tuples(some, some, _LENGTH, st.booleans())),
-        st.tuples(_AT, st.just("loss"), st.tuples(_LENGTH, st.floats(0.05, 0.6), st.just(0.0))),
-        st.tuples(_AT, st.just("duplicate"), st.tuples(_LENGTH, st.just(0.3), st.just(1.0))),
-        st.tuples(_AT, st.just("delay"), st.tuples(_LENGTH, st.just(0.5), st.floats(0.1, 1.5))),
+        st.tuples(_START_S, st.just("pause"), st.tuples(name, _DURATION_S)),
+        st.tuples(_START_S, st.just("kill"), end_and_restart),
+        st.tuples(_START_S, st.just("leave"), end_and_restart),
+        st.tuples(_START_S, st.just("leave"), end_and_restart),
+        st.tuples(_START_S, st.just("cut"), st.tuples(some_names, some_names, _DURATION_S, st.booleans())),
+        st.tuples(_START_S, st.just("cut"), st.tuples(some_names, some_names, _DURATION_S, st.booleans())),
+        st.tuples(_START_S, st.just("loss"), st.tuples(_DURATION_S, st.floats(0.05, 0.6), st.just(0.0))),
+        st.tuples(_START_S, st.just("duplicate"), st.tuples(_DURATION_S, st.just(0.3), st.just(1.0))),
+        st.tuples(_START_S, st.just("delay"), st.tuples(_DURATION_S, st.just(0.5), st.floats(0.1, 1.5))),
     )
 
 
 @st.composite
 def schedules(draw: st.DrawFn) -> Schedule:
     members = draw(st.sampled_from([5, 5, 9]))
-    acts = draw(st.lists(_acts(members), min_size=2, max_size=12))
-    return Schedule(members, draw(st.integers(0, 1 << 16)), sorted(acts, key=lambda act: act[0]))
+    actions = draw(st.lists(_actions(members), min_size=2, max_size=12))
+    return Schedule(members, draw(st.integers(0, 1 << 16)), sorted(actions, key=lambda action: action[0]))
 
 
 @settings(
@@ -128,7 +136,7 @@
 
 
 def test_rejoining_member_reaches_observers_that_gossip_has_not_reached() -> None:
-    """Two of its four observers know only that it has left, and views are the same without it."""
+    """Two of its four observers only know that it left, and state sync does not run, as all digests are equal."""
     play(
         Schedule(
             5,
@@ -149,7 +157,7 @@
 
 
 def test_seed_restarted_under_an_earlier_clock_reclaims_its_name() -> None:
-    """It starts a cluster before it hears of its earlier process, which has left and runs no more."""
+    """The seed bootstraps a cluster before it receives the record of its earlier process, which has left."""
     play(
         Schedule(
             5,
@@ -167,17 +175,20 @@
 
 
 def test_member_that_one_other_has_removed_refutes_the_removal() -> None:
-    """The others drop the report as their pings contradict it: only the removed one can correct it."""
-    rest = ("p00000", "p00001", "p00003", "p00004", "p00006", "p00007", "p00008")
-    some = ("p00004", "p00006", "p00008", "p00005", "p00002", "p00001")
+    """Only the removed member can correct the view of the one that removed it.
+
+    The others discard the report of the removal, because their pings contradict it.
+    """
+    other_names = ("p00000", "p00001", "p00003", "p00004", "p00006", "p00007", "p00008")
+    cut_names = ("p00004", "p00006", "p00008", "p00005", "p00002", "p00001")
     play(
         Schedule(
             9,
             113,
             [
                 (3.24, "duplicate", (3.62, 0.3, 1.0)),
-                (5.74, "cut", (("p00005", "p00002"), rest, 7.86, True)),
-                (11.65, "cut", (some, ("p00004", "p00005", "p00000"), 3.27, True)),
+                (5.74, "cut", (("p00005", "p00002"), other_names, 7.86, True)),
+                (11.65, "cut", (cut_names, ("p00004", "p00005", "p00000"), 3.27, True)),
                 (15.78, "pause", ("p00002", 0.99)),
                 (14.34, "leave", ("p00002", 2.12, -3600.0)),
                 (11.03, "pause", ("p00008", 6.84)),
@@ -187,7 +198,7 @@
 
 
 def test_member_that_returns_under_loss_is_admitted() -> None:
-    """It has left, and the loss ends half a second after its start."""
+    """The member has left, and the packet loss ends half a second after it starts again."""
     play(
         Schedule(
             9,
