--- a/ironmill/distribution/codec.py
+++ b/ironmill/distribution/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes datagrams of distribution."""
+"""Encoding and decoding of distribution datagrams."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class Codec(SignedCodec[Message]):
-    """Reads and writes signed datagrams of distribution."""
+    """Encodes and decodes signed distribution datagrams."""
 
     def __init__(self, cluster: str, keys: Sequence[bytes]) -> None:
-        """The first key signs; a second one is accepted too, while keys are being rotated."""
+        """Creates a codec. The first key signs; a second one is also accepted while keys are rotated."""
         super().__init__(cluster, keys, _DECODER)
 
     def validate(self, message: Message) -> None:
-        """Raises ``DroppedError`` if a field of the message is out of its range."""
+        """Raises ``DroppedError`` if a field of the message is out of range."""
         if not is_valid(message):
             raise DroppedError(DropReason.MALFORMED)
--- a/ironmill/distribution/drop_reason.py
+++ b/ironmill/distribution/drop_reason.py
@@ -1,4 +1,4 @@
-"""Why distribution drops a datagram, beside the reasons of the envelope."""
+"""Reasons for dropping a distribution datagram, in addition to those of the envelope."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DistributionDropReason(StrEnum):
-    """The values are keys of ``dropped`` in the admin API."""
+    """A reason for dropping a datagram. The values are keys of ``dropped`` in the admin API."""
 
     FOREIGN_LINEAGE = "lineage"
     OLD_TERM = "old term"
--- a/ironmill/distribution/errors.py
+++ b/ironmill/distribution/errors.py
@@ -11,29 +11,32 @@
 
 
 class RevisionError(IronmillError, ValueError):
-    """The changes break a limit of revisions. The message names the key or field and the limit."""
+    """Raised if changes violate a limit on revisions. The message names the key or field and the limit."""
 
 
 class RevisionRejectedError(IronmillError):
-    """A consumer cannot apply the changes. Nothing was stored."""
+    """Raised if a consumer cannot apply the changes. Nothing was stored."""
 
     def __init__(self, rejection: Rejection) -> None:
-        """``rejection`` is what the consumer's check has returned."""
+        """Creates the error; ``rejection`` is the result of the consumer's check."""
         super().__init__(f"{rejection.key}: {rejection.reason}")
         self.rejection = rejection
 
 
 class PositionConflictError(IronmillError):
-    """The latest revision is not the expected one. The message names both."""
+    """Raised if the latest revision is not the expected one. The message names both."""
 
 
 class NotOriginError(IronmillError):
-    """This process is not, or is no longer, the origin. The message says why."""
+    """Raised if this process is not, or is no longer, the origin. The message gives the reason."""
 
 
 class StoreError(IronmillError):
-    """The store did not take a revision or cannot be read. Nothing was stored. The message has one line."""
+    """Raised if the store cannot be read or does not commit a revision. Nothing was stored.
+
+    The message is a single line.
+    """
 
 
 class FencedError(StoreError):
-    """Another writer has opened the store since; this one must not write again."""
+    """Raised if another writer has opened the store since; this one must not write again."""
--- a/ironmill/distribution/events.py
+++ b/ironmill/distribution/events.py
@@ -1,4 +1,4 @@
-"""What happens in a node, as typed events for its owner: to log, to count, to test."""
+"""Typed events of a node, which its owner logs and counts and tests check."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class RevisionApplied(Struct, frozen=True):
-    """A revision, or several as one step, is in force in this process."""
+    """A revision, or several merged into one step, has been applied in this process."""
 
     position: Position
-    changes: int  # how many keys
+    changes: int  # number of changed keys
     digest: int  # of the whole keyspace
 
 
 class RevisionRejected(Struct, frozen=True):
-    """A received revision cannot be applied here; the previous configuration stays in force."""
+    """A received revision cannot be applied in this process; the previous configuration remains in force."""
 
     position: Position
     rejection: Rejection
 
 
 class BecameStale(Struct, frozen=True):
-    """The origin has not been heard from for too long: what is in force may be old."""
+    """The origin has not been heard from for too long: the applied configuration may be outdated."""
 
     origin_age_s: float | None  # None if the origin was never heard from
     received_position: Position
@@ -40,33 +40,33 @@
 
 
 class ParentChanged(Struct, frozen=True):
-    """This process has a parent, or another one than before."""
+    """This process has attached to its first parent, or to a different one than before."""
 
     parent: str
     previous: str  # empty if there was none
 
 
 class ParentLost(Struct, frozen=True):
-    """The parent does not answer."""
+    """The parent no longer answers."""
 
     parent: str
 
 
 class CatchUpStarted(Struct, frozen=True):
-    """The parent's log does not lead here from there: the keyspaces are compared by ranges."""
+    """The parent's log does not cover the received position: the keyspaces are compared by ranges."""
 
     received_position: Position
 
 
 class CatchUpRestarted(Struct, frozen=True):
-    """The parent's log no longer leads on from a catch-up's position: the keyspaces are compared again."""
+    """The parent's log no longer covers the frontier of a catch-up: the keyspaces are compared again."""
 
     frontier: Position
     parent_position: Position
 
 
 class CatchUpFinished(Struct, frozen=True):
-    """The whole keyspace has been fetched and proven."""
+    """The catch-up has fetched the whole keyspace and verified its digest."""
 
     fetched_bytes: int
     position: Position
@@ -93,13 +93,13 @@
 
 
 class WriterSuperseded(Struct, frozen=True):
-    """Another process has opened the store: this one is no longer the origin."""
+    """Another process has opened the store for writing: this one is no longer the origin."""
 
     epoch: int
 
 
 class FleetAhead(Struct, frozen=True):
-    """A child has a later position than the store, as after the restore of an old backup."""
+    """A child has a later position than the store, for example after an old backup was restored."""
 
     fleet_position: Position
     store_position: Position
@@ -112,10 +112,10 @@
 
 
 class RevisionFullyApplied(Struct, frozen=True):
-    """Every proxy there is has applied a revision."""
+    """Every proxy of the fleet has applied a revision."""
 
     position: Position
-    elapsed_s: float  # since it was pushed
+    elapsed_s: float  # time since the revision was pushed
 
 
 Event = (
--- a/ironmill/distribution/interfaces.py
+++ b/ironmill/distribution/interfaces.py
@@ -16,24 +16,24 @@
     """Applies configuration in one process. Each set of changes is checked before it is applied."""
 
     looked_up: tuple[str, ...]
-    """Prefixes of keys that are read from the keyspace on demand. A catch-up passes none of them to the
-    consumer; single revisions do."""
+    """Prefixes of keys that the consumer reads from the keyspace on demand. A catch-up does not pass changes
+    of such keys to the consumer; single revisions do."""
 
     def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
-        """Returns why the changes cannot be applied, or None if they can. Must not change any state."""
+        """Returns the reason why the changes cannot be applied, or None. Must not change any state."""
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
-        """Applies all of the changes. Only changes that have passed ``check`` are given."""
+        """Applies all of the changes. Called only with changes that have passed ``check``."""
 
 
 class RevisionStore(Protocol):
-    """Orders revisions and makes them durable. A consensus store can replace the embedded one."""
+    """Orders revisions and stores them durably. A consensus store can replace the embedded one."""
 
     lineage: int
-    """Random identity of the history. Nodes never mix histories of different lineages."""
+    """Random identifier of the history. Nodes never mix histories of different lineages."""
 
     epoch: int
-    """Epoch that this opening has taken, higher than that of every earlier opening."""
+    """Epoch taken when the store was opened for writing; higher than that of every earlier opening."""
 
     position: Position
     """Position of the last revision."""
@@ -42,9 +42,9 @@
         """Yields all keys and values as of ``position``."""
 
     def commit(self, changes: Changes, metadata: RevisionMetadata) -> Position:
-        """Stores the changes as the next revision and returns its position; durable on return.
+        """Stores the changes durably as the next revision and returns its position.
 
-        With a ticket that was used before it stores nothing and returns the position of that revision. Raises
+        If the ticket was used before, stores nothing and returns the position of that revision. Raises
         ``RevisionError``, ``FencedError`` and ``StoreError``.
         """
 
@@ -52,7 +52,7 @@
         """Returns the position of the revision with this ticket, or None if there is none."""
 
     def history(self, max_count: int) -> list[StoredRevision]:
-        """Returns the last revisions, the newest first."""
+        """Returns the latest revisions, the newest first."""
 
     def undo(self, number: int) -> Changes:
         """Returns the changes that restore all values as of a revision. Raises ``StoreError`` if the
@@ -62,4 +62,4 @@
         """Returns True once another writer has opened the store."""
 
     def observe(self, epoch: int) -> None:
-        """Records an epoch that another process has reported; the next opening takes a higher one."""
+        """Records an epoch that another process has reported, so that the next opening takes a higher one."""
--- a/ironmill/distribution/messages.py
+++ b/ironmill/distribution/messages.py
@@ -1,7 +1,7 @@
-"""Messages between control machines and proxies. They travel in the cluster's signed envelope.
+"""Messages between control machines and proxies, sent in the cluster's signed envelope.
 
-Structs are arrays on the wire: fields must never be reordered, and tags never reused. Tags begin at 10, so
-that no datagram of membership is ever taken for one of distribution.
+Structs are encoded as arrays: fields must never be reordered, and tags never reused. Tags begin at 10, so
+that a membership datagram is never decoded as a distribution datagram.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from ironmill.membership.identity import Address
 
 # Limits of one datagram, or of a field in it.
-MAX_BODY_BYTES = 940  # of packed entries
-MAX_CHUNKS = 256  # of one delta
-MAX_MISSING_CHUNKS = 32  # named in one poll
-MAX_LAGGING_NODES_BYTES = 420  # in one poll
+MAX_BODY_BYTES = 940  # packed entries in one datagram
+MAX_CHUNKS = 256  # datagrams of one delta
+MAX_MISSING_CHUNKS = 32  # chunks listed in one poll
+MAX_LAGGING_NODES_BYTES = 420  # lagging nodes listed in one poll
 MAX_ZONES = 24
 MAX_PREVIOUS_PARENTS = 3
 MAX_REASON_LENGTH = 120  # characters
-MAX_FIND_CHILD_BYTES = 900  # of children in one request
+MAX_FIND_CHILD_BYTES = 900  # encoded children in one request
 MAX_FIND_CHILD_COUNT = 64
 
-AGE_UNKNOWN = -1  # the origin has not been heard from
+AGE_UNKNOWN = -1  # origin_age_ms of a node that has not heard from the origin
 
-# States of a lagging node, as they travel.
+# States of a lagging node, as encoded in datagrams and in the admin API.
 BEHIND = "behind"
 REJECTING = "refused"
 UNREACHABLE = "unreachable"
@@ -42,11 +42,11 @@
 
 
 class ZoneSummary(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Counts of the proxies of one zone."""
+    """Counts and lowest position of the proxies in one zone."""
 
     zone: str
-    proxies: int  # reachable, including those that reject the latest revision
-    lowest_position: Position  # applied at every proxy that is reachable and rejects nothing
+    proxies: int  # reachable proxies, including those that reject the latest revision
+    lowest_position: Position  # applied by every proxy that is reachable and rejects no revision
     rejecting: int
     unreachable: int
     stale: int
@@ -64,40 +64,40 @@
 
 
 class FleetSummary(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What a relay knows of the nodes below it."""
+    """What a control machine knows about the nodes below it."""
 
-    converged: bool  # all children have had the time to find their parents
+    converged: bool  # every child has had enough time to find its parent
     zones: list[ZoneSummary]
     lagging_nodes: list[LaggingNode]
-    omitted: int  # lagging nodes that are not listed for lack of space
+    omitted: int  # lagging nodes that are left out for lack of space
 
 
 class Poll(Struct, frozen=True, array_like=True, tag=10, forbid_unknown_fields=True):
-    """From a child to its parent: renews the lease, acknowledges deltas, and requests new ones.
+    """Sent by a child to its parent: renews the lease, acknowledges deltas, and requests new ones.
 
-    ``echo`` is the parent's token, which proves that the child receives at its address; ``token`` is to be
-    echoed by the response.
+    ``echo`` is the parent's token, which proves that the child receives datagrams at its address. The
+    response echoes ``token``.
     """
 
     echo: int
     token: int
-    is_probe: bool  # only requests a response; the sender does not become a child
+    is_probe: bool  # only requests a response; does not make the sender a child
     lineage: int
     received_position: Position
     applied_position: Position
-    term: int  # the highest epoch of a writer that the child has heard of
-    attach_count: int  # how often the child has changed its parent; orders its parents in time
-    previous_parents: list[str]  # which are to forget this child
+    term: int  # highest epoch of a writer that the child knows of
+    attach_count: int  # number of times the child has changed its parent; orders its parents in time
+    previous_parents: list[str]  # parents that are to remove this child
     zone: str
-    origin_age_ms: int  # since the origin was heard from; AGE_UNKNOWN if it was not
-    incomplete_target: Position  # of the delta that is being assembled
-    missing_chunks: list[int]  # of that delta
+    origin_age_ms: int  # time since the origin was heard from; AGE_UNKNOWN if it never was
+    incomplete_target: Position  # target of the delta that is being assembled
+    missing_chunks: list[int]  # indexes of chunks of that delta that have not arrived
     rejection: Rejection | None = None
     summary: FleetSummary | None = None
 
 
 class PollResponse(Struct, frozen=True, array_like=True, tag=11, forbid_unknown_fields=True):
-    """The answer to a poll."""
+    """The response to a poll."""
 
     echo: int
     token: int
@@ -105,9 +105,9 @@
     term: int
     latest_position: Position
     origin_age_ms: int
-    log_covers_child: bool  # the parent's log leads from the child's position to the latest one
-    poll_count: int  # the envelope's count of the poll
-    is_child: bool  # the poll has registered its sender as a child
+    log_covers_child: bool  # the parent's log has all changes from the child's position to the latest one
+    poll_count: int  # count in the envelope of the poll
+    is_child: bool  # the sender of the poll is registered as a child
 
 
 class DeltaChunk(Struct, frozen=True, array_like=True, tag=12, forbid_unknown_fields=True):
@@ -125,7 +125,7 @@
 
 
 class DigestRequest(Struct, frozen=True, array_like=True, tag=13, forbid_unknown_fields=True):
-    """Requests the digests of a range's parts. Level -1 is the whole keyspace."""
+    """Requests the digests of the parts of a range. Level -1 denotes the whole keyspace."""
 
     echo: int
     token: int
@@ -134,7 +134,7 @@
 
 
 class DigestResponse(Struct, frozen=True, array_like=True, tag=14, forbid_unknown_fields=True):
-    """The digests of a range's parts, as of a position."""
+    """The digests of the parts of a range, as of a position."""
 
     echo: int
     lineage: int
@@ -146,20 +146,21 @@
 
 
 class EntriesRequest(Struct, frozen=True, array_like=True, tag=15, forbid_unknown_fields=True):
-    """Requests the entries of leaves, from after a key of the first leaf on."""
+    """Requests the entries of consecutive leaves, beginning after a key of the first leaf."""
 
     echo: int
     token: int
-    number: int  # of the request; the response repeats it
+    number: int  # number of the request, repeated in the response
     leaf: int
     after_key: str
     end_leaf: int  # exclusive
 
 
 class EntriesResponse(Struct, frozen=True, array_like=True, tag=16, forbid_unknown_fields=True):
-    """As many of the requested entries as fit, as of a position.
+    """As many of the requested entries as fit into one datagram, as of a position.
 
-    The next request begins at ``next_leaf``; with ``is_partial`` after the body's last key within that leaf.
+    The next request begins at ``next_leaf``. If ``is_partial`` is set, it begins after the last key of the
+    body in that leaf.
     """
 
     echo: int
@@ -172,13 +173,13 @@
 
 
 class Leave(Struct, frozen=True, array_like=True, tag=17, forbid_unknown_fields=True):
-    """From a child that shuts down: it is not to be reported as unreachable."""
+    """Sent by a child that shuts down, so that it is not reported as unreachable."""
 
     echo: int
 
 
 class ChildMoved(Struct, frozen=True, array_like=True, tag=18, forbid_unknown_fields=True):
-    """From a relay to another one: it is the parent of this child now."""
+    """Sent by a control machine to another one: the sender is now the parent of this child."""
 
     name: str
     incarnation: int
@@ -203,10 +204,10 @@
 
 
 class FindChildRequest(Struct, frozen=True, array_like=True, tag=20, forbid_unknown_fields=True):
-    """Queries the other control machines for children. The parent of one, or of a later process of its
-    name, answers ``ChildMoved``.
+    """Asks another control machine whether it is the parent of unreachable children.
 
-    It is needed because a restarted proxy does not know its previous parent.
+    The parent of such a child, or of a later process with its name, answers with ``ChildMoved``. The request
+    is needed because a restarted proxy does not know its previous parent.
     """
 
     children: list[UnreachableChild]
@@ -228,6 +229,6 @@
 
 
 def digest_count(level: int) -> int:
-    """Returns how many digests describe a range of this level."""
+    """Returns the number of digests that describe a range of this level."""
     bits = LEVEL_BITS[level] if level >= 0 else 0
     return 1 << (LEVEL_BITS[level + 1] - bits)
--- a/ironmill/distribution/rejection.py
+++ b/ironmill/distribution/rejection.py
@@ -1,4 +1,4 @@
-"""Why a consumer does not take changes."""
+"""The reason why a consumer rejects changes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Rejection(Struct, frozen=True, array_like=True):
-    """Why a consumer cannot apply a revision."""
+    """The reason why a consumer cannot apply a revision, and the key that causes it."""
 
     key: str
     reason: str
--- a/ironmill/distribution/revision.py
+++ b/ironmill/distribution/revision.py
@@ -1,4 +1,4 @@
-"""Positions in the history of revisions, and what leads from one to the next."""
+"""Positions in the history of revisions, and the changes between them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ironmill.distribution.changes import Changes
 
-NUMBER_LIMIT = 1 << 62  # epochs and numbers are below it
+NUMBER_LIMIT = 1 << 62  # exclusive upper limit of epochs and revision numbers
 MAX_AUTHOR_LENGTH = 128  # characters
 MAX_NOTE_LENGTH = 1024  # characters
 MAX_TICKET_LENGTH = 64  # characters
@@ -17,11 +17,11 @@
 class Position(NamedTuple):
     """A point in the history of revisions. Of two positions the greater one is newer."""
 
-    epoch: int  # of the writer; each opening of the store for writing takes a higher one
-    number: int  # of the revision; counts on across epochs
+    epoch: int  # of the writer; each opening of the store for writing takes a higher epoch
+    number: int  # of the revision; continues across epochs
 
     def __str__(self) -> str:
-        """Spells the position as EPOCH.NUMBER."""
+        """Returns the position in the form EPOCH.NUMBER."""
         return f"{self.epoch}.{self.number}"
 
 
@@ -29,12 +29,12 @@
 
 
 class RevisionMetadata(Struct, frozen=True):
-    """Who makes a revision, when and why."""
+    """Author, time and purpose of a revision."""
 
     at: float  # Unix time, seconds
     author: str
     note: str
-    ticket: str  # idempotency key: a repeated commit with the same one stores nothing
+    ticket: str  # idempotency key: a second commit with the same key stores nothing
 
 
 class StoredRevision(Struct, frozen=True):
--- a/ironmill/distribution/revision_log.py
+++ b/ironmill/distribution/revision_log.py
@@ -1,4 +1,4 @@
-"""The last revisions, limited in number and bytes, from which deltas are made."""
+"""A log of the latest revisions, limited in number and bytes, from which deltas are built."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 MAX_STEPS = 4096
 MAX_LOG_BYTES = 4 << 20
-# Of several steps merged into one. Of two bodies in a row one may be just over half full.
+# Limit of a delta that merges several steps. It is half of what the chunks can hold: entries are not split
+# between chunks, so that chunks may be little more than half full on average.
 MAX_DELTA_BYTES = MAX_CHUNKS * MAX_BODY_BYTES // 2
 
 _TARGET = attrgetter("target")
 
 
 class RevisionLog:
-    """Consecutive steps of one history."""
+    """Consecutive steps of one history, each of them a delta."""
 
     def __init__(self, max_steps: int = MAX_STEPS, max_bytes: int = MAX_LOG_BYTES) -> None:
-        """Makes an empty log with these limits."""
+        """Creates an empty log with these limits."""
         self._steps: list[Delta] = []
         self._size = 0
         self._max_steps = max_steps
@@ -29,7 +30,7 @@
 
     @property
     def size(self) -> int:
-        """Bytes of all logged changes, in packed form."""
+        """Size of all logged changes in packed form, in bytes."""
         return self._size
 
     def __len__(self) -> int:
@@ -37,14 +38,14 @@
         return len(self._steps)
 
     def clear(self) -> None:
-        """Removes all steps, as the next one does not follow on them."""
+        """Removes all steps, for example because the next one does not begin where they end."""
         self._steps.clear()
         self._size = 0
 
     def append(self, step: Delta) -> None:
-        """Adds the next step and drops the oldest beyond the limits.
+        """Appends the next step and removes the oldest ones beyond the limits.
 
-        A step that does not follow on the last one replaces the whole log.
+        A step that does not begin at the target of the last one replaces the whole log.
         """
         if self._steps and step.base != self._steps[-1].target:
             self.clear()
@@ -60,15 +61,15 @@
             del self._steps[:excess]
 
     def covers(self, base: Position) -> bool:
-        """Returns True if the log leads from this position to the latest one."""
+        """Returns True if the log has all changes from this position to the latest one."""
         return bool(self._steps) and self._steps[0].base <= base < self._steps[-1].target
 
     def delta_since(self, base: Position) -> Delta | None:
-        """Returns one delta from a position towards the latest one; None if the log does not cover it.
+        """Returns one delta from a position towards the latest one; None if the log does not cover the base.
 
-        It ends short of the latest position where it would exceed ``MAX_DELTA_BYTES``. A base within a merged
-        step gets all of that step, which repeats keys that had changed before the base. The digest shows
-        whether the base belongs to this history at all.
+        The delta ends before the latest position if it would otherwise exceed ``MAX_DELTA_BYTES``. For a base
+        within a merged step it contains the whole step, which repeats keys that changed before the base. The
+        receiver can tell by the digest whether the base belongs to this history.
         """
         if not self.covers(base):
             return None
