--- a/ironmill/distribution/child_search.py
+++ b/ironmill/distribution/child_search.py
@@ -1,8 +1,8 @@
-"""Agreement of control machines on who is the parent of a child.
+"""Agreement between control machines on which of them is the parent of a child.
 
-The new parent notifies the previous ones (``ChildMoved``), and a parent queries the others for children that
-have become unreachable (``FindChildRequest``). Without either, a child that has moved would be reported as
-unreachable by its previous parent.
+The new parent notifies the previous ones (``ChildMoved``), and a parent asks the other control machines for
+children that have become unreachable (``FindChildRequest``). Without these messages, the previous parent of a
+child would report it as unreachable.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 )
 
 MAX_QUEUED_SEARCHES = 1024
-CHILD_OVERHEAD_BYTES = 40  # of a child in a request, beside its name and zone
+CHILD_OVERHEAD_BYTES = 40  # encoded child in a request, without its name and zone
 
 
 class _PendingMove(Struct):
-    """A ``ChildMoved`` that is not acknowledged yet."""
+    """A ``ChildMoved`` that has not been acknowledged yet."""
 
     message: ChildMoved
     sent_at: float = -math.inf
@@ -42,42 +42,45 @@
 
 
 class ChildSearch:
-    """One control machine's side of that agreement."""
+    """Notifies previous parents of children that have moved here, and searches for unreachable children."""
 
     def __init__(self, link: Link, peers: Sequence[Endpoint]) -> None:
-        """``peers`` are the other control machines."""
+        """Creates a search with an empty queue. ``peers`` are the other control machines."""
         self._link = link
         self._peers = {peer.name: peer for peer in peers}
         self._pending_moves: dict[tuple[str, str], _PendingMove] = {}  # by peer and child
         self._queue: list[UnreachableChild] = []
         self.summary_acked_at = math.inf
-        """When the latest summary was made that the own parent is known to have. A previous parent may forget
-        a child only after the child is in such a summary: else the origin would count it nowhere for a while.
+        """Creation time of the latest summary that this node's parent has acknowledged. A previous parent may
+        remove a child only after such a summary includes the child; otherwise no summary would count it for a
+        while.
         """
 
     def is_peer(self, name: str) -> bool:
-        """Returns True for the name of another control machine."""
+        """Returns True if the name is that of another control machine."""
         return name in self._peers
 
-    def announce_attached(self, name: str, incarnation: int, attach_count: int, previous: list[str]) -> None:
-        """Notifies the previous parents of a child that it is a child of this process now."""
-        for peer in previous:
+    def announce_attached(
+        self, name: str, incarnation: int, attach_count: int, previous_parents: list[str]
+    ) -> None:
+        """Queues a notification of a child's previous parents that it is now a child of this process."""
+        for peer in previous_parents:
             if peer in self._peers and peer != self._link.identity.name:
                 moved = ChildMoved(name, incarnation, attach_count)
                 self._pending_moves[peer, name] = _PendingMove(moved)
 
     def on_ack(self, peer: str, ack: ChildMoveAck) -> None:
-        """Ends the repetition of a ``ChildMoved``."""
+        """Stops the repetition of an acknowledged ``ChildMoved``."""
         pending = self._pending_moves.get((peer, ack.name))
         if pending is not None and pending.message.attach_count == ack.attach_count:
             del self._pending_moves[peer, ack.name]
 
     def is_summarized(self, child: Child) -> bool:
-        """Returns True if the own parent is known to have counted the child below this process."""
+        """Returns True if this node's parent has acknowledged a summary that includes the child."""
         return child.attached_at < self.summary_acked_at
 
     def send_pending_moves(self, children: dict[str, Child]) -> None:
-        """Sends the moves that are due, of children that are summarized."""
+        """Sends each ``ChildMoved`` that is due, unless no acknowledged summary includes the child yet."""
         now = self._link.now
         for key, pending in list(self._pending_moves.items()):
             peer, name = key
@@ -93,28 +96,28 @@
             pending.attempts += 1
             self._link.send(peer, self._peers[peer].address, pending.message)
 
-    def due(self, children: dict[str, Child]) -> list[UnreachableChild]:
+    def due_searches(self, children: dict[str, Child]) -> list[UnreachableChild]:
         """Returns the unreachable proxies to search for now. Relays are not searched for."""
         now = self._link.now
-        found: list[UnreachableChild] = []
+        due: list[UnreachableChild] = []
         for child in children.values():
             if child.is_reachable or child.summary is not None or now < child.search_at:
                 continue
             child.search_at = now + child.search_interval
             child.search_interval = min(MAX_FIND_CHILD_INTERVAL_S, 2.0 * child.search_interval)
-            found.append(
+            due.append(
                 UnreachableChild(
                     child.name, child.zone, child.applied_position, child.incarnation, child.attach_count
                 )
             )
-        return found
+        return due
 
     def enqueue(self, children: Sequence[UnreachableChild]) -> None:
-        """Queues children to search for, as many as there is space for; the others are due again later."""
+        """Queues as many children to search for as the queue can hold; the others become due again later."""
         self._queue += children[: MAX_QUEUED_SEARCHES - len(self._queue)]
 
     def take_batch(self) -> list[UnreachableChild]:
-        """Takes as many queued children as fit into one request."""
+        """Removes as many children from the queue as fit into one request, and returns them."""
         size = 0
         batch: list[UnreachableChild] = []
         for child in self._queue[:MAX_FIND_CHILD_COUNT]:
@@ -126,7 +129,7 @@
         return batch
 
     def send_request(self, batch: list[UnreachableChild]) -> None:
-        """Queries all other control machines for the children."""
+        """Asks all other control machines for the children of a batch."""
         for peer in self._peers.values():
             if peer.name != self._link.identity.name:
                 self._link.send(peer.name, peer.address, FindChildRequest(batch))
--- a/ironmill/distribution/children.py
+++ b/ironmill/distribution/children.py
@@ -1,4 +1,4 @@
-"""A parent's registry of children: who polls, whose lease has expired, and who has moved elsewhere."""
+"""A parent's registry of its children, with their reports, their leases, and moves to other parents."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from ironmill.membership.envelope import DroppedError, DropReason, Envelope
 from ironmill.membership.identity import Address
 
-MAX_CHILDREN = 4096  # a multiple of what a machine has while others are down
-MOVED_CHILD_TTL_S = 10.0  # longer than any datagram is under way
+MAX_CHILDREN = 4096  # a multiple of the children of one machine while others are down
+MOVED_CHILD_TTL_S = 10.0  # longer than any datagram is in transit
 
 
 class Child(Struct):
@@ -34,26 +34,26 @@
     incarnation: int
     address: Address
     zone: str
-    poll_count: int = -1  # of the last poll; one that is not higher is a replay
-    token: int = 0  # to be echoed to the child
+    poll_count: int = -1  # count of the last poll; a poll with a count that is not higher is a replay
+    token: int = 0  # issued by the child; messages to it echo the token
     received_position: Position = START
     applied_position: Position = START
     rejection: Rejection | None = None
-    summary: FleetSummary | None = None  # a relay's
+    summary: FleetSummary | None = None  # of the nodes below a relay; None for a proxy
     is_stale: bool = False
     attach_count: int = 0
     attached_at: float = 0.0
     polled_at: float = 0.0
-    at_latest_at: float = 0.0  # when it was last known to have applied the latest position
-    pushed_position: Position | None = None  # target of the delta that is not acknowledged yet
+    up_to_date_at: float = 0.0  # when it was last known to have applied the latest position
+    pushed_position: Position | None = None  # target of the unacknowledged delta
     pushed_at: float = -math.inf
     is_reachable: bool = True
-    search_at: float = 0.0  # while it is unreachable: when to query the other control machines next
+    search_at: float = 0.0  # while unreachable: when to ask the other control machines for it next
     search_interval: float = MIN_FIND_CHILD_INTERVAL_S
 
 
 class _MovedChild(Struct, frozen=True):
-    """A child that another relay has reported as its own."""
+    """A child that another control machine has reported as its own."""
 
     version: tuple[int, int]  # incarnation and attach count
     reported_at: float
@@ -63,15 +63,15 @@
     """The children of one parent, by name."""
 
     def __init__(self, link: Link, replica: Replica, timing: Timing) -> None:
-        """Makes an empty registry for the parent that has ``replica``."""
+        """Creates an empty registry. ``replica`` has the parent's configuration."""
         self._link = link
         self._replica = replica
         self._timing = timing
-        self._moved: dict[str, _MovedChild] = {}  # the oldest report first
+        self._moved: dict[str, _MovedChild] = {}  # by name, the oldest report first
         self.children: dict[str, Child] = {}
 
     def find(self, envelope: Envelope[Message], poll: Poll) -> Child | None:
-        """Returns the child that a poll is from; None if the process is not a child yet.
+        """Returns the child that sent a poll, or None if the sender is not a child yet.
 
         Raises ``DroppedError`` for a poll that is older than what is known of the child.
         """
@@ -82,8 +82,8 @@
         if child is None:
             return None
         if envelope.incarnation < child.incarnation and child.is_reachable:
-            # A lower incarnation of an unreachable child is accepted: the wall clock, which incarnations are
-            # taken from, may have been stepped back before a restart. The echo proves that it runs now.
+            # A lower incarnation of an unreachable child is accepted: incarnations are taken from the wall
+            # clock, which may have been set back before a restart. The echo proves that the sender runs now.
             raise DroppedError(DropReason.STALE)
         if envelope.incarnation != child.incarnation:
             return None
@@ -92,23 +92,23 @@
         return child
 
     def add(self, envelope: Envelope[Message], poll: Poll, source: Address) -> Child:
-        """Adds the sender of a poll, replacing an earlier process of its name.
+        """Adds the sender of a poll as a child, replacing an earlier process of its name.
 
         Raises ``DroppedError`` if there are ``MAX_CHILDREN`` reachable children.
         """
         name = envelope.sender
         if name not in self.children and len(self.children) >= MAX_CHILDREN:
-            unreachable = next((one.name for one in self.children.values() if not one.is_reachable), None)
-            if unreachable is None:
+            removable = next((other.name for other in self.children.values() if not other.is_reachable), None)
+            if removable is None:
                 raise DroppedError(DistributionDropReason.TOO_MANY_CHILDREN)
-            del self.children[unreachable]
-        child = Child(name, envelope.incarnation, source, poll.zone, at_latest_at=self._link.now)
+            del self.children[removable]
+        child = Child(name, envelope.incarnation, source, poll.zone, up_to_date_at=self._link.now)
         self.children[name] = child
         self._link.notify(ChildAdded(name, poll.received_position))
         return child
 
     def update(self, child: Child, envelope: Envelope[Message], poll: Poll, source: Address) -> None:
-        """Takes what a child's poll reports, and renews its lease."""
+        """Stores what a child's poll reports, and renews the child's lease."""
         now = self._link.now
         child.poll_count = envelope.count
         child.address = source
@@ -126,17 +126,17 @@
         if not child.is_reachable:
             child.is_reachable = True
             self._link.notify(ChildReachable(child.name))
-        self._note_latest(child)
+        self._record_if_up_to_date(child)
 
     def extend_leases(self, pause_s: float) -> None:
-        """Extends all leases by the time in which this process did not run and could not read polls."""
+        """Extends all leases by a pause in which this process did not run and could not read polls."""
         for child in self.children.values():
             child.polled_at += pause_s
 
     def expire_leases(self) -> list[Child]:
-        """Marks children without a poll for a lease as unreachable and returns them.
+        """Marks children whose lease has expired as unreachable and returns them.
 
-        Children that have been unreachable for long are removed.
+        Removes unreachable children that have not polled for ``Timing.forget_after_s``.
         """
         now = self._link.now
         expired: list[Child] = []
@@ -151,13 +151,13 @@
                 self._link.notify(ChildUnreachable(child.name, child.applied_position))
             elif not child.is_reachable and silent_s > self._timing.forget_after_s:
                 del self.children[child.name]
-            self._note_latest(child)
+            self._record_if_up_to_date(child)
         while self._moved and now - next(iter(self._moved.values())).reported_at > MOVED_CHILD_TTL_S:
             del self._moved[next(iter(self._moved))]
         return expired
 
     def record_moved(self, moved: ChildMoved) -> bool:
-        """Records that a child has another parent; returns True if it is to be removed here."""
+        """Records that a child has another parent. Returns True if the child must be removed here."""
         version = moved.incarnation, moved.attach_count
         self._moved.pop(moved.name, None)
         self._moved[moved.name] = _MovedChild(version, self._link.now)
@@ -170,6 +170,6 @@
         """Removes a child."""
         del self.children[name]
 
-    def _note_latest(self, child: Child) -> None:
+    def _record_if_up_to_date(self, child: Child) -> None:
         if child.applied_position >= self._replica.received_position:
-            child.at_latest_at = self._link.now
+            child.up_to_date_at = self._link.now
--- a/ironmill/distribution/delta_sender.py
+++ b/ironmill/distribution/delta_sender.py
@@ -1,7 +1,7 @@
-"""Sends deltas to children: one at a time to each, made from the log when it is sent.
+"""Sends deltas to children: one at a time to each child, built from the log when it is sent.
 
-A child has a position, not a queue. A child that reads slowly therefore costs no memory, and what changed in
-the meantime reaches it merged into one delta.
+The sender keeps a position for each child, not a queue of changes. A child that receives slowly therefore
+uses no additional memory, and changes made in the meantime reach it merged into one delta.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from ironmill.distribution.timing import DELTA_RESEND_DELAY_S
 
 MAX_CHUNKS_PER_TICK = 1024
-MAX_CACHED_DELTAS = 16  # for children at the same position
+MAX_CACHED_DELTAS = 16  # each is shared by all children at its base
 
 
 class ChunkedDelta(Struct, frozen=True):
-    """A delta as the bodies of its datagrams."""
+    """A delta that is split into the bodies of its datagrams."""
 
     target: Position
     digest: int
@@ -29,35 +29,38 @@
 
 
 class DeltaSender:
-    """The deltas of one parent to its children."""
+    """Sends the deltas of one parent to its children."""
 
     def __init__(self, link: Link, replica: Replica, children: dict[str, Child]) -> None:
-        """``children`` is the parent's registry, by name; it is read and not changed here."""
+        """Creates a sender with an empty queue.
+
+        ``children`` has the parent's children by name. The sender neither adds nor removes any.
+        """
         self._link = link
         self._replica = replica
         self._children = children
-        self._waiting: dict[str, None] = {}  # names of children to send to, in order
+        self._waiting: dict[str, None] = {}  # names of queued children, in sending order
         self._chunk_budget = MAX_CHUNKS_PER_TICK
         self._cache: dict[Position, ChunkedDelta] = {}  # by base
         self._cache_target = START
-        self.term = 0  # of the writer, as far as this process knows
+        self.term = 0  # highest epoch of a writer that this process knows of
 
     def start_tick(self) -> None:
-        """Renews the budget of datagrams."""
+        """Resets the number of datagrams that may be sent in this tick."""
         self._chunk_budget = MAX_CHUNKS_PER_TICK
 
     def enqueue_idle(self) -> None:
-        """Puts all reachable children without a delta under way into the queue."""
+        """Queues all reachable children that have no unacknowledged delta."""
         for child in self._children.values():
             if child.is_reachable and child.pushed_position is None:
                 self._waiting[child.name] = None
 
     def remove(self, name: str) -> None:
-        """Takes a child out of the queue."""
+        """Removes a child from the queue."""
         self._waiting.pop(name, None)
 
     def on_poll(self, child: Child, poll: Poll) -> None:
-        """Takes a poll as acknowledgement; repeats a delta that it should have acknowledged and did not."""
+        """Handles the acknowledgement in a poll; resends a delta that the poll should have acknowledged."""
         if child.pushed_position is not None and child.received_position >= child.pushed_position:
             child.pushed_position = None
         if child.pushed_position is None:
@@ -66,7 +69,7 @@
             self._resend(child, poll)
 
     def send_waiting(self) -> None:
-        """Sends to the children in the queue until this tick's budget is used up."""
+        """Sends deltas to the queued children until the datagrams of this tick are used up."""
         while self._waiting and self._chunk_budget > 0:
             name = next(iter(self._waiting))
             del self._waiting[name]
@@ -77,14 +80,14 @@
                 continue
             delta = self._chunked_delta(child.received_position)
             if delta is None:
-                continue  # the response to its next poll makes it catch up by ranges
+                continue  # the response to its next poll makes the child catch up by ranges
             child.pushed_position = delta.target
             child.pushed_at = self._link.now
             for index in range(len(delta.bodies)):
                 self._send_chunk(child, delta, index)
 
     def _resend(self, child: Child, poll: Poll) -> None:
-        """Repeats the missing chunks of the delta under way, or sends a new one if it has changed."""
+        """Resends the missing chunks of the unacknowledged delta, or queues a new one if it has changed."""
         delta = self._chunked_delta(child.received_position)
         if (
             delta is None
@@ -115,7 +118,7 @@
         self._link.send(child.name, child.address, chunk)
 
     def _chunked_delta(self, base: Position) -> ChunkedDelta | None:
-        """Returns the delta from a position, from the cache if it is there; None if there is none."""
+        """Returns the delta from a position, from the cache if possible; None if there is no delta."""
         latest = self._replica.received_position
         if self._cache_target != latest:
             self._cache.clear()
--- a/ironmill/distribution/fleet_summary.py
+++ b/ironmill/distribution/fleet_summary.py
@@ -67,7 +67,7 @@
             stale=int(proxy.is_reachable and proxy.is_stale),
         )
         add_zone(self._zones, zone)
-        is_late = proxy.applied_position < self._latest and self._now - proxy.at_latest_at > LAGGING_DELAY_S
+        is_late = proxy.applied_position < self._latest and self._now - proxy.up_to_date_at > LAGGING_DELAY_S
         if not is_healthy or is_late:
             self._lagging.append(_lagging_node(proxy))
 
--- a/ironmill/distribution/origin.py
+++ b/ironmill/distribution/origin.py
@@ -1,4 +1,4 @@
-"""The node of the control machine that orders revisions."""
+"""The node of the control machine that orders and stores revisions."""
 
 from __future__ import annotations
 
@@ -47,18 +47,21 @@
 from ironmill.membership.envelope import DroppedError, Envelope
 from ironmill.membership.identity import Address
 
-MAX_TRACKED_PUSHES = 1024  # revisions of which the time until they are fully applied is measured
+MAX_TRACKED_PUSHES = 1024  # revisions whose time until they are fully applied is measured
 
 
 class Origin(Node):
-    """Stores revisions, publishes them, and knows when they are applied by the whole fleet."""
+    """Stores and publishes revisions, and determines when the whole fleet has applied them."""
 
     role: ClassVar[str] = "origin"
 
     def __init__(
         self, context: NodeContext, store: RevisionStore, relays: Sequence[Endpoint], check: ChangeCheck
     ) -> None:
-        """``relays`` are all there are, so that a missing one is known. ``check`` is made of a push.
+        """Creates an origin with the contents of the store.
+
+        ``relays`` has every relay of the fleet, so that a missing one is noticed. ``check`` is called for the
+        changes of each push.
 
         Raises ``StoreError`` if the store cannot be read.
         """
@@ -68,8 +71,8 @@
         self._relays = relays
         self._store_check_at = context.now + STORE_CHECK_INTERVAL_S
         self._is_store_failing = False
-        self._unrecorded_epoch = 0  # reported by a child, to be recorded by the store; 0 for none
-        self._fleet_ahead: Position | None = None  # the fleet's position, if it is later than the store's
+        self._unrecorded_epoch = 0  # reported by a child and not yet recorded in the store; 0 for none
+        self._fleet_ahead_position: Position | None = None  # only if it is later than the store's
         self._unreachable = UnreachableChildren(context.timing.forget_after_s)
         self._fully_applied_position = START
         self._pushed_at: dict[Position, float] = {}
@@ -80,7 +83,7 @@
 
     @property
     def fully_applied_position(self) -> Position:
-        """The latest position that every proxy is known to have applied. Never goes back."""
+        """The latest position that every proxy is known to have applied. It never decreases."""
         return self._fully_applied_position
 
     # Revisions
@@ -90,16 +93,18 @@
     ) -> Position:
         """Stores the changes as the next revision, publishes it, and returns its position.
 
-        ``expect`` is what the latest position has to be. Raises ``RevisionError``,
-        ``RevisionRejectedError``, ``PositionConflictError``, ``NotOriginError`` and ``StoreError``; then
-        nothing was stored or published.
+        ``expect`` is the position that the latest revision must have; None accepts any. Raises
+        ``RevisionError``, ``RevisionRejectedError``, ``PositionConflictError``, ``NotOriginError`` and
+        ``StoreError``; then nothing was stored or published.
         """
         self.link.now = now
         if self.publisher.is_stopped:
-            raise NotOriginError(f"{self.identity.name} is no origin any more: another writer has taken over")
-        known = self._store.committed(metadata.ticket)
-        if known is not None:
-            return known
+            raise NotOriginError(
+                f"{self.identity.name} is no longer the origin: another process has opened the store"
+            )
+        committed_position = self._store.committed(metadata.ticket)
+        if committed_position is not None:
+            return committed_position
         self._check_push(changes, expect)
         base = self.replica.received_position
         digest = self.replica.keyspace.digest_after(changes)
@@ -110,7 +115,9 @@
             raise
         delta = Delta(base, position, digest, dict(changes), packed_size(changes))
         if not self.replica.apply_delta(delta):
-            raise StoreError(f"revision {position} does not follow on {base}")
+            raise StoreError(
+                f"the store assigned position {position}, which does not follow the latest position {base}"
+            )
         self._pushed_at[position] = now
         if len(self._pushed_at) > MAX_TRACKED_PUSHES:
             del self._pushed_at[next(iter(self._pushed_at))]
@@ -119,10 +126,10 @@
 
     def _check_push(self, changes: Changes, expect: Position | None) -> None:
         latest = self.replica.received_position
-        if self._fleet_ahead is not None:
+        if self._fleet_ahead_position is not None:
             raise StoreError(
-                f"the fleet is at {self._fleet_ahead}, which this store does not have; start again to take a "
-                "higher epoch, and what only the fleet has is undone"
+                f"the fleet is at position {self._fleet_ahead_position}, which the store does not contain; "
+                "restart the origin to take a higher epoch, which undoes revisions that only the fleet has"
             )
         if expect is not None and expect != latest:
             raise PositionConflictError(f"the newest revision is {latest}, not {expect}")
@@ -139,10 +146,10 @@
         """Returns the last revisions, the newest first. Raises ``StoreError``."""
         return self._store.history(max_count)
 
-    # The fleet
+    # Fleet status
 
     def summary(self, max_lagging_bytes: int = MAX_STATUS_LAGGING_BYTES) -> FleetSummary:
-        """Returns what is known of the whole fleet, with relays and orphaned proxies that are unreachable."""
+        """Returns a summary of the whole fleet, including unreachable relays and orphaned proxies."""
         summary = self.publisher.summary(max_lagging_bytes)
         zones = {zone.zone: zone for zone in summary.zones}
         lagging = [
@@ -158,7 +165,7 @@
         return FleetSummary(converged, list(zones.values()), lagging, summary.omitted)
 
     def status(self, now: float) -> OriginStatus:
-        """Returns what the admin API reports."""
+        """Returns the status that the admin API reports."""
         self.link.now = now
         replica = self.replica
         return OriginStatus(
@@ -175,7 +182,9 @@
             is_superseded=self.publisher.is_stopped,
             dropped=dict(self.dropped),
             sent_bytes=self.sent_bytes,
-            fleet_ahead_position=None if self._fleet_ahead is None else str(self._fleet_ahead),
+            fleet_ahead_position=None
+            if self._fleet_ahead_position is None
+            else str(self._fleet_ahead_position),
             fully_applied_position=str(self._fully_applied_position),
             **fleet_fields(self.summary(), replica.received_position),
         )
@@ -185,10 +194,10 @@
         if self.link.now >= self._store_check_at and not self.publisher.is_stopped:
             self._store_check_at = self.link.now + STORE_CHECK_INTERVAL_S
             self._check_store()
-        relays = {
+        relay_incarnations = {
             child.name: child.incarnation for child in self.publisher.children.values() if child.is_reachable
         }
-        self.publisher.search_for(self._unreachable.due_searches(relays, self.link.now))
+        self.publisher.search_for(self._unreachable.due_searches(relay_incarnations, self.link.now))
         self._update_fully_applied()
 
     def _on_message(self, envelope: Envelope[Message], source: Address) -> None:
@@ -204,18 +213,21 @@
             self._unreachable.record_found(message.name, message.incarnation, message.attach_count)
 
     def _check_history(self, poll: Poll) -> None:
-        """Compares a child's position with the store's; raises ``DroppedError`` for another lineage."""
+        """Compares a child's position with the store's. Raises ``DroppedError`` for another lineage."""
         latest = self.replica.received_position
         if poll.lineage not in (0, self.replica.lineage):
             raise DroppedError(DistributionDropReason.FOREIGN_LINEAGE)
         is_ahead = poll.received_position > latest and poll.received_position.epoch >= self._store.epoch
-        if is_ahead and self._fleet_ahead != poll.received_position:
-            self._fleet_ahead = max(poll.received_position, self._fleet_ahead or START)
-            self._unrecorded_epoch = self._fleet_ahead.epoch
+        if is_ahead and self._fleet_ahead_position != poll.received_position:
+            self._fleet_ahead_position = max(poll.received_position, self._fleet_ahead_position or START)
+            self._unrecorded_epoch = self._fleet_ahead_position.epoch
             self.link.notify(FleetAhead(poll.received_position, latest))
 
     def _check_store(self) -> None:
-        """Checks for another writer, and records a reported epoch. A failure is notified once."""
+        """Checks for another writer, and records a reported epoch.
+
+        Of several failures in a row, only the first is notified.
+        """
         try:
             if self._store.fenced():
                 self._stop()
@@ -241,7 +253,7 @@
             return
         self._check_store()
         if self.publisher.is_stopped or self._is_store_failing:
-            return  # relays may already follow another writer, and the summary lacks what is below them
+            return  # relays may already follow another writer; the summary then lacks the nodes below them
         self._fully_applied_position = position
         for pushed in [pushed for pushed in self._pushed_at if pushed <= position]:
             elapsed_s = self.link.now - self._pushed_at.pop(pushed)
@@ -249,7 +261,7 @@
 
 
 def _load_replica(on_event: EventListener, store: RevisionStore) -> Replica:
-    """Returns a replica with everything that the store has."""
+    """Returns a replica with the contents of the store."""
     replica = Replica(on_event, log=RevisionLog())
     replica.lineage = store.lineage
     for key, value in store.entries():
--- a/ironmill/distribution/publisher.py
+++ b/ironmill/distribution/publisher.py
@@ -1,4 +1,4 @@
-"""A parent's side of distribution: dispatches what children and other control machines send."""
+"""A parent's side of distribution: handles messages of children and of other control machines."""
 
 from __future__ import annotations
 
@@ -34,10 +34,13 @@
 
 
 class Publisher:
-    """Has children, sends them deltas, and summarizes what they report."""
+    """Registers children, sends them deltas, and summarizes their reports."""
 
     def __init__(self, link: Link, replica: Replica, timing: Timing, peers: Sequence[Endpoint]) -> None:
-        """``peers`` are the other control machines, which may have been the parents of children before."""
+        """Creates a publisher without children.
+
+        ``peers`` are the other control machines, each of which may be the previous parent of a child.
+        """
         self._link = link
         self._replica = replica
         self._registry = ChildRegistry(link, replica, timing)
@@ -47,7 +50,9 @@
         self._ticked_at = link.now
         self._converged_at = link.now + CONVERGENCE_DELAY_S
         self.origin_age_ms = AGE_UNKNOWN
-        self.is_stopped = False  # another writer has taken over, or the process ends: nothing is answered
+        self.is_stopped = (
+            False  # another writer has taken over, or the process shuts down: drops all messages
+        )
 
     @property
     def children(self) -> dict[str, Child]:
@@ -56,19 +61,19 @@
 
     @property
     def term(self) -> int:
-        """The writer's epoch, as far as this process knows."""
+        """The highest epoch of a writer that this process knows of."""
         return self._sender.term
 
     @term.setter
     def term(self, term: int) -> None:
         self._sender.term = term
 
-    def set_summary_acked_at(self, moment: float) -> None:
-        """Sets when the latest summary was made that the own parent is known to have."""
-        self._search.summary_acked_at = moment
+    def set_summary_acked_at(self, created_at: float) -> None:
+        """Sets the creation time of the latest summary that this node's parent has acknowledged."""
+        self._search.summary_acked_at = created_at
 
     def tick(self) -> None:
-        """Does what is due. To be called every ``TICK_INTERVAL_S``."""
+        """Does the work that is due. Must be called every ``TICK_INTERVAL_S``."""
         now = self._link.now
         elapsed_s = now - self._ticked_at
         self._ticked_at = now
@@ -79,23 +84,23 @@
         for child in self._registry.expire_leases():
             self._sender.remove(child.name)
         self._search.send_pending_moves(self.children)
-        self.search_for(self._search.due(self.children))
+        self.search_for(self._search.due_searches(self.children))
         self._send_deltas()
 
     def on_published(self) -> None:
-        """Sends what is new to all children that wait for nothing else."""
+        """Sends the latest changes to all children without an unacknowledged delta."""
         self._sender.enqueue_idle()
         self._send_deltas()
 
     def search_for(self, children: Sequence[UnreachableChild]) -> None:
-        """Queues children to search for, and sends one request of those that are queued."""
+        """Queues children to search for, and sends one request for queued children."""
         self._search.enqueue(children)
         batch = self._search.take_batch()
         if batch and not self.is_stopped:
             self._search.send_request(batch)
 
     def summary(self, max_lagging_bytes: int = MAX_LAGGING_NODES_BYTES) -> FleetSummary:
-        """Returns what is known of the nodes below."""
+        """Returns a summary of the nodes below this one."""
         now = self._link.now
         builder = SummaryBuilder(self._replica.received_position, now, converged=now >= self._converged_at)
         for child in self.children.values():
@@ -105,7 +110,7 @@
     # Messages
 
     def receive(self, envelope: Envelope[Message], source: Address) -> None:
-        """Takes a message of a child or of another control machine.
+        """Handles a message of a child or of another control machine.
 
         Raises ``DroppedError`` if it is not accepted.
         """
@@ -133,8 +138,8 @@
         name, incarnation = envelope.sender, envelope.incarnation
         is_proven = self._link.tokens.verify(name, incarnation, poll.echo, self._link.now)
         if not is_proven or poll.is_probe:
-            # Until its address is proven, no state is kept for a sender, and the response is no larger than
-            # its poll: a forged source address gains nothing.
+            # Until the sender's address is proven, no state is kept for it, and the response is no larger
+            # than the poll: a forged source address neither uses memory nor amplifies traffic.
             self._respond(envelope, poll, source, is_child=False)
             return
         known = self._registry.find(envelope, poll)
@@ -178,11 +183,14 @@
         self._link.send(envelope.sender, source, ChildMoveAck(moved.name, moved.attach_count))
 
     def _on_find_child(self, envelope: Envelope[Message], request: FindChildRequest, source: Address) -> None:
-        """Answers for each wanted child that is here. A peer repeats its request without an answer."""
+        """Sends ``ChildMoved`` for each requested child of this process.
+
+        A peer that gets no answer repeats its request.
+        """
         self._check_peer(envelope)
-        for wanted in request.children:
-            child = self.children.get(wanted.name)
-            if child is None or child.incarnation < wanted.incarnation:
+        for requested in request.children:
+            child = self.children.get(requested.name)
+            if child is None or child.incarnation < requested.incarnation:
                 continue
             if child.is_reachable and self._search.is_summarized(child):
                 moved = ChildMoved(child.name, child.incarnation, child.attach_count)
--- a/ironmill/distribution/unreachable_children.py
+++ b/ironmill/distribution/unreachable_children.py
@@ -1,7 +1,7 @@
-"""The origin's memory of children that a relay could not reach, for the case that the relay restarts.
+"""The origin's records of children that a relay cannot reach, for the case that the relay restarts.
 
-A relay knows its children only as long as it runs. Without this memory, a proxy that is unreachable while its
-relay restarts would not be reported.
+A relay knows its children only as long as it runs. Without these records, a proxy that is unreachable while
+its relay restarts would no longer be reported.
 """
 
 from __future__ import annotations
@@ -14,27 +14,30 @@
 from ironmill.distribution.timing import MAX_FIND_CHILD_INTERVAL_S, MIN_FIND_CHILD_INTERVAL_S
 
 MAX_RECORDS = 4096
-# A relay that still misses a child repeats so within this time, even if one of its requests is lost.
+# A relay that still searches for a child repeats its report within this time, even if one request is lost.
 REPORT_TIMEOUT_S = 2.5 * MAX_FIND_CHILD_INTERVAL_S
 
 
 class _Record(Struct):
-    """One child that a relay has reported."""
+    """An unreachable child that a relay has reported."""
 
     child: UnreachableChild
     relay: str
     relay_incarnation: int
     reported_at: float
-    orphaned_at: float | None = None  # when the relay was found to have restarted
+    orphaned_at: float | None = None  # when the relay was found to have restarted; None before
     search_at: float = 0.0
     search_interval: float = MIN_FIND_CHILD_INTERVAL_S
 
 
 class UnreachableChildren:
-    """Unreachable children of all relays, by name."""
+    """Records of the unreachable children of all relays, by name."""
 
     def __init__(self, forget_after_s: float) -> None:
-        """A child is forgotten ``forget_after_s`` after its relay was found to have restarted."""
+        """Creates an object without records.
+
+        A record is removed ``forget_after_s`` seconds after the relay was found to have restarted.
+        """
         self._records: dict[str, _Record] = {}
         self._forget_after_s = forget_after_s
 
@@ -55,25 +58,25 @@
             self._records[child.name] = _Record(child, relay, relay_incarnation, now)
 
     def record_found(self, name: str, incarnation: int, attach_count: int) -> None:
-        """Removes a child that has a parent again."""
+        """Removes the record of a child that has a parent again."""
         record = self._records.get(name)
         if record is not None and (incarnation, attach_count) >= _version(record.child):
             del self._records[name]
 
-    def due_searches(self, relays: Mapping[str, int], now: float) -> list[UnreachableChild]:
+    def due_searches(self, relay_incarnations: Mapping[str, int], now: float) -> list[UnreachableChild]:
         """Returns the orphaned children to search for now.
 
-        ``relays`` has the incarnation of each reachable relay.
+        ``relay_incarnations`` has the incarnation of each reachable relay, by name.
         """
         due = []
         for name, record in list(self._records.items()):
             if record.orphaned_at is None:
-                incarnation = relays.get(record.relay)
+                incarnation = relay_incarnations.get(record.relay)
                 if incarnation is None:
                     continue
                 if incarnation <= record.relay_incarnation:
                     if now - record.reported_at > REPORT_TIMEOUT_S:
-                        del self._records[name]  # the relay has it again, or knows its new parent
+                        del self._records[name]  # the relay reaches the child again or knows its new parent
                     continue
                 record.orphaned_at = now
                 record.search_at = now
@@ -86,7 +89,7 @@
         return due
 
     def orphaned(self) -> list[UnreachableChild]:
-        """Returns the children that no relay reports any more, as theirs has restarted."""
+        """Returns the children that no relay reports any longer because their relay has restarted."""
         return [record.child for record in self._records.values() if record.orphaned_at is not None]
 
 
