--- a/ironmill/distribution/__init__.py
+++ b/ironmill/distribution/__init__.py
@@ -1,6 +1,6 @@
 """Distribution of configuration from the origin through relays to every proxy.
 
-Owns the history of revisions, its replicas, and the protocol between a parent and its children, as state
-machines without I/O and without a clock; ``docs/distribution.md`` describes them. It may import
-``ironmill.membership.envelope`` and what lies below membership; the drivers in ``ironmill.net`` import it.
+Contains the history of revisions, its replicas, and the protocol between a parent and its children, as state
+machines without I/O and without a clock; ``docs/distribution.md`` describes them. The package may import
+``ironmill.membership.envelope`` and the packages below membership. The drivers in ``ironmill.net`` import it.
 """
--- a/ironmill/distribution/events.py
+++ b/ironmill/distribution/events.py
@@ -53,7 +53,7 @@
 
 
 class CatchUpStarted(Struct, frozen=True):
-    """The parent's log does not cover the received position: the keyspaces are compared by ranges."""
+    """Deltas cannot bring this node to the parent's position: the keyspaces are compared by ranges."""
 
     received_position: Position
 
--- a/ironmill/distribution/fleet_summary.py
+++ b/ironmill/distribution/fleet_summary.py
@@ -1,4 +1,4 @@
-"""Aggregates what children report: counts by zone, and the nodes that lag behind."""
+"""Aggregates the reports of children into counts by zone and a list of lagging nodes."""
 
 from __future__ import annotations
 
@@ -18,18 +18,22 @@
 from ironmill.distribution.revision import NUMBER_LIMIT, Position
 from ironmill.distribution.timing import LAGGING_DELAY_S
 
-NO_LOWEST_POSITION = Position(NUMBER_LIMIT - 1, NUMBER_LIMIT - 1)  # of a zone where no proxy counts
-NODE_OVERHEAD_BYTES = 40  # of a lagging node in a poll, beside its texts
-OTHER_ZONES = ""  # name of the zones that are merged for lack of space
+# Lowest position of a zone without a reachable proxy that rejects nothing.
+NO_LOWEST_POSITION = Position(NUMBER_LIMIT - 1, NUMBER_LIMIT - 1)
+NODE_OVERHEAD_BYTES = 40  # encoded lagging node in a poll, without its texts
+OTHER_ZONES = ""  # name of the zone into which others are merged for lack of space
 
 _STATES_BY_SEVERITY = (REJECTING, UNREACHABLE, BEHIND)
 
 
 class SummaryBuilder:
-    """Collects the reports of children, and makes one summary of them."""
+    """Builds one summary from the reports of children."""
 
     def __init__(self, latest: Position, now: float, *, converged: bool) -> None:
-        """``latest`` is the position that children should have; ``converged`` is about this parent alone."""
+        """Creates an empty builder.
+
+        ``latest`` is the position that children should have; ``converged`` refers to this parent alone.
+        """
         self._latest = latest
         self._now = now
         self._converged = converged
@@ -38,7 +42,7 @@
         self._omitted = 0
 
     def add(self, child: Child) -> None:
-        """Adds a proxy, or a relay with all that is below it."""
+        """Adds a proxy, or a relay with all nodes below it."""
         if child.summary is None:
             self._add_proxy(child)
         else:
@@ -47,7 +51,7 @@
     def _add_relay(self, relay: Child, summary: FleetSummary) -> None:
         self._converged = self._converged and relay.is_reachable and summary.converged
         if not relay.is_reachable:
-            # Its proxies are counted by other relays by now, or are unreachable together with it.
+            # By now the proxies below it are counted by other relays, or are unreachable like the relay.
             self._lagging.append(_lagging_node(relay))
             return
         self._omitted += summary.omitted
@@ -72,7 +76,7 @@
             self._lagging.append(_lagging_node(proxy))
 
     def build(self, max_lagging_bytes: int) -> FleetSummary:
-        """Returns the summary, with as many lagging nodes as fit, the worst first."""
+        """Returns the summary, with as many lagging nodes as fit, the most severe first."""
         self._lagging.sort(key=_severity)
         listed: list[LaggingNode] = []
         size = 0
@@ -82,11 +86,11 @@
                 break
             listed.append(node)
         omitted = self._omitted + len(self._lagging) - len(listed)
-        return FleetSummary(self._converged, _limited(self._zones.values()), listed, omitted)
+        return FleetSummary(self._converged, _limit_zones(self._zones.values()), listed, omitted)
 
 
 def add_zone(zones: dict[str, ZoneSummary], added: ZoneSummary) -> None:
-    """Adds counts to those of the same zone."""
+    """Adds the counts of a zone to those of the same zone in ``zones``."""
     known = zones.get(added.zone)
     if known is not None:
         added = ZoneSummary(
@@ -101,7 +105,10 @@
 
 
 def fully_applied_position(summary: FleetSummary, latest: Position) -> Position | None:
-    """Returns what every proxy has applied; None if one is unreachable, rejects, or may not be known yet."""
+    """Returns the position that every proxy has applied.
+
+    Returns None if a proxy is unreachable, rejects a revision, or may not be known yet.
+    """
     if not summary.converged or not summary.zones:
         return None
     if any(zone.rejecting or zone.unreachable for zone in summary.zones):
@@ -109,18 +116,18 @@
     return min(min(zone.lowest_position for zone in summary.zones), latest)
 
 
-def _limited(zones: Iterable[ZoneSummary]) -> list[ZoneSummary]:
+def _limit_zones(zones: Iterable[ZoneSummary]) -> list[ZoneSummary]:
     """Returns the zones, the lowest position first; those beyond ``MAX_ZONES`` are merged into one."""
-    found = sorted(zones, key=lambda zone: zone.lowest_position)
-    while len(found) > MAX_ZONES:
-        last = found.pop()
-        merged = {OTHER_ZONES: _renamed(found.pop())}
-        add_zone(merged, _renamed(last))
-        found.append(merged[OTHER_ZONES])
-    return found
+    limited = sorted(zones, key=lambda zone: zone.lowest_position)
+    while len(limited) > MAX_ZONES:
+        last = limited.pop()
+        merged = {OTHER_ZONES: _as_other_zones(limited.pop())}
+        add_zone(merged, _as_other_zones(last))
+        limited.append(merged[OTHER_ZONES])
+    return limited
 
 
-def _renamed(zone: ZoneSummary) -> ZoneSummary:
+def _as_other_zones(zone: ZoneSummary) -> ZoneSummary:
     return ZoneSummary(
         OTHER_ZONES, zone.proxies, zone.lowest_position, zone.rejecting, zone.unreachable, zone.stale
     )
@@ -133,15 +140,15 @@
 
 
 def _encoded_size(node: LaggingNode) -> int:
-    texts = len(node.name) + len(node.zone) + len(node.key.encode()) + len(node.reason.encode())
-    return NODE_OVERHEAD_BYTES + texts
+    text_bytes = len(node.name) + len(node.zone) + len(node.key.encode()) + len(node.reason.encode())
+    return NODE_OVERHEAD_BYTES + text_bytes
 
 
 def _lagging_node(child: Child) -> LaggingNode:
     rejection = child.rejection or Rejection("", "")
     if child.summary is not None:
-        below = sum(zone.proxies for zone in child.summary.zones)
-        rejection = Rejection("", f"a relay; {below} proxies were behind it")
+        proxies_below = sum(zone.proxies for zone in child.summary.zones)
+        rejection = Rejection("", f"relay; {proxies_below} proxies were below it")
     return LaggingNode(
         child.name, child.zone, child.applied_position, _state(child), rejection.key, rejection.reason
     )
--- a/ironmill/distribution/link.py
+++ b/ironmill/distribution/link.py
@@ -1,4 +1,4 @@
-"""What every node needs to send: its identity, a codec, a count of datagrams, and tokens of its peers."""
+"""Sending of messages by a node: its identity, codec, datagram count, and tokens for its peers."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 class NodeContext(Struct, frozen=True):
-    """What the owner gives to a node of any role."""
+    """The dependencies that the owner passes to a node of any role."""
 
     identity: MemberIdentity
     codec: Codec
     timing: Timing
     rng: random.Random
-    now: float  # seconds of the monotonic clock, at the node's start
+    now: float  # monotonic clock at the node's start, in seconds
     on_event: EventListener
 
 
 class Link:
-    """Encodes messages into datagrams, which wait until the driver takes them with ``flush``."""
+    """Encodes messages into datagrams and queues them until the driver takes them with ``flush``."""
 
     def __init__(self, context: NodeContext) -> None:
-        """Draws the secret of the tokens from the context's generator."""
+        """Creates a link. The secret of its tokens is drawn from the context's random generator."""
         self.identity = context.identity
         self.codec = context.codec
         self.rng = context.rng
-        self.now = context.now  # as of the current tick or datagram
+        self.now = context.now  # time of the current tick or datagram
         self.tokens = ContactTokens(context.rng.randbytes(TOKEN_SECRET_BYTES))
-        self.dropped: dict[str, int] = {}  # datagrams by reason
+        self.dropped: dict[str, int] = {}  # counts of dropped datagrams, by reason
         self.sent_bytes = 0
         self.sent_datagrams = 0
         self._on_event = context.on_event
@@ -59,10 +59,10 @@
         return outgoing
 
     def drop(self, reason: str) -> None:
-        """Counts a datagram that was not accepted."""
+        """Counts a datagram that was dropped for this reason."""
         key = str(reason)
         self.dropped[key] = self.dropped.get(key, 0) + 1
 
     def notify(self, event: Event) -> None:
-        """Reports an event to the node's owner."""
+        """Passes an event to the node's owner."""
         self._on_event(event)
--- a/ironmill/distribution/node.py
+++ b/ironmill/distribution/node.py
@@ -1,7 +1,8 @@
-"""What the nodes of all roles share: datagrams in and out, and the time.
+"""The interface of nodes of all roles to their driver.
 
-The driver calls ``tick`` every ``TICK_INTERVAL_S`` and ``receive`` with each datagram, and sends what they,
-``leave`` and ``flush`` return. Nodes have no socket and no clock. Only the origin's store makes a call wait.
+The driver calls ``tick`` every ``TICK_INTERVAL_S`` and ``receive`` with each datagram. It sends the datagrams
+that these methods, ``leave`` and ``flush`` return. Nodes have no socket and no clock. No call blocks, except
+those that access the origin's store.
 """
 
 from __future__ import annotations
@@ -17,22 +18,22 @@
 
 
 class Node:
-    """Base class of the roles."""
+    """Base class of the nodes of all roles."""
 
     role: ClassVar[str]
 
     def __init__(self, context: NodeContext) -> None:
-        """Makes the node's link; the roles add the rest."""
+        """Creates the node's link; subclasses create the rest."""
         self.link = Link(context)
 
     @property
     def identity(self) -> MemberIdentity:
-        """What the process calls itself."""
+        """The identity of the process in the cluster."""
         return self.link.identity
 
     @property
     def dropped(self) -> dict[str, int]:
-        """Counts of datagrams that were not accepted, by reason."""
+        """Counts of dropped datagrams, by reason."""
         return self.link.dropped
 
     @property
@@ -41,13 +42,13 @@
         return self.link.sent_bytes
 
     def tick(self, now: float) -> list[Datagram]:
-        """Does what is due by ``now``, in seconds of the monotonic clock; returns the datagrams to send."""
+        """Does the work due at ``now``, in seconds of the monotonic clock. Returns the datagrams to send."""
         self.link.now = now
         self._on_tick()
         return self.link.flush()
 
     def receive(self, data: bytes, source: Address, now: float) -> list[Datagram]:
-        """Takes a datagram and returns the datagrams to send. One that is not acceptable is only counted."""
+        """Handles a datagram and returns the datagrams to send. One that is not accepted is only counted."""
         self.link.now = now
         try:
             envelope = self.link.codec.decode(data)
@@ -60,17 +61,17 @@
         return self.link.flush()
 
     def flush(self) -> list[Datagram]:
-        """Returns the datagrams that another call has queued."""
+        """Returns the datagrams that other calls have queued."""
         return self.link.flush()
 
     def leave(self, now: float) -> list[Datagram]:
-        """Shuts down; returns the last datagrams to send."""
+        """Shuts down the node and returns the last datagrams to send."""
         self.link.now = now
         self._on_leave()
         return self.link.flush()
 
     def status(self, now: float) -> Struct:
-        """Returns what the admin API reports, to be encoded as JSON."""
+        """Returns the status that the admin API reports, to be encoded as JSON."""
         raise NotImplementedError
 
     def _on_tick(self) -> None:
@@ -80,4 +81,4 @@
         raise NotImplementedError
 
     def _on_leave(self) -> None:
-        """Queues the last messages. By default there are none."""
+        """Queues the last messages. There are none by default."""
--- a/ironmill/distribution/proxy_node.py
+++ b/ironmill/distribution/proxy_node.py
@@ -22,17 +22,20 @@
     role: ClassVar[str] = "subscriber"
 
     def __init__(self, context: NodeContext, parents: Sequence[Endpoint], consumer: Consumer) -> None:
-        """``parents`` are the control machines to choose from; ``consumer`` applies the configuration."""
+        """Creates the node of a proxy.
+
+        ``parents`` are the control machines to choose from; ``consumer`` applies the configuration.
+        """
         super().__init__(context)
         self.replica = Replica(self.link.notify, consumer)
         self.subscriber = Subscriber(self.link, self.replica, parents, context.timing)
 
     def lookup(self, key: str) -> bytes | None:
-        """Returns the applied value of a key, or None."""
+        """Returns the applied value of a key, or None if it has none."""
         return self.replica.keyspace.get(key)
 
     def status(self, now: float) -> SubscriberStatus:
-        """Returns what the admin API reports."""
+        """Returns the status that the admin API reports."""
         self.link.now = now
         return subscriber_status(self.link, self.role, self.subscriber)
 
--- a/ironmill/distribution/relay.py
+++ b/ironmill/distribution/relay.py
@@ -25,16 +25,19 @@
 from ironmill.membership.envelope import Envelope
 from ironmill.membership.identity import Address
 
-MAX_STATUS_LAGGING_BYTES = 1 << 16  # of lagging nodes in a status
+MAX_STATUS_LAGGING_BYTES = 1 << 16  # lagging nodes listed in a status
 
 
 class Relay(Node):
-    """A subscriber of the origin, and a publisher to proxies."""
+    """Subscribes to the origin and publishes to proxies."""
 
     role: ClassVar[str] = "relay"
 
     def __init__(self, context: NodeContext, origins: Sequence[Endpoint], peers: Sequence[Endpoint]) -> None:
-        """``origins`` may be the writer; ``peers`` are all other control machines."""
+        """Creates a relay.
+
+        ``origins`` are the control machines that may be the origin; ``peers`` are all other control machines.
+        """
         super().__init__(context)
         timing = context.timing
         self.replica = Replica(self.link.notify, log=RevisionLog())
@@ -42,7 +45,7 @@
         self.subscriber = Subscriber(self.link, self.replica, origins, timing, self.publisher.summary)
 
     def status(self, now: float) -> RelayStatus:
-        """Returns what the admin API reports."""
+        """Returns the status that the admin API reports."""
         self.link.now = now
         own = subscriber_status(self.link, self.role, self.subscriber)
         summary = self.publisher.summary(MAX_STATUS_LAGGING_BYTES)
@@ -58,16 +61,16 @@
             self.subscriber.receive(envelope)
             self._update_publisher()
         else:
-            self._update_publisher()  # the origin's age grows with time alone
+            self._update_publisher()  # the origin's age grows even if nothing is received
             self.publisher.receive(envelope, source)
 
     def _on_leave(self) -> None:
-        """Informs the origin. The children find other parents by themselves."""
+        """Notifies the origin of the shutdown. The children find other parents on their own."""
         self.subscriber.leave()
         self.publisher.is_stopped = True
 
     def _update_publisher(self) -> None:
-        """Passes on to the publisher what the subscriber has learned."""
+        """Copies the term, the origin's age and acknowledgements from the subscriber to the publisher."""
         subscriber, publisher = self.subscriber, self.publisher
         publisher.term = subscriber.term
         publisher.origin_age_ms = subscriber.freshness.age_ms
--- a/ironmill/distribution/status.py
+++ b/ironmill/distribution/status.py
@@ -1,4 +1,4 @@
-"""What a node reports of itself to the admin API: typed, with the JSON keys beside the field names."""
+"""Status of a node as reported by the admin API. Fields declare a JSON key that differs from their name."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class RejectionStatus(Struct, frozen=True):
-    """Why the latest received revision is not applied."""
+    """The reason why the latest received revision is not applied."""
 
     key: str
     reason: str
 
 
 class SubscriberStatus(Struct, frozen=True):
-    """Status of a proxy, and of a relay as a subscriber. Positions are spelled EPOCH.NUMBER."""
+    """Status of a proxy, or of a relay as a subscriber. Positions have the form EPOCH.NUMBER."""
 
     name: str
     role: str
@@ -40,7 +40,7 @@
 
 
 class ZoneStatus(Struct, frozen=True):
-    """Counts of the proxies of one zone."""
+    """Counts and lowest position of the proxies in one zone."""
 
     zone: str
     proxies: int
@@ -62,7 +62,7 @@
 
 
 class RelayStatus(SubscriberStatus, frozen=True):
-    """Status of a relay: as a subscriber, and of the nodes below it."""
+    """Status of a relay as a subscriber, and of the nodes below it."""
 
     is_fully_applied: bool = field(name="everywhere")
     lowest_position: str | None = field(name="lowest")
@@ -73,7 +73,7 @@
 
 
 class OriginStatus(Struct, frozen=True):
-    """Status of the origin: as the writer of revisions, and of the whole fleet."""
+    """Status of the origin as the writer of revisions, and of the whole fleet."""
 
     name: str
     role: str
@@ -99,7 +99,7 @@
 
 
 class ConfigurationHealth(Struct, frozen=True):
-    """What a proxy's health check reports of distributed configuration."""
+    """State of the distributed configuration as reported by a proxy's health check."""
 
     applied_position: str = field(name="in_force")
     is_stale: bool = field(name="stale")
@@ -109,7 +109,7 @@
 
     @classmethod
     def of(cls, status: SubscriberStatus) -> ConfigurationHealth:
-        """Returns the part of a status that belongs to a health check."""
+        """Returns the fields of a status that a health check reports."""
         return cls(
             status.applied_position,
             status.is_stale,
@@ -142,7 +142,7 @@
 
 
 class FleetFields(TypedDict):
-    """The fields that the statuses of a relay and of the origin have in common."""
+    """The fields that the status of a relay and that of the origin have in common."""
 
     is_fully_applied: bool
     lowest_position: str | None
@@ -153,7 +153,7 @@
 
 
 def fleet_fields(summary: FleetSummary, latest: Position | None = None) -> FleetFields:
-    """Returns the status of the nodes in a summary. ``latest`` is known to the origin alone."""
+    """Returns the status of the nodes in a summary. Relays do not know ``latest``; for them it is None."""
     lowest = [zone.lowest_position for zone in summary.zones if zone.proxies > zone.rejecting]
     return {
         "is_fully_applied": latest is not None and fully_applied_position(summary, latest) == latest,
