--- a/tests/unit/distribution/test_failing_store.py
+++ b/tests/unit/distribution/test_failing_store.py
@@ -1,4 +1,4 @@
-"""An origin whose store fails: it stays available, and rejects changes."""
+"""An origin whose store fails stays available and rejects changes."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 def converged_fleet() -> tuple[SimulatedFleet, list[Event]]:
     fleet = SimulatedFleet(PLAN)
     events: list[Event] = []
-    inner = fleet.observer.on_event
+    observe_event = fleet.observer.on_event
 
     def on_event(process: FleetProcess, event: Event) -> None:
-        inner(process, event)
+        observe_event(process, event)
         if process.role == "origin":
             events.append(event)
 
@@ -31,7 +31,7 @@
 
 
 def test_origin_survives_a_fleet_ahead_of_its_failing_store() -> None:
-    """A store that fails while the origin records an epoch of the fleet must not end the process."""
+    """A store that fails while the origin records the fleet's epoch must not end the process."""
     fleet, events = converged_fleet()
     fleet.push({"a": b"1"})
     fleet.run(fleet.now + 1.0)
@@ -51,7 +51,7 @@
 
 
 def test_origin_with_a_higher_epoch_writes_while_the_fleet_is_ahead_of_its_store() -> None:
-    """After a restart the origin has a higher epoch than the fleet, and must accept pushes again."""
+    """A restarted origin has a higher epoch than the fleet, and must accept pushes again."""
     fleet, _ = converged_fleet()
     fleet.push({"a": b"1"})
     fleet.run(fleet.now + 1.0)
@@ -64,7 +64,9 @@
     fleet.run(fleet.now + 3.0)
     assert fleet.disk.position > Position(1, 2)
     assert {
-        one.applied_position for name, one in fleet.observer.processes.items() if name.startswith("p")
+        observed.applied_position
+        for name, observed in fleet.observer.processes.items()
+        if name.startswith("p")
     } == {fleet.disk.position}
 
 
@@ -77,7 +79,9 @@
         fleet.push({"a": b"1"})
     fleet.run(fleet.now + 2.0)
     assert {
-        one.applied_position for name, one in fleet.observer.processes.items() if name.startswith("p")
+        observed.applied_position
+        for name, observed in fleet.observer.processes.items()
+        if name.startswith("p")
     } == {before}
     fleet.disk.failure = ""
     position = fleet.push({"a": b"1"})
--- a/tests/unit/distribution/test_revision_log.py
+++ b/tests/unit/distribution/test_revision_log.py
@@ -1,4 +1,4 @@
-"""The revision log: deltas from every covered position, limited in size."""
+"""The revision log returns a delta from every covered position, limited in size."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def steps_of(count: int, size: int = 10) -> list[tuple[Delta, dict[str, bytes]]]:
-    """Steps of one history, with the state after each."""
+    """Returns steps of one history, each with the keys and values after it."""
     values: dict[str, bytes] = {}
     steps, keyspace, rng = [], Keyspace(), random.Random(4)
     for number in range(1, count + 1):
@@ -34,16 +34,16 @@
     for delta, _ in steps:
         log.append(delta)
     assert len(log) == 20
-    for at, (delta, values) in enumerate(steps[:-1]):
-        folded = log.delta_since(delta.target)
-        assert log.covers(delta.target) is (folded is not None) is (at >= 29)
-        if folded is not None:
-            assert (folded.base, folded.target, folded.digest) == (
+    for index, (delta, values) in enumerate(steps[:-1]):
+        merged = log.delta_since(delta.target)
+        assert log.covers(delta.target) is (merged is not None) is (index >= 29)
+        if merged is not None:
+            assert (merged.base, merged.target, merged.digest) == (
                 delta.target,
                 steps[-1][0].target,
                 steps[-1][0].digest,
             )
-            assert applied(values, folded.changes) == steps[-1][1]
+            assert applied(values, merged.changes) == steps[-1][1]
     assert log.delta_since(steps[-1][0].target) is None
     assert log.delta_since(Position(2, 0)) is None
 
@@ -51,17 +51,25 @@
 def test_base_within_a_merged_step_gets_all_of_that_step() -> None:
     log, steps = RevisionLog(), steps_of(30)
     states = {delta.target: values for delta, values in steps}
-    for at in range(0, 30, 3):  # a relay that took three at a time
-        part = [delta for delta, _ in steps[at : at + 3]]
+    for first in range(0, 30, 3):  # as in a relay that receives three steps merged into one
+        merged_steps = [delta for delta, _ in steps[first : first + 3]]
         changes: Changes = {}
-        for delta in part:
+        for delta in merged_steps:
             changes |= delta.changes
-        log.append(Delta(part[0].base, part[-1].target, part[-1].digest, changes, packed_size(changes)))
+        log.append(
+            Delta(
+                merged_steps[0].base,
+                merged_steps[-1].target,
+                merged_steps[-1].digest,
+                changes,
+                packed_size(changes),
+            )
+        )
     for target, values in states.items():
-        folded = log.delta_since(target)
-        if folded is not None:
-            assert folded.base == target
-            assert applied(values, folded.changes) == states[folded.target]
+        merged = log.delta_since(target)
+        if merged is not None:
+            assert merged.base == target
+            assert applied(values, merged.changes) == states[merged.target]
 
 
 def test_log_and_each_delta_are_limited_in_bytes() -> None:
@@ -80,18 +88,18 @@
         changes = {f"k{number}": bytes(300)}
         log.append(Delta(base, Position(1, number), number, changes, packed_size(changes)))
         base = Position(1, number)
-    folded = log.delta_since(START)
-    assert folded is not None
-    assert folded.size <= MAX_DELTA_BYTES
-    assert folded.target < base
-    following = log.delta_since(folded.target)
+    merged = log.delta_since(START)
+    assert merged is not None
+    assert merged.size <= MAX_DELTA_BYTES
+    assert merged.target < base
+    following = log.delta_since(merged.target)
     assert following is not None
-    assert following.base == folded.target
+    assert following.base == merged.target
 
 
 @pytest.mark.parametrize("entry_bytes", [30, 312, 471, 600, 843])
 def test_merged_delta_fits_into_the_datagrams_of_one_delta(entry_bytes: int) -> None:
-    """A delta that the log covers and that cannot be sent would leave the child behind for ever."""
+    """A child would never catch up if the log returned a delta with too many datagrams to be sent."""
     fleet = SimulatedFleet(Plan(proxies=3, control=2, regions=1, zones=1, entries=20))
     fleet.converge()
     fleet.pause("p00001", fleet.now + 2.5)
@@ -99,7 +107,8 @@
     key_bytes = entry_bytes - 3 - value_bytes
     for revision in "abc":
         keys = [
-            f"{revision}{at:04d}".ljust(key_bytes, "x") for at in range(MAX_REVISION_BYTES // entry_bytes)
+            f"{revision}{index:04d}".ljust(key_bytes, "x")
+            for index in range(MAX_REVISION_BYTES // entry_bytes)
         ]
         fleet.push(dict.fromkeys(keys[:MAX_REVISION_CHANGES], bytes(value_bytes)))
         fleet.run(fleet.now + 0.3)
--- a/tests/unit/distribution/test_scenarios.py
+++ b/tests/unit/distribution/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Distribution in a simulated fleet: each scenario at a small size keeps every guarantee."""
+"""Each scenario of distribution keeps every guarantee in a small simulated fleet."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_scenario_keeps_every_guarantee(name: str) -> None:
-    found = play(name, SMALL_PLAN, quick=True)
-    assert found["members_run"] == SMALL_PLAN.proxies + SMALL_PLAN.control + 1
-    assert found["changes"] > 0
-    assert broken(found) == [], found["broken"]
-    assert found["over_budget_s"] == 0
+    result = play(name, SMALL_PLAN, quick=True)
+    assert result["members_run"] == SMALL_PLAN.proxies + SMALL_PLAN.control + 1
+    assert result["changes"] > 0
+    assert broken(result) == [], result["broken"]
+    assert result["over_budget_s"] == 0
--- a/tests/unit/distribution/test_status.py
+++ b/tests/unit/distribution/test_status.py
@@ -1,4 +1,4 @@
-"""What the admin API tells of a node of each role: the same keys, in the same order, as recorded."""
+"""The admin API reports the status of a node of each role with the recorded keys, values and order."""
 
 from __future__ import annotations
 
@@ -17,27 +17,30 @@
 
 
 def statuses() -> dict[str, str]:
-    """JSON by state and name: of a fleet that is well, then with a rejected change and a proxy cut off."""
+    """Returns the JSON by state and name.
+
+    The states are a converged fleet, and one with a rejected change and a proxy that is cut off.
+    """
     fleet = SimulatedFleet(PLAN, FAULTS)
     fleet.processes["p00002"].consumer = SimulatedConsumer(("bad/",))
     fleet.converge()
-    found: dict[str, str] = {}
+    status_json: dict[str, str] = {}
 
-    def look(state: str, *names: str) -> None:
+    def record(state: str, *names: str) -> None:
         for name in names:
             node = fleet.processes[name].node
             assert node is not None
-            found[f"{state} {name}"] = msgspec.json.encode(node.status(fleet.now)).decode()
+            status_json[f"{state} {name}"] = msgspec.json.encode(node.status(fleet.now)).decode()
 
-    look("converged", "origin", "c01", "p00000")
+    record("converged", "origin", "c01", "p00000")
     for name in ("origin", "c01", "p00001"):
         node = fleet.processes[name].node
         assert node is not None
         node.receive(b"", ("10.9.9.9", 7), fleet.now)
     fleet.push({"bad/1": b"x"})
     fleet.run(13.0)
-    look("faulty", "origin", "c01", "p00001", "p00002")
-    return found
+    record("faulty", "origin", "c01", "p00001", "p00002")
+    return status_json
 
 
 def test_status_is_the_recorded_json() -> None:
