--- a/ironmill/distribution/origin.py
+++ b/ironmill/distribution/origin.py
@@ -143,7 +143,7 @@
         return self._store.undo(number)
 
     def history(self, max_count: int) -> list[StoredRevision]:
-        """Returns the last revisions, the newest first. Raises ``StoreError``."""
+        """Returns the latest revisions, the newest first. Raises ``StoreError``."""
         return self._store.history(max_count)
 
     # Fleet status
