--- a/ironmill/configuration/distributed_keys.py
+++ b/ironmill/configuration/distributed_keys.py
@@ -162,7 +162,7 @@
 class ConfigurationConsumer:
     """Applies distributed configuration to a proxy; its ``Consumer``."""
 
-    looked_up: tuple[str, ...] = (SHARD_PREFIX,)
+    lookup_prefixes: tuple[str, ...] = (SHARD_PREFIX,)
 
     def __init__(
         self, callers: Callers | None, set_level: Callable[[str], object] = logs.override_level
--- a/ironmill/distribution/interfaces.py
+++ b/ironmill/distribution/interfaces.py
@@ -15,7 +15,7 @@
 class Consumer(Protocol):
     """Applies configuration in one process. Each set of changes is checked before it is applied."""
 
-    looked_up: tuple[str, ...]
+    lookup_prefixes: tuple[str, ...]
     """Prefixes of keys that the consumer reads from the keyspace on demand. A catch-up does not pass changes
     of such keys to the consumer; single revisions do."""
 
--- a/ironmill/distribution/replica.py
+++ b/ironmill/distribution/replica.py
@@ -68,7 +68,7 @@
         if position == self.applied_position and keyspace.digest == self.keyspace.digest:
             return
         if self._consumer is not None:
-            rejection = self._offer(self._difference(keyspace, self._consumer.looked_up))
+            rejection = self._offer(self._difference(keyspace, self._consumer.lookup_prefixes))
             if rejection is not None:
                 # All of the difference would be pending: it is fetched again with the next revision instead.
                 self._reject(position, keyspace.digest, {}, rejection)
@@ -118,7 +118,7 @@
             rejection = Rejection("", f"{type(error).__name__}: {error}")
         return Rejection(rejection.key, rejection.reason[:MAX_REASON_LENGTH])
 
-    def _difference(self, keyspace: Keyspace, looked_up: tuple[str, ...]) -> Changes:
+    def _difference(self, keyspace: Keyspace, lookup_prefixes: tuple[str, ...]) -> Changes:
         """Returns the changes from the applied keyspace to another one, without keys that are looked up."""
         changes: Changes = {}
         for leaf in range(LEAVES):
@@ -127,6 +127,6 @@
                 continue
             old, new = dict(unpack_entries(old_leaf)), dict(unpack_entries(new_leaf))
             for key in old.keys() | new.keys():
-                if old.get(key) != new.get(key) and not key.startswith(looked_up):
+                if old.get(key) != new.get(key) and not key.startswith(lookup_prefixes):
                     changes[key] = new.get(key)
         return changes
--- a/ironmill_testbed/faults/fleet_process.py
+++ b/ironmill_testbed/faults/fleet_process.py
@@ -14,7 +14,7 @@
 class SimulatedConsumer:
     """Accepts all changes but values of keys with certain prefixes, and keeps nothing."""
 
-    looked_up: tuple[str, ...] = ("shard/",)
+    lookup_prefixes: tuple[str, ...] = ("shard/",)
 
     def __init__(self, rejected_prefixes: tuple[str, ...] = ()) -> None:
         """Rejects changes that set a key with one of these prefixes."""
--- a/ironmill_testbed/faults/simulated_proxies.py
+++ b/ironmill_testbed/faults/simulated_proxies.py
@@ -148,7 +148,7 @@
 class PairCheckingConsumer:
     """Accepts all changes, and counts those of one of the paired keys alone."""
 
-    looked_up: tuple[str, ...] = ()
+    lookup_prefixes: tuple[str, ...] = ()
 
     def __init__(self, reports: ProxyReports) -> None:
         """``reports`` has the count."""
--- a/tests/unit/distribution/test_random_schedules.py
+++ b/tests/unit/distribution/test_random_schedules.py
@@ -34,7 +34,7 @@
 class Recorder:
     """A consumer that keeps all values, and may reject keys of bad/."""
 
-    looked_up: tuple[str, ...] = ()
+    lookup_prefixes: tuple[str, ...] = ()
 
     def __init__(self, rejects: bool) -> None:
         self.values: dict[str, bytes] = {}
--- a/tests/unit/distribution/test_replica.py
+++ b/tests/unit/distribution/test_replica.py
@@ -17,7 +17,7 @@
 class Picky:
     """Rejects values of bad/, and raises an exception at worse/."""
 
-    looked_up: tuple[str, ...] = ("shard/",)
+    lookup_prefixes: tuple[str, ...] = ("shard/",)
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
