--- a/ironmill/distribution/catch_up_session.py
+++ b/ironmill/distribution/catch_up_session.py
@@ -1,4 +1,4 @@
-"""A subscriber's catch-up by ranges: its requests to the parent, their answers, its restarts and its end."""
+"""A subscriber's catch-up by ranges: requests to the parent, responses, restarts and completion."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class CatchUpSession:
-    """At most one catch-up, which ends with the replica at its result."""
+    """The current catch-up of a subscriber, if any. Its result replaces the replica's keyspace."""
 
     def __init__(self, link: Link, replica: Replica, bytes_per_s: float) -> None:
-        """``bytes_per_s`` limits the answers that are requested."""
+        """Creates a session without a catch-up. ``bytes_per_s`` limits the responses that are requested."""
         self._link = link
         self._replica = replica
         self._bytes_per_s = bytes_per_s
@@ -31,16 +31,16 @@
 
     @property
     def is_active(self) -> bool:
-        """True while the keyspace is compared by ranges."""
+        """True while a catch-up is in progress."""
         return self._catch_up is not None
 
     @property
     def frontier(self) -> Position | None:
-        """The position from which deltas are wanted; None without a catch-up or before its first answer."""
+        """The position at which the next delta must start; None without a catch-up or a response yet."""
         return None if self._catch_up is None else self._catch_up.frontier
 
     def start(self) -> None:
-        """Begins to compare, from the applied position on."""
+        """Starts a catch-up from the applied keyspace, discarding pending changes."""
         replica = self._replica
         if replica.received_position != replica.applied_position:
             replica.discard_pending()
@@ -48,15 +48,15 @@
         self._link.notify(CatchUpStarted(replica.received_position))
 
     def restart(self) -> None:
-        """Compares again, keeping what has been fetched; does nothing without a catch-up."""
+        """Restarts the comparison, keeping the data fetched so far; does nothing without a catch-up."""
         if self._catch_up is not None:
             self._catch_up.restart()
 
-    def restart_if_lost(self, response: PollResponse, poll: SentPoll) -> None:
-        """Compares again if the parent has no delta from the frontier to its own position.
+    def restart_if_log_gap(self, response: PollResponse, poll: SentPoll) -> None:
+        """Restarts the comparison if the parent's log does not lead from the frontier to its latest position.
 
-        That is so once the parent has caught up by ranges itself, which leaves its log empty, or has dropped
-        the steps that lead on from the frontier.
+        This happens if the parent itself has caught up by ranges, which clears its log, or if it has dropped
+        the log entries that follow the frontier.
         """
         frontier = self.frontier
         if frontier is None or poll.received_position != frontier:
@@ -66,21 +66,21 @@
             self.restart()
 
     def send_requests(self, parent: ParentCandidate | None) -> None:
-        """Sends the requests that are due."""
+        """Sends the requests that are due to the parent."""
         if self._catch_up is None or parent is None or parent.token == 0:
             return
         token = self._link.tokens.issue(parent.endpoint.name, 0, self._link.now)
         for request in self._catch_up.due_requests(self._link.now):
-            message = _addressed(request, parent.token, token)
+            message = _with_tokens(request, parent.token, token)
             self._link.send(parent.endpoint.name, parent.endpoint.address, message)
 
     def add_delta(self, delta: Delta) -> None:
-        """Takes the parent's next delta."""
+        """Adds the parent's next delta to the catch-up."""
         if self._catch_up is not None:
             self._catch_up.on_delta(delta)
 
     def receive(self, response: DigestResponse | EntriesResponse) -> None:
-        """Takes an answer of the parent. Raises ``DroppedError`` if it is malformed."""
+        """Handles a response of the parent. Raises ``DroppedError`` if it is malformed."""
         if self._catch_up is None:
             return
         if isinstance(response, DigestResponse):
@@ -93,7 +93,7 @@
             raise DroppedError(DropReason.MALFORMED) from None
 
     def finish(self) -> bool:
-        """Makes the result the replica's state, if it is complete. Returns whether it is."""
+        """Replaces the replica's keyspace by the result. Returns False if the catch-up is not complete."""
         if self._catch_up is None:
             return False
         result = self._catch_up.result()
@@ -107,8 +107,8 @@
         return True
 
 
-def _addressed(request: Request, echo: int, token: int) -> Request:
-    """Returns the request with the tokens of this exchange."""
+def _with_tokens(request: Request, echo: int, token: int) -> Request:
+    """Returns a copy of the request with its tokens filled in."""
     if isinstance(request, DigestRequest):
         return DigestRequest(echo, token, request.level, request.prefix)
     return EntriesRequest(echo, token, request.number, request.leaf, request.after_key, request.end_leaf)
--- a/ironmill/distribution/parent_selector.py
+++ b/ironmill/distribution/parent_selector.py
@@ -1,4 +1,4 @@
-"""Selects a child's parent among the control machines that its settings name."""
+"""Selection of a child's parent from the control machines in its settings."""
 
 from __future__ import annotations
 
@@ -25,21 +25,23 @@
     REORDERING_S,
 )
 
-PREVIOUS_PARENTS_REPORT_S = 5.0  # after a change of parent, polls name the previous ones for so long
-MIN_FRESHNESS_GAIN_S = 1.0  # by which another parent must have heard later from the origin
+PREVIOUS_PARENTS_REPORT_S = 5.0  # how long polls report the previous parents after a change of parent
+MIN_FRESHNESS_GAIN_S = (
+    1.0  # how much later than an unusable parent another one must have heard from the origin
+)
 
 SAME_ZONE, SAME_REGION, REMOTE = range(3)
 
 
 class ParentCandidate(Struct):
-    """A control machine that may be the parent, and what is known of it."""
+    """A control machine that may become the parent, and its last known state."""
 
     endpoint: Endpoint
-    token: int = 0  # to be echoed to it; 0 before its first answer
+    token: int = 0  # sent back to it in polls; 0 before its first response
     polled_at: float = -math.inf
     unanswered_polls: int = 0
     answered_at: float = -math.inf
-    origin_heard_at: float = -math.inf  # when the origin spoke, by the latest answer
+    origin_heard_at: float = -math.inf  # when it last heard from the origin, by its responses
     latest_position: Position = START
     delta_received_at: float = -math.inf
     term: int = 0
@@ -48,10 +50,10 @@
 
 
 def rank_endpoints(name: str, zone: str, region: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
-    """Returns the endpoints in a process's order of preference: its zone, its region, then the others.
+    """Returns the endpoints in a process's order of preference: same zone, same region, then the others.
 
-    Within each of those the order follows from a hash of both names (rendezvous hashing): children are
-    distributed evenly over parents, and those of a dead parent evenly over the others.
+    Within each of these groups the order follows from a hash of both names (rendezvous hashing). This
+    distributes children evenly over parents, and the children of a failed parent evenly over the others.
     """
 
     def rank(endpoint: Endpoint) -> tuple[int, bytes]:
@@ -68,10 +70,10 @@
 
 
 class ParentSelector:
-    """The candidates in order of preference, and the one that is the parent."""
+    """The parent candidates in order of preference, and the current parent."""
 
     def __init__(self, link: Link, replica: Replica, endpoints: Sequence[Endpoint]) -> None:
-        """``endpoints`` are the control machines that may be the parent."""
+        """Creates a selector without a parent. ``endpoints`` are the control machines to choose from."""
         self._link = link
         self._replica = replica
         identity = link.identity
@@ -79,26 +81,29 @@
         self._candidates = [ParentCandidate(endpoint) for endpoint in ranked]
         self._by_name = {candidate.endpoint.name: candidate for candidate in self._candidates}
         self._previous_parents: list[str] = []
-        self._orphaned_at = link.now
-        self._probe_at = link.now
+        self._without_parent_since = link.now
+        self._next_probe_at = link.now
         self._next_probe_index = 0
-        self._preferred_at = self._next_preferred_at()
+        self._next_preferred_probe_at = self._draw_preferred_probe_time()
         self.parent: ParentCandidate | None = None
-        self.term = 0  # the highest that any candidate has named
+        self.term = 0  # the highest writer epoch that any candidate has reported
         self.attach_count = 0
         self.attached_at = -math.inf
 
     def find(self, name: str) -> ParentCandidate | None:
-        """Returns the candidate of this name."""
+        """Returns the candidate with this name, or None if there is none."""
         return self._by_name.get(name)
 
     def previous_parents(self) -> list[str]:
-        """Returns the names of previous parents that the parent is to inform of the change."""
+        """Returns the previous parents that the parent must notify; empty unless the change was recent."""
         is_recent = self._link.now - self.attached_at < PREVIOUS_PARENTS_REPORT_S
         return self._previous_parents if is_recent else []
 
     def is_usable(self, candidate: ParentCandidate) -> bool:
-        """Returns True if it follows the latest writer, is not behind this process and has a fresh state."""
+        """Returns True if a candidate can serve as the parent.
+
+        It must follow the latest writer, not be behind this process, and have heard from the origin recently.
+        """
         return (
             candidate.term >= self.term
             and candidate.latest_position >= self._replica.received_position
@@ -106,7 +111,7 @@
         )
 
     def record_response(self, candidate: ParentCandidate, response: PollResponse, polled_at: float) -> None:
-        """Takes what a candidate answers to a poll that was sent at ``polled_at``."""
+        """Records a candidate's response to a poll that was sent at ``polled_at``."""
         now = self._link.now
         candidate.token = response.token
         candidate.answered_at = now
@@ -117,17 +122,17 @@
         ):
             candidate.latest_position = response.latest_position
         candidate.term = response.term
-        # The age counts from the poll, not from the arrival: the response may have waited for long, unread.
+        # The age is counted from the time of the poll, because the response may have waited unread for long.
         if response.origin_age_ms != AGE_UNKNOWN and response.term >= self.term:
             heard_at = polled_at - response.origin_age_ms / 1000.0
             candidate.origin_heard_at = max(candidate.origin_heard_at, heard_at)
         self.term = max(self.term, response.term)
 
     def should_attach(self, candidate: ParentCandidate, *, catching_up: bool) -> bool:
-        """Returns True if a candidate that has just answered is to replace the parent."""
+        """Returns True if a candidate that has just responded should replace the parent."""
         parent, now = self.parent, self._link.now
         if parent is None:
-            return self.is_usable(candidate) or now - self._orphaned_at > ACCEPT_ANY_PARENT_DELAY_S
+            return self.is_usable(candidate) or now - self._without_parent_since > ACCEPT_ANY_PARENT_DELAY_S
         if not self.is_usable(candidate):
             return False
         if not self.is_usable(parent):
@@ -136,7 +141,7 @@
                 or candidate.term > parent.term
                 or parent.latest_position < self._replica.received_position
             )
-        if catching_up:  # much of it would have to be fetched again
+        if catching_up:  # a change of parent would repeat much of the catch-up
             return False
         return self._candidates.index(candidate) < self._candidates.index(parent)
 
@@ -144,7 +149,7 @@
         """Makes a candidate the parent."""
         previous = self.parent
         if previous is not None:
-            self._remember_previous(previous)
+            self._record_previous_parent(previous)
         if candidate.endpoint.name in self._previous_parents:
             self._previous_parents.remove(candidate.endpoint.name)
         self.parent = candidate
@@ -155,45 +160,48 @@
         self._link.notify(ParentChanged(candidate.endpoint.name, previous_name))
 
     def lose_parent(self) -> None:
-        """Gives up the parent, which does not answer."""
+        """Drops the parent because it does not respond."""
         parent = self.parent
         assert parent is not None
         self._back_off(parent)
-        self._remember_previous(parent)
+        self._record_previous_parent(parent)
         self.parent = None
-        self._orphaned_at = self._link.now
-        self._probe_at = self._link.now
+        self._without_parent_since = self._link.now
+        self._next_probe_at = self._link.now
         self._next_probe_index = 0
         self._link.notify(ParentLost(parent.endpoint.name))
 
     def due_probes(self) -> Sequence[ParentCandidate]:
-        """Returns the candidates to probe now: some if no parent is usable, else one that is preferred."""
+        """Returns the candidates to probe now.
+
+        These are several if there is no usable parent, otherwise at times the most preferred one.
+        """
         now, parent = self._link.now, self.parent
         if parent is not None and self.is_usable(parent):
-            if now < self._preferred_at:
+            if now < self._next_preferred_probe_at:
                 return ()
-            self._preferred_at = self._next_preferred_at()
+            self._next_preferred_probe_at = self._draw_preferred_probe_time()
             return self._preferred_candidates()[:1]
-        if now < self._probe_at:
+        if now < self._next_probe_at:
             return ()
-        self._probe_at = now + PROBE_INTERVAL_S * (0.8 + 0.4 * self._link.rng.random())
+        self._next_probe_at = now + PROBE_INTERVAL_S * (0.8 + 0.4 * self._link.rng.random())
         chosen = self._choose_probes()
         for candidate in chosen:
             self._count_unanswered_probe(candidate)
         return chosen
 
     def _preferred_candidates(self) -> list[ParentCandidate]:
-        """Returns the candidates before the parent in the order of preference, without those in backoff."""
-        rank_endpoints: list[ParentCandidate] = []
+        """Returns the candidates that are preferred to the parent, without those in backoff."""
+        preferred: list[ParentCandidate] = []
         for candidate in self._candidates:
             if candidate is self.parent:
                 break
             if self._link.now >= candidate.backoff_until:
-                rank_endpoints.append(candidate)
-        return rank_endpoints
+                preferred.append(candidate)
+        return preferred
 
     def _choose_probes(self) -> list[ParentCandidate]:
-        """Returns the first candidate that is not in backoff, and others in turns."""
+        """Returns the most preferred candidate that is not in backoff, and others in rotation."""
         others = [candidate for candidate in self._candidates if candidate is not self.parent]
         ready = [candidate for candidate in others if self._link.now >= candidate.backoff_until] or others
         chosen = {id(candidate): candidate for candidate in ready[:1]}
@@ -219,9 +227,9 @@
         candidate.failures += 1
         candidate.backoff_until = self._link.now + backoff_s * (0.75 + 0.5 * self._link.rng.random())
 
-    def _remember_previous(self, parent: ParentCandidate) -> None:
+    def _record_previous_parent(self, parent: ParentCandidate) -> None:
         names = [parent.endpoint.name, *self._previous_parents]
         self._previous_parents = names[:MAX_PREVIOUS_PARENTS]
 
-    def _next_preferred_at(self) -> float:
+    def _draw_preferred_probe_time(self) -> float:
         return self._link.now + PREFERRED_PARENT_INTERVAL_S * (0.5 + self._link.rng.random())
--- a/ironmill/distribution/subscriber.py
+++ b/ironmill/distribution/subscriber.py
@@ -1,4 +1,7 @@
-"""A child's side of distribution: polls its parent, receives deltas, and catches up where none leads here."""
+"""The child's side of distribution: polls a parent, receives its deltas and catches up by ranges.
+
+A catch-up is needed if the parent's log does not cover the position of this process.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 
 class Subscriber:
-    """Keeps a replica at the latest position that its parent has."""
+    """A client of a parent that keeps a replica at the parent's latest position."""
 
     def __init__(
         self,
@@ -41,7 +44,11 @@
         timing: Timing,
         make_summary: Callable[[], FleetSummary] | None = None,
     ) -> None:
-        """``make_summary`` returns what a relay reports of its children."""
+        """Creates a subscriber that has no parent yet.
+
+        ``parents`` are the control machines to choose from. ``make_summary`` returns what a relay reports
+        about its children; a proxy has none.
+        """
         self._link = link
         self._timing = timing
         self._make_summary = make_summary
@@ -53,37 +60,38 @@
         self._has_advanced = False
         self.replica = replica
         self.freshness = Freshness(link, replica, timing.stale_after_s)
-        self.summary_acked_at = -math.inf  # when the latest summary was made that the parent has
+        self.summary_acked_at = -math.inf  # when the latest summary known to have reached the parent was sent
 
     @property
     def parent(self) -> ParentCandidate | None:
-        """The parent; None while there is none."""
+        """The current parent, or None."""
         return self._selector.parent
 
     @property
     def term(self) -> int:
-        """The highest epoch of a writer that was heard of."""
+        """The highest writer epoch that any parent candidate has reported."""
         return self._selector.term
 
     @property
     def is_catching_up(self) -> bool:
-        """True while the keyspace is compared by ranges."""
+        """True while a catch-up by ranges is in progress."""
         return self._catch_up.is_active
 
     def take_advanced(self) -> bool:
-        """Returns True if the replica has advanced since the last call."""
+        """Returns True if the replica has advanced since the last call, and resets the flag."""
         has_advanced = self._has_advanced
         self._has_advanced = False
         return has_advanced
 
     def tick(self) -> None:
-        """Does what is due. To be called every ``TICK_INTERVAL_S``."""
+        """Sends polls, probes and range requests that are due. Must be called every ``TICK_INTERVAL_S``."""
         now = self._link.now
         elapsed_s = now - self._ticked_at
         self._ticked_at = now
         parent = self._selector.parent
         if parent is not None and elapsed_s > PAUSE_THRESHOLD_S:
-            parent.unanswered_polls = 0  # its answers may be there, unread
+            # The parent's responses may have arrived during the pause and not been read yet.
+            parent.unanswered_polls = 0
         self.freshness.update()
         if parent is not None and self._schedule.is_due(now):
             if parent.unanswered_polls >= MAX_UNANSWERED_POLLS:
@@ -95,7 +103,7 @@
         self._catch_up.send_requests(self.parent)
 
     def leave(self) -> None:
-        """Notifies the parent that this process shuts down."""
+        """Notifies the parent that this process is shutting down."""
         parent = self.parent
         if parent is not None:
             self._link.send(parent.endpoint.name, parent.endpoint.address, Leave(parent.token))
@@ -135,7 +143,7 @@
         self._schedule.record_sent(count, SentPoll(now, received_position))
 
     def _acknowledge(self) -> None:
-        """Polls now, or as soon as the rate of acknowledgements allows."""
+        """Polls the parent to acknowledge a delta: now, or as soon as ``MIN_ACK_INTERVAL_S`` allows."""
         self._schedule.request_ack(self._link.now)
         if self.parent is not None and self._schedule.is_due(self._link.now):
             self._poll(self.parent)
@@ -143,20 +151,24 @@
     # Messages
 
     def receive(self, envelope: Envelope[Message]) -> None:
-        """Takes a message of a parent. Raises ``DroppedError`` if it is not accepted."""
+        """Handles a message from a parent candidate. Raises ``DroppedError`` if it is not accepted."""
         message = envelope.message
         match message:
             case PollResponse():
-                self._on_poll_response(self._sender(envelope, message.echo), message)
+                self._on_poll_response(self._find_sender(envelope, message.echo), message)
             case DeltaChunk():
-                self._on_delta_chunk(self._sender(envelope, message.echo), message)
+                self._on_delta_chunk(self._find_sender(envelope, message.echo), message)
             case DigestResponse() | EntriesResponse():
-                self._on_range_response(self._sender(envelope, message.echo), message)
+                self._on_range_response(self._find_sender(envelope, message.echo), message)
             case _:
                 raise DroppedError(DropReason.UNSOLICITED)
 
-    def _sender(self, envelope: Envelope[Message], echo: int) -> ParentCandidate:
-        """Returns the sender, which must have been polled lately."""
+    def _find_sender(self, envelope: Envelope[Message], echo: int) -> ParentCandidate:
+        """Returns the candidate that sent a message.
+
+        Raises ``DroppedError`` if the sender is not a candidate, or if ``echo`` does not prove that it was
+        polled recently.
+        """
         candidate = self._selector.find(envelope.sender)
         if candidate is None:
             raise DroppedError(DistributionDropReason.UNKNOWN_SENDER)
@@ -172,11 +184,11 @@
     def _on_poll_response(self, candidate: ParentCandidate, response: PollResponse) -> None:
         self._check_lineage(response.lineage)
         now, replica, selector = self._link.now, self.replica, self._selector
-        # The token that the poll has echoed is no longer valid then, and the poll was no acknowledgement.
+        # The parent did not take the poll as an acknowledgement if the token that it echoed had expired.
         token_had_expired = (
             candidate.token == 0 or now - candidate.answered_at > ContactTokens.ROTATION_INTERVAL_S
         )
-        poll = self._schedule.sent(response.poll_count)
+        poll = self._schedule.find_sent(response.poll_count)
         selector.record_response(candidate, response, poll.sent_at)
         if candidate is selector.parent:
             self._on_parent_response(candidate, response, poll)
@@ -204,9 +216,9 @@
         self._poll(candidate)
 
     def _on_parent_ahead(self, response: PollResponse, poll: SentPoll) -> None:
-        """Waits for the parent's delta, or catches up by ranges if its log does not lead here."""
+        """Waits for the parent's delta, or catches up if the parent's log does not cover this position."""
         if self._catch_up.is_active:
-            self._catch_up.restart_if_lost(response, poll)
+            self._catch_up.restart_if_log_gap(response, poll)
             return
         if self.replica.has_lost_pending:
             self.replica.discard_pending()
@@ -223,8 +235,8 @@
         self._check_lineage(chunk.lineage)
         if chunk.term < self.term:
             raise DroppedError(DistributionDropReason.OLD_TERM)
-        # The delta may arrive before the response that names its position: without this, the parent would
-        # seem to be behind its own child.
+        # The delta may arrive before the poll response that reports its position. Without this update the
+        # parent would appear to be behind this process.
         candidate.latest_position = max(candidate.latest_position, chunk.target)
         candidate.delta_received_at = self._link.now
         self._check_order(chunk)
@@ -233,14 +245,14 @@
             self._on_delta(delta)
 
     def _check_order(self, chunk: DeltaChunk) -> None:
-        """Raises ``DroppedError`` unless the delta follows on what was received."""
+        """Raises ``DroppedError`` unless the delta starts at the received position or the frontier."""
         expected = self.replica.received_position
         if self._catch_up.is_active:
             if self._catch_up.frontier is None:
                 raise DroppedError(DistributionDropReason.OUT_OF_ORDER)
             expected = self._catch_up.frontier
         if chunk.target <= expected:
-            self._acknowledge()  # it is sent again as the acknowledgement was lost
+            self._acknowledge()  # the parent resent it because the acknowledgement was lost
             raise DroppedError(DistributionDropReason.OUT_OF_ORDER)
         if chunk.base != expected:
             raise DroppedError(DistributionDropReason.OUT_OF_ORDER)
@@ -252,12 +264,12 @@
         elif self.replica.apply_delta(delta):
             self._has_advanced = True
         else:
-            # Another digest: the state here is not the one that the delta was made for.
+            # The replica's state is not the one that the delta was computed for.
             self._link.drop(DistributionDropReason.DIGEST_MISMATCH)
             self._start_catch_up()
         self._acknowledge()
 
-    # Catching up
+    # Catch-up
 
     def _start_catch_up(self) -> None:
         self._assembler.discard()
