--- a/ironmill/distribution/catch_up.py
+++ b/ironmill/distribution/catch_up.py
@@ -1,12 +1,13 @@
 """Anti-entropy by ranges: fetches what differs from a parent whose log does not cover this position.
 
-The parent's keyspace changes meanwhile, so answers are of different positions. They become one state as
-follows. From the first answer on, at its position F0, the parent's deltas are received as usual and kept in
-an overlay. A leaf as of any position between F0 and the overlay's end, with the overlay's values put over it,
-is the leaf as of the overlay's end, as a key that did not change since F0 is the same in both. The digest of
-the last delta proves the whole keyspace before any of it is applied.
-
-After a change of parent, or a gap in the deltas, what has been fetched is kept and compared again.
+The parent's keyspace changes during a catch-up, so its responses are as of different positions. They are
+combined into one state as follows. The first response has a position F0. From there on the parent's deltas
+are received as usual and collected in an overlay. A leaf as of any position between F0 and the overlay's end
+becomes the leaf as of the overlay's end if the overlay's values are applied to it, because a key that has not
+changed since F0 has the same value in both. The digest of the last delta verifies the whole keyspace before
+any of it is applied.
+
+After a change of parent or a gap in the deltas, the fetched data is kept and compared again.
 """
 
 from __future__ import annotations
@@ -34,29 +35,29 @@
 from ironmill.distribution.revision import START, Delta, Position
 
 MAX_OUTSTANDING_REQUESTS = 16
-MAX_RANGE_LEAVES = LEAVES // MAX_OUTSTANDING_REQUESTS  # so that several ranges are fetched in parallel
-EXPECTED_RESPONSE_BYTES = 1100.0  # charged against the rate until the actual size is known
-RESPONSE_OVERHEAD_BYTES = 100  # of a datagram beside its body
-DIGEST_BYTES = 9  # in a datagram
-MIN_RETRY_DELAY_S = 0.3  # above the round-trip time between two regions, 0.16 s
+MAX_RANGE_LEAVES = LEAVES // MAX_OUTSTANDING_REQUESTS  # allows several ranges to be fetched in parallel
+EXPECTED_RESPONSE_BYTES = 1100.0  # charged against the rate limit until a response's actual size is known
+RESPONSE_OVERHEAD_BYTES = 100  # size of a response datagram without its body
+DIGEST_BYTES = 9  # size of an encoded digest
+MIN_RETRY_DELAY_S = 0.3  # more than the round-trip time between two regions, 0.16 s
 MAX_RETRY_DELAY_S = 1.2
 MAX_OVERLAY_BYTES = 1 << 20
-MAX_DIGEST_MISMATCHES = 3  # then what has been fetched is discarded
+MAX_DIGEST_MISMATCHES = 3  # after this many, the fetched data is discarded
 
 Request = DigestRequest | EntriesRequest
 
 
 class _LeafRange(Struct):
-    """Leaves that are fetched one after the other."""
+    """A range of leaves that is fetched in order, one page after the other."""
 
-    leaf: int
-    end_leaf: int
+    leaf: int  # the next one to fetch
+    end_leaf: int  # exclusive
     after_key: str = ""
-    partial_blob: bytes = b""  # of the leaf that has arrived in part
+    partial_blob: bytes = b""  # entries of ``leaf`` received so far, if it was split between pages
 
 
 class _OutstandingRequest(Struct):
-    """A request without an answer yet."""
+    """A request that has not been answered yet."""
 
     request: Request
     leaf_range: _LeafRange | None
@@ -65,20 +66,23 @@
 
 
 class CatchUp:
-    """One catch-up, from the first request to the whole keyspace."""
+    """One catch-up, from the first request to the complete keyspace."""
 
     def __init__(self, old: Keyspace, bytes_per_s: float, now: float) -> None:
-        """``old`` is what to begin with; ``bytes_per_s`` limits the answers that are requested."""
-        self.frontier: Position | None = None  # the overlay's end; None before the first answer
+        """Creates a catch-up that starts from a copy of ``old``.
+
+        ``bytes_per_s`` limits the responses that are requested; ``now`` is in seconds of the monotonic clock.
+        """
+        self.frontier: Position | None = None  # position at the overlay's end; None before the first response
         self.staged = old.copy()
         self.fetched_bytes = 0
         self.mismatches = 0
         self._bytes_per_s = bytes_per_s
-        self._credit = MAX_OUTSTANDING_REQUESTS * EXPECTED_RESPONSE_BYTES
+        self._credit = MAX_OUTSTANDING_REQUESTS * EXPECTED_RESPONSE_BYTES  # bytes that may be requested now
         self._credit_at = now
         self._root_digest = 0
-        self._first_position = START  # of the first answer
-        self._latest_position: Position | None = None  # of any answer
+        self._first_position = START  # of the first response
+        self._latest_position: Position | None = None  # the highest of any response
         self._overlay: Changes = {}
         self._overlay_size = 0
         self._queue: deque[tuple[Request, _LeafRange | None]] = deque()
@@ -87,7 +91,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Compares again from the whole keyspace down, keeping what has been fetched."""
+        """Restarts the comparison at the root of the keyspace, keeping the data fetched so far."""
         self.frontier = None
         self._latest_position = None
         self._overlay = {}
@@ -99,7 +103,7 @@
     # Requests
 
     def due_requests(self, now: float) -> Iterator[Request]:
-        """Yields the requests to send now. Their ``echo`` and ``token`` are for the caller to fill in."""
+        """Yields the requests to send now. The caller must fill in their ``echo`` and ``token``."""
         self._credit = min(self._bytes_per_s, self._credit + (now - self._credit_at) * self._bytes_per_s)
         self._credit_at = now
         for outstanding in self._outstanding.values():
@@ -116,27 +120,27 @@
         ):
             request, leaf_range = self._queue.popleft()
             if isinstance(request, EntriesRequest):
-                request = self._numbered(request)
+                request = self._assign_number(request)
             self._outstanding[_request_key(request)] = _OutstandingRequest(
                 request, leaf_range, now, MIN_RETRY_DELAY_S
             )
             self._credit -= EXPECTED_RESPONSE_BYTES
             yield request
 
-    def _numbered(self, request: EntriesRequest) -> EntriesRequest:
+    def _assign_number(self, request: EntriesRequest) -> EntriesRequest:
         self._request_number += 1
         return EntriesRequest(0, 0, self._request_number, request.leaf, request.after_key, request.end_leaf)
 
-    def _request_leaves(self, span: range) -> None:
+    def _queue_entries_requests(self, span: range) -> None:
         for leaf in range(span.start, span.stop, MAX_RANGE_LEAVES):
             leaf_range = _LeafRange(leaf, min(span.stop, leaf + MAX_RANGE_LEAVES))
             request = EntriesRequest(0, 0, 0, leaf_range.leaf, "", leaf_range.end_leaf)
             self._queue.append((request, leaf_range))
 
-    # Answers
+    # Responses
 
     def on_digests(self, response: DigestResponse) -> None:
-        """Compares the digests of a range's parts and requests those that differ."""
+        """Compares the digests of a range's parts with the staged ones and requests the parts that differ."""
         if self._outstanding.pop((0, response.level, response.prefix), None) is None:
             return
         self._charge(DIGEST_BYTES * len(response.digests) + RESPONSE_OVERHEAD_BYTES)
@@ -146,11 +150,14 @@
             self._root_digest = response.root_digest
         if not self._accept_position(response.position):
             return
-        for span in _joined(self._compare(response)):
-            self._request_leaves(span)
+        for span in _join_adjacent(self._compare(response)):
+            self._queue_entries_requests(span)
 
     def _compare(self, response: DigestResponse) -> list[range]:
-        """Returns the leaves to fetch, in order; queues requests for the digests of parts that differ."""
+        """Returns the leaves to fetch, in order, and queues digest requests for parts to compare in detail.
+
+        Empties the parts that are empty at the parent.
+        """
         level = response.level + 1
         prefixes = children_of(response.level, response.prefix) if level else range(1 << LEVEL_BITS[0])
         spans: list[range] = []
@@ -162,15 +169,18 @@
                 spans.append(range(prefix, prefix + 1))
             elif digest == 0:
                 for leaf in leaves_of(level, prefix):
-                    self.staged.replace(leaf, b"")
-            elif own_digest == 0:  # all of it is missing here: there is nothing to compare
+                    self.staged.replace_leaf(leaf, b"")
+            elif own_digest == 0:  # nothing is staged in this part, so all of it is fetched
                 spans.append(leaves_of(level, prefix))
             else:
                 self._queue.append((DigestRequest(0, 0, level, prefix), None))
         return spans
 
     def on_entries(self, response: EntriesResponse) -> bool:
-        """Takes entries. Returns False for an answer to no request; raises ``ValueError`` if malformed."""
+        """Stages the entries of a response.
+
+        Returns False if no request with its number is outstanding; raises ``ValueError`` if it is malformed.
+        """
         outstanding = self._outstanding.pop((1, response.number, 0), None)
         if outstanding is None or outstanding.leaf_range is None:
             return False
@@ -180,10 +190,10 @@
             return True
         min_next_leaf = leaf_range.leaf if response.is_partial else leaf_range.leaf + 1
         if not min_next_leaf <= response.next_leaf <= leaf_range.end_leaf:
-            raise ValueError("a page that does not go on")
+            raise ValueError("next leaf of an entries response is outside the requested range")
         blobs, last_key = _blobs_by_leaf(leaf_range, response.body)
         for leaf in range(leaf_range.leaf, response.next_leaf):
-            self.staged.replace(leaf, blobs.get(leaf, b""))
+            self.staged.replace_leaf(leaf, blobs.get(leaf, b""))
         leaf_range.leaf = response.next_leaf
         leaf_range.after_key = last_key if response.is_partial else ""
         leaf_range.partial_blob = blobs.get(response.next_leaf, b"") if response.is_partial else b""
@@ -193,7 +203,7 @@
         return True
 
     def on_delta(self, delta: Delta) -> None:
-        """Adds the parent's next delta, from the frontier on, to the overlay."""
+        """Adds the parent's next delta to the overlay. Ignores one that does not start at the frontier."""
         if delta.base != self.frontier:
             return
         self.frontier = delta.target
@@ -206,15 +216,15 @@
                 self.restart()
 
     def result(self) -> tuple[Keyspace, Position] | None:
-        """Returns the whole keyspace and its position once it is complete; None before.
+        """Returns the keyspace and its position, or None while it is incomplete.
 
-        Restarts itself if the digest shows that the keyspace is not the parent's.
+        Restarts the comparison if the digest of the keyspace is not the parent's.
         """
         if self._queue or self._outstanding or self.frontier is None:
             return None
         assert self._latest_position is not None
         if self._latest_position > self.frontier:
-            return None  # the delta that leads there is still under way
+            return None  # the delta to that position has not arrived yet
         keyspace = self.staged
         if self._overlay:
             keyspace = keyspace.copy()
@@ -229,7 +239,11 @@
         return None
 
     def _accept_position(self, position: Position) -> bool:
-        """Returns False, and restarts, if the parent is at an older position than at first."""
+        """Records the position of a response.
+
+        Returns False and restarts the comparison if there was no first response, or if the position is older
+        than that of the first response.
+        """
         if self.frontier is None or position < self._first_position:
             self.restart()
             return False
@@ -238,7 +252,7 @@
         return True
 
     def _charge(self, size: int) -> None:
-        """Replaces the expected size of an answer by the actual one."""
+        """Charges the actual size of a response against the rate limit instead of the expected size."""
         self.fetched_bytes += size
         self._credit += EXPECTED_RESPONSE_BYTES - size
 
@@ -249,8 +263,8 @@
     return 1, request.number, 0
 
 
-def _joined(spans: Sequence[range]) -> list[range]:
-    """Joins adjacent spans: of a small keyspace many leaves fit into one answer."""
+def _join_adjacent(spans: Sequence[range]) -> list[range]:
+    """Joins adjacent ranges of leaves: many leaves of a small keyspace fit into one response."""
     joined: list[range] = []
     for span in spans:
         if joined and joined[-1].stop == span.start:
@@ -261,15 +275,15 @@
 
 
 def _blobs_by_leaf(leaf_range: _LeafRange, body: bytes) -> tuple[dict[int, bytes], str]:
-    """Returns the entries of a body by leaf, and the last key. Raises ``ValueError`` for a malformed body."""
+    """Returns a body's packed entries by leaf, and its last key. Raises ``ValueError`` if it is malformed."""
     blobs: dict[int, bytes] = {leaf_range.leaf: leaf_range.partial_blob}
     key = ""
     for key, value in unpack_entries(body):
         if value is None:
-            raise ValueError("a page with a key that has no value")
+            raise ValueError("entries response has a key without a value")
         leaf = leaf_of(key.encode())
         if not leaf_range.leaf <= leaf < leaf_range.end_leaf:
-            raise ValueError("a page with a key of another leaf")
+            raise ValueError("entries response has a key outside the requested leaves")
         blobs[leaf] = blobs.get(leaf, b"") + pack_entry(key, value)
     return blobs, key
 
