--- a/ironmill/distribution/delta_assembler.py
+++ b/ironmill/distribution/delta_assembler.py
@@ -1,4 +1,4 @@
-"""Reassembles a delta from the datagrams that carry it."""
+"""Reassembly of a delta from the datagrams that carry its chunks."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from ironmill.membership.envelope import DroppedError, DropReason
 
 
-class _Assembly(Struct):
-    """A delta of which some chunks have arrived."""
+class _PartialDelta(Struct):
+    """A delta of which only some chunks have arrived."""
 
     base: Position
     target: Position
     digest: int
-    count: int
-    bodies: dict[int, bytes]  # by index
+    count: int  # of all chunks
+    bodies: dict[int, bytes]  # by chunk index
 
     def includes(self, chunk: DeltaChunk) -> bool:
-        """Returns True if the chunk is of this delta."""
+        """Returns True if the chunk belongs to this delta."""
         return (self.base, self.target, self.digest, self.count) == (
             chunk.base,
             chunk.target,
@@ -31,52 +31,53 @@
 
 
 class DeltaAssembler:
-    """Keeps at most one incomplete delta."""
+    """A buffer for the chunks of at most one incomplete delta."""
 
     def __init__(self) -> None:
-        """Begins without a delta."""
-        self._assembly: _Assembly | None = None
+        """Creates an empty assembler."""
+        self._partial: _PartialDelta | None = None
 
     @property
     def incomplete_target(self) -> Position:
-        """Target of the incomplete delta; ``START`` if there is none."""
-        return START if self._assembly is None else self._assembly.target
+        """The target position of the incomplete delta; ``START`` if there is none."""
+        return START if self._partial is None else self._partial.target
 
     def missing_chunks(self) -> list[int]:
-        """Returns the indices of chunks that have not arrived, at most ``MAX_MISSING_CHUNKS``."""
-        assembly = self._assembly
-        if assembly is None:
+        """Returns the indices of at most ``MAX_MISSING_CHUNKS`` chunks that have not arrived."""
+        partial = self._partial
+        if partial is None:
             return []
-        missing = [index for index in range(assembly.count) if index not in assembly.bodies]
+        missing = [index for index in range(partial.count) if index not in partial.bodies]
         return missing[:MAX_MISSING_CHUNKS]
 
     def discard(self) -> None:
         """Drops the incomplete delta."""
-        self._assembly = None
+        self._partial = None
 
     def add(self, chunk: DeltaChunk) -> Delta | None:
-        """Adds a chunk; returns the delta once it is complete.
+        """Adds a chunk. Returns the delta if it is now complete, otherwise None.
 
-        Raises ``DroppedError`` for a chunk of an older delta, and for a delta that is malformed.
+        A chunk of another delta replaces the incomplete one. Raises ``DroppedError`` if that other delta has
+        the same base and an older target, or if the complete delta is malformed.
         """
-        assembly = self._assembly
-        if assembly is None or not assembly.includes(chunk):
-            if assembly is not None and assembly.base == chunk.base and assembly.target > chunk.target:
+        partial = self._partial
+        if partial is None or not partial.includes(chunk):
+            if partial is not None and partial.base == chunk.base and partial.target > chunk.target:
                 raise DroppedError(DistributionDropReason.OUT_OF_ORDER)
-            assembly = _Assembly(chunk.base, chunk.target, chunk.digest, chunk.count, {})
-            self._assembly = assembly
-        assembly.bodies[chunk.index] = chunk.body
-        if len(assembly.bodies) < assembly.count:
+            partial = _PartialDelta(chunk.base, chunk.target, chunk.digest, chunk.count, {})
+            self._partial = partial
+        partial.bodies[chunk.index] = chunk.body
+        if len(partial.bodies) < partial.count:
             return None
-        self._assembly = None
-        return _unpack(assembly)
+        self._partial = None
+        return _unpack(partial)
 
 
-def _unpack(assembly: _Assembly) -> Delta:
+def _unpack(partial: _PartialDelta) -> Delta:
     changes: Changes = {}
     try:
-        for index in range(assembly.count):
-            changes.update(unpack_entries(assembly.bodies[index]))
+        for index in range(partial.count):
+            changes.update(unpack_entries(partial.bodies[index]))
     except ValueError:
         raise DroppedError(DropReason.MALFORMED) from None
-    return Delta(assembly.base, assembly.target, assembly.digest, changes, packed_size(changes))
+    return Delta(partial.base, partial.target, partial.digest, changes, packed_size(changes))
--- a/ironmill/distribution/range_server.py
+++ b/ironmill/distribution/range_server.py
@@ -1,4 +1,4 @@
-"""Answers a child that catches up by ranges, within a rate shared by all children."""
+"""The parent's side of catch-ups by ranges, with a rate limit shared by all children."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from ironmill.membership.identity import Address
 from ironmill.membership.limits import MAX_DATAGRAM_BYTES
 
-BURST_S = 0.25  # of the rate, that may be sent at once
+BURST_S = 0.25  # how much of the rate may be sent at once
 
 
 class RangeServer:
-    """Digests and entries of one replica."""
+    """A server of the digests and entries of one replica."""
 
     def __init__(self, link: Link, replica: Replica, bytes_per_s: float) -> None:
-        """``bytes_per_s`` limits the answers to all children together."""
+        """Creates a server. ``bytes_per_s`` limits the responses to all children together."""
         self._link = link
         self._replica = replica
         self._bytes_per_s = bytes_per_s
@@ -32,7 +32,7 @@
         self._credit_at = link.now
 
     def on_digest_request(self, envelope: Envelope[Message], request: DigestRequest, source: Address) -> None:
-        """Answers with the digests of a range's parts. Raises ``DroppedError`` as ``_admit`` does."""
+        """Sends the digests of a range's parts. Raises ``DroppedError`` if the request is not admitted."""
         self._admit(envelope, request.echo)
         replica, keyspace = self._replica, self._replica.keyspace
         level = request.level + 1
@@ -51,7 +51,7 @@
     def on_entries_request(
         self, envelope: Envelope[Message], request: EntriesRequest, source: Address
     ) -> None:
-        """Answers with entries of leaves. Raises ``DroppedError`` as ``_admit`` does."""
+        """Sends a page of entries. Raises ``DroppedError`` if the request is not admitted."""
         self._admit(envelope, request.echo)
         replica = self._replica
         body, next_leaf, after_key = replica.keyspace.page(
@@ -76,9 +76,9 @@
         self._credit -= self._link.sent_bytes - sent_before
 
     def _admit(self, envelope: Envelope[Message], echo: int) -> None:
-        """Raises ``DroppedError`` if the sender's address is not proven, or the rate is used up.
+        """Raises ``DroppedError`` if the sender's address is not proven or the rate limit is reached.
 
-        The child repeats its request.
+        The child repeats a request that was dropped.
         """
         now, rate = self._link.now, self._bytes_per_s
         if not self._link.tokens.verify(envelope.sender, envelope.incarnation, echo, now):
--- a/ironmill/distribution/replica.py
+++ b/ironmill/distribution/replica.py
@@ -1,4 +1,4 @@
-"""One process's copy of the configuration: the keyspace at a position, and what could not be applied yet."""
+"""A process's copy of the configuration: the keyspace at a position, and changes not applied yet."""
 
 from __future__ import annotations
 
@@ -13,22 +13,25 @@
 from ironmill.distribution.revision import START, Delta, Position
 from ironmill.distribution.revision_log import RevisionLog
 
-MAX_PENDING_BYTES = 1 << 18  # of received changes that are not applied; more are dropped and fetched again
+MAX_PENDING_BYTES = 1 << 18  # limit of received changes not applied yet; more are dropped and fetched again
 
 
 class Replica:
-    """Applies the steps of one history in order, each as a whole or not at all.
+    """A keyspace to which the deltas of one history are applied in order, each completely or not at all.
 
-    Where there is a consumer, a step is applied only once the consumer's check passes. A rejected step stays
-    pending, merged with those that follow, until the result passes the check.
+    If there is a consumer, a delta is applied only if it passes the consumer's check. A rejected delta stays
+    pending and is merged with those that follow until the merged changes pass the check.
     """
 
     def __init__(
         self, on_event: EventListener, consumer: Consumer | None = None, log: RevisionLog | None = None
     ) -> None:
-        """Without a consumer every step is applied; with a log applied steps are appended to it."""
+        """Creates an empty replica.
+
+        Without a consumer every delta is applied. With a log, applied deltas are appended to it.
+        """
         self.keyspace = Keyspace()  # as of ``applied_position``
-        self.lineage = 0  # 0 until the first parent names one
+        self.lineage = 0  # 0 until a parent has reported it
         self.received_position = START
         self.applied_position = START
         self.digest = 0  # as of ``received_position``
@@ -39,7 +42,11 @@
         self._pending: Changes = {}
 
     def apply_delta(self, delta: Delta) -> bool:
-        """Takes the next step. Returns False, and changes nothing, if it does not follow on this state."""
+        """Applies the next delta, or keeps it pending if the consumer rejects it.
+
+        Returns False and changes nothing if the delta does not continue from the received position, or if the
+        resulting keyspace would not have the delta's digest.
+        """
         if delta.base != self.received_position or delta.target <= self.received_position:
             return False
         if self.has_lost_pending:
@@ -47,7 +54,7 @@
         pending = {**self._pending, **delta.changes} if self._pending else delta.changes
         if self.keyspace.digest_after(pending) != delta.digest:
             return False
-        rejection = self._offer(pending)
+        rejection = self._apply_to_consumer(pending)
         if rejection is not None:
             self._reject(delta.target, delta.digest, pending, rejection)
             return True
@@ -58,19 +65,19 @@
         return True
 
     def replace_keyspace(self, keyspace: Keyspace, position: Position) -> None:
-        """Takes a whole keyspace, as fetched by a catch-up.
+        """Replaces the keyspace by one that a catch-up has fetched.
 
-        An older one than received so far is ignored, and so is the one that is applied already: a catch-up
-        that was begun from a parent that is ahead may end with another one that is not.
+        Ignores a keyspace that is older than the received position or that is already applied: a catch-up may
+        start with a parent that is ahead of this process and end with another parent that is not.
         """
         if position < self.received_position or position == START:
-            return  # START is the position of a parent that has nothing itself yet
+            return  # a parent at START has no configuration itself yet
         if position == self.applied_position and keyspace.digest == self.keyspace.digest:
             return
         if self._consumer is not None:
-            rejection = self._offer(self._difference(keyspace, self._consumer.looked_up))
+            rejection = self._apply_to_consumer(self._difference(keyspace, self._consumer.looked_up))
             if rejection is not None:
-                # All of the difference would be pending: it is fetched again with the next revision instead.
+                # The whole difference would be pending: it is fetched again with the next revision instead.
                 self._reject(position, keyspace.digest, {}, rejection)
                 return
         self.keyspace = keyspace
@@ -80,11 +87,11 @@
 
     @property
     def has_lost_pending(self) -> bool:
-        """True if pending changes were too large to keep: no step can follow on them."""
+        """True if pending changes were too large to keep, so that no delta can be applied on top of them."""
         return self.received_position != self.applied_position and not self._pending
 
     def discard_pending(self) -> None:
-        """Returns to the applied position, dropping what was received beyond it."""
+        """Resets the received position to the applied one and drops the changes received after it."""
         self.received_position = self.applied_position
         self.digest = self.keyspace.digest
         self._pending = {}
@@ -104,8 +111,8 @@
         self.digest = digest
         self._on_event(RevisionApplied(position, change_count, digest))
 
-    def _offer(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
-        """Has the consumer check and then apply the changes. Returns why it does not take them."""
+    def _apply_to_consumer(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
+        """Has the consumer check and apply the changes. Returns its rejection, or None if it applied them."""
         consumer = self._consumer
         if consumer is None:
             return None
@@ -114,12 +121,15 @@
             if rejection is None:
                 consumer.apply(changes)
                 return None
-        except Exception as error:  # noqa: BLE001 (a fault of the consumer must not end the process)
+        except Exception as error:  # noqa: BLE001 (a bug in the consumer must not end the process)
             rejection = Rejection("", f"{type(error).__name__}: {error}")
         return Rejection(rejection.key, rejection.reason[:MAX_REASON_LENGTH])
 
     def _difference(self, keyspace: Keyspace, looked_up: tuple[str, ...]) -> Changes:
-        """Returns the changes from the applied keyspace to another one, without keys that are looked up."""
+        """Returns the changes from the applied keyspace to another one, except keys read on demand.
+
+        ``looked_up`` are the prefixes of these keys.
+        """
         changes: Changes = {}
         for leaf in range(LEAVES):
             old_leaf, new_leaf = self.keyspace.leaf(leaf), keyspace.leaf(leaf)
--- a/ironmill/distribution/validation.py
+++ b/ironmill/distribution/validation.py
@@ -1,6 +1,6 @@
-"""Validates value ranges of messages that the type system cannot express.
+"""Validation of message fields beyond their types.
 
-The limits bound the memory that a faulty process can make another one use.
+The limits bound the memory that a faulty process can make another process use.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 def is_valid(message: Message) -> bool:
-    """Returns False if a field of the message is out of its range."""
+    """Returns False if a field of the message is outside its valid range."""
     return _VALIDATORS[type(message)](message)
 
 
@@ -53,7 +53,7 @@
     return _is_number(position.epoch) and _is_number(position.number)
 
 
-def _is_range(level: int, prefix: int) -> bool:
+def _is_range_prefix(level: int, prefix: int) -> bool:
     return -1 <= level < len(LEVEL_BITS) - 1 and 0 <= prefix < (1 << LEVEL_BITS[level] if level >= 0 else 1)
 
 
@@ -130,12 +130,12 @@
 
 
 def _is_valid_digest_request(request: DigestRequest) -> bool:
-    return _is_range(request.level, request.prefix)
+    return _is_range_prefix(request.level, request.prefix)
 
 
 def _is_valid_digest_response(response: DigestResponse) -> bool:
     return (
-        _is_range(response.level, response.prefix)
+        _is_range_prefix(response.level, response.prefix)
         and _is_position(response.position)
         and len(response.digests) == digest_count(response.level)
     )
