--- a/ironmill/distribution/changes.py
+++ b/ironmill/distribution/changes.py
@@ -1,7 +1,7 @@
-"""Keyed changes: their limits, and their packed form on the wire and in the leaves of the keyspace.
+"""Keyed changes: their limits, and their packed form in datagrams and in the leaves of a keyspace.
 
 A packed entry is one byte with the key's length, the key in UTF-8, two bytes with the value's length plus one
-(0 for a deleted key), and the value. The limits let any single entry fit into one datagram.
+(0 for a deleted key), and the value. The limits ensure that any single entry fits into one datagram.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def check_changes(changes: Mapping[str, bytes | None]) -> None:
-    """Raises ``RevisionError`` if the changes cannot be a revision: none, too many, or one out of bounds."""
+    """Raises ``RevisionError`` if the changes exceed a limit on their number, size, keys or values."""
     if not changes:
         raise RevisionError("a revision has one change at least")
     if len(changes) > MAX_REVISION_CHANGES:
@@ -32,11 +32,11 @@
 
 
 def invalid_change_reason(key: str, value: bytes | None) -> str:
-    """Returns which limit a key and its value break; empty if they break none."""
+    """Returns a message about the limit that a key or its value exceeds; empty if both are valid."""
     try:
         length = len(key.encode())
     except UnicodeEncodeError:
-        return "the key is not UTF-8"
+        return "the key cannot be encoded as UTF-8"
     if not 0 < length <= MAX_KEY_BYTES:
         return f"a key has 1 to {MAX_KEY_BYTES} bytes"
     if not key.isprintable():
@@ -48,10 +48,10 @@
 
 def pack_entry(key: str, value: bytes | None) -> bytes:
     """Returns one change in packed form."""
-    name = key.encode()
+    key_bytes = key.encode()
     if value is None:
-        return bytes((len(name),)) + name + b"\0\0"
-    return bytes((len(name),)) + name + (len(value) + 1).to_bytes(2) + value
+        return bytes((len(key_bytes),)) + key_bytes + b"\0\0"
+    return bytes((len(key_bytes),)) + key_bytes + (len(value) + 1).to_bytes(2) + value
 
 
 def packed_size(changes: Mapping[str, bytes | None]) -> int:
@@ -60,25 +60,25 @@
 
 
 def unpack_entries(data: bytes) -> Iterator[tuple[str, bytes | None]]:
-    """Yields the changes of packed data. Raises ``ValueError`` where they are truncated or out of bounds."""
-    at, end = 0, len(data)
-    while at < end:
-        start = at + 1
-        at = start + data[at]
-        size = int.from_bytes(data[at : at + 2])
-        stop = at + 2 + max(0, size - 1)
-        if start == at or stop > end or at + 2 > end:
-            raise ValueError("packed entries are cut off")
-        key = data[start:at].decode()
-        value = data[at + 2 : stop] if size else None
+    """Yields the changes in packed data. Raises ``ValueError`` if one is truncated or exceeds a limit."""
+    offset, end = 0, len(data)
+    while offset < end:
+        key_start = offset + 1
+        offset = key_start + data[offset]
+        size_field = int.from_bytes(data[offset : offset + 2])
+        stop = offset + 2 + max(0, size_field - 1)
+        if key_start == offset or stop > end or offset + 2 > end:
+            raise ValueError("packed entry is truncated")
+        key = data[key_start:offset].decode()
+        value = data[offset + 2 : stop] if size_field else None
         if invalid_change_reason(key, value):
-            raise ValueError("a packed entry is out of bounds")
+            raise ValueError("packed entry exceeds a limit")
         yield key, value
-        at = stop
+        offset = stop
 
 
 def merge_changes(steps: Iterable[Mapping[str, bytes | None]]) -> Changes:
-    """Returns the steps as one: of each key the last value."""
+    """Returns the steps merged into one, which has the last value of each key."""
     merged: Changes = {}
     for step in steps:
         merged.update(step)
--- a/ironmill/distribution/freshness.py
+++ b/ironmill/distribution/freshness.py
@@ -1,4 +1,4 @@
-"""How long ago a node has heard from the origin, and whether its configuration may therefore be stale."""
+"""The time since a node last heard from the origin, which decides whether its configuration is stale."""
 
 from __future__ import annotations
 
@@ -11,10 +11,13 @@
 
 
 class Freshness:
-    """The time of the origin's last known sign of life."""
+    """The time at which the origin was last heard from, and the stale state that follows from it."""
 
     def __init__(self, link: Link, replica: Replica, stale_after_s: float) -> None:
-        """Begins as never heard from the origin."""
+        """Creates the state of a node that has not heard from the origin.
+
+        The configuration is stale if the origin has not been heard from for ``stale_after_s``.
+        """
         self._link = link
         self._replica = replica
         self._stale_after_s = stale_after_s
@@ -23,25 +26,25 @@
 
     @property
     def age_ms(self) -> int:
-        """Milliseconds since the origin was heard from; ``AGE_UNKNOWN`` if it never was."""
+        """Milliseconds since the origin was last heard from; ``AGE_UNKNOWN`` if it never was."""
         if self._heard_at == -math.inf:
             return AGE_UNKNOWN
         return max(0, int(1000.0 * (self._link.now - self._heard_at)))
 
     @property
     def age_s(self) -> float | None:
-        """The same in seconds; None if the origin was never heard from."""
+        """Seconds since the origin was last heard from; None if it never was."""
         age_ms = self.age_ms
         return None if age_ms == AGE_UNKNOWN else age_ms / 1000.0
 
     def record(self, heard_at: float) -> None:
-        """Takes the time of a sign of life, if it is later than the last one."""
+        """Records a time at which the origin was heard from, unless a later one is known."""
         if heard_at > self._heard_at:
             self._heard_at = heard_at
             self.update()
 
     def update(self) -> None:
-        """Reports the change if the configuration has become stale or fresh."""
+        """Emits an event if the configuration has become stale or fresh."""
         is_stale = self._link.now - self._heard_at > self._stale_after_s
         if is_stale is self.is_stale:
             return
--- a/ironmill/distribution/timing.py
+++ b/ironmill/distribution/timing.py
@@ -8,45 +8,43 @@
 from msgspec import Struct
 
 TICK_INTERVAL_S = 0.1
-PAUSE_THRESHOLD_S = 0.6  # a tick this late: the process did not run, and what was sent to it is still unread
+PAUSE_THRESHOLD_S = 0.6  # a tick this late means that the process was paused and has unread datagrams
 
-# Polls of a child to its parent. A dead parent is given up after a second.
+# Polls from a child to its parent. A parent that does not respond is dropped after about one second.
 POLL_INTERVAL_S = 0.4
-POLL_RETRY_DELAY_S = 0.1  # one tick: an unanswered poll is repeated with the next
+POLL_RETRY_DELAY_S = 0.1  # one tick, so an unanswered poll is repeated in the next tick
 MAX_UNANSWERED_POLLS = 4
 MIN_ACK_INTERVAL_S = 0.05  # between polls that acknowledge a delta
 
 # Selection of a parent.
 PROBE_INTERVAL_S = 0.3  # while there is no usable parent
 MAX_PROBES = 3  # candidates probed at once
-ACCEPT_ANY_PARENT_DELAY_S = 2.0  # without a usable candidate for so long, any that answers is accepted
-MAX_PARENT_AGE_S = 2.5  # a parent that has not heard from the origin for longer is not usable
-REORDERING_S = 0.5  # a response may be older than a delta that arrived up to so long before it
+ACCEPT_ANY_PARENT_DELAY_S = 2.0  # after so long without a usable candidate, any one that responds is accepted
+MAX_PARENT_AGE_S = 2.5  # a parent that has not heard from the origin for longer is unusable
+REORDERING_S = 0.5  # a response may be older than a delta that arrived up to this long before it
 PREFERRED_PARENT_INTERVAL_S = 20.0  # mean time between attempts to return to a preferred parent
 MIN_FAILURE_BACKOFF_S = 1.0  # doubled with each failure in a row
 MAX_FAILURE_BACKOFF_S = 16.0
 
-# A parent's view of its children.
+# A parent's records of its children.
 CHILD_LEASE_S = 1.5  # a child that has not polled for longer is unreachable
-DELTA_RESEND_DELAY_S = 0.15  # from a delta to a poll that does not acknowledge it
-LAGGING_DELAY_S = 1.0  # a child that is not at the latest position for longer is reported as lagging
-CONVERGENCE_DELAY_S = 3.0  # from the start until the children have found this process
+DELTA_RESEND_DELAY_S = 0.15  # minimum age at which a poll causes an unacknowledged delta to be resent
+LAGGING_DELAY_S = 1.0  # a child behind the latest position for longer is reported as lagging
+CONVERGENCE_DELAY_S = 3.0  # after the start; allows the children to find this process
 
-# Between control machines, about children that have changed their parent.
+# Messages between control machines about children that have changed their parent.
 CHILD_MOVED_RETRY_INTERVAL_S = 0.5
 MAX_CHILD_MOVED_ATTEMPTS = 60
 MIN_FIND_CHILD_INTERVAL_S = 1.0  # doubled with each request
 MAX_FIND_CHILD_INTERVAL_S = 8.0
 
-STORE_CHECK_INTERVAL_S = 1.0  # between checks for another writer
+STORE_CHECK_INTERVAL_S = 1.0  # between checks of the store for another writer
 
 
 class Timing(Struct, frozen=True):
-    """What the operator's settings choose."""
-
-    stale_after_s: float = 4.0  # without contact to the origin
-    forget_after_s: float = 3600.0  # until an unreachable child is no longer reported
-    catch_up_bytes_per_s: float = 128 * 1024.0  # that one subscriber requests
-    serve_bytes_per_s: float = (
-        4 * 1024.0 * 1024.0
-    )  # that one parent sends in answers, to all children together
+    """The values that operators can set."""
+
+    stale_after_s: float = 4.0  # time without contact to the origin
+    forget_after_s: float = 3600.0  # time until an unreachable child is no longer reported
+    catch_up_bytes_per_s: float = 128 * 1024.0  # requested by one subscriber
+    serve_bytes_per_s: float = 4 * 1024.0 * 1024.0  # sent by one parent to all catching-up children
