--- a/tests/unit/distribution/keyspaces.py
+++ b/tests/unit/distribution/keyspaces.py
@@ -1,4 +1,4 @@
-"""Keyspaces and changes for tests, and the strategies that draw them."""
+"""Helpers that build keyspaces, and Hypothesis strategies for keys, values and changes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ironmill.distribution.changes import Changes
 from ironmill.distribution.keyspace import Keyspace
 
-KEYS = st.text("abß/", min_size=1, max_size=6) | st.integers(0, 400).map(lambda at: f"shard/{at}")
+KEYS = st.text("abß/", min_size=1, max_size=6) | st.integers(0, 400).map(lambda number: f"shard/{number}")
 VALUES = st.binary(max_size=30) | st.integers(0, 640).map(bytes)
 CHANGES = st.dictionaries(KEYS, st.none() | VALUES, min_size=1, max_size=30)
 
--- a/tests/unit/distribution/test_changes.py
+++ b/tests/unit/distribution/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes: limits and packed form."""
+"""Keyed changes: their limits and their packed form."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(CHANGES)
-def test_packed_entries_come_back_and_cut_ones_do_not(changes: Changes) -> None:
+def test_packed_entries_are_unpacked_and_truncated_ones_are_rejected(changes: Changes) -> None:
     data = b"".join(pack_entry(key, value) for key, value in changes.items())
     assert dict(unpack_entries(data)) == changes
     assert len(data) == packed_size(changes)
-    ends = {0}
+    entry_ends = {0}
     for key, value in changes.items():
-        ends.add(max(ends) + len(pack_entry(key, value)))
-    for cut in range(0, len(data), 7):
-        if cut not in ends:
+        entry_ends.add(max(entry_ends) + len(pack_entry(key, value)))
+    for length in range(0, len(data), 7):
+        if length not in entry_ends:
             with pytest.raises(ValueError, match=r"truncated|exceeds a limit"):
-                list(unpack_entries(data[:cut]))
+                list(unpack_entries(data[:length]))
 
 
 @pytest.mark.parametrize(
@@ -34,10 +34,10 @@
         {"a\n": b""},
         {"\ud800": b""},
         {"a": bytes(641)},
-        {f"{at}": None for at in range(4097)},
-        {f"{at}": bytes(640) for at in range(110)},
+        {f"{number}": None for number in range(4097)},
+        {f"{number}": bytes(640) for number in range(110)},
     ],
 )
-def test_rejects_changes_that_are_no_revision(changes: Changes) -> None:
+def test_rejects_changes_that_exceed_a_limit_of_revisions(changes: Changes) -> None:
     with pytest.raises(RevisionError):
         check_changes(changes)
--- a/tests/unit/distribution/test_parents.py
+++ b/tests/unit/distribution/test_parents.py
@@ -1,4 +1,4 @@
-"""Ranking of parents, and staying at a parent that is usable."""
+"""Ranking of parent candidates, and keeping a usable parent."""
 
 from __future__ import annotations
 
@@ -14,39 +14,49 @@
 @pytest.mark.parametrize("rate", [2.0, STORM_CHANGES_PER_S])
 def test_changes_make_no_proxy_leave_its_parent_for_a_less_preferred_one(rate: float) -> None:
     fleet = SimulatedFleet(SMALL_PLAN)
-    places = [Endpoint(one.name, one.address, one.zone, one.region) for one in fleet.relays]
+    endpoints = [Endpoint(relay.name, relay.address, relay.zone, relay.region) for relay in fleet.relays]
 
-    def ranks() -> list[int]:
-        found = []
+    def parent_ranks() -> list[int]:
+        ranks = []
         for proxy in fleet.proxies:
             assert isinstance(proxy.node, ProxyNode)
             parent = proxy.node.subscriber.parent
             assert parent is not None
-            order = [place.name for place in rank_endpoints(proxy.name, proxy.zone, proxy.region, places)]
-            found.append(order.index(parent.endpoint.name))
-        return found
+            ranked_names = [
+                endpoint.name for endpoint in rank_endpoints(proxy.name, proxy.zone, proxy.region, endpoints)
+            ]
+            ranks.append(ranked_names.index(parent.endpoint.name))
+        return ranks
 
     fleet.converge(CONVERGED_AT)
     OperatorLoad(fleet, 50).schedule(CONVERGED_AT, CONVERGED_AT + 10.0, rate)
-    before = ranks()
+    previous_ranks = parent_ranks()
     for tenth in range(110):
         fleet.run(CONVERGED_AT + tenth / 10.0)
-        now = ranks()
-        assert all(rank <= was for rank, was in zip(now, before, strict=True)), tenth
-        before = now
+        current_ranks = parent_ranks()
+        assert all(
+            current <= previous for current, previous in zip(current_ranks, previous_ranks, strict=True)
+        ), tenth
+        previous_ranks = current_ranks
     assert len(fleet.observer.pushed_at) == int(10.0 * rate)
     assert fleet.observer.lost() == 0
 
 
 def test_endpoints_are_ranked_by_zone_then_region_and_evenly_within() -> None:
-    places = [Endpoint(f"c{at:02d}", ("h", at), f"z{at % 11}", f"r{at % 11 % 5}") for at in range(26)]
-    firsts: dict[str, int] = {}
-    for at in range(2800):
-        zone = f"z{at % 11}"
-        order = rank_endpoints(f"p{at}", zone, f"r{at % 11 % 5}", places)
-        assert order[0].zone == zone
-        ranks = [0 if p.zone == zone else 1 if p.region == f"r{at % 11 % 5}" else 2 for p in order]
-        assert ranks == sorted(ranks)
-        firsts[order[0].name] = firsts.get(order[0].name, 0) + 1
-    assert max(firsts.values()) < 1.5 * 2800 / 22
-    assert len(firsts) == 26
+    endpoints = [
+        Endpoint(f"c{number:02d}", ("h", number), f"z{number % 11}", f"r{number % 11 % 5}")
+        for number in range(26)
+    ]
+    first_choices: dict[str, int] = {}
+    for number in range(2800):
+        zone = f"z{number % 11}"
+        ranked = rank_endpoints(f"p{number}", zone, f"r{number % 11 % 5}", endpoints)
+        assert ranked[0].zone == zone
+        distances = [
+            0 if endpoint.zone == zone else 1 if endpoint.region == f"r{number % 11 % 5}" else 2
+            for endpoint in ranked
+        ]
+        assert distances == sorted(distances)
+        first_choices[ranked[0].name] = first_choices.get(ranked[0].name, 0) + 1
+    assert max(first_choices.values()) < 1.5 * 2800 / 22
+    assert len(first_choices) == 26
--- a/tests/unit/distribution/test_replica.py
+++ b/tests/unit/distribution/test_replica.py
@@ -1,4 +1,4 @@
-"""The replica: steps in order, each applied as a whole or not at all."""
+"""The replica: deltas in order, each applied completely or not at all."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.unit.distribution.keyspaces import applied, keyspace_of
 
 
-class Picky:
-    """Rejects values of bad/, and raises an exception at worse/."""
+class SelectiveConsumer:
+    """A consumer that rejects values of keys under bad/ and raises an exception for keys under raising/."""
 
     looked_up: tuple[str, ...] = ("shard/",)
 
@@ -24,8 +24,8 @@
 
     def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
         for key, value in changes.items():
-            if key.startswith("worse/") and value is not None:
-                raise RuntimeError("fell over")
+            if key.startswith("raising/") and value is not None:
+                raise RuntimeError("consumer failed")
             if key.startswith("bad/") and value is not None:
                 return Rejection(key, "bad" * 100)
         return None
@@ -34,23 +34,23 @@
         self.values = applied(self.values, dict(changes))
 
 
-def replica_of() -> tuple[Replica, Picky, list[Event]]:
-    consumer, events = Picky(), list[Event]()
+def replica_with_consumer() -> tuple[Replica, SelectiveConsumer, list[Event]]:
+    consumer, events = SelectiveConsumer(), list[Event]()
     return Replica(events.append, consumer), consumer, events
 
 
-def step(replica: Replica, at: Position, full: Keyspace, changes: Changes) -> Delta:
-    full.apply(changes)
-    return Delta(replica.received_position, at, full.digest, changes, packed_size(changes))
+def next_delta(replica: Replica, target: Position, parent: Keyspace, changes: Changes) -> Delta:
+    parent.apply(changes)
+    return Delta(replica.received_position, target, parent.digest, changes, packed_size(changes))
 
 
-def test_rejected_step_stays_pending_until_it_passes_together_with_later_ones() -> None:
-    replica, consumer, events = replica_of()
-    full = Keyspace()
+def test_rejected_delta_stays_pending_until_it_passes_together_with_later_ones() -> None:
+    replica, consumer, events = replica_with_consumer()
+    parent = Keyspace()
     for number, changes in enumerate(
-        [{"a": b"1"}, {"a": b"2", "bad/1": b"x"}, {"b": b"1"}, {"worse/1": b"x"}], start=1
+        [{"a": b"1"}, {"a": b"2", "bad/1": b"x"}, {"b": b"1"}, {"raising/1": b"x"}], start=1
     ):
-        assert replica.apply_delta(step(replica, Position(1, number), full, dict(changes)))
+        assert replica.apply_delta(next_delta(replica, Position(1, number), parent, dict(changes)))
         assert (replica.applied_position, replica.received_position) == (Position(1, 1), Position(1, number))
         assert consumer.values == {"a": b"1"} == dict(replica.keyspace.entries())
     assert [type(event) for event in events] == [
@@ -61,55 +61,57 @@
     ]
     assert replica.rejection is not None
     assert len(replica.rejection.reason) <= messages.MAX_REASON_LENGTH
-    assert replica.apply_delta(step(replica, Position(1, 5), full, {"bad/1": None, "worse/1": None}))
+    assert replica.apply_delta(
+        next_delta(replica, Position(1, 5), parent, {"bad/1": None, "raising/1": None})
+    )
     assert replica.applied_position == Position(1, 5)
     assert consumer.values == {"a": b"2", "b": b"1"} == dict(replica.keyspace.entries())
     assert replica.rejection is None
 
 
-def test_step_that_does_not_follow_or_has_another_digest_changes_nothing() -> None:
-    replica, consumer, _ = replica_of()
-    full = Keyspace()
-    assert replica.apply_delta(step(replica, Position(1, 1), full, {"a": b"1"}))
+def test_delta_that_does_not_follow_or_has_another_digest_changes_nothing() -> None:
+    replica, consumer, _ = replica_with_consumer()
+    parent = Keyspace()
+    assert replica.apply_delta(next_delta(replica, Position(1, 1), parent, {"a": b"1"}))
     before = (replica.received_position, replica.digest, dict(consumer.values))
-    digest = full.digest_after({"a": b"2"})
-    for base, target, wrong in (
-        (START, Position(1, 2), digest),
-        (Position(1, 1), Position(1, 1), digest),
-        (Position(1, 1), Position(0, 9), digest),
-        (Position(1, 1), Position(1, 2), digest + 1),
+    correct_digest = parent.digest_after({"a": b"2"})
+    for base, target, digest in (
+        (START, Position(1, 2), correct_digest),
+        (Position(1, 1), Position(1, 1), correct_digest),
+        (Position(1, 1), Position(0, 9), correct_digest),
+        (Position(1, 1), Position(1, 2), correct_digest + 1),
     ):
-        assert not replica.apply_delta(Delta(base, target, wrong, {"a": b"2"}, 5))
+        assert not replica.apply_delta(Delta(base, target, digest, {"a": b"2"}, 5))
         assert (replica.received_position, replica.digest, consumer.values) == before
 
 
 def test_pending_changes_beyond_their_limit_are_discarded() -> None:
-    replica, _, _ = replica_of()
-    full = Keyspace()
+    replica, _, _ = replica_with_consumer()
+    parent = Keyspace()
     number = 0
     while not replica.has_lost_pending:
         number += 1
-        changes: Changes = {f"k{number}/{at}": bytes(600) for at in range(80)} | {"bad/1": b"x"}
-        assert replica.apply_delta(step(replica, Position(1, number), full, changes))
+        changes: Changes = {f"k{number}/{index}": bytes(600) for index in range(80)} | {"bad/1": b"x"}
+        assert replica.apply_delta(next_delta(replica, Position(1, number), parent, changes))
         assert number < MAX_PENDING_BYTES // 40_000 + 2
-    assert not replica.apply_delta(step(replica, Position(1, number + 1), full, {"a": b"1"}))
+    assert not replica.apply_delta(next_delta(replica, Position(1, number + 1), parent, {"a": b"1"}))
     replica.discard_pending()
     assert (replica.received_position, replica.digest) == (replica.applied_position, replica.keyspace.digest)
 
 
 def test_empty_keyspace_of_a_parent_that_has_just_started_is_not_applied() -> None:
-    """Position 0.0 is not a configuration: it must not be reported as applied."""
-    replica, _, events = replica_of()
+    """Position 0.0 precedes the first revision and must not be reported as applied."""
+    replica, _, events = replica_with_consumer()
     replica.replace_keyspace(Keyspace(), START)
     assert events == []
 
 
 def test_whole_keyspace_gives_the_consumer_the_difference_without_looked_up_keys() -> None:
-    replica, consumer, _ = replica_of()
+    replica, consumer, _ = replica_with_consumer()
     replica.replace_keyspace(keyspace_of({"a": b"1", "b": b"1", "shard/1": b"s"}), Position(1, 3))
     assert consumer.values == {"a": b"1", "b": b"1"}
     assert replica.keyspace.get("shard/1") == b"s"
-    replica.replace_keyspace(keyspace_of({"b": b"2"}), Position(1, 2))  # an older one
+    replica.replace_keyspace(keyspace_of({"b": b"2"}), Position(1, 2))  # an older keyspace is ignored
     replica.replace_keyspace(keyspace_of({}), START)
     assert replica.applied_position == Position(1, 3)
     replica.replace_keyspace(keyspace_of({"b": b"2"}), Position(1, 4))
