--- a/tests/long_schedules.py
+++ b/tests/long_schedules.py
@@ -1,7 +1,7 @@
-"""Plays more random schedules than CI does: ``python -m tests.long_schedules KIND FIRST_SEED COUNT``.
+"""Runs more random schedules than CI: ``python -m tests.long_schedules KIND FIRST_SEED COUNT``.
 
-Each seed draws ``SCHEDULES_PER_SEED`` schedules of KIND, ``membership`` or ``distribution``, and prints a
-line. The exit status is 1 if a schedule failed, which is printed.
+KIND is ``membership`` or ``distribution``. Each of COUNT seeds draws ``SCHEDULES_PER_SEED`` schedules and
+prints one line. A failed schedule is printed with its traceback, and the exit status is then 1.
 """
 
 from __future__ import annotations
@@ -25,38 +25,38 @@
 }
 
 
-def play_seed(kind: str, number: int) -> bool:
-    """Plays the schedules of one seed; returns whether all of them held."""
+def run_seed(kind: str, seed_number: int) -> bool:
+    """Runs the schedules of one seed. Returns True if all of them passed."""
     strategy, play = KINDS[kind]
 
     def play_one(schedule: Any) -> None:
         play(schedule)
 
-    run = settings(
+    run_schedules = settings(
         max_examples=SCHEDULES_PER_SEED,
         derandomize=False,
         database=None,
         deadline=None,
         phases=[Phase.generate],
         suppress_health_check=list(HealthCheck),
-    )(seed(number)(given(strategy)(play_one)))
+    )(seed(seed_number)(given(strategy)(play_one)))
     try:
-        run()
-    except Exception:  # whatever a schedule raises is its result
+        run_schedules()
+    except Exception:  # any exception that a schedule raises is a failure of the seed
         traceback.print_exc()
         return False
     return True
 
 
 def main(arguments: list[str]) -> int:
-    """Plays the seeds of the command line."""
-    kind, first, count = arguments[0], int(arguments[1]), int(arguments[2])
+    """Runs the seeds given on the command line."""
+    kind, first_seed, count = arguments[0], int(arguments[1]), int(arguments[2])
     failed = 0
-    for number in range(first, first + count):
-        held = play_seed(kind, number)
-        failed += not held
-        result = "held" if held else "FAILED"
-        print(f"{kind} seed {number}: {SCHEDULES_PER_SEED} schedules {result}", flush=True)
+    for seed_number in range(first_seed, first_seed + count):
+        has_passed = run_seed(kind, seed_number)
+        failed += not has_passed
+        result = "passed" if has_passed else "FAILED"
+        print(f"{kind} seed {seed_number}: {SCHEDULES_PER_SEED} schedules {result}", flush=True)
     return 1 if failed else 0
 
 
