--- a/ironmill/distribution/fleet_summary.py
+++ b/ironmill/distribution/fleet_summary.py
@@ -148,7 +148,7 @@
     rejection = child.rejection or Rejection("", "")
     if child.summary is not None:
         proxies_below = sum(zone.proxies for zone in child.summary.zones)
-        rejection = Rejection("", f"relay; {proxies_below} proxies were below it")
+        rejection = Rejection("", f"a relay; {proxies_below} proxies were behind it")
     return LaggingNode(
         child.name, child.zone, child.applied_position, _state(child), rejection.key, rejection.reason
     )
