--- a/ironmill/requests/connection_limiter.py
+++ b/ironmill/requests/connection_limiter.py
@@ -1,8 +1,9 @@
-"""Limits on clients' connections, counted in descriptors against the configured number.
+"""Limits the number of client connections so that the process stays within its configured descriptors.
 
-A connection is silent until its request line has arrived, then admitted, with a second descriptor reserved
-for its attempt, and leaving once it has its final answer. Nothing here knows a socket: the oldest silent
-connection is evicted where room is needed, because an ordinary client sends its request at once.
+A connection is silent until its request line has arrived. It is then admitted, which reserves a second
+descriptor for its attempt, and leaving once it has its final answer. When descriptors run short, the oldest
+silent connection is evicted, because a normal client sends its request at once. This module has no access to
+sockets.
 """
 
 from __future__ import annotations
@@ -14,22 +15,23 @@
 
 from ironmill.runtime.rate_limited_log import LogRateLimiter
 
-# Descriptors for other purposes: standard streams 3, poller 1, signals 2, listeners 3 (clients, TLS, admin
-# API), callers of the admin API 12, discovery 2 while it changes its address, a file that is read 1,
-# membership 1, health checks 20, and the connection that is being accepted; rounded up.
+# Descriptors for other purposes: 3 for the standard streams, 1 for the poller, 2 for signals, 3 for listeners
+# (clients, TLS, admin API), 12 for connections to the admin API, 2 for discovery while its address changes,
+# 1 for a file being read, 1 for membership, 20 for health checks, and 1 for the connection being accepted.
+# The sum is rounded up.
 RESERVED_DESCRIPTORS = 48
-# Of the configured descriptors, 1 in so many may be silent, and 1 in so many may be leaving. Requests and
-# their attempts take at most a third each.
+# At most 1 / SILENT_DIVISOR of the configured descriptors may belong to silent connections, and at most
+# 1 / LEAVING_DIVISOR to leaving ones. Requests and their attempts take at most a third each.
 SILENT_DIVISOR = 4
 LEAVING_DIVISOR = 8
-MIN_CLIENT_DESCRIPTORS = 16  # however few are configured
-MAX_EVICTION_CANDIDATES = 16  # each check is a system call
+MIN_CLIENT_DESCRIPTORS = 16  # applies however few descriptors are configured
+MAX_EVICTION_CANDIDATES = 16  # connections checked for each eviction; each check is a system call
 
 log = logging.getLogger("ironmill.requests.admission")
 
 
 class Phase(Enum):
-    """How a connection is counted."""
+    """The state of a connection, which determines how many descriptors it counts for."""
 
     SILENT = auto()
     ADMITTED = auto()
@@ -38,52 +40,53 @@
 
 
 class Evict(Protocol):
-    """Ends a silent connection."""
+    """A callback that closes a silent connection."""
 
     def __call__(self, *, immediately: bool) -> bool:
-        """Ends it without parking, or with time for its answer to arrive.
+        """Closes the connection.
 
-        Returns False, and does nothing, if bytes have arrived that are not read yet.
+        If ``immediately``, it is closed without parking; otherwise only after its answer has had time to
+        arrive. Returns False and does nothing if the connection has unread bytes.
         """
 
 
 def _nothing_to_evict(*, immediately: bool) -> bool:
-    """Replaces the callback of a closed connection."""
+    """Returns False; replaces the eviction callback of a closed connection."""
     return False
 
 
 class ConnectionSlot:
-    """One client's connection, as it is counted."""
+    """A client connection as the limiter counts it."""
 
     __slots__ = ("client_id", "evict", "phase")
 
     def __init__(self, evict: Evict) -> None:
-        """Is created by ``ConnectionLimiter.enter``."""
+        """Creates the slot of a silent connection. Only ``ConnectionLimiter.enter`` may create slots."""
         self.evict = evict
-        self.client_id = ""  # once it is claimed
+        self.client_id = ""  # empty until ``claim_id``
         self.phase = Phase.SILENT
 
 
 class ConnectionLimiter:
-    """Counts clients' connections and their attempts, and knows which client ids are in use."""
-
-    def __init__(self, sockets: int) -> None:
-        """``sockets`` is the configured number of descriptors of the process."""
-        self.max_descriptors = max(MIN_CLIENT_DESCRIPTORS, sockets - RESERVED_DESCRIPTORS)
-        self.max_silent = max(MIN_CLIENT_DESCRIPTORS // 2, sockets // SILENT_DIVISOR)
-        self.max_leaving = max(MIN_CLIENT_DESCRIPTORS // 4, sockets // LEAVING_DIVISOR)
-        self._silent: dict[ConnectionSlot, None] = {}  # the oldest first
+    """Counts the descriptors of client connections and attempts, and tracks which client ids are in use."""
+
+    def __init__(self, configured_descriptors: int) -> None:
+        """Creates a limiter for a process that may open ``configured_descriptors`` descriptors."""
+        self.max_descriptors = max(MIN_CLIENT_DESCRIPTORS, configured_descriptors - RESERVED_DESCRIPTORS)
+        self.max_silent = max(MIN_CLIENT_DESCRIPTORS // 2, configured_descriptors // SILENT_DIVISOR)
+        self.max_leaving = max(MIN_CLIENT_DESCRIPTORS // 4, configured_descriptors // LEAVING_DIVISOR)
+        self._silent: dict[ConnectionSlot, None] = {}  # oldest first
         self._admitted = 0
         self._leaving = 0
         self._client_ids: set[str] = set()
         self._log_throttle = LogRateLimiter()
 
     def used(self) -> int:
-        """Returns how many descriptors clients use or have reserved for their attempts."""
+        """Returns how many descriptors client connections use or reserve for their attempts."""
         return len(self._silent) + 2 * self._admitted + self._leaving
 
     def enter(self, evict: Evict) -> ConnectionSlot | None:
-        """Counts an accepted connection; evicts a silent one if necessary. None if there is no room."""
+        """Adds an accepted connection, evicting a silent one if needed. Returns None if there is no room."""
         if len(self._silent) >= self.max_silent or self.used() >= self.max_descriptors:
             self._make_room()
         if self.used() >= self.max_descriptors:
@@ -93,7 +96,7 @@
         return slot
 
     def admit(self, slot: ConnectionSlot) -> bool:
-        """Reserves a descriptor for the attempt of a silent connection. Returns False if there is none."""
+        """Reserves a descriptor for the attempt of a silent connection. Returns False if none is free."""
         if slot.phase is not Phase.SILENT:
             return False
         del self._silent[slot]
@@ -107,7 +110,10 @@
         return True
 
     def claim_id(self, slot: ConnectionSlot, client_id: str) -> bool:
-        """Reserves a client id until the connection leaves; False if another open connection has it."""
+        """Reserves a client id until the connection is removed.
+
+        Returns False if another open connection has it.
+        """
         if client_id in self._client_ids:
             return False
         slot.client_id = client_id
@@ -115,11 +121,11 @@
         return True
 
     def start_leaving(self, slot: ConnectionSlot) -> bool:
-        """Counts a connection that has its final answer.
+        """Marks a connection that has its final answer as leaving.
 
-        Returns False if too many are leaving; the connection must then be closed without a delay.
+        Returns False if too many connections are leaving; this one must then be closed without a delay.
         """
-        self._uncount(slot)
+        self._release(slot)
         if self._leaving >= self.max_leaving:
             return False
         slot.phase = Phase.LEAVING
@@ -127,28 +133,28 @@
         return True
 
     def leave(self, slot: ConnectionSlot) -> None:
-        """Ends the count of a connection whose socket is closed. Further calls do nothing."""
-        self._uncount(slot)
+        """Removes a connection whose socket is closed. Further calls do nothing."""
+        self._release(slot)
 
     def log_violation(self, reason: str) -> None:
         """Logs why a client was rejected, at a limited rate."""
-        skipped = self._log_throttle.allow()
-        if skipped is not None:
-            log.info("rejected: %s (%d more since the last such line)", reason, skipped)
+        suppressed = self._log_throttle.allow()
+        if suppressed is not None:
+            log.info("client rejected: %s (%d similar messages suppressed)", reason, suppressed)
 
     def evict_silent(self) -> None:
-        """Ends all silent connections at shutdown, with time for their answers to arrive."""
+        """Closes all silent connections at shutdown, after their answers have had time to arrive."""
         for slot in list(self._silent):
             slot.evict(immediately=False)
 
     def _make_room(self) -> None:
-        """Evicts the oldest silent connection that has no unread bytes; others are about to be read."""
+        """Evicts the oldest silent connection that has no unread bytes; unread bytes are about to be read."""
         for slot in islice(self._silent, MAX_EVICTION_CANDIDATES):
             if slot.evict(immediately=True):
-                self._uncount(slot)
+                self._release(slot)
                 return
 
-    def _uncount(self, slot: ConnectionSlot) -> None:
+    def _release(self, slot: ConnectionSlot) -> None:
         if slot.phase is Phase.SILENT:
             self._silent.pop(slot, None)
         elif slot.phase is Phase.ADMITTED:
@@ -156,6 +162,6 @@
         elif slot.phase is Phase.LEAVING:
             self._leaving -= 1
         slot.phase = Phase.CLOSED
-        slot.evict = _nothing_to_evict  # breaks the cycle between the slot and its connection
+        slot.evict = _nothing_to_evict  # breaks the reference cycle between the slot and its connection
         self._client_ids.discard(slot.client_id)
         slot.client_id = ""
--- a/ironmill/requests/decision_loop.py
+++ b/ironmill/requests/decision_loop.py
@@ -1,4 +1,4 @@
-"""Passes events to the balancer and executes the actions that it returns, one event at a time."""
+"""The loop that passes events to the balancer one at a time and executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 class DecisionLoop:
     """A queue of events in front of the balancer.
 
-    An action may cause further events; they are queued until all actions of the current event are executed.
-    An exception of the balancer or of one action is logged and affects nothing else: the deadline of each
-    request answers what is left without a decision.
+    An action may cause further events, which are queued until all actions of the current event are executed.
+    An exception raised by the balancer or by one action is logged and does not affect other events. A request
+    that is left without a decision is answered when its deadline expires.
     """
 
     def __init__(self, balancer: Balancer, now: Callable[[], float]) -> None:
-        """``now`` is the clock that the balancer sees. ``execute`` must be set before the first event."""
+        """Creates a loop; ``now`` is the balancer's clock. ``execute`` must be set before the first event."""
         self._balancer = balancer
         self._now = now
         self.execute: Callable[[Action], None] | None = None  # carries out one action; must not park
@@ -29,7 +29,7 @@
         self._running = False
 
     def feed(self, event: Event) -> None:
-        """Passes an event to the balancer, now or after the events before it."""
+        """Passes an event to the balancer, after any events that are already queued."""
         self._events.append(event)
         if self._running:
             return
@@ -42,8 +42,8 @@
                     try:
                         execute(action)
                     except Exception:
-                        # The remaining actions answer other clients.
-                        log.exception("an action failed: %r", action)
+                        # The loop continues because the remaining actions may answer other clients.
+                        log.exception("executing action failed: %r", action)
         finally:
             self._running = False
 
@@ -51,6 +51,6 @@
         try:
             return self._balancer.handle(event, self._now())
         except Exception:
-            # The process must go on; the deadlines' timers answer what is pending.
-            log.exception("the balancer failed at %r", event)
+            # The process must keep running; pending requests are answered by their deadline timers.
+            log.exception("balancer failed to handle event: %r", event)
             return []
--- a/ironmill/requests/discovery_backoff.py
+++ b/ironmill/requests/discovery_backoff.py
@@ -1,31 +1,33 @@
-"""Decides when a proxy calls discovery, a small service for all proxies that know only their own calls.
+"""Decides when a proxy calls discovery, so that the calls of the fleet do not overload it.
 
-It works on spans of time and knows neither sockets nor a clock. All times are in seconds.
+Discovery is a small service that all proxies share, but each proxy knows only its own calls. This module
+computes durations, in seconds, and has no access to sockets or a clock.
 """
 
 from __future__ import annotations
 
 import random
 
-# Between two calls of all proxies together, on average, while discovery fails; an overloaded discovery could
-# not recover from more.
+# Mean interval between the calls of all proxies together while discovery fails. An overloaded discovery could
+# not recover from more frequent calls.
 MEAN_CALL_INTERVAL_S = 0.1
-RECONNECT_DELAY_S = 0.1  # discovery continues a watch that reconnects within 0.2 s
-# A change counts as notified so long after discovery had it and was reachable, even if calls failed.
+RECONNECT_DELAY_S = 0.1  # discovery resumes a watch that reconnects within 0.2 s
+# A proxy counts as notified of a change this long after discovery had the change and was reachable, even if
+# calls failed.
 NOTIFICATION_TIMEOUT_S = 6.0
-MAX_CALL_S = 1.0  # of a call that does not wait for changes, from its connect to the last byte of its answer
-TIMING_MARGIN_S = 0.25  # for late turns of a busy process, and for the balancer to take the change
-# From the start of a call that fails to the start of the next, however many proxies there are: in the worst
-# case a call starts just before discovery is reachable, and the next one brings the change. A large fleet
-# therefore calls more often than ``MEAN_CALL_INTERVAL_S``.
+MAX_CALL_S = 1.0  # duration of a call that does not wait for changes, from connect to the last byte received
+TIMING_MARGIN_S = 0.25  # covers scheduling delays of a busy process and the balancer applying the change
+# Maximum time from the start of a failed call to the start of the next one, for fleets of any size. In the
+# worst case, a call starts just before discovery becomes reachable, and only the next one returns the change.
+# A large fleet therefore calls more often than every ``MEAN_CALL_INTERVAL_S``.
 MAX_CALL_GAP_S = NOTIFICATION_TIMEOUT_S - MAX_CALL_S - TIMING_MARGIN_S
-MAX_PAUSE_S = MAX_CALL_GAP_S - MAX_CALL_S  # after a call of the longest duration
-MIN_PAUSE_FRACTION = 0.8  # a pause is drawn between this fraction of the longest and the longest
+MAX_PAUSE_S = MAX_CALL_GAP_S - MAX_CALL_S  # pause after a call that took ``MAX_CALL_S``
+MIN_PAUSE_FRACTION = 0.8  # each pause is random, between this fraction of its upper limit and the limit
 MAX_DOUBLINGS = 16
 
 
 class DiscoveryBackoff:
-    """Computes the delays of one proxy's calls."""
+    """Computes the delays between one proxy's calls to discovery."""
 
     def __init__(
         self,
@@ -35,10 +37,11 @@
         polls_discovery: bool = True,
         first_immediately: bool = False,
     ) -> None:
-        """``proxies`` is the size of the fleet.
+        """Creates the backoff of one proxy in a fleet of ``proxies``.
 
-        ``polls_discovery``: a call is work for discovery; otherwise the local agent answers it from what it
-        was sent. ``first_immediately``: this process starts alone, as in an upgrade, and not with the fleet.
+        ``polls_discovery`` is true if calls reach discovery; otherwise the local agent answers them from the
+        changes it was sent. ``first_immediately`` is true if this process starts alone, as in an upgrade,
+        and not together with the fleet.
         """
         self._first_immediately = first_immediately or not polls_discovery
         self._polls_discovery = polls_discovery
@@ -48,14 +51,14 @@
 
     @property
     def answers_immediately(self) -> bool:
-        """True if a call is no work for discovery and is answered without a wait."""
+        """Whether calls are answered at once by the local agent, without a request to discovery."""
         return not self._polls_discovery
 
     def first_delay(self) -> float:
-        """Returns the delay of the first call, where an endpoint list is available.
+        """Returns the delay of the first call if an endpoint list is already available.
 
-        It is random, so that proxies that start together do not call together; 0 where the agent has been
-        sent changes, because these count as notified.
+        The delay is random, so that proxies that start together do not call at the same time. It is 0 if a
+        local agent answers calls, because changes sent to the agent count as notified.
         """
         if self._first_immediately:
             return 0.0
@@ -66,19 +69,19 @@
         self._failures = 0
 
     def failed(self, duration_s: float = MAX_CALL_S) -> float:
-        """Records that a call failed after ``duration_s``; returns the pause until the next one.
+        """Records that a call failed after ``duration_s`` and returns the pause before the next one.
 
-        The first pause is short enough for the watch to continue. Each further one is twice as long as the
-        last, with jitter, up to this proxy's part of the mean interval. A call that fails early leaves more
-        of the time in which the next one has to start.
+        The first pause is short enough for discovery to resume the watch. Each further pause is twice as long
+        as the previous one, with jitter, up to this proxy's share of the mean interval. The pause may be
+        longer after a call that fails early, because the limit applies from the start of the failed call.
         """
         self._failures += 1
         if self._failures == 1:
             return RECONNECT_DELAY_S
-        # The longest of pauses whose mean is this proxy's interval.
-        by_interval = 2.0 / (1.0 + MIN_PAUSE_FRACTION) * self._mean_interval_s
-        by_gap = MAX_CALL_GAP_S - min(duration_s, MAX_CALL_S)
-        by_doubling = RECONNECT_DELAY_S * 2.0 ** min(self._failures, MAX_DOUBLINGS)
-        longest = min(by_interval, by_gap, by_doubling)
-        jittered = longest * (MIN_PAUSE_FRACTION + (1.0 - MIN_PAUSE_FRACTION) * self._rng.random())
+        # The upper limit at which the mean of the pauses equals this proxy's interval.
+        interval_limit = 2.0 / (1.0 + MIN_PAUSE_FRACTION) * self._mean_interval_s
+        gap_limit = MAX_CALL_GAP_S - min(duration_s, MAX_CALL_S)
+        doubling_limit = RECONNECT_DELAY_S * 2.0 ** min(self._failures, MAX_DOUBLINGS)
+        max_pause = min(interval_limit, gap_limit, doubling_limit)
+        jittered = max_pause * (MIN_PAUSE_FRACTION + (1.0 - MIN_PAUSE_FRACTION) * self._rng.random())
         return max(RECONNECT_DELAY_S, jittered)
--- a/ironmill/requests/metrics.py
+++ b/ironmill/requests/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics of one process: each request is counted once, at the moment its outcome is final.
+"""Request metrics of one process. Each request is counted once, when its outcome is final.
 
-In each class ``received = established + rejected + failed + abandoned + pending`` holds at any time.
+For each class, ``received = established + rejected + failed + abandoned + pending`` always holds.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 
 
 class EventCounts(dict[str, int]):
-    """Counts of named events, for the log line at the process's end."""
+    """Counts of named events, which are logged when the process ends."""
 
     def add(self, name: str) -> None:
-        """Counts one event."""
+        """Increments the count of an event."""
         self[name] = self.get(name, 0) + 1
 
 
 class ClassMetrics(Struct):
-    """Requests of one class since the start of the process."""
+    """Counts of the requests of one class since the process started."""
 
     received: int = 0
     established: int = 0
-    rejected: int = 0  # a retry is harmless
+    rejected: int = 0  # answered BUSY, so a retry is harmless
     failed: int = 0
-    abandoned: int = 0  # the client closed before its final answer
-    attempts: int = 0  # whose request line was completely written to a server
+    abandoned: int = 0  # the client closed the connection before its final answer
+    attempts: int = 0  # attempts whose request line was completely written to a server
 
     @property
     def pending(self) -> int:
-        """Requests that have no final answer yet."""
+        """The number of requests that have no final answer yet."""
         return self.received - self.established - self.rejected - self.failed - self.abandoned
 
 
 class RequestCounter:
-    """Counts one request. Only its first outcome counts; an established one is closed later."""
+    """Counts one request. Only its first outcome counts; an established request is closed later."""
 
     __slots__ = ("_class", "_in_progress", "_metrics", "_pending")
 
     def __init__(self, metrics: RequestMetrics, class_metrics: ClassMetrics) -> None:
-        """Is created by ``RequestMetrics.start``, which has counted the request as received."""
+        """Creates the counter of a request that ``RequestMetrics.start`` has counted as received."""
         self._metrics = metrics
         self._class = class_metrics
         self._pending = True
@@ -77,7 +77,7 @@
         self._class.attempts += 1
 
     def closed(self) -> None:
-        """Counts the end of the connection; a request without an outcome is abandoned."""
+        """Counts the close of the connection; a request without an outcome counts as abandoned."""
         if self._pending:
             self.abandoned()
         elif self._in_progress:
@@ -90,15 +90,15 @@
 
 
 class RequestMetrics:
-    """Metrics of all requests of the process."""
+    """Counts of all requests of the process, by class."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """Starts with all counters of these classes at 0; others are added at their first request."""
+        """Creates zero counts for these classes. Other classes are added at their first request."""
         self.classes = {name: ClassMetrics() for name in classes}
-        self.in_progress = 0  # received, and the connection is not closed yet
+        self.in_progress = 0  # requests whose connection is not closed yet
 
     def start(self, class_name: str) -> RequestCounter:
-        """Counts a request as received; returns the counter for its outcome."""
+        """Counts a request as received and returns the counter for its outcome."""
         class_metrics = self.classes.setdefault(class_name, ClassMetrics())
         class_metrics.received += 1
         self.in_progress += 1
@@ -106,12 +106,12 @@
 
     @property
     def attempts(self) -> int:
-        """Attempts of all classes."""
-        return sum(one.attempts for one in self.classes.values())
+        """The number of attempts of all classes."""
+        return sum(counts.attempts for counts in self.classes.values())
 
     def by_outcome(self) -> dict[str, dict[str, int]]:
         """Returns the number of requests by outcome and class."""
         return {
-            outcome: {name: getattr(one, outcome) for name, one in self.classes.items()}
+            outcome: {name: getattr(counts, outcome) for name, counts in self.classes.items()}
             for outcome in OUTCOMES
         }
--- a/ironmill/requests/request_registry.py
+++ b/ironmill/requests/request_registry.py
@@ -1,4 +1,4 @@
-"""The requests of a process and their deadlines."""
+"""The registry of a process's requests, which enforces their deadlines."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 from ironmill.requests.metrics import EventCounts, RequestCounter
 from ironmill.runtime.scheduler import Timers
 
-# The gateway itself fails a request that has no decision so long after its deadline.
+# Time after its deadline at which the registry fails a request that the balancer has not decided.
 OVERDUE_DELAY_S = 0.02
 
 log = logging.getLogger("ironmill.requests.request_registry")
 
 
 class RequestRegistry:
-    """Holds every request until its connection is closed, and fails those without a decision in time."""
+    """Holds each request until its connection is closed, and fails requests that are not decided in time."""
 
     def __init__(
         self, timers: Timers, now: Callable[[], float], feed: Callable[[Event], None], counts: EventCounts
     ) -> None:
-        """``feed`` passes an event to the balancer."""
+        """Creates an empty registry; ``feed`` passes an event to the balancer."""
         self._timers = timers
         self._now = now
         self._feed = feed
         self._counts = counts
-        self._serial = itertools.count()
+        self._next_serial = itertools.count()
         self.by_id: dict[str, ClientRequest] = {}
 
     def __len__(self) -> int:
-        """The number of requests, established ones included."""
+        """Returns the number of requests, including established ones."""
         return len(self.by_id)
 
     def add(self, handler: RequestHandler, give_up_at: float, counter: RequestCounter) -> ClientRequest:
-        """Creates a request. Its id is unique in this process, unlike the client's."""
-        request = ClientRequest(f"a{next(self._serial)}", give_up_at, handler, counter)
+        """Creates and registers a request. Its id is unique in this process; the client's id may not be."""
+        request = ClientRequest(f"a{next(self._next_serial)}", give_up_at, handler, counter)
         self.by_id[request.id] = request
         return request
 
     def all(self) -> list[ClientRequest]:
-        """Returns all requests as they are now."""
+        """Returns a new list of all requests."""
         return list(self.by_id.values())
 
     def established(self) -> list[ClientRequest]:
@@ -54,13 +54,13 @@
         return sum(1 for request in self.by_id.values() if not request.resolved)
 
     def watch_deadline(self, request: ClientRequest) -> None:
-        """Fails the request if nothing has resolved it shortly after its deadline."""
+        """Sets a timer that fails the request if it is not resolved shortly after its deadline."""
         request.deadline_timer = self._timers.call_later(
             request.give_up_at - self._now() + OVERDUE_DELAY_S, self.fail_overdue, request
         )
 
     def resolve(self, request: ClientRequest) -> None:
-        """Records that no answer is due any more."""
+        """Marks the request as needing no answer any more, and cancels its deadline timer."""
         request.resolved = True
         self._timers.cancel(request.deadline_timer)
         request.deadline_timer = None
@@ -74,22 +74,24 @@
         return handler
 
     def abandon(self, request: ClientRequest) -> RequestHandler:
-        """Finishes a request that the balancer has not decided, and notifies it; returns the handler."""
+        """Finishes a request that is not decided yet, notifies the balancer and returns the handler."""
         handler = self.finish(request)
         self._feed(Abandoned(request.id))
         return handler
 
     def remove(self, request: ClientRequest) -> None:
-        """Forgets a request whose connection is closed."""
+        """Removes a request whose connection is closed."""
         self.by_id.pop(request.id, None)
         request.counter.closed()
         request.handler = NULL_HANDLER
 
     def fail_overdue(self, request: ClientRequest) -> None:
-        """Fails a request that has no decision; does nothing if it is resolved."""
+        """Fails a request that the balancer has not decided; does nothing if it is resolved."""
         if request.resolved:
             return
-        log.warning("request %s: no decision in time", request.id)
+        log.warning(
+            "request %s: failed because the balancer made no decision before its deadline", request.id
+        )
         self._counts.add("overdue")
         request.counter.failed()
         self.abandon(request).fail()
--- a/ironmill/requests/routing_table.py
+++ b/ironmill/requests/routing_table.py
@@ -78,7 +78,7 @@
             server.leaving_since = None
         else:
             self._mark_leaving(server, now)
-        start = self._start_times.start_of(listed.uid, listed.started_at, now)
+        start = self._start_times.estimate(listed.uid, listed.started_at, now)
         return EndpointEntry(server.number, listed.stage, listed.zone, listed.cell, start, listed.weight)
 
     def _drop_absent(self, update: EndpointUpdate, now: float) -> None:
--- a/ironmill/requests/start_times.py
+++ b/ironmill/requests/start_times.py
@@ -1,44 +1,46 @@
-"""Estimates when servers started, on this process's own steady clock.
+"""Estimates when servers started, in terms of the local clock (``Gateway.now``), which never jumps.
 
-Discovery lists a start as Unix time of another machine, and the wall clock of any machine may be wrong by
-seconds or by an hour. A listed start is therefore believed only as far as it makes a server younger than
-other observations show it to be: a server that is taken for too young merely gets less for a while.
+Discovery lists start times in Unix time of other machines, whose wall clocks may be wrong by seconds or by an
+hour. Other observations bound a server's age from above, and a listed start time is used only if it makes the
+server younger than these bounds. Underestimating the age is safe: the server only gets fewer connections for
+a while.
 """
 
 from __future__ import annotations
 
 import math
 
-LONG_AGO = 0.0  # the listed start of a server that did not start recently
+LONG_AGO = 0.0  # listed as the start time of a server that did not start recently
 
 
 class StartTimes:
-    """Converts each listed start to a time on the own clock, once. Times are in seconds."""
+    """Converts each listed start time to the local clock, once. All times are in seconds."""
 
     def __init__(self) -> None:
-        """Knows no server and no response yet."""
-        self._starts: dict[str, tuple[float, float]] = {}  # by uid: as listed, and on the own clock
-        self._min_offset = -math.inf  # a lower bound of the machines' clock minus the own
+        """Creates an estimator without any observations."""
+        self._starts: dict[str, tuple[float, float]] = {}  # by uid: the listed time and its local estimate
+        self._min_offset = -math.inf  # lower bound of (server clock - local clock)
         self._last_response_at = -math.inf
 
     def on_response(self, now: float) -> None:
-        """Records that discovery has answered: a server first listed later was not in that answer."""
+        """Records a discovery response. A server that is first listed later was absent from this one."""
         self._last_response_at = now
 
     def observe(self, listed_start: float, now: float) -> None:
-        """Records a listed start, which the machines' clock has passed.
+        """Records a listed start time, which is in the past on the server's clock.
 
-        The own clock is an upper bound, so that one machine whose clock is ahead does not make all others
-        old.
+        It bounds the clock offset from below. The bound is never above 0, so that one server whose clock is
+        ahead does not make all others appear old.
         """
         if listed_start != LONG_AGO:
             self._min_offset = max(self._min_offset, min(0.0, listed_start - now))
 
-    def start_of(self, uid: str, listed_start: float, now: float) -> float:
-        """Returns when the server started, on the own clock.
+    def estimate(self, uid: str, listed_start: float, now: float) -> float:
+        """Returns when the server started, on the local clock.
 
-        Its age when it is first listed is at most the time since the newest start in any list, and since the
-        last response in which it was not listed. ``observe`` must be called first for all of a list.
+        When a server is first listed, its age is at most the time since the newest start time in any list,
+        and at most the time since the last response that did not list it. ``observe`` must be called first
+        for all entries of a list.
         """
         known = self._starts.get(uid)
         if known is not None and known[0] == listed_start:
