--- a/ironmill/requests/action_executor.py
+++ b/ironmill/requests/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the balancer's actions on requests and their handlers."""
+"""Executes the balancer's actions on requests and their handlers."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from ironmill.runtime.scheduler import Timers
 
 
-class ExecutorParts(Struct, frozen=True, eq=False):
-    """What an ``ActionExecutor`` works on."""
+class ExecutorDependencies(Struct, frozen=True, eq=False):
+    """The dependencies of an ``ActionExecutor``."""
 
     requests: RequestRegistry
     servers: RoutingTable
@@ -40,21 +40,21 @@
 
 
 class ActionExecutor:
-    """Turns each action into an order to a handler, a timer or a health check. Never parks."""
-
-    def __init__(self, parts: ExecutorParts) -> None:
-        """Health checks are skipped until ``health_checker`` is set."""
-        self._requests = parts.requests
-        self._servers = parts.servers
-        self._timers = parts.timers
-        self._counts = parts.counts
-        self._now = parts.now
-        self._feed = parts.feed
-        self._max_attempts = parts.max_attempts
+    """Turns each action into a call of a request handler, a timer or a health check. Never parks."""
+
+    def __init__(self, dependencies: ExecutorDependencies) -> None:
+        """Creates an executor that skips health checks until ``health_checker`` is set."""
+        self._requests = dependencies.requests
+        self._servers = dependencies.servers
+        self._timers = dependencies.timers
+        self._counts = dependencies.counts
+        self._now = dependencies.now
+        self._feed = dependencies.feed
+        self._max_attempts = dependencies.max_attempts
         self.health_checker: HealthChecker | None = None
 
     def execute(self, action: Action) -> None:
-        """Carries out one action."""
+        """Executes one action."""
         match action:
             case Send():
                 self._send(action)
@@ -69,18 +69,20 @@
             case CheckHealth():
                 self._check_health(action)
             case Subscribe():
-                pass  # the watch on discovery is always open
+                pass  # no action is needed: the watch on discovery is always open
 
     def _send(self, send: Send) -> None:
         request = self._requests.by_id.get(send.request_id)
         server = self._servers.by_number(send.server_id)
-        left = 0.0 if request is None else request.give_up_at - self._now()
-        if request is None or server is None or left <= 0.0 or not self._may_attempt(request):
-            number = 0 if request is None else request.attempt_count
-            self._feed(Ended(send.request_id, number, send.server_id, Outcome.NOT_SENT, 0.0, request is None))
+        remaining_s = 0.0 if request is None else request.give_up_at - self._now()
+        if request is None or server is None or remaining_s <= 0.0 or not self._may_attempt(request):
+            attempt_number = 0 if request is None else request.attempt_count
+            self._feed(
+                Ended(send.request_id, attempt_number, send.server_id, Outcome.NOT_SENT, 0.0, request is None)
+            )
             return
-        timeout = min(left, send.timeout) if send.timeout > 0.0 else left
-        attempt = Attempt(request, request.attempt_count, server, self._now(), timeout, send.start_by)
+        timeout_s = min(remaining_s, send.timeout) if send.timeout > 0.0 else remaining_s
+        attempt = Attempt(request, request.attempt_count, server, self._now(), timeout_s, send.start_by)
         request.attempt_count += 1
         request.attempt = attempt
         self._counts.add("attempts")
--- a/ironmill/requests/client_request.py
+++ b/ironmill/requests/client_request.py
@@ -1,4 +1,4 @@
-"""A request, its attempts, and the interface of the drivers that serve them."""
+"""Client requests, their attempts, and the interfaces of the drivers that perform I/O for them."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 
 
 class RequestHandler(Protocol):
-    """The driver of a client's connection, as the gateway orders it. No method may park."""
+    """The gateway's interface to the driver of a client connection. No method may park."""
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Connects to the attempt's server and sends the request there."""
+        """Starts connecting to the attempt's server in order to send the request to it."""
 
     def cancel_attempt(self) -> bool:
-        """Ends the current attempt. Returns True if its request line was written: it may have run."""
+        """Ends the current attempt. Returns True if its request line was written, so that it may have run."""
 
     def reject(self, retry_after_s: float) -> None:
-        """Gives the final answer that a retry is harmless, after so many seconds."""
+        """Sends BUSY as the final answer: the client may safely retry after ``retry_after_s``."""
 
     def fail(self) -> None:
-        """Gives the final answer that the request failed."""
+        """Sends ERR as the final answer."""
 
     def migrate(self) -> None:
-        """Notifies the client of an established connection that it is to reconnect."""
+        """Asks the client of an established connection to reconnect."""
 
 
 class NullRequestHandler:
-    """Replaces the handler of a finished request, so that the request does not keep its driver alive."""
+    """Replaces the handler of a finished request, so that the request holds no reference to its driver."""
 
     def start_attempt(self, attempt: Attempt) -> None:
         """Does nothing."""
 
     def cancel_attempt(self) -> bool:
-        """Returns False: there is no attempt."""
+        """Returns False, as there is no attempt."""
         return False
 
     def reject(self, retry_after_s: float) -> None:
@@ -56,20 +56,20 @@
 
 
 class HealthChecker(Protocol):
-    """The driver of health checks."""
+    """The interface of the driver of health checks."""
 
     def check(self, server: Server) -> None:
         """Requests the server's load report and passes it to ``Gateway.on_health_check``. Must not park."""
 
 
 class IncomingRequest(Struct, frozen=True):
-    """A request as its driver received it."""
+    """A request as received by its driver."""
 
     class_name: str
     received_at: float = 0.0  # on the gateway's clock
-    deadline_s: float | None = None  # from ``received_at``; None: the longest that the class allows
+    deadline_s: float | None = None  # from ``received_at``; None for the maximum of the class
     attributes: RequestAttributes = RequestAttributes()
-    counter: RequestCounter | None = None  # if its driver has counted it already
+    counter: RequestCounter | None = None  # set if its driver has already counted it
 
 
 class ClientRequest(Struct, eq=False):
@@ -80,10 +80,10 @@
     handler: RequestHandler
     counter: RequestCounter
     attempt_count: int = 0
-    attempt: Attempt | None = None  # the current one; attempts never overlap
+    attempt: Attempt | None = None  # the running attempt; attempts never overlap
     established: bool = False
-    unresponsive: bool = False  # the server has not answered for long
-    resolved: bool = False  # it has its final answer, or its client has closed
+    unresponsive: bool = False  # set if its server has become unresponsive
+    resolved: bool = False  # set once it has its final answer or its client has closed
     deadline_timer: Timer | None = None
 
 
@@ -95,5 +95,5 @@
     server: Server
     started_at: float
     timeout_s: float
-    start_by: float = math.inf  # on the gateway's clock; started later, it could take effect a second time
+    start_by: float = math.inf  # on the gateway's clock; a later start could take effect a second time
     ended: bool = False
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -1,7 +1,8 @@
-"""The hub between protocol drivers and the balancer.
+"""The gateway, which connects protocol drivers to the balancer.
 
-Drivers report what happened to requests and attempts by the ``on_*`` methods; the balancer's actions come
-back as calls of ``RequestHandler``. The gateway knows neither sockets nor the line protocol.
+Drivers report events of requests and attempts through the ``on_*`` methods, and the gateway executes the
+balancer's actions by calling their ``RequestHandler``. The gateway has no access to sockets or to the line
+protocol.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 )
 from ironmill.configuration.proxy_config import Config
 from ironmill.protocol.discovery import EndpointUpdate
-from ironmill.requests.action_executor import ActionExecutor, ExecutorParts
+from ironmill.requests.action_executor import ActionExecutor, ExecutorDependencies
 from ironmill.requests.client_request import (
     Attempt,
     ClientRequest,
@@ -39,35 +40,34 @@
 from ironmill.runtime.lifecycle import Lifecycle, ProcessState
 from ironmill.runtime.scheduler import Timers
 
-ANSWER_LEAD_S = (
-    0.01  # the final answer is due so long before the client's deadline, so that it arrives in time
-)
-DEFAULT_DEADLINE_S = 10.0  # of a class without a limit in the settings
-# An attempt starts at a draining server only so long before the end of its grace period: the process may be
-# suspended for as long between reading its clock and writing.
+# The final answer is due this long before the client's deadline, so that it arrives in time.
+ANSWER_LEAD_S = 0.01
+DEFAULT_DEADLINE_S = 10.0  # deadline of a class without a limit in the settings
+# An attempt may not start at a draining server during the last DRAIN_LEAD_S of its grace period, because the
+# process may be suspended for this long between reading its clock and writing.
 DRAIN_LEAD_S = 0.15
-# A delay is reported above the shortest latency objective divided by this.
+# Delays are reported if they exceed the shortest latency objective divided by this number.
 DELAY_THRESHOLD_DIVISOR = 3.0
 
 
 class Gateway:
-    """The requests of one proxy, the endpoint list and the balancer that decides on both."""
+    """Holds the requests of one proxy, the endpoint list and the balancer that decides about both."""
 
     def __init__(self, config: Config, timers: Timers, lifecycle: Lifecycle | None = None) -> None:
-        """Starts with the endpoint list of the configuration."""
+        """Creates a gateway that uses the endpoint list in the configuration until discovery responds."""
         self._config = config
         self.lifecycle = lifecycle or Lifecycle(ProcessState.SERVING)
         self.metrics = RequestMetrics(config.default_deadlines_s)
         self.counts = EventCounts()
-        self.resuming: set[RequestHandler] = set()  # of connections that are not established again yet
-        # Unix time as it was at the start, from then on as steady as the monotonic clock.
-        self._clock_offset = time.time() - time.monotonic()
+        self.resuming: set[RequestHandler] = set()  # handlers of connections that are being re-established
+        # Added to the monotonic clock, this gives the Unix time at start, which then advances steadily.
+        self._clock_offset_s = time.time() - time.monotonic()
         self._balancer = Balancer(config.settings, config.seed, self.now())
         self._servers = RoutingTable()
         self._decisions = DecisionLoop(self._balancer, self.now)
         self.requests = RequestRegistry(timers, self.now, self._decisions.feed, self.counts)
         self._executor = ActionExecutor(
-            ExecutorParts(
+            ExecutorDependencies(
                 requests=self.requests,
                 servers=self._servers,
                 timers=timers,
@@ -84,7 +84,7 @@
             self._on_delay,
             self._on_unresponsive,
         )
-        # Called for each chunk of relayed data, so without a method of the gateway between.
+        # These are called for each chunk of relayed data, so an extra method call is avoided.
         self.on_lines_sent = self._round_trips.lines_sent
         self.on_lines_answered = self._round_trips.lines_answered
         self.feed = self._decisions.feed
@@ -93,15 +93,15 @@
     # State
 
     def now(self) -> float:
-        """Returns the time that the balancer sees, in seconds."""
-        return time.monotonic() + self._clock_offset
+        """Returns the time on the balancer's clock, in seconds."""
+        return time.monotonic() + self._clock_offset_s
 
     def pending_count(self) -> int:
         """Returns how many requests have no final answer yet."""
         return self.requests.pending_count()
 
     def request_count(self) -> int:
-        """Returns how many requests there are, established ones included."""
+        """Returns the number of requests, including established ones."""
         return len(self.requests)
 
     def established(self) -> list[ClientRequest]:
@@ -109,11 +109,11 @@
         return self.requests.established()
 
     def known_servers(self) -> int:
-        """Returns how many servers are in the endpoint list, draining ones included."""
+        """Returns the number of servers in the endpoint list, including draining ones."""
         return len(self._servers.listed())
 
     def skipped_servers(self) -> int:
-        """Returns how many listed servers get no new connections, because they drain or are ejected."""
+        """Returns how many listed servers get no new connections because they are draining or ejected."""
         ejected = self._balancer.ejected()
         return sum(
             1
@@ -122,7 +122,7 @@
         )
 
     def server(self, uid: str) -> Server | None:
-        """Returns the server with that id, if discovery has ever listed it."""
+        """Returns the server with this id, or None if discovery has never listed it."""
         return self._servers.by_uid(uid)
 
     def has_class(self, class_name: str) -> bool:
@@ -130,31 +130,31 @@
         return class_name in self._config.default_deadlines_s
 
     def may_start(self, attempt: Attempt) -> bool:
-        """Returns False if it is too late for an attempt's first byte.
+        """Returns False if it is too late to write an attempt's first byte.
 
-        That is past its ``start_by``, and at a server whose grace period for draining is almost over.
+        This is the case after its ``start_by``, and if the server's grace period for draining is almost over.
         """
         if self.now() >= attempt.start_by:
             return False
-        since = attempt.server.leaving_since
-        return since is None or self.now() - since < self._config.drain_grace_s - DRAIN_LEAD_S
+        leaving_since = attempt.server.leaving_since
+        return leaving_since is None or self.now() - leaving_since < self._config.drain_grace_s - DRAIN_LEAD_S
 
     def use_health_checker(self, checker: HealthChecker) -> None:
-        """Sets the driver of health checks; without one they are skipped."""
+        """Sets the driver of health checks. Without a driver, health checks are skipped."""
         self._executor.health_checker = checker
 
     # Events of drivers
 
     def on_endpoints(self, update: EndpointUpdate) -> None:
-        """Takes a response of discovery."""
+        """Applies a response of discovery to the endpoint list."""
         self.feed(self._servers.apply(update, self.now()))
 
     def on_predecessor(self, max_overlap_s: float) -> None:
-        """Notes that a process of the same proxy serves beside this one for at most so many seconds."""
+        """Records that a previous process of this proxy still serves, for at most ``max_overlap_s``."""
         self.feed(HandoverStarted(self.now() + max_overlap_s))
 
     def open_request(self, handler: RequestHandler, incoming: IncomingRequest) -> ClientRequest:
-        """Takes a new request; its handler gets the orders that follow."""
+        """Registers a new request. The resulting actions of the balancer are calls of ``handler``."""
         class_name = incoming.class_name
         deadline_s = incoming.deadline_s
         if deadline_s is None:
@@ -163,11 +163,11 @@
         counter = incoming.counter or self.metrics.start(class_name)
         request = self.requests.add(handler, give_up_at, counter)
         self.requests.watch_deadline(request)
-        self.feed(_decision_request(request, incoming))
+        self.feed(_balancer_request(request, incoming))
         return request
 
     def resume(self, handler: RequestHandler, server: Server, incoming: IncomingRequest) -> Attempt:
-        """Takes a connection, open before the process started, that is established at its server again."""
+        """Registers a connection from before the process started that is established at its server again."""
         self.resuming.discard(handler)
         request = self.requests.add(handler, 0.0, incoming.counter or self.metrics.start(incoming.class_name))
         request.counter.established()
@@ -178,11 +178,11 @@
         request.attempt_count = 1
         self._round_trips.start(attempt)
         self.counts.add("resumed")
-        self.feed(Resumed(_decision_request(request, incoming), server.number))
+        self.feed(Resumed(_balancer_request(request, incoming), server.number))
         return attempt
 
     def on_established(self, attempt: Attempt) -> bool:
-        """Takes a server's acceptance; returns False if the client does not wait for it any more."""
+        """Records that a server accepted the request. Returns False if the client no longer waits for it."""
         request = attempt.request
         if request.resolved or attempt.ended:
             return False
@@ -197,17 +197,19 @@
     def on_attempt_ended(
         self, attempt: Attempt, outcome: Outcome, report: tuple[tuple[str, float], ...] = ()
     ) -> None:
-        """Takes the end of an attempt whose connection is closed. Later calls for the attempt do nothing."""
+        """Records the end of an attempt whose connection is closed. Further calls for it do nothing."""
         if attempt.ended:
             return
         attempt.ended = True
         request = attempt.request
         request.attempt = None
-        outcome = self._attribute(attempt, outcome)
+        outcome = self._correct_outcome(attempt, outcome)
         if request.established:
             self._round_trips.stop(attempt)
         if outcome is Outcome.OK:
-            request.counter.failed()  # unless established: any line other than UP is a failure to the client
+            # This has no effect on an established request. Otherwise the server answered with a line other
+            # than UP, which the client sees as a failure.
+            request.counter.failed()
             self.requests.resolve(request)
         final = request.resolved
         if final:
@@ -217,26 +219,26 @@
         self.feed(Ended(request.id, attempt.number, attempt.server.number, outcome, delay, final, report))
 
     def on_client_closed(self, request: ClientRequest) -> None:
-        """Takes a client's close before its final answer. The driver then ends the current attempt."""
+        """Records that a client closed before its final answer. The driver then ends the current attempt."""
         if request.resolved:
             return
         request.counter.abandoned()
         self.requests.abandon(request)
 
     def on_client_stalled(self, attempt: Attempt) -> None:
-        """Pauses the observation of a connection whose client does not read.
+        """Stops observing the response delay of a connection whose client does not read.
 
-        The server's answers cannot be observed then, and it must not count as slow or unresponsive.
+        The server's answers cannot be observed meanwhile, so it must not count as slow or unresponsive.
         """
         self._round_trips.stop(attempt)
 
     def on_client_reading(self, attempt: Attempt) -> None:
-        """Continues the observation once the client has read what was buffered for it."""
+        """Resumes observing the response delay once the client has read its buffered data."""
         if not attempt.ended:
             self._round_trips.start(attempt)
 
     def on_load(self, attempt: Attempt, load: float) -> None:
-        """Takes the load that the server reports for a connection."""
+        """Passes the load that a server reports for a connection to the balancer."""
         self.feed(
             ConnectionSample(attempt.request.id, attempt.number, attempt.server.number, SampleKind.LOAD, load)
         )
@@ -244,17 +246,17 @@
     def on_health_check(
         self, server: Server, outcome: Outcome, report: tuple[tuple[str, float], ...] = ()
     ) -> None:
-        """Takes the outcome of a health check."""
+        """Passes the outcome of a health check to the balancer."""
         self.counts.add(f"health check {outcome.name}")
         self.feed(HealthChecked(server.number, outcome, report))
 
     # Shutdown
 
     def resolve_all(self) -> None:
-        """Gives every pending request its final answer at once, as the balancer decides.
+        """Gives every pending request its final answer immediately, as decided by the balancer.
 
-        A request whose attempt may have run fails, unless it is idempotent. Must not be called from a
-        connection's task.
+        A request whose attempt may have run fails, unless it is idempotent. Must not be called from the task
+        of a connection.
         """
         for handler in list(self.resuming):
             handler.fail()
@@ -269,16 +271,16 @@
         if attempt is not None:
             may_have_run = request.handler.cancel_attempt()
             self.on_attempt_ended(attempt, Outcome.CANCELLED if may_have_run else Outcome.NOT_SENT)
-        self.requests.fail_overdue(request)  # only if the balancer raised an exception
+        self.requests.fail_overdue(request)  # has an effect only if the balancer raised an exception
 
     # Internal events
 
-    def _attribute(self, attempt: Attempt, outcome: Outcome) -> Outcome:
-        """Corrects an outcome for which the driver cannot see the cause."""
+    def _correct_outcome(self, attempt: Attempt, outcome: Outcome) -> Outcome:
+        """Corrects an outcome whose cause the driver cannot know."""
         if outcome is Outcome.CONNECT_FAILED and self.now() >= attempt.start_by:
-            return Outcome.NOT_SENT  # it started too late, which is not the server's fault
+            return Outcome.NOT_SENT  # the attempt started too late, which is not the server's fault
         if attempt.request.unresponsive and outcome is Outcome.CANCELLED:
-            return Outcome.RESET  # the server was lost; the client did not close
+            return Outcome.RESET  # the server was lost; the client did not close the connection
         return outcome
 
     def _on_delay(self, request_id: str, server: Server, delay_s: float) -> None:
@@ -288,7 +290,7 @@
             self.feed(ConnectionSample(request_id, number, server.number, SampleKind.DELAY, delay_s * 1000.0))
 
     def _on_unresponsive(self, request_id: str) -> None:
-        """Migrates a connection whose server has not answered for long; its machine may be lost."""
+        """Migrates a connection whose server is unresponsive, since its machine may be lost."""
         request = self.requests.by_id.get(request_id)
         if request is not None and request.established:
             self.counts.add("unresponsive")
@@ -296,7 +298,7 @@
             request.handler.migrate()
 
 
-def _decision_request(request: ClientRequest, incoming: IncomingRequest) -> Request:
+def _balancer_request(request: ClientRequest, incoming: IncomingRequest) -> Request:
     attributes = incoming.attributes
     return Request(
         request.id,
--- a/ironmill/requests/round_trips.py
+++ b/ironmill/requests/round_trips.py
@@ -1,4 +1,4 @@
-"""Observes how long servers take to answer lines on established connections."""
+"""Observation of how long servers take to answer lines on established connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RoundTripObserver:
-    """Keeps one ``DelayMeter`` for each server and maps attempts to it."""
+    """Keeps one ``DelayMeter`` for each server and passes the events of attempts to it."""
 
     def __init__(
         self,
@@ -20,9 +20,11 @@
         on_delay: Callable[[str, Server, float], object],
         on_unresponsive: Callable[[str], object],
     ) -> None:
-        """``on_delay`` gets a request's id, its server, and a delay in seconds above the threshold.
+        """Creates an observer without connections.
 
-        ``on_unresponsive`` gets the id of a request whose server has not answered for long.
+        ``on_delay`` is called with a request's id, its server and the delay in seconds. It is called while
+        the delay exceeds ``threshold_s``, and once more when it no longer does. ``on_unresponsive`` is called
+        with the id of a request whose server has become unresponsive.
         """
         self._timers = timers
         self._threshold_s = threshold_s
@@ -31,22 +33,22 @@
         self._meters: dict[int, DelayMeter] = {}
 
     def start(self, attempt: Attempt) -> None:
-        """Begins to observe an established connection."""
-        self._meter(attempt.server).add_connection(attempt.request.id)
+        """Starts observing an established connection."""
+        self._meter_for(attempt.server).add_connection(attempt.request.id)
 
     def stop(self, attempt: Attempt) -> None:
-        """Ends the observation of a connection."""
-        self._meter(attempt.server).remove_connection(attempt.request.id)
+        """Stops observing a connection."""
+        self._meter_for(attempt.server).remove_connection(attempt.request.id)
 
     def lines_sent(self, attempt: Attempt, count: int) -> None:
-        """Records that so many of the client's lines were written to the server."""
-        self._meter(attempt.server).lines_sent(attempt.request.id, count)
+        """Records that ``count`` lines of the client were written to the server."""
+        self._meter_for(attempt.server).lines_sent(attempt.request.id, count)
 
     def lines_answered(self, attempt: Attempt, count: int) -> None:
-        """Records that the server answered so many lines."""
-        self._meter(attempt.server).lines_answered(attempt.request.id, count)
+        """Records that the server answered ``count`` lines."""
+        self._meter_for(attempt.server).lines_answered(attempt.request.id, count)
 
-    def _meter(self, server: Server) -> DelayMeter:
+    def _meter_for(self, server: Server) -> DelayMeter:
         meter = self._meters.get(server.number)
         if meter is None:
             meter = self._meters[server.number] = DelayMeter(
