--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -1,4 +1,4 @@
-"""Shared by tests of requests: timers on a clock of their own, a configuration, a request handler."""
+"""Helpers for tests of requests: timers on a fake clock, a configuration and a request handler."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FakeTimers:
-    """The runtime's timers on a clock that only ``run`` advances; it replaces the monotonic clock as well."""
+    """The runtime's timers on a fake clock, which replaces ``time.monotonic``. Only ``run`` advances it."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 1000.0
@@ -25,24 +25,24 @@
         self.call_later, self.cancel = self._timers.call_later, self._timers.cancel
         monkeypatch.setattr(time, "monotonic", lambda: self.now)
 
-    def run(self, span: float) -> None:
-        """Advances the clock by ``span`` seconds and runs the timers that are due."""
-        end = self.now + span
-        while (left := self._timers.run()) is not None and self.now + left <= end:
-            self.now = max(math.nextafter(self.now, math.inf), self.now + left)
+    def run(self, duration_s: float) -> None:
+        """Advances the clock by ``duration_s`` and runs the timers that are due."""
+        end = self.now + duration_s
+        while (remaining_s := self._timers.run()) is not None and self.now + remaining_s <= end:
+            self.now = max(math.nextafter(self.now, math.inf), self.now + remaining_s)
         self.now = end
 
 
-def listed(uid: str, stage: Stage = Stage.READY, boot: float = 0.0) -> ListedServer:
+def listed(uid: str, stage: Stage = Stage.READY, started_at: float = 0.0) -> ListedServer:
     """Returns a server as discovery lists it."""
-    return ListedServer(uid, "127.0.0.1", 9, stage, "a", 0, 1.0, boot)
+    return ListedServer(uid, "127.0.0.1", 9, stage, "a", 0, 1.0, started_at)
 
 
 KNOWN = EndpointUpdate(1, True, (listed("s-1"), listed("s-2"), listed("s-3")))
 
 
 def config(known: EndpointUpdate = KNOWN, **changes: Any) -> Config:
-    """Returns a proxy\'s configuration with these changes."""
+    """Returns a proxy's configuration with these fields changed."""
     fields: dict[str, Any] = {
         "name": "n0",
         "listen": ("127.0.0.1", 0),
@@ -62,7 +62,7 @@
 
 
 class RecordingHandler:
-    """A request handler that records the gateway's orders."""
+    """A request handler that records the calls of the gateway."""
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
@@ -70,11 +70,11 @@
         self.migrations = 0
 
     def start_attempt(self, attempt: Attempt) -> None:
-        assert all(before.ended for before in self.attempts), "attempts overlap"
+        assert all(previous.ended for previous in self.attempts), "attempts overlap"
         self.attempts.append(attempt)
 
     def cancel_attempt(self) -> bool:
-        raise AssertionError("no attempt is cancelled here")
+        raise AssertionError("cancel_attempt is not expected in this test")
 
     def reject(self, retry_after_s: float) -> None:
         self.answers.append(f"BUSY {retry_after_s:.3f}")
--- a/tests/unit/requests/test_connection_limiter.py
+++ b/tests/unit/requests/test_connection_limiter.py
@@ -1,4 +1,4 @@
-"""The connection limiter against a model: its counts, and that they never exceed the configured number."""
+"""Compares the connection limiter's counts with a model and checks that they never exceed the limit."""
 
 from __future__ import annotations
 
@@ -8,41 +8,43 @@
 from ironmill.requests.connection_limiter import ConnectionLimiter, ConnectionSlot
 
 
-class Counted(RuleBasedStateMachine):
+class ConnectionLimiterMachine(RuleBasedStateMachine):
     """Clients connect, send a request, are answered and close in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.connection_limiter = ConnectionLimiter(64)
-        self.open: dict[ConnectionSlot, int] = {}  # descriptors that each holds or has set aside
-        self.evicted = 0
+        self.open: dict[ConnectionSlot, int] = {}  # descriptors that each slot uses or reserves
+        self.evicted_count = 0
 
-    def _pick(self, at: int) -> ConnectionSlot | None:
-        return list(self.open)[at % len(self.open)] if self.open else None
+    def _pick_open_slot(self, index: int) -> ConnectionSlot | None:
+        return list(self.open)[index % len(self.open)] if self.open else None
 
     @rule()
     def enter(self) -> None:
-        oldest = next((slot for slot, held in self.open.items() if slot.client_id == "" and held == 1), None)
-        before = self.evicted
+        oldest = next(
+            (slot for slot, count in self.open.items() if slot.client_id == "" and count == 1), None
+        )
+        evicted_before = self.evicted_count
 
         def evict(*, immediately: bool) -> bool:
             assert immediately
-            self.evicted += 1
-            del self.open[slot_of[0]]
+            self.evicted_count += 1
+            del self.open[new_slot[0]]
             return True
 
-        slot_of: list[ConnectionSlot] = []
+        new_slot: list[ConnectionSlot] = []
         slot = self.connection_limiter.enter(evict)
-        if self.evicted > before:
+        if self.evicted_count > evicted_before:
             assert oldest is not None
             assert oldest not in self.open
         if slot is not None:
-            slot_of.append(slot)
+            new_slot.append(slot)
             self.open[slot] = 1
 
-    @rule(at=st.integers(0, 99))
-    def speak(self, at: int) -> None:
-        slot = self._pick(at)
+    @rule(index=st.integers(0, 99))
+    def send_request(self, index: int) -> None:
+        slot = self._pick_open_slot(index)
         if slot is None or slot.client_id:
             return
         assert self.connection_limiter.claim_id(slot, f"i{id(slot)}")
@@ -50,9 +52,9 @@
         if self.connection_limiter.admit(slot):
             self.open[slot] = 2
 
-    @rule(at=st.integers(0, 99), answered=st.booleans())
-    def go(self, at: int, answered: bool) -> None:
-        slot = self._pick(at)
+    @rule(index=st.integers(0, 99), answered=st.booleans())
+    def close(self, index: int, answered: bool) -> None:
+        slot = self._pick_open_slot(index)
         if slot is None:
             return
         if answered and self.connection_limiter.start_leaving(slot):
@@ -60,11 +62,11 @@
             slot.client_id = "left"
             return
         self.connection_limiter.leave(slot)
-        self.connection_limiter.leave(slot)  # called twice, counted once
+        self.connection_limiter.leave(slot)  # a second call has no effect
         del self.open[slot]
 
     @invariant()
-    def counted(self) -> None:
+    def used_matches_model(self) -> None:
         assert (
             self.connection_limiter.used()
             == sum(self.open.values())
@@ -72,4 +74,4 @@
         )
 
 
-TestCounted = Counted.TestCase
+TestConnectionLimiter = ConnectionLimiterMachine.TestCase
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway, its delay meter and its routing table, without sockets and on the tests' clock."""
+"""Tests of the gateway, its delay meter and its routing table, without sockets and on a fake clock."""
 
 from __future__ import annotations
 
@@ -24,84 +24,94 @@
 
 
 class GatewayMachine(RuleBasedStateMachine):
-    """A model of requests: one answer each, one end for each attempt, never two attempts at once."""
+    """Checks that each request gets one answer, each attempt ends once, and attempts never overlap."""
 
     def __init__(self) -> None:
         super().__init__()
         self.patch = pytest.MonkeyPatch()
         self.timers = FakeTimers(self.patch)
-        self.fed: list[Event] = []
-        handle = Balancer.handle
+        self.events: list[Event] = []
+        original_handle = Balancer.handle
 
-        def recorded(balancer: Balancer, event: Event, now: float) -> Any:
-            self.fed.append(event)
-            return handle(balancer, event, now)
+        def recording_handle(balancer: Balancer, event: Event, now: float) -> Any:
+            self.events.append(event)
+            return original_handle(balancer, event, now)
 
-        self.patch.setattr(Balancer, "handle", recorded)
+        self.patch.setattr(Balancer, "handle", recording_handle)
         self.gateway = Gateway(config(), self.timers)
         self.handlers: list[tuple[RecordingHandler, Any]] = []
-        self.up: set[str] = set()
-        self.left: set[str] = set()
+        self.established_ids: set[str] = set()
+        self.abandoned_ids: set[str] = set()
 
     def teardown(self) -> None:
-        self.timers.run(5.0)  # whatever is owed has been answered by then
+        self.timers.run(5.0)  # all deadlines have passed by then
         for handler, request in self.handlers:
-            settled = len(handler.answers) + (request.id in self.up) + (request.id in self.left)
-            assert settled == 1, (handler.answers, request)
+            outcome_count = (
+                len(handler.answers)
+                + (request.id in self.established_ids)
+                + (request.id in self.abandoned_ids)
+            )
+            assert outcome_count == 1, (handler.answers, request)
         assert self.gateway.pending_count() == 0
         self.patch.undo()
 
-    def out(self) -> list[Attempt]:
-        last = [handler.attempts[-1] for handler, _ in self.handlers if handler.attempts]
-        return [attempt for attempt in last if not attempt.ended]
+    def running_attempts(self) -> list[Attempt]:
+        last_attempts = [handler.attempts[-1] for handler, _ in self.handlers if handler.attempts]
+        return [attempt for attempt in last_attempts if not attempt.ended]
 
-    @rule(wait=st.sampled_from([0.0, 0.05, 1.0, None]), mid=st.booleans())
-    def open_request(self, wait: float | None, mid: bool) -> None:
+    @rule(deadline_s=st.sampled_from([0.0, 0.05, 1.0, None]), rerouted=st.booleans())
+    def open_request(self, deadline_s: float | None, rerouted: bool) -> None:
         handler = RecordingHandler()
-        incoming = IncomingRequest("read", self.gateway.now(), wait, RequestAttributes(rerouted=mid))
+        incoming = IncomingRequest(
+            "read", self.gateway.now(), deadline_s, RequestAttributes(rerouted=rerouted)
+        )
         request = self.gateway.open_request(handler, incoming)
         self.handlers.append((handler, request))
 
-    @precondition(lambda self: self.out())
-    @rule(pick=st.integers(0, 99))
-    def stand(self, pick: int) -> None:
-        attempt = self.out()[pick % len(self.out())]
-        owed = not attempt.request.resolved
-        assert self.gateway.on_established(attempt) == owed
-        if owed:
-            self.up.add(attempt.request.id)
-
-    @precondition(lambda self: self.out())
-    @rule(pick=st.integers(0, 99), outcome=st.sampled_from([o for o in Outcome if o is not Outcome.OK]))
-    def end(self, pick: int, outcome: Outcome) -> None:
-        attempt = self.out()[pick % len(self.out())]
+    @precondition(lambda self: self.running_attempts())
+    @rule(index=st.integers(0, 99))
+    def establish(self, index: int) -> None:
+        attempt = self.running_attempts()[index % len(self.running_attempts())]
+        pending = not attempt.request.resolved
+        assert self.gateway.on_established(attempt) == pending
+        if pending:
+            self.established_ids.add(attempt.request.id)
+
+    @precondition(lambda self: self.running_attempts())
+    @rule(index=st.integers(0, 99), outcome=st.sampled_from([o for o in Outcome if o is not Outcome.OK]))
+    def end_attempt(self, index: int, outcome: Outcome) -> None:
+        attempt = self.running_attempts()[index % len(self.running_attempts())]
         self.gateway.on_attempt_ended(attempt, outcome)
-        self.gateway.on_attempt_ended(attempt, Outcome.RESET)  # reported once, however often it is called
+        self.gateway.on_attempt_ended(attempt, Outcome.RESET)  # a second call is not reported
 
     @precondition(lambda self: self.handlers)
-    @rule(pick=st.integers(0, 99))
-    def leave(self, pick: int) -> None:
-        handler, request = self.handlers[pick % len(self.handlers)]
+    @rule(index=st.integers(0, 99))
+    def close_client(self, index: int) -> None:
+        handler, request = self.handlers[index % len(self.handlers)]
         if not request.resolved:
-            self.left.add(request.id)
+            self.abandoned_ids.add(request.id)
         self.gateway.on_client_closed(request)
         if handler.attempts:
             self.gateway.on_attempt_ended(handler.attempts[-1], Outcome.CANCELLED)
 
-    @rule(span=st.sampled_from([0.01, 0.2, 3.0]))
-    def wait(self, span: float) -> None:
-        self.timers.run(span)
+    @rule(duration_s=st.sampled_from([0.01, 0.2, 3.0]))
+    def advance_clock(self, duration_s: float) -> None:
+        self.timers.run(duration_s)
 
     @rule(stage=st.sampled_from([Stage.READY, Stage.DRAINING, Stage.GONE]), full=st.booleans())
-    def update(self, stage: Stage, full: bool) -> None:
+    def update_endpoints(self, stage: Stage, full: bool) -> None:
         self.gateway.on_endpoints(EndpointUpdate(2, full, (listed("s-2", stage),)))
 
     @invariant()
-    def one_end_for_each_attempt(self) -> None:
-        ends = [(event.request_id, event.attempt) for event in self.fed if isinstance(event, Ended)]
-        assert len(ends) == len(set(ends))
+    def each_attempt_ends_once(self) -> None:
+        ended_attempts = [
+            (event.request_id, event.attempt) for event in self.events if isinstance(event, Ended)
+        ]
+        assert len(ended_attempts) == len(set(ended_attempts))
         attempts = [attempt for handler, _ in self.handlers for attempt in handler.attempts]
-        assert set(ends) >= {(attempt.request.id, attempt.number) for attempt in attempts if attempt.ended}
+        assert set(ended_attempts) >= {
+            (attempt.request.id, attempt.number) for attempt in attempts if attempt.ended
+        }
 
 
 TestGateway = GatewayMachine.TestCase
@@ -110,7 +120,7 @@
 def test_request_without_a_decision_is_failed_at_its_deadline(
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Every request gets its answer, even if the balancer raises an exception."""
+    """Every request is answered, even if the balancer raises an exception."""
     gateway, handler = Gateway(config(), timers), RecordingHandler()
 
     def broken(*_: object) -> None:
@@ -125,7 +135,7 @@
 
 
 def test_attempt_may_not_start_late_at_a_leaving_server(timers: FakeTimers) -> None:
-    """The drain rule holds for an attempt that was ordered in time but connects slowly."""
+    """The drain rule also applies to an attempt that was requested in time but connects slowly."""
     gateway, handler = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), RecordingHandler()
     gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
     (attempt,) = handler.attempts
@@ -136,9 +146,8 @@
     assert not gateway.may_start(attempt)
     gateway.on_endpoints(EndpointUpdate(4, False, (listed("s-1"),)))
     assert gateway.may_start(attempt)
-    gateway.on_endpoints(
-        EndpointUpdate(5, True, (), age=0.06)
-    )  # counts from when it was notified, not when believed
+    # The grace period starts when the proxy was notified, not when the update is applied.
+    gateway.on_endpoints(EndpointUpdate(5, True, (), age=0.06))
     assert gateway.may_start(attempt)
     timers.run(0.06)
     assert not gateway.may_start(attempt)
@@ -147,7 +156,7 @@
 def test_attempt_starts_early_enough_for_a_suspended_process_to_meet_the_drain_grace(
     timers: FakeTimers,
 ) -> None:
-    """STANDING: a process may be suspended for 0.15 s between reading its clock and writing."""
+    """A process may be suspended for 0.15 s between reading its clock and writing."""
     gateway, handler = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), RecordingHandler()
     gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
     (attempt,) = handler.attempts
@@ -161,123 +170,125 @@
 def test_resumed_connection_is_reported_at_a_removed_server_as_well(
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    gateway, fed = Gateway(config(), timers), list[Event]()
+    gateway, events = Gateway(config(), timers), list[Event]()
     gateway.on_endpoints(EndpointUpdate(2, True, (listed("s-2"),)))
     handle = Balancer.handle
-    monkeypatch.setattr(Balancer, "handle", lambda b, e, now: fed.append(e) or handle(b, e, now))
-    host = gateway.server("s-1")
-    assert host is not None
+    monkeypatch.setattr(Balancer, "handle", lambda b, e, now: events.append(e) or handle(b, e, now))
+    server = gateway.server("s-1")
+    assert server is not None
     attempt = gateway.resume(
-        RecordingHandler(), host, IncomingRequest("read", attributes=RequestAttributes(key=5))
+        RecordingHandler(), server, IncomingRequest("read", attributes=RequestAttributes(key=5))
     )
     gateway.on_attempt_ended(attempt, Outcome.OK)
-    carried, ended = fed
-    assert isinstance(carried, Resumed)
+    resumed, ended = events
+    assert isinstance(resumed, Resumed)
     assert isinstance(ended, Ended)
-    assert (carried.server_id, carried.request.key, ended.attempt, ended.final) == (host.number, 5, 0, True)
+    assert (resumed.server_id, resumed.request.key, ended.attempt, ended.final) == (server.number, 5, 0, True)
     assert gateway.established() == []
 
 
 def test_abandoned_request_is_reported_before_the_end_of_its_attempt(
     timers: FakeTimers, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    gateway, handler, fed = Gateway(config(), timers), RecordingHandler(), list[Event]()
+    gateway, handler, events = Gateway(config(), timers), RecordingHandler(), list[Event]()
     request = gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
     handle = Balancer.handle
-    monkeypatch.setattr(Balancer, "handle", lambda b, e, now: fed.append(e) or handle(b, e, now))
+    monkeypatch.setattr(Balancer, "handle", lambda b, e, now: events.append(e) or handle(b, e, now))
     gateway.on_client_closed(request)
     gateway.on_attempt_ended(handler.attempts[0], Outcome.CANCELLED)
-    assert [type(event) for event in fed] == [Abandoned, Ended]
-    assert isinstance(fed[1], Ended)
-    assert fed[1].final
+    assert [type(event) for event in events] == [Abandoned, Ended]
+    assert isinstance(events[1], Ended)
+    assert events[1].final
 
 
-class Meter:
-    """A meter on the tests' clock, with its reports."""
+class RecordingMeter:
+    """A delay meter on a fake clock that records its reports."""
 
     def __init__(self, timers: FakeTimers) -> None:
         self.reports: list[tuple[str, float]] = []
-        self.silent: list[str] = []
+        self.unresponsive: list[str] = []
         self.meter = DelayMeter(
             timers,
             0.05,
             lambda id_, delay: self.reports.append((id_, round(delay, 3))),
-            self.silent.append,
+            self.unresponsive.append,
             clock=lambda: timers.now,
         )
 
 
 def test_quick_answers_are_not_reported(timers: FakeTimers) -> None:
-    it = Meter(timers)
-    it.meter.add_connection("a")
+    recording = RecordingMeter(timers)
+    recording.meter.add_connection("a")
     for _ in range(20):
-        it.meter.lines_sent("a", 1)
+        recording.meter.lines_sent("a", 1)
         timers.run(0.04)
-        it.meter.lines_answered("a", 1)
+        recording.meter.lines_answered("a", 1)
         timers.run(2.0)
-    assert (it.reports, it.silent) == ([], [])
+    assert (recording.reports, recording.unresponsive) == ([], [])
 
 
 def test_slow_answers_are_reported_every_second_and_once_at_recovery(timers: FakeTimers) -> None:
-    it = Meter(timers)
+    recording = RecordingMeter(timers)
     for id_ in "ab":
-        it.meter.add_connection(id_)
+        recording.meter.add_connection(id_)
     for _ in range(3):
-        it.meter.lines_sent("a", 1)
+        recording.meter.lines_sent("a", 1)
         timers.run(0.2)
-        it.meter.lines_answered("a", 1)
+        recording.meter.lines_answered("a", 1)
         timers.run(0.6)
-    assert it.reports == [("a", 0.05), ("a", 0.2), ("a", 0.2)]
+    assert recording.reports == [("a", 0.05), ("a", 0.2), ("a", 0.2)]
     timers.run(5.0)
-    assert it.reports[-1][1] <= 0.05
-    count = len(it.reports)
+    assert recording.reports[-1][1] <= 0.05
+    count = len(recording.reports)
     timers.run(5.0)
-    assert len(it.reports) == count
+    assert len(recording.reports) == count
 
 
 def test_unanswered_line_counts_as_delay_and_unresponsive_connection_is_given_up(timers: FakeTimers) -> None:
-    """The connections of a lost machine stay open without data."""
-    it = Meter(timers)
-    it.meter.add_connection("a")
-    it.meter.lines_sent("a", 1)
+    """If a server's machine is lost, its connections stay open without any data."""
+    recording = RecordingMeter(timers)
+    recording.meter.add_connection("a")
+    recording.meter.lines_sent("a", 1)
     timers.run(UNRESPONSIVE_TIMEOUT_S - 0.1)
-    assert [delay for _, delay in it.reports] == [0.05, 1.05, 2.05]
-    assert UNRESPONSIVE_TIMEOUT_S + 2.0 < 6.0  # a line every 2 s, and 7 s from the silence on
-    assert it.silent == []
+    assert [delay for _, delay in recording.reports] == [0.05, 1.05, 2.05]
+    assert UNRESPONSIVE_TIMEOUT_S + 2.0 < 6.0  # a line is sent every 2 s; 7 s are allowed
+    assert recording.unresponsive == []
     timers.run(0.2)
-    assert it.silent == ["a"]
-    it.meter.remove_connection("a")
-    count = len(it.reports)
+    assert recording.unresponsive == ["a"]
+    recording.meter.remove_connection("a")
+    count = len(recording.reports)
     timers.run(9.0)
-    assert len(it.reports) == count
+    assert len(recording.reports) == count
 
 
 def test_server_numbers_are_stable_and_a_full_list_drops_absent_servers() -> None:
     table = RoutingTable()
-    first = table.apply(EndpointUpdate(4, True, (listed("s-1"), listed("s-2", boot=7.5))), 1.0)
+    first = table.apply(EndpointUpdate(4, True, (listed("s-1"), listed("s-2", started_at=7.5))), 1.0)
     assert first.kind is WatchEventKind.FULL
     numbers = [entry.server_id for entry in first.entries]
-    assert [entry.started_at for entry in first.entries] == [0.0, 1.0]  # 7.5 is yet to come
-    # Another proxy, with the list in another order, has the same numbers.
+    assert [entry.started_at for entry in first.entries] == [0.0, 1.0]  # 7.5 is in the future
+    # Another proxy that gets the list in another order assigns the same numbers.
     other = RoutingTable().apply(EndpointUpdate(9, True, (listed("s-2"), listed("s-1"))), 1.0)
     assert [entry.server_id for entry in other.entries] == numbers[::-1]
     delta = table.apply(EndpointUpdate(5, False, (listed("s-1", Stage.DRAINING),)), 2.0)
     (entry,) = delta.entries
     assert (delta.kind, entry.server_id, entry.stage) == (WatchEventKind.DELTA, numbers[0], Stage.DRAINING)
     table.apply(EndpointUpdate(6, True, (listed("s-1", Stage.DRAINING), listed("s-3"))), 3.0)
-    hosts = [table.by_uid(uid) for uid in ("s-1", "s-2", "s-3")]
-    assert [host.leaving_since for host in hosts if host] == [2.0, 3.0, None]
+    servers = [table.by_uid(uid) for uid in ("s-1", "s-2", "s-3")]
+    assert [server.leaving_since for server in servers if server] == [2.0, 3.0, None]
     assert table.revision == 6
 
 
 def test_unknown_server_state_is_skipped_and_malformed_entry_raises() -> None:
     target = {"uid": "s-1", "endpoint": "127.0.0.1:5", "state": "resting"}
     tree = {"rev": 3, "all": True, "targets": [target, target | {"state": "up", "boot_ms": 1500}]}
-    (one,) = parse_endpoint_update(JsonObject(tree)).servers
-    assert (one.started_at, one.port) == (1.5, 5)
-    for bad in ({"endpoint": "nowhere"}, {"state": 5}, {"uid": None}):
+    (server,) = parse_endpoint_update(JsonObject(tree)).servers
+    assert (server.started_at, server.port) == (1.5, 5)
+    for invalid_field in ({"endpoint": "nowhere"}, {"state": 5}, {"uid": None}):
         with pytest.raises(MalformedError):
-            parse_endpoint_update(JsonObject({"rev": 3, "targets": [target | {"state": "up"} | bad]}))
+            parse_endpoint_update(
+                JsonObject({"rev": 3, "targets": [target | {"state": "up"} | invalid_field]})
+            )
 
 
 def test_attempts_are_limited_by_the_settings(timers: FakeTimers) -> None:
--- a/tests/unit/requests/test_longest_turn.py
+++ b/tests/unit/requests/test_longest_turn.py
@@ -1,4 +1,7 @@
-"""What one turn of the scheduler does with most servers, in calls, as time depends on the machine."""
+"""The work of a single scheduler turn with the maximum number of servers.
+
+Work is counted in function calls, because its duration depends on the machine.
+"""
 
 from __future__ import annotations
 
@@ -12,31 +15,31 @@
 from ironmill.requests.gateway import Gateway
 from tests.support.requests import FakeTimers, RecordingHandler, config, listed
 
-SERVERS = 3200
-CALLS_PER_S = 100_000  # of a core that is ten times slower than usual
-MAX_CALLS_PER_TURN = 20 * CALLS_PER_S  # STANDING: a thread that neither waits nor ends for 20 s is a crash
+SERVER_COUNT = 3200
+CALLS_PER_S = 100_000  # on a core that is ten times slower than usual
+MAX_CALLS_PER_TURN = 20 * CALLS_PER_S  # a thread that neither waits nor ends for 20 s counts as crashed
 
 
-def calls_of(turn: Callable[[], object]) -> int:
-    """Returns how many functions a turn calls, of Python and of C."""
-    calls = 0
+def count_calls(turn: Callable[[], object]) -> int:
+    """Returns how many Python and C functions a turn calls."""
+    call_count = 0
 
     def count(_frame: object, event: str, _argument: object) -> None:
-        nonlocal calls
-        calls += event in ("call", "c_call")
+        nonlocal call_count
+        call_count += event in ("call", "c_call")
 
     sys.setprofile(count)
     try:
         turn()
     finally:
         sys.setprofile(None)
-    return calls
+    return call_count
 
 
 def test_no_turn_of_the_largest_fleet_is_taken_for_a_crash(timers: FakeTimers) -> None:
-    """Lists that name all servers, a change of all of them, and the placement of a group."""
-    ready = tuple(listed(f"s-{at}") for at in range(SERVERS))
-    draining = tuple(listed(f"s-{at}", Stage.DRAINING) for at in range(SERVERS // 2))
+    """Covers full endpoint lists, a change of half of the servers, and the placement of a group."""
+    ready = tuple(listed(f"s-{index}") for index in range(SERVER_COUNT))
+    draining = tuple(listed(f"s-{index}", Stage.DRAINING) for index in range(SERVER_COUNT // 2))
     gateway = Gateway(config(EndpointUpdate(1, True, ())), timers)
     incoming = IncomingRequest("read", gateway.now(), 5.0, RequestAttributes(key=1, group=1))
     turns = {
@@ -47,6 +50,6 @@
         "same list again": lambda: gateway.on_endpoints(EndpointUpdate(4, True, ready)),
         "another placement": lambda: gateway.open_request(RecordingHandler(), incoming),
     }
-    calls = {name: calls_of(turn) for name, turn in turns.items()}
-    assert max(calls.values()) <= MAX_CALLS_PER_TURN, calls
-    assert calls["first list"] > SERVERS, calls  # they are counted
+    call_counts = {name: count_calls(turn) for name, turn in turns.items()}
+    assert max(call_counts.values()) <= MAX_CALLS_PER_TURN, call_counts
+    assert call_counts["first list"] > SERVER_COUNT, call_counts  # checks that calls are counted at all
--- a/tests/unit/requests/test_metrics.py
+++ b/tests/unit/requests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of requests: each is counted once."""
+"""Tests that request metrics count each request once."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 @given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(STEPS))))
 def test_each_request_is_counted_once_at_any_time(steps: list[tuple[int, str]]) -> None:
     metrics = RequestMetrics(["read", "write"])
-    counts = [metrics.start("read" if at % 2 else "write") for at in range(10)]
+    counters = [metrics.start("read" if index % 2 else "write") for index in range(10)]
     outcomes: dict[int, str] = {}
-    over: set[int] = set()
-    for which, step in steps:
-        getattr(counts[which], step)()
+    closed: set[int] = set()
+    for index, step in steps:
+        getattr(counters[index], step)()
         if step in STEPS[:4]:
-            outcomes.setdefault(which, step)
+            outcomes.setdefault(index, step)
         if step == "closed":
-            outcomes.setdefault(which, "abandoned")
-            over.add(which)
-        over |= {at for at, outcome in outcomes.items() if outcome != "established"}
-        for one in metrics.classes.values():
-            assert one.received == 5
-            assert one.pending >= 0
-        outcome_sums = [sum(by.values()) for by in metrics.by_outcome().values()][1:]
+            outcomes.setdefault(index, "abandoned")
+            closed.add(index)
+        closed |= {index for index, outcome in outcomes.items() if outcome != "established"}
+        for class_metrics in metrics.classes.values():
+            assert class_metrics.received == 5
+            assert class_metrics.pending >= 0
+        outcome_sums = [sum(by_class.values()) for by_class in metrics.by_outcome().values()][1:]
         assert outcome_sums == [list(outcomes.values()).count(name) for name in STEPS[:4]]
-        assert metrics.in_progress == 10 - len(over)
+        assert metrics.in_progress == 10 - len(closed)
--- a/tests/unit/requests/test_response_delay.py
+++ b/tests/unit/requests/test_response_delay.py
@@ -1,4 +1,4 @@
-"""The delay meter against a model that searches all connections, and its bounds for one client."""
+"""Compares the delay meter with a simple model, and checks its memory bound for one client."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ironmill.runtime.timers import TimerQueue
 
 
-class MeterModel(RuleBasedStateMachine):
-    """Lines sent and answered on some connections; the delay is the same as by a search of everything."""
+class DelayMeterMachine(RuleBasedStateMachine):
+    """Sends and answers lines; the delay equals that of a model that searches all connections."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,13 +24,13 @@
         self.samples: list[tuple[float, float]] = []
 
     @rule(name=st.sampled_from("abc"))
-    def add(self, name: str) -> None:
+    def add_connection(self, name: str) -> None:
         if name not in self.sent:
             self.sent[name] = deque()
             self.meter.add_connection(name)
 
     @rule(name=st.sampled_from("abc"))
-    def drop(self, name: str) -> None:
+    def remove_connection(self, name: str) -> None:
         self.sent.pop(name, None)
         self.meter.remove_connection(name)
         if not self.sent:
@@ -48,16 +48,18 @@
             self.samples.append((self.now, self.now - self.sent[name].popleft()))
         self.meter.lines_answered(name, count)
 
-    @rule(span=st.sampled_from([0.01, 0.3, 1.0]))
-    def step(self, span: float) -> None:
-        self.now += span
-        recent = [delay for at, delay in self.samples if at >= self.now - REPORT_INTERVAL_S]
-        mean = sum(recent) / max(1, len(recent))
-        waiting = max((self.now - lines[0] for lines in self.sent.values() if lines), default=0.0)
-        assert self.meter.delay_s() == pytest.approx(max(mean, waiting))
+    @rule(duration_s=st.sampled_from([0.01, 0.3, 1.0]))
+    def advance_clock(self, duration_s: float) -> None:
+        self.now += duration_s
+        recent_delays = [
+            delay for answered_at, delay in self.samples if answered_at >= self.now - REPORT_INTERVAL_S
+        ]
+        mean = sum(recent_delays) / max(1, len(recent_delays))
+        longest_wait = max((self.now - lines[0] for lines in self.sent.values() if lines), default=0.0)
+        assert self.meter.delay_s() == pytest.approx(max(mean, longest_wait))
 
 
-TestMeterModel = MeterModel.TestCase
+TestDelayMeter = DelayMeterMachine.TestCase
 
 
 def test_timed_unanswered_lines_are_bounded() -> None:
@@ -72,7 +74,7 @@
     assert len(meter._sent) == MAX_TIMED_LINES
     now = 1.0
     meter.lines_answered("a", MAX_TIMED_LINES + 10)
-    # What was counted alone is still owed: one of it is watched for silence.
+    # Untimed lines are still unanswered, and one of them is timed to detect an unresponsive server.
     assert (len(lines.sent_at), lines.untimed) == (1, 100_000 - MAX_TIMED_LINES - 11)
     meter.lines_answered("a", 100_000)
     assert (len(lines.sent_at), lines.untimed) == (0, 0)
