--- a/ironmill/simulator/__init__.py
+++ b/ironmill/simulator/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter between the simulator's text wire and the decisions.
+"""The adapter between the simulator's text protocol and the balancers of simulated proxies.
 
-Owns the names of that wire and one ``Balancer`` for each simulated proxy; it decides nothing. May import
-``balancing``, ``configuration`` and ``protocol``.
+This package owns the names used in that protocol and one ``Balancer`` for each simulated proxy. It makes no
+decisions of its own. It may import ``balancing``, ``configuration`` and ``protocol``.
 """
--- a/ironmill/simulator/__main__.py
+++ b/ironmill/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m ironmill.simulator``: answers the simulator on standard input and output."""
+"""Entry point of ``python -m ironmill.simulator``, which serves the simulator on stdin and stdout."""
 
 import sys
 
--- a/ironmill/simulator/formatting.py
+++ b/ironmill/simulator/formatting.py
@@ -1,4 +1,4 @@
-"""Formats actions of the decisions as lines of the simulator's wire."""
+"""Formats the balancer's actions as lines of the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
 
 def format_action(proxy: str, action: Action) -> str:
-    """Returns the line for an action of the given proxy."""
+    """Returns the line for an action of a proxy."""
     match action:
         case Send():
-            name = "FORWARD"
+            action_name = "FORWARD"
             fields = f"msgId={action.request_id}\tbackend={action.server_id}\ttimeoutS={action.timeout:.6f}"
         case SetTimer():
-            name = "AFTER"
+            action_name = "AFTER"
             fields = f"offsetS={action.delay:.6f}\tname={action.name}"
         case Reject():
-            name = "OVERLOAD_REPLY"
+            action_name = "OVERLOAD_REPLY"
             fields = f"msgId={action.request_id}\tcomeBackS={action.retry_after:.6f}"
         case Fail():
-            name = "REPORT_FAILURE"
+            action_name = "REPORT_FAILURE"
             fields = f"msgId={action.request_id}"
         case Migrate():
-            name = "REDIRECT"
+            action_name = "REDIRECT"
             fields = f"msgId={action.request_id}"
         case CheckHealth():
-            name = "PROBE"
+            action_name = "PROBE"
             fields = f"backend={action.server_id}"
         case Subscribe():
-            name = "STREAM_CHANGES"
+            action_name = "STREAM_CHANGES"
             fields = "on=1"
-    return f"{name}\trelay={proxy}\t{fields}"
+    return f"{action_name}\trelay={proxy}\t{fields}"
 
 
 def format_exception(proxy: str, error: Exception) -> str:
-    """Returns the line for an exception that the decisions of a proxy raised."""
+    """Returns the line that reports an exception raised by a proxy's balancer."""
     text = f"{type(error).__name__}: {error}".replace("\n", " ")
     return f"EXCEPTION\trelay={proxy}\tline={text}"
 
--- a/ironmill/simulator/loop.py
+++ b/ironmill/simulator/loop.py
@@ -1,6 +1,6 @@
 """The loop that answers the simulator's batches of events with the actions of its proxies.
 
-Every proxy has a ``Balancer`` of its own. They share only the parsed endpoint lists, which are immutable.
+Each proxy has its own ``Balancer``. The balancers share only the parsed endpoint lists, which are immutable.
 """
 
 from __future__ import annotations
@@ -25,27 +25,28 @@
     required,
 )
 
-MAX_QUOTED_LENGTH = 60  # of a malformed line in an error
+MAX_QUOTED_LENGTH = 60  # characters of a malformed line that are quoted in an error message
 
 
 class BatchHandler:
-    """Runs the balancers of all proxies of the simulator."""
+    """Runs the balancers of all simulated proxies."""
 
     def __init__(self) -> None:
         """Creates a handler without proxies."""
         self._balancers: dict[str, Balancer] = {}
-        self._lists: dict[str, tuple[EndpointEntry, ...]] = {}
-        self._now = 0.0  # of the current batch
+        self._endpoint_lists: dict[str, tuple[EndpointEntry, ...]] = {}
+        self._now = 0.0  # simulated time of the current batch, in seconds
 
     def handle(self, lines: Sequence[str]) -> list[str]:
-        """Returns the reply to one batch, given from BEGIN_BATCH to before EOF_BATCH.
+        """Returns the lines of the reply to one batch.
 
-        Raises MalformedError that names the line's kind.
+        ``lines`` starts with BEGIN_BATCH and ends before EOF_BATCH. Raises ``MalformedError``, which names
+        the type of the malformed line.
         """
         batch = ""
         reply: list[str] = []
-        rest = iter(lines)
-        for line in rest:
+        remaining_lines = iter(lines)
+        for line in remaining_lines:
             name = line.partition("\t")[0]
             try:
                 if name == "BEGIN_BATCH":
@@ -53,7 +54,7 @@
                     self._now = number(fields, "simTimeS")
                     batch = required(fields, "batch")
                 elif name == "REGISTER":
-                    self._register(parse_line(line)[1], rest)
+                    self._register(parse_line(line)[1], remaining_lines)
                 else:
                     self._handle_line(line, reply)
             except MalformedError as error:
@@ -61,10 +62,10 @@
         reply.append(format_batch_end(batch))
         return reply
 
-    def _register(self, fields: Fields, rest: Iterator[str]) -> None:
-        """Reads an endpoint list, whose entries are the lines that follow."""
-        entries = [parse_endpoint(next(rest, "")) for _ in range(integer(fields, "membersList"))]
-        self._lists[required(fields, "list")] = tuple(entry for entry in entries if entry)
+    def _register(self, fields: Fields, remaining_lines: Iterator[str]) -> None:
+        """Reads an endpoint list, whose entries are the next lines."""
+        entries = [parse_endpoint(next(remaining_lines, "")) for _ in range(integer(fields, "membersList"))]
+        self._endpoint_lists[required(fields, "list")] = tuple(entry for entry in entries if entry)
 
     def _handle_line(self, line: str, reply: list[str]) -> None:
         name, fields = parse_line(line)
@@ -104,18 +105,18 @@
             return None
         if kind is WatchEventKind.FAILED:
             return WatchEvent(kind)
-        entries = self._lists.get(required(fields, "list"))
+        entries = self._endpoint_lists.get(required(fields, "list"))
         if entries is None:
-            raise MalformedError(f"list {fields['list']} was never registered")
+            raise MalformedError(f"endpoint list {fields['list']} is not registered")
         return WatchEvent(kind, entries)
 
 
 def serve(source: IO[str], sink: IO[str]) -> None:
-    """Answers every batch until the input ends. Raises MalformedError if the input breaks the format."""
+    """Answers batches until the input ends. Raises ``MalformedError`` if the input is malformed."""
     handler = BatchHandler()
     lines: list[str] = []
-    for raw in source:
-        line = raw.rstrip("\r\n")
+    for raw_line in source:
+        line = raw_line.rstrip("\r\n")
         if not line:
             continue
         if not lines and not line.startswith("BEGIN_BATCH"):
@@ -127,7 +128,7 @@
         else:
             lines.append(line)
     if lines:
-        raise MalformedError("the input ended inside a batch")
+        raise MalformedError("unexpected end of input inside a batch: EOF_BATCH is missing")
 
 
 class StandardStreams(Protocol):
@@ -147,13 +148,13 @@
 
 
 def main(streams: StandardStreams = sys) -> int:
-    """Serves standard input and returns the exit status: 1 if the input is malformed."""
+    """Serves standard input until it ends. Returns the exit status, which is 1 if the input is malformed."""
     try:
         serve(streams.stdin, streams.stdout)
     except MalformedError as error:
         print(f"ironmill.simulator: {error}", file=streams.stderr)
         return 1
     except UnicodeDecodeError as error:
-        print(f"ironmill.simulator: the input is not UTF-8 ({error.reason})", file=streams.stderr)
+        print(f"ironmill.simulator: the input is not valid UTF-8 ({error.reason})", file=streams.stderr)
         return 1
     return 0
--- a/ironmill/simulator/parsing.py
+++ b/ironmill/simulator/parsing.py
@@ -1,7 +1,7 @@
-"""Parses lines of the simulator's wire into events of the decisions.
+"""Parses lines of the simulator's protocol into events for the balancer.
 
-A line is a name and fields, separated by tabs; a field is ``name=value``. Names and values of the wire that
-this version does not know are skipped, as the wire may grow.
+A line consists of a name and fields, separated by tabs; a field is ``name=value``. Unknown names and values
+are skipped, because later versions of the protocol may add some.
 """
 
 from __future__ import annotations
@@ -55,47 +55,50 @@
 
 
 def parse_line(line: str) -> tuple[str, Fields]:
-    """Returns a line's name and fields. The profile is the last field, and may contain tabs.
+    """Returns a line's name and fields. The field ``profileData`` is the last one and may contain tabs.
 
-    Raises MalformedError for a field without ``=``.
+    Raises ``MalformedError`` for a field without ``=``.
     """
-    head, found, profile = line.partition("\tprofileData=")
+    head, profile_found, profile = line.partition("\tprofileData=")
     name, *parts = head.split("\t")
     fields: Fields = {}
     for part in parts:
         key, equals, value = part.partition("=")
         if not equals:
-            raise MalformedError(f"{name}: {part!r} is not name=value")
+            raise MalformedError(f"{name}: field {part!r} is not of the form name=value")
         fields[key] = value
-    if found:
+    if profile_found:
         fields["profileData"] = profile
     return name, fields
 
 
 def required(fields: Fields, key: str) -> str:
-    """Returns a field. Raises MalformedError if it is missing."""
+    """Returns the value of a field. Raises ``MalformedError`` if the field is missing."""
     value = fields.get(key)
     if value is None:
-        raise MalformedError(f"field {key} is missing")
+        raise MalformedError(f"required field {key} is missing")
     return value
 
 
 def integer(fields: Fields, key: str) -> int:
-    """Returns a required integer field. Raises MalformedError for any other value."""
+    """Returns the value of a required integer field. Raises ``MalformedError`` for any other value."""
     value = required(fields, key)
     try:
         return int(value)
     except ValueError:
-        raise MalformedError(f"field {key} is not a whole number: {value!r}") from None
+        raise MalformedError(f"field {key} is not an integer: {value!r}") from None
 
 
 def optional_integer(fields: Fields, key: str) -> int | None:
-    """Returns an integer field, None if it is missing."""
+    """Returns the value of an integer field, or None if the field is missing."""
     return integer(fields, key) if key in fields else None
 
 
 def number(fields: Fields, key: str, default: float | None = None) -> float:
-    """Returns a finite number. Raises MalformedError for any other value, and if there is no default."""
+    """Returns the value of a field that holds a finite number, or ``default`` if the field is missing.
+
+    Raises ``MalformedError`` for any other value, and if the field is missing and there is no default.
+    """
     value = fields.get(key)
     if value is None and default is not None:
         return default
@@ -109,19 +112,19 @@
 
 
 def parse_report(fields: Fields) -> Report:
-    """Returns the load report of a line, empty if there is none."""
+    """Returns the load report of a line, which is empty if the line has none."""
     report = []
     for part in fields.get("telemetry", "").split(","):
         name, colon, value = part.partition(":")
         if colon:
             report.append((name, number({name: value}, name)))
         elif part:
-            raise MalformedError(f"field telemetry holds {part!r}")
+            raise MalformedError(f"field telemetry: expected an item of the form name:value, got {part!r}")
     return tuple(report)
 
 
 def parse_outcome(fields: Fields) -> Outcome:
-    """Returns the outcome of an attempt or a health check."""
+    """Returns the outcome of an attempt or health check. An unknown outcome is ``Outcome.OTHER``."""
     return OUTCOMES.get(required(fields, "outcome"), Outcome.OTHER)
 
 
@@ -129,7 +132,7 @@
 
 
 def parse_request(fields: Fields) -> Request:
-    """Parses the request of REQ or CARRIED. The latter has no deadline, for no answer is owed."""
+    """Parses the request of REQ or CARRIED. The latter has no deadline, as it needs no answer."""
     tenant = fields.get("customer", "")
     return Request(
         id=required(fields, "msgId"),
@@ -145,12 +148,12 @@
 
 
 def parse_resumed(fields: Fields) -> Resumed:
-    """Parses CARRIED."""
+    """Parses CARRIED, which reports a connection from before the proxy started."""
     return Resumed(parse_request(fields), integer(fields, "backend"))
 
 
 def parse_established(fields: Fields) -> Established:
-    """Parses HEADERS."""
+    """Parses HEADERS, which reports an established connection."""
     return Established(
         request_id=required(fields, "msgId"),
         attempt=integer(fields, "leg"),
@@ -160,7 +163,7 @@
 
 
 def parse_ended(fields: Fields) -> Ended:
-    """Parses DONE."""
+    """Parses DONE, which reports the end of an attempt."""
     return Ended(
         request_id=required(fields, "msgId"),
         attempt=integer(fields, "leg"),
@@ -173,7 +176,7 @@
 
 
 def parse_sample(fields: Fields) -> ConnectionSample | None:
-    """Parses HINT_UPDATE. Returns None for an unknown kind of sample."""
+    """Parses HINT_UPDATE, a sample of load or delay. Returns None for an unknown kind of sample."""
     kind = SAMPLE_KINDS.get(required(fields, "sort"))
     if kind is None:
         return None
@@ -187,17 +190,17 @@
 
 
 def parse_health_checked(fields: Fields) -> HealthChecked:
-    """Parses STATUS_BACK."""
+    """Parses STATUS_BACK, which reports the outcome of a health check."""
     return HealthChecked(integer(fields, "backend"), parse_outcome(fields), parse_report(fields))
 
 
 def parse_abandoned(fields: Fields) -> Abandoned:
-    """Parses LAPSED."""
+    """Parses LAPSED, which reports a request that its client abandoned."""
     return Abandoned(required(fields, "msgId"))
 
 
 def parse_timer_fired(fields: Fields) -> TimerFired:
-    """Parses TIMEOUT_FIRED."""
+    """Parses TIMEOUT_FIRED, which reports that a timer expired."""
     return TimerFired(required(fields, "name"))
 
 
@@ -214,10 +217,10 @@
 
 
 def parse_endpoint(line: str) -> EndpointEntry | None:
-    """Parses one entry of a registered list. Returns None for an unknown stage."""
+    """Parses one entry of a registered endpoint list. Returns None for an unknown stage."""
     name, fields = parse_line(line)
     if name != "M":
-        raise MalformedError(f"expected an entry of the list, got {name!r}")
+        raise MalformedError(f"expected an entry of the endpoint list, got {name!r}")
     stage = STAGES.get(required(fields, "stageState"))
     if stage is None:
         return None
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -59,11 +59,11 @@
         last_attempts = [handler.attempts[-1] for handler, _ in self.handlers if handler.attempts]
         return [attempt for attempt in last_attempts if not attempt.ended]
 
-    @rule(deadline_s=st.sampled_from([0.0, 0.05, 1.0, None]), rerouted=st.booleans())
-    def open_request(self, deadline_s: float | None, rerouted: bool) -> None:
+    @rule(deadline_s=st.sampled_from([0.0, 0.05, 1.0, None]), is_rerouted=st.booleans())
+    def open_request(self, deadline_s: float | None, is_rerouted: bool) -> None:
         handler = RecordingHandler()
         incoming = IncomingRequest(
-            "read", self.gateway.now(), deadline_s, RequestAttributes(rerouted=rerouted)
+            "read", self.gateway.now(), deadline_s, RequestAttributes(rerouted=is_rerouted)
         )
         request = self.gateway.open_request(handler, incoming)
         self.handlers.append((handler, request))
--- a/tests/unit/requests/test_metrics.py
+++ b/tests/unit/requests/test_metrics.py
@@ -16,13 +16,13 @@
     counters = [metrics.start("read" if index % 2 else "write") for index in range(10)]
     outcomes: dict[int, str] = {}
     closed: set[int] = set()
-    for index, step in steps:
-        getattr(counters[index], step)()
+    for request_index, step in steps:
+        getattr(counters[request_index], step)()
         if step in STEPS[:4]:
-            outcomes.setdefault(index, step)
+            outcomes.setdefault(request_index, step)
         if step == "closed":
-            outcomes.setdefault(index, "abandoned")
-            closed.add(index)
+            outcomes.setdefault(request_index, "abandoned")
+            closed.add(request_index)
         closed |= {index for index, outcome in outcomes.items() if outcome != "established"}
         for class_metrics in metrics.classes.values():
             assert class_metrics.received == 5
