--- a/tests/unit/balancing/test_fleet_of_2800.py
+++ b/tests/unit/balancing/test_fleet_of_2800.py
@@ -12,7 +12,7 @@
     NOTIFICATION_TIMEOUT_S,
 )
 from tests.unit.balancing.test_slow_start_of_fleet import excess_over_budget
-from tests.unit.requests.test_discovery_backoff import calls
+from tests.unit.requests.test_discovery_backoff import simulate_calls
 
 PROXIES = 2800
 
@@ -28,7 +28,7 @@
     each proxy needs a response within 6 s: it may call no less often than once in 6 s, and at most 4.75 s may
     pass between two starts, as a call may take 1 s and a busy process 0.25 s.
     """
-    at, _ = calls(PROXIES, 40.0, duration=0.0)
+    at, _ = simulate_calls(PROXIES, 40.0, call_duration_s=0.0)
     late = [time for time in at if time >= 20.0]
     a_second = len(late) / 20.0
     assert a_second >= PROXIES / NOTIFICATION_TIMEOUT_S  # fewer would be too late
@@ -36,6 +36,6 @@
 
 
 def test_2800_proxies_call_silent_discovery_as_rarely_as_allowed() -> None:
-    at, _ = calls(PROXIES, 40.0)  # pauses after calls that time out, whose time is added
+    at, _ = simulate_calls(PROXIES, 40.0)  # pauses after calls that time out, whose time is added
     late = [time for time in at if time >= 20.0]
     assert len(late) / 20.0 <= PROXIES / (MAX_PAUSE_S * (1.0 + MIN_PAUSE_FRACTION) / 2.0) * 1.02
