--- a/ironmill/requests/discovery_backoff.py
+++ b/ironmill/requests/discovery_backoff.py
@@ -51,7 +51,7 @@
 
     @property
     def answers_immediately(self) -> bool:
-        """Whether calls are answered at once by the local agent, without a request to discovery."""
+        """True if the local agent answers calls at once, without a request to discovery."""
         return not self._polls_discovery
 
     def first_delay(self) -> float:
@@ -73,7 +73,7 @@
 
         The first pause is short enough for discovery to resume the watch. Each further pause is twice as long
         as the previous one, with jitter, up to this proxy's share of the mean interval. The pause may be
-        longer after a call that fails early, because the limit applies from the start of the failed call.
+        longer after a call that fails early, because ``MAX_CALL_GAP_S`` runs from the start of that call.
         """
         self._failures += 1
         if self._failures == 1:
@@ -83,5 +83,5 @@
         gap_limit = MAX_CALL_GAP_S - min(duration_s, MAX_CALL_S)
         doubling_limit = RECONNECT_DELAY_S * 2.0 ** min(self._failures, MAX_DOUBLINGS)
         max_pause = min(interval_limit, gap_limit, doubling_limit)
-        jittered = max_pause * (MIN_PAUSE_FRACTION + (1.0 - MIN_PAUSE_FRACTION) * self._rng.random())
-        return max(RECONNECT_DELAY_S, jittered)
+        pause = max_pause * (MIN_PAUSE_FRACTION + (1.0 - MIN_PAUSE_FRACTION) * self._rng.random())
+        return max(RECONNECT_DELAY_S, pause)
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -60,7 +60,7 @@
         self.metrics = RequestMetrics(config.default_deadlines_s)
         self.counts = EventCounts()
         self.resuming: set[RequestHandler] = set()  # handlers of connections that are being re-established
-        # Added to the monotonic clock, this gives the Unix time at start, which then advances steadily.
+        # The offset makes ``now`` start at the Unix time and then advance with the monotonic clock.
         self._clock_offset_s = time.time() - time.monotonic()
         self._balancer = Balancer(config.settings, config.seed, self.now())
         self._servers = RoutingTable()
--- a/ironmill/requests/start_times.py
+++ b/ironmill/requests/start_times.py
@@ -18,8 +18,8 @@
 
     def __init__(self) -> None:
         """Creates an estimator without any observations."""
-        self._starts: dict[str, tuple[float, float]] = {}  # by uid: the listed time and its local estimate
-        self._min_offset = -math.inf  # lower bound of (server clock - local clock)
+        self._estimates: dict[str, tuple[float, float]] = {}  # by uid: the listed time and its local estimate
+        self._min_clock_offset_s = -math.inf  # lower bound of (server clock - local clock)
         self._last_response_at = -math.inf
 
     def on_response(self, now: float) -> None:
@@ -33,7 +33,7 @@
         ahead does not make all others appear old.
         """
         if listed_start != LONG_AGO:
-            self._min_offset = max(self._min_offset, min(0.0, listed_start - now))
+            self._min_clock_offset_s = max(self._min_clock_offset_s, min(0.0, listed_start - now))
 
     def estimate(self, uid: str, listed_start: float, now: float) -> float:
         """Returns when the server started, on the local clock.
@@ -42,12 +42,12 @@
         and at most the time since the last response that did not list it. ``observe`` must be called first
         for all entries of a list.
         """
-        known = self._starts.get(uid)
-        if known is not None and known[0] == listed_start:
-            return known[1]
+        cached = self._estimates.get(uid)
+        if cached is not None and cached[0] == listed_start:
+            return cached[1]
         start = LONG_AGO
         if listed_start != LONG_AGO:
-            age = min(now + self._min_offset - listed_start, now - self._last_response_at)
+            age = min(now + self._min_clock_offset_s - listed_start, now - self._last_response_at)
             start = now - max(0.0, age)
-        self._starts[uid] = (listed_start, start)
+        self._estimates[uid] = (listed_start, start)
         return start
