--- a/tests/unit/distribution/test_random_schedules.py
+++ b/tests/unit/distribution/test_random_schedules.py
@@ -206,12 +206,12 @@
             one_way = [Fault("cut", start, end, sources, targets)]
             faults += both_ways(start, end, sources, targets) if is_two_way else one_way
         elif kind == "lossy":
-            duration_s, fraction, has_duplicates = details
+            duration_s, lost_fraction, has_duplicates = details
             end = min(END_S, start + duration_s)
-            faults.append(Fault("loss", start, end, fraction=fraction))
+            faults.append(Fault("loss", start, end, fraction=lost_fraction))
             if has_duplicates:
-                faults.append(Fault("duplicate", start, end, fraction=fraction, max_delay_s=0.5))
-                faults.append(Fault("delay", start, end, fraction=fraction, max_delay_s=0.5))
+                faults.append(Fault("duplicate", start, end, fraction=lost_fraction, max_delay_s=0.5))
+                faults.append(Fault("delay", start, end, fraction=lost_fraction, max_delay_s=0.5))
     return faults
 
 
