--- a/ironmill/distribution/parent_selector.py
+++ b/ironmill/distribution/parent_selector.py
@@ -26,9 +26,8 @@
 )
 
 PREVIOUS_PARENTS_REPORT_S = 5.0  # how long polls report the previous parents after a change of parent
-MIN_FRESHNESS_GAIN_S = (
-    1.0  # how much later than an unusable parent another one must have heard from the origin
-)
+# An unusable parent is replaced if another one has heard from the origin at least this much later.
+MIN_FRESHNESS_GAIN_S = 1.0
 
 SAME_ZONE, SAME_REGION, REMOTE = range(3)
 
--- a/ironmill/distribution/timing.py
+++ b/ironmill/distribution/timing.py
@@ -19,7 +19,7 @@
 # Selection of a parent.
 PROBE_INTERVAL_S = 0.3  # while there is no usable parent
 MAX_PROBES = 3  # candidates probed at once
-ACCEPT_ANY_PARENT_DELAY_S = 2.0  # after so long without a usable candidate, any one that responds is accepted
+ACCEPT_ANY_PARENT_DELAY_S = 2.0  # without a usable candidate for longer, any that responds is accepted
 MAX_PARENT_AGE_S = 2.5  # a parent that has not heard from the origin for longer is unusable
 REORDERING_S = 0.5  # a response may be older than a delta that arrived up to this long before it
 PREFERRED_PARENT_INTERVAL_S = 20.0  # mean time between attempts to return to a preferred parent
@@ -30,7 +30,7 @@
 CHILD_LEASE_S = 1.5  # a child that has not polled for longer is unreachable
 DELTA_RESEND_DELAY_S = 0.15  # minimum age at which a poll causes an unacknowledged delta to be resent
 LAGGING_DELAY_S = 1.0  # a child behind the latest position for longer is reported as lagging
-CONVERGENCE_DELAY_S = 3.0  # after the start; allows the children to find this process
+CONVERGENCE_DELAY_S = 3.0  # time after the start that children need to find this process
 
 # Messages between control machines about children that have changed their parent.
 CHILD_MOVED_RETRY_INTERVAL_S = 0.5
