--- a/tests/unit/membership/test_random_schedules.py
+++ b/tests/unit/membership/test_random_schedules.py
@@ -136,7 +136,7 @@
 
 
 def test_rejoining_member_reaches_observers_that_gossip_has_not_reached() -> None:
-    """Two of its four observers only know that it left, and state sync does not run, as all digests are equal."""
+    """Two of its four observers only know that it left, and no state sync runs, as all digests are equal."""
     play(
         Schedule(
             5,
