--- a/tests/unit/balancing/test_fleet_of_2800.py
+++ b/tests/unit/balancing/test_fleet_of_2800.py
@@ -36,6 +36,8 @@
 
 
 def test_2800_proxies_call_silent_discovery_as_rarely_as_allowed() -> None:
-    call_times, _ = simulate_calls(PROXIES, 40.0)  # each call times out, and its duration is added to the pause
+    call_times, _ = simulate_calls(
+        PROXIES, 40.0
+    )  # each call times out, and its duration is added to the pause
     late_calls = [time for time in call_times if time >= 20.0]
     assert len(late_calls) / 20.0 <= PROXIES / (MAX_PAUSE_S * (1.0 + MIN_PAUSE_FRACTION) / 2.0) * 1.02
