--- a/ironmill/net/__init__.py
+++ b/ironmill/net/__init__.py
@@ -1,5 +1,6 @@
-"""Drivers of the I/O-free packages: sockets, greenlets and signals.
+"""Drivers of the I/O-free packages, with sockets, greenlets and signals.
 
-Owns every socket of a process, the proxy and the control machine as wholes, and their start, reload, drain
-and shutdown. May import every package of ``ironmill`` except ``commands`` and ``simulator``.
+The package owns every socket of a process. It assembles the proxy and the control machine, and implements
+their start, reload, drain and shutdown. It may import every package of ``ironmill`` except ``commands`` and
+``simulator``.
 """
--- a/ironmill/net/attempt.py
+++ b/ironmill/net/attempt.py
@@ -1,4 +1,4 @@
-"""The driver of one attempt: connects, sends the request line, and reads what the server sends."""
+"""Driver of one attempt: connects to the server, sends the request line and reads what the server sends."""
 
 from __future__ import annotations
 
@@ -21,75 +21,75 @@
 from ironmill.runtime.scheduler import Task
 from ironmill.runtime.system_calls import RESOURCE_EXHAUSTED_ERRNOS, UnsentError
 
-# Connects to an address within so many seconds. ``Stream.handshake`` follows before the first byte.
+# Connects to an address within a timeout in seconds. The caller calls ``Stream.handshake`` before any data.
 Dial = Callable[[tuple[str, int], float], Stream]
 
 
 class AttemptPlan(Struct, frozen=True):
-    """Where an attempt goes, what it writes and how long it may take."""
+    """The server's address, the request line and the timeouts of an attempt."""
 
     request_line: bytes
     address: tuple[str, int]
-    connect_timeout_s: float  # for the connection, and again for the handshake
-    timeout_s: float  # until the answer
+    connect_timeout_s: float  # for the TCP connection, and again for the TLS handshake
+    timeout_s: float  # from the start of the attempt to the server's answer
 
 
 class AttemptEnd(Struct, frozen=True):
-    """How an attempt ended."""
+    """The result of an attempt."""
 
     outcome: Outcome
     report: LoadReport
-    line: bytes  # the answer other than UP, if there was one
+    answer_line: bytes  # the server's answer if it is not UP; else empty
     was_established: bool
     was_reset: bool
 
 
 class AttemptOwner(Protocol):
-    """The client's side of an attempt."""
+    """The client's side of an attempt, which the driver calls back."""
 
     def run_guarded(self, function: Callable[..., object], *args: object) -> None:
-        """Runs a task of the connection, whose exception ends that connection only."""
+        """Runs a task of the connection; an exception closes this connection only."""
 
     def may_start(self) -> bool:
-        """Returns False if the attempt must not send its first byte any more."""
+        """Returns False if the attempt must no longer send its first byte."""
 
     def on_request_sent(self) -> None:
-        """Is called once the request line is completely written."""
+        """Handles that the request line has been written completely."""
 
     def on_established(self, driver: AttemptDriver, line: bytes) -> bool:
-        """Takes the server's acceptance; returns False if the owner has closed the attempt."""
+        """Handles the server's ``UP`` line; returns False if the owner has closed the attempt."""
 
     def on_server_data(self, event: ServerDataReceived) -> bool:
-        """Takes bytes for the client. Parks until they are written; returns False if the client is gone."""
+        """Writes bytes to the client, parking as needed; returns False if the attempt has been closed."""
 
     def on_ended(self, driver: AttemptDriver, end: AttemptEnd) -> None:
-        """Takes the end of the attempt by the server, or before it was established."""
+        """Handles the end of an attempt that the server closed or that was never established."""
 
 
 class AttemptDriver:
     """Runs one attempt: in the task that calls ``run`` until it is established, then in one task per read.
 
-    It holds no reference to its owner, who holds one to it: a cycle would be freed late.
+    It keeps no reference to its owner, which refers to it: only the garbage collector would free the cycle.
     """
 
     __slots__ = ("_dial", "_plan", "protocol", "stream", "task")
 
     def __init__(self, dial: Dial, plan: AttemptPlan) -> None:
-        """Does nothing until ``run``."""
+        """Creates a driver whose ``run`` connects with ``dial`` and follows ``plan``."""
         self._dial = dial
         self._plan = plan
         self.protocol = AttemptProtocol(plan.request_line)
         self.stream: Stream | None = None
-        self.task: Task | None = None  # relays, or waits for data to relay
+        self.task: Task | None = None  # relays the server's data, or waits for it
 
     def run(self, owner: AttemptOwner) -> None:
-        """Runs the attempt until it is established or over.
+        """Runs the attempt until it has ended, or until it is established and its first data is relayed.
 
-        The connection of one that was never established is closed before ``on_ended``, because attempts of a
-        request must not overlap.
+        The connection of an attempt that was not established is closed before ``on_ended`` is called, because
+        the attempts of a request must not overlap.
         """
         deadline = time.monotonic() + self._plan.timeout_s
-        line = b""
+        answer_line = b""
         was_reset = False
         try:
             answer = self._open(owner, deadline)
@@ -100,7 +100,7 @@
                 return
             if isinstance(answer, AttemptRejected):
                 outcome = answer.outcome
-                line = answer.line
+                answer_line = answer.line
             else:
                 outcome = self.protocol.end_of_stream()
         except TimedOutError:
@@ -113,10 +113,10 @@
             outcome = self.protocol.end_of_stream()
             was_reset = True
         self.close()
-        owner.on_ended(self, AttemptEnd(outcome, self.protocol.report, line, False, was_reset))
+        owner.on_ended(self, AttemptEnd(outcome, self.protocol.report, answer_line, False, was_reset))
 
     def close(self, *, reset: bool = False) -> None:
-        """Closes the attempt's connection. Its task must be the current one or have ended."""
+        """Closes the attempt's connection. ``task`` must be the current task or have ended."""
         if self.stream is None or self.stream.closed:
             return
         if reset:
@@ -126,18 +126,18 @@
             self.stream.close()
 
     def _open(self, owner: AttemptOwner, deadline: float) -> AttemptEvent | None:
-        """Connects and requests; None if the connection ended, or may not be used, before an answer."""
+        """Connects and sends the request; returns None if there is no answer or the owner cancels it."""
         connect_timeout_s = self._plan.connect_timeout_s
         stream = self.stream = self._connect(owner, deadline)
-        # The grace period of a draining server counts at the first byte sent, not at the order; with TLS the
-        # handshake sends the first byte, and the request line goes later.
+        # The drain grace period of a server applies to the first byte sent, not to the decision to connect.
+        # With TLS the handshake sends the first byte, so that the owner is asked before and after it.
         if not owner.may_start():
             return None
         stream.handshake(min(deadline, time.monotonic() + connect_timeout_s))
         return self._request(owner, stream, deadline) if owner.may_start() else None
 
     def _connect(self, owner: AttemptOwner, deadline: float) -> Stream:
-        """Connects; retries until the deadline while this machine lacks resources."""
+        """Connects; retries until the deadline while this machine lacks descriptors or memory."""
         plan = self._plan
         while True:
             try:
@@ -151,7 +151,7 @@
                     raise
 
     def _request(self, owner: AttemptOwner, stream: Stream, deadline: float) -> AttemptEvent | None:
-        """Writes the request line and waits for the answer; None if the connection ended without one."""
+        """Writes the request line and returns the answer; None if the connection ended without one."""
         unwritten = self.protocol.connected()
         while unwritten:
             unwritten = self.protocol.wrote(stream.send_some(unwritten, deadline - time.monotonic()))
@@ -162,14 +162,14 @@
         return None
 
     def _relay(self, owner: AttemptOwner, stream: Stream, data: bytes = b"") -> None:
-        """Relays what the server has sent, then leaves a task that starts when there is more."""
+        """Relays what the server has sent, then schedules a task that runs once more data arrives."""
         was_reset = False
         try:
             while True:
                 for event in self.protocol.receive(data) if data else ():
                     if isinstance(event, ServerDataReceived) and not owner.on_server_data(event):
                         return  # the owner has closed the attempt
-                if stream.drained:
+                if stream.recv_buffer_empty:
                     self.task = stream.spawn_when_readable(owner.run_guarded, self._relay, owner, stream)
                     return
                 data = stream.receive()
--- a/ironmill/net/clients/__init__.py
+++ b/ironmill/net/clients/__init__.py
@@ -1,6 +1,7 @@
-"""Drives clients' connections: reading, request intake, attempts, relaying, migration and closing.
+"""Drivers of client connections: reading, request intake, attempts, relaying, migration and closing.
 
-``ClientConnection`` owns the state of one connection; the parts that ``ClientService`` shares have none.
-Orders of the gateway run in tasks of their own, because no task may end itself while it reports an event. It
-may import the other drivers of ``net`` for attempts and sockets, and the packages below ``net``.
+``ClientConnection`` owns the state of one connection. The objects that ``ClientService`` shares between
+connections keep no state per connection. Calls from the gateway run in tasks of their own, because a task
+must not kill itself while it reports an event to the gateway. The package may import the drivers of attempts
+and sockets in ``net``, and the packages below ``net``.
 """
--- a/ironmill/net/clients/attempts.py
+++ b/ironmill/net/clients/attempts.py
@@ -1,4 +1,4 @@
-"""Connects a client's request to a server: new requests, and connections that were open before the start."""
+"""Attempts for client requests: new requests, and connections that were open before the proxy started."""
 
 from __future__ import annotations
 
@@ -15,33 +15,34 @@
 if TYPE_CHECKING:
     from ironmill.net.clients.connection import ClientConnection
 
-RESUME_TIMEOUT_S = 38.0  # for a connection that was open before the start to be established again
+RESUME_TIMEOUT_S = 38.0  # to re-establish a connection that was open before the proxy started
 RESUME_RETRY_INTERVAL_S = 0.25
 
 
 class ClientAttempt:
-    """One attempt for a client's request; the ``AttemptOwner`` of its driver."""
+    """One attempt to connect a client's request to a server; implements ``AttemptOwner`` for the driver."""
 
     __slots__ = ("_attempt", "_connection", "_service", "run_guarded")
 
     def __init__(self, connection: ClientConnection, attempt: Attempt | None) -> None:
-        """Does nothing until ``run``. ``attempt`` is None for a connection that is to be resumed."""
+        """Creates an attempt that ``run`` starts; ``attempt`` is None for a connection to be resumed."""
         self._connection = connection
         self._attempt = attempt
         self._service = connection.service
-        self.run_guarded = connection.run_guarded  # without a method between: it runs for each read
+        # Bound directly: a method of this class that forwards the call would run for every read.
+        self.run_guarded = connection.run_guarded
 
     def run(self) -> None:
-        """Runs the attempt, in a task of its own."""
+        """Runs the attempt; must be called in a task of its own."""
         connection = self._connection
         attempt = self._attempt
-        line = connection.request_line
-        assert line is not None
+        request_line = connection.request_line
+        assert request_line is not None
         assert attempt is not None
         if not self._check_client():
             return
         plan = AttemptPlan(
-            line.with_deadline(max(1, int(attempt.timeout_s * 1000.0))),
+            request_line.with_deadline(max(1, int(attempt.timeout_s * 1000.0))),
             attempt.server.address,
             self._service.config.connect_timeout_s,
             attempt.timeout_s,
@@ -49,25 +50,25 @@
         connection.attempt_driver = AttemptDriver(self._service.dial, plan)
         connection.attempt_driver.run(self)
 
-    # AttemptOwner
+    # Implementation of AttemptOwner
 
     def may_start(self) -> bool:
-        """Returns False if the server drains, the request is too late, or the client is gone."""
+        """Returns False if the gateway considers it too late, or if the client has closed."""
         attempt = self._attempt
         return attempt is not None and self._service.gateway.may_start(attempt) and self._check_client()
 
     def on_request_sent(self) -> None:
-        """Counts the attempt."""
+        """Counts the attempt in the metrics of the request's class."""
         if self._connection.counter is not None:
             self._connection.counter.attempt_sent()
 
     def on_established(self, driver: AttemptDriver, line: bytes) -> bool:
-        """Passes the server's acceptance to the client; from now on bytes are relayed unchanged."""
+        """Writes the server's ``UP`` line to the client and starts to relay; returns False if that fails."""
         connection = self._connection
         if connection.protocol.state is not ClientState.AWAITING_ANSWER or connection.request_line is None:
             driver.close()
             return False
-        if not self._accept(connection):
+        if not self._report_established(connection):
             driver.close()
             return False
         connection.request_line = None
@@ -80,7 +81,7 @@
         return not connection.stream.closed
 
     def on_server_data(self, event: ServerDataReceived) -> bool:
-        """Writes to the client; the server is not read meanwhile."""
+        """Writes the server's bytes to the client; the server is not read until they are written."""
         connection = self._connection
         attempt = connection.attempt
         service = self._service
@@ -95,14 +96,14 @@
         return True
 
     def on_ended(self, driver: AttemptDriver, end: AttemptEnd) -> None:
-        """Ends the client's side in the same way, or lets the next attempt follow."""
+        """Closes the client the way the server closed, or reports the end so that a retry can follow."""
         if end.was_established:
             self._end_established(driver, end)
         else:
             self._end_unestablished(end)
 
-    def _accept(self, connection: ClientConnection) -> bool:
-        """Reports the acceptance; returns False if the client does not wait for it any more."""
+    def _report_established(self, connection: ClientConnection) -> bool:
+        """Tells the gateway that the server accepted; returns False if the client no longer waits for it."""
         attempt = connection.attempt
         return attempt is not None and self._service.gateway.on_established(attempt)
 
@@ -110,12 +111,12 @@
         connection = self._connection
         attempt = connection.attempt
         if attempt is None:
-            return  # a resumed connection, whose task tries again
+            return  # a resumed connection: ``ResumedAttempt.resume`` tries again
         connection.attempt_driver = None
         connection.attempt_task = None
         connection.attempt = None
         if end.outcome is Outcome.OK:
-            self._service.closer.finish_later(connection, end.line)
+            self._service.closer.finish_later(connection, end.answer_line)
         self._service.gateway.on_attempt_ended(attempt, end.outcome, end.report)
 
     def _end_established(self, driver: AttemptDriver, end: AttemptEnd) -> None:
@@ -136,10 +137,10 @@
             connection.stream.close_gracefully(GRACEFUL_CLOSE_TIMEOUT_S)
 
     def _check_client(self) -> bool:
-        """Returns False if the client has closed, which is then handled. The last check before an attempt.
+        """Returns False if the client has closed, and handles the close. The last check before an attempt.
 
-        A client that closed while its connection waited to be accepted sent its end behind the request line;
-        the attempt would reach a server before that end is read.
+        The FIN of a client that closed while its connection was in the accept queue follows the request line.
+        Without this check the attempt would reach a server before the FIN is read.
         """
         if self._connection.stream.is_closed_by_peer():
             self._service.closer.client_closed(self._connection, reset=False)
@@ -148,12 +149,12 @@
 
 
 class ResumedAttempt(ClientAttempt):
-    """Connects a client whose connection was open before the start to the server that it was open at."""
+    """An attempt that reconnects a client to the server it was connected to before the proxy started."""
 
     __slots__ = ()
 
     def resume(self) -> None:
-        """Tries until the connection is established; fails it after ``RESUME_TIMEOUT_S``. Parks."""
+        """Retries until the connection is established, and fails it after ``RESUME_TIMEOUT_S``. Parks."""
         connection = self._connection
         resuming = self._service.gateway.resuming
         resuming.add(connection)
@@ -165,15 +166,15 @@
             connection.fail()
 
     def may_start(self) -> bool:
-        """Returns False if the client is gone. The server may drain: it has this connection already."""
+        """Returns False if the client has closed. The server may drain: it has this connection already."""
         return self._check_client()
 
     def _try_until(self, deadline: float) -> bool:
-        """Returns False if the connection is not established in time or its client has closed."""
+        """Returns False if the connection is not established by the deadline or its client has closed."""
         connection = self._connection
-        line = connection.request_line
-        assert line is not None
-        server_uid = line.resumes_at or ""
+        request_line = connection.request_line
+        assert request_line is not None
+        server_uid = request_line.resumes_at or ""
         while time.monotonic() < deadline:
             if not self._check_client():
                 return False
@@ -181,7 +182,7 @@
             if server is not None:
                 timeout_s = deadline - time.monotonic()
                 connect_timeout_s = self._service.config.connect_timeout_s
-                plan = AttemptPlan(line.raw, server.address, connect_timeout_s, timeout_s)
+                plan = AttemptPlan(request_line.raw, server.address, connect_timeout_s, timeout_s)
                 driver = AttemptDriver(self._service.dial, plan)
                 connection.attempt_driver = driver
                 driver.run(self)
@@ -190,12 +191,12 @@
             self._service.scheduler.sleep(RESUME_RETRY_INTERVAL_S)
         return False
 
-    def _accept(self, connection: ClientConnection) -> bool:
-        line = connection.request_line
-        assert line is not None
-        server = self._service.gateway.server(line.resumes_at or "")
+    def _report_established(self, connection: ClientConnection) -> bool:
+        request_line = connection.request_line
+        assert request_line is not None
+        server = self._service.gateway.server(request_line.resumes_at or "")
         assert server is not None
-        incoming = self._service.intake.incoming_request(connection, line)
+        incoming = self._service.intake.incoming_request(connection, request_line)
         connection.attempt = self._service.gateway.resume(connection, server, incoming)
         connection.request = connection.attempt.request
         return True
--- a/ironmill/net/clients/closing.py
+++ b/ironmill/net/clients/closing.py
@@ -1,4 +1,4 @@
-"""Ends clients' connections: the final answer, the close, and the end of the attempt."""
+"""Closing of client connections: the final answer, the close of the socket and the end of the attempt."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 if TYPE_CHECKING:
     from ironmill.net.clients.connection import ClientConnection
 
-GRACEFUL_CLOSE_TIMEOUT_S = 1.0  # for the peer to read the last line and to close as well
-REJECTED_CLOSE_TIMEOUT_S = 0.2  # the same after a rejection
-NO_CAPACITY_RETRY_AFTER_S = 0.5  # where no descriptor is left for the client
-DRAINING_RETRY_AFTER_S = 0.2  # by then the front sends the client to another proxy
+GRACEFUL_CLOSE_TIMEOUT_S = 1.0  # for the peer to read the last line and to close its side
+REJECTED_CLOSE_TIMEOUT_S = 0.2  # the same limit for a rejected client
+NO_CAPACITY_RETRY_AFTER_S = 0.5  # sent to a client for which no descriptor is left
+# Sent while the proxy drains: by then the load balancer in front routes the client to another proxy.
+DRAINING_RETRY_AFTER_S = 0.2
 
 
 class ConnectionCloser:
-    """Gives final answers and closes connections."""
+    """Sends final answers and closes client connections."""
 
     __slots__ = ("_connection_limiter", "_gateway", "_scheduler", "_sends_retry_after")
 
@@ -35,20 +36,20 @@
         *,
         sends_retry_after: bool,
     ) -> None:
-        """``sends_retry_after``: the settings allow a time in the line ``BUSY``."""
+        """Creates a closer; ``sends_retry_after`` is True if the settings allow a time in ``BUSY`` lines."""
         self._scheduler = scheduler
         self._gateway = gateway
         self._connection_limiter = connection_limiter
         self._sends_retry_after = sends_retry_after
 
     def busy(self, retry_after_s: float) -> bytes:
-        """Returns the line ``BUSY``, with a time where the settings allow one."""
+        """Returns a ``BUSY`` line, with the time to retry after if the settings allow one."""
         return busy_line(retry_after_s if self._sends_retry_after else 0.0)
 
     def finish(
         self, connection: ClientConnection, line: bytes, timeout_s: float = REJECTED_CLOSE_TIMEOUT_S
     ) -> None:
-        """Ends the attempt, writes the last line and closes. Waits ``timeout_s`` for the client to close."""
+        """Ends the attempt, writes the last line and closes; waits ``timeout_s`` for the client to close."""
         connection.protocol.close()
         self.end_attempt(connection, Outcome.CANCELLED)
         stream = connection.stream
@@ -66,24 +67,24 @@
             stream.close_immediately()
 
     def finish_later(self, connection: ClientConnection, line: bytes) -> None:
-        """Does the same in a task of its own; no event of the client counts from now on."""
+        """Calls ``finish`` in a task of its own; later events of the client are ignored."""
         connection.protocol.close()
         self._scheduler.spawn(connection.run_guarded, self.finish, connection, line)
 
     def reject(self, connection: ClientConnection, retry_after_s: float) -> None:
-        """Rejects a request that the balancer does not know."""
+        """Answers ``BUSY`` to a request that has not been passed to the balancer, and closes."""
         if connection.counter is not None:
             connection.counter.rejected()
         self.finish(connection, self.busy(retry_after_s))
 
     def reject_immediately(self, connection: ClientConnection, retry_after_s: float) -> None:
-        """Writes the rejection and closes without parking, because the descriptor is needed."""
+        """Answers ``BUSY`` and closes without parking, because the descriptor is needed at once."""
         with contextlib.suppress(OSError):
             connection.stream.send_nowait(self.busy(retry_after_s))
         connection.stream.close_immediately()
 
     def reject_violation(self, connection: ClientConnection, reason: str | None) -> None:
-        """Answers a client that broke the protocol with one error line; logs the reason if there is one."""
+        """Answers ``ERR`` to a client that violated the protocol, and closes; logs the reason unless None."""
         if reason is not None:
             self._connection_limiter.log_violation(reason)
         connection.protocol.close()
@@ -94,7 +95,7 @@
         self.finish(connection, ERROR_LINE)
 
     def client_closed(self, connection: ClientConnection, *, reset: bool) -> None:
-        """Ends the server's connection in the way in which the client ended its own. Any task may call it."""
+        """Closes the server's connection in the way the client closed its own; may be called in any task."""
         connection.protocol.close()
         if connection.request is not None:
             self._gateway.on_client_closed(connection.request)
@@ -102,7 +103,7 @@
         connection.stream.close()
 
     def end_attempt(self, connection: ClientConnection, outcome: Outcome, *, reset: bool = False) -> None:
-        """Kills the connection's other tasks, closes the attempt's connection and reports the outcome."""
+        """Kills the other tasks of the connection, closes the server's connection and reports the outcome."""
         attempt = connection.attempt
         connection.attempt = None
         driver = connection.attempt_driver
--- a/ironmill/net/clients/connection.py
+++ b/ironmill/net/clients/connection.py
@@ -1,4 +1,4 @@
-"""The state of one client's connection, and the gateway's orders to it."""
+"""The state of one client connection, and the operations that the gateway calls on it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class ClientConnection:
-    """Owns the client's socket, its tasks and its attempt; a ``RequestHandler`` of the gateway."""
+    """A client connection: owns the socket, the tasks and the attempt, and implements ``RequestHandler``."""
 
     __slots__ = (
         "attempt",
@@ -49,30 +49,30 @@
     )
 
     def __init__(self, service: ClientService, stream: Stream) -> None:
-        """Does nothing until ``start``."""
+        """Creates the state of an accepted connection; ``start`` begins to read from it."""
         callers = service.callers
         self.service = service
         self.stream = stream
         self.protocol = ClientProtocol(accepts_credential=callers is not None)
-        # None where callers are not identified.
+        # None if callers are not identified.
         self.caller: CallerSession | None = (
             None if callers is None else callers.new_session(self, stream.peer_address())
         )
         self.slot: ConnectionSlot | None = None
-        self.request_line: RequestLine | None = None  # until the connection is established
+        self.request_line: RequestLine | None = None  # set until the connection is established
         self.request_line_deadline = 0.0
-        self.counter: RequestCounter | None = None  # from the request line on
+        self.counter: RequestCounter | None = None  # set once the request line has been read
         self.request: ClientRequest | None = None
         self.reader_task: Task | None = None
-        self.attempt: Attempt | None = None  # the current one, as the gateway knows it
+        self.attempt: Attempt | None = None  # the current attempt, as the gateway knows it
         self.attempt_task: Task | None = None
         self.attempt_driver: AttemptDriver | None = None
-        self.is_writing = False  # to the client
+        self.is_writing = False  # True while server data is written to the client
         self.client_half_closed = False
         self.migration_requested = False
 
     def start(self) -> None:
-        """Begins to read, or rejects the client if there is no capacity."""
+        """Starts to read from the client, or rejects it if no descriptor is available."""
         self.slot = self.service.connection_limiter.enter(self._evict)
         if self.slot is None:
             self._count_unread_request()
@@ -82,14 +82,14 @@
         self.reader_task = self.service.scheduler.spawn(self.run_guarded, self.service.reader.read, self)
 
     def run_guarded(self, function: Callable[..., object], *args: object) -> None:
-        """Runs a task of this connection; an exception is logged and ends this connection only."""
+        """Runs a task of this connection; an exception is logged and closes this connection only."""
         try:
             function(*args)
         except Exception:
-            log.exception("a connection failed")
-            self._abandon()
+            log.exception("unexpected error on a client connection; closing it")
+            self._close_after_exception()
 
-    # RequestHandler
+    # Implementation of RequestHandler
 
     def start_attempt(self, attempt: Attempt) -> None:
         """Runs the attempt in a task of its own."""
@@ -97,7 +97,7 @@
         self.attempt_task = self.service.scheduler.spawn(self.run_guarded, ClientAttempt(self, attempt).run)
 
     def cancel_attempt(self) -> bool:
-        """Ends the current attempt; the client still waits. Returns True if the attempt may have run."""
+        """Cancels the current attempt while the client still waits; returns True if it may have run."""
         driver = self.attempt_driver
         task = self.attempt_task
         self.attempt_driver = None
@@ -111,7 +111,7 @@
         return may_have_run
 
     def reject(self, retry_after_s: float) -> None:
-        """Answers ``BUSY`` and closes."""
+        """Answers ``BUSY`` with the time to retry after, and closes."""
         self.service.closer.finish_later(self, self.service.closer.busy(retry_after_s))
 
     def fail(self) -> None:
@@ -121,15 +121,15 @@
         self.service.closer.finish_later(self, ERROR_LINE)
 
     def migrate(self) -> None:
-        """Sends ``MOVE`` as soon as no line is incomplete, and closes."""
+        """Sends ``MOVE`` once no line to the client is incomplete, and closes."""
         self.service.migrator.request(self)
 
-    # Ends
+    # Closing
 
     def _evict(self, *, immediately: bool) -> bool:
-        """Ends a connection without a request; returns False if bytes have arrived that are not read yet.
+        """Rejects a client that has sent no request; returns False if received bytes have not been read yet.
 
-        It is rejected, because a request may be on its way, and a retry of it is harmless.
+        The answer is ``BUSY``, because a request may be in transit and is safe to retry.
         """
         if self.stream.has_unread():
             return False
@@ -145,7 +145,7 @@
         return True
 
     def _count_unread_request(self) -> None:
-        """Counts a rejected request that has arrived, although there is no capacity to wait for one."""
+        """Counts a request that has already arrived as rejected; one that arrives later is not counted."""
         gateway = self.service.gateway
         line, end, _ = self.stream.receive_nowait().partition(LINE_END)
         with contextlib.suppress(MalformedLineError):
@@ -153,8 +153,8 @@
             if gateway.has_class(class_name):
                 gateway.metrics.start(class_name).rejected()
 
-    def _abandon(self) -> None:
-        """Gives up the connection after an exception: its request fails, and its resources are released."""
+    def _close_after_exception(self) -> None:
+        """Fails the request and releases all resources of the connection after an unexpected exception."""
         was_established = self.protocol.state is ClientState.ESTABLISHED
         self.protocol.close()
         if self.counter is not None:
@@ -163,7 +163,7 @@
             if self.request is not None:
                 self.service.gateway.on_client_closed(self.request)
             self.service.closer.finish(self, b"" if was_established else ERROR_LINE)
-        finally:  # a second exception must not leak the descriptor, the id or the slot
+        finally:  # a second exception must not leak the descriptor, the client id or the slot
             self.stream.abort()
 
     def _on_stream_closed(self) -> None:
--- a/ironmill/net/clients/connection_migrator.py
+++ b/ironmill/net/clients/connection_migrator.py
@@ -1,4 +1,4 @@
-"""Migrates established connections: their clients are to reconnect, between two lines."""
+"""Migration of one established connection: the client is told between two lines to reconnect."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from ironmill.net.clients.connection import ClientConnection
 
-MIGRATION_TIMEOUT_S = 0.9  # for the current line to end; the client must not wait longer for its MOVE
+MIGRATION_TIMEOUT_S = 0.9  # for the current line to end; the client must get its MOVE by then
 
 
 class ConnectionMigrator:
@@ -20,29 +20,33 @@
     __slots__ = ("_closer", "_scheduler")
 
     def __init__(self, scheduler: Scheduler, closer: ConnectionCloser) -> None:
-        """Migrates in tasks of the scheduler."""
+        """Creates a migrator that runs its migrations in tasks of the scheduler."""
         self._scheduler = scheduler
         self._closer = closer
 
     def request(self, connection: ClientConnection) -> None:
-        """Begins the migration; a second call only tries again at once. Does not park."""
+        """Starts the migration; a further call only retries it at once. Does not park."""
         if not connection.migration_requested:
             connection.migration_requested = True
             self._scheduler.call_later(
-                MIGRATION_TIMEOUT_S, self._scheduler.spawn, connection.run_guarded, self._force, connection
+                MIGRATION_TIMEOUT_S,
+                self._scheduler.spawn,
+                connection.run_guarded,
+                self._force_close,
+                connection,
             )
         self.retry(connection)
 
     def retry(self, connection: ClientConnection) -> None:
-        """Tries again in a task of its own, after data has been written to the client."""
+        """Retries the migration in a task of its own; called after data has been written to the client."""
         self._scheduler.spawn(connection.run_guarded, self._migrate_at_boundary, connection)
 
     def _migrate_at_boundary(self, connection: ClientConnection) -> None:
         if _can_migrate(connection) and _is_at_line_boundary(connection):
             self._finish(connection, MIGRATE_LINE)
 
-    def _force(self, connection: ClientConnection) -> None:
-        """Closes in any case; an incomplete line would merge with ``MOVE``, which is then left out."""
+    def _force_close(self, connection: ClientConnection) -> None:
+        """Closes the connection; omits ``MOVE`` after an incomplete line, with which it would merge."""
         if _can_migrate(connection):
             self._finish(connection, MIGRATE_LINE if _is_at_line_boundary(connection) else b"")
 
--- a/ironmill/net/clients/intake.py
+++ b/ironmill/net/clients/intake.py
@@ -1,4 +1,4 @@
-"""Checks a client's credential and request line, and opens the request."""
+"""Intake of requests: checks a client's credential and request line, and opens the request."""
 
 from __future__ import annotations
 
@@ -20,39 +20,39 @@
 
 
 class RequestIntake:
-    """Decides whether a request is passed to the gateway."""
+    """Checks credentials and requests, and passes admitted requests to the gateway."""
 
     __slots__ = ("_closer", "_connection_limiter", "_gateway", "_scheduler")
 
     def __init__(self, service: ClientService) -> None:
-        """Uses the service's closer, which must exist."""
+        """Creates the intake of a service whose ``closer`` must already be set."""
         self._connection_limiter = service.connection_limiter
         self._closer = service.closer
         self._gateway = service.gateway
         self._scheduler = service.scheduler
 
     def present_certificate(self, connection: ClientConnection) -> None:
-        """Checks the certificate of the TLS handshake, if callers are identified and there is one."""
+        """Checks the client's TLS certificate, if callers are identified and the client presented one."""
         caller = connection.caller
         certificate = None if caller is None else connection.stream.peer_certificate()
         if caller is not None and certificate is not None:
-            self._check_verdict(connection, caller.present_certificate(certificate))
+            self._apply_verdict(connection, caller.present_certificate(certificate))
 
     def present_token(self, connection: ClientConnection, token: bytes) -> None:
-        """Checks a token; a client that was rejected before is ignored."""
+        """Checks a token, unless the client has been rejected already."""
         if connection.caller is not None and connection.protocol.state is not ClientState.CLOSED:
-            self._check_verdict(connection, connection.caller.present_token(token))
+            self._apply_verdict(connection, connection.caller.present_token(token))
 
     def open(self, connection: ClientConnection, line: RequestLine) -> None:
-        """Opens the request, or gives the final answer."""
+        """Opens the request, or sends the final answer if it is not admitted."""
         if connection.protocol.state is ClientState.CLOSED:
-            return  # its credential was rejected, and the request line arrived in the same read
+            return  # the client's credential was rejected, and the request line arrived in the same read
         received_at = self._gateway.now()
         queued_since = connection.stream.queued_since
         if queued_since is not None:  # the deadline counts from when the client sent the line
             received_at -= time.monotonic() - queued_since
         if not self._gateway.has_class(line.class_name):
-            self._closer.reject_violation(connection, "a class that does not exist")
+            self._closer.reject_violation(connection, "unknown request class")
             return
         connection.counter = self._gateway.metrics.start(line.class_name)
         if not self._admit(connection, line):
@@ -68,38 +68,38 @@
     def incoming_request(
         self, connection: ClientConnection, line: RequestLine, received_at: float = 0.0
     ) -> IncomingRequest:
-        """Returns what the gateway needs of a request line; an identified caller determines the tenant."""
+        """Returns the gateway's form of a request line; an identified caller determines the tenant."""
         attributes = request_attributes(line)
         if connection.caller is not None:
             attributes = structs.replace(attributes, tenant=connection.caller.tenant)
         return IncomingRequest(line.class_name, received_at, line.deadline_s, attributes, connection.counter)
 
     def _admit(self, connection: ClientConnection, line: RequestLine) -> bool:
-        """Returns False if the request got its final answer: draining, not permitted, or no capacity."""
+        """Returns False if the request was answered: draining, not permitted, duplicate id or no capacity."""
         slot = connection.slot
         assert slot is not None
         if not self._gateway.lifecycle.policy.admits_requests:
             self._closer.reject(connection, DRAINING_RETRY_AFTER_S)
             return False
         caller = connection.caller
-        if caller is not None and not self._check_verdict(
+        if caller is not None and not self._apply_verdict(
             connection, caller.request_connection(line.class_name)
         ):
             return False
         if not self._connection_limiter.claim_id(slot, line.id):
-            self._closer.reject_violation(connection, "the id of an open connection")
+            self._closer.reject_violation(connection, "the client id belongs to an open connection")
             return False
         if not self._connection_limiter.admit(slot):
             self._closer.reject(connection, NO_CAPACITY_RETRY_AFTER_S)
             return False
         return True
 
-    def _check_verdict(self, connection: ClientConnection, retry_after_s: float | None) -> bool:
-        """Returns True for None; else rejects the client, for ever if the number is infinite."""
+    def _apply_verdict(self, connection: ClientConnection, retry_after_s: float | None) -> bool:
+        """Returns True for None; otherwise answers the client, with ``ERR`` if the time is infinite."""
         if retry_after_s is None:
             return True
         if math.isinf(retry_after_s):
-            self._closer.reject_violation(connection, None)  # identity has logged and counted the reason
+            self._closer.reject_violation(connection, None)  # the session logged and counted it
         else:
             self._closer.reject(connection, retry_after_s)
         return False
--- a/ironmill/net/clients/reading.py
+++ b/ironmill/net/clients/reading.py
@@ -1,4 +1,4 @@
-"""Reads a client's connection: the request line in time, then its data."""
+"""Reader of client connections: the request line, within its time limit, and then the data."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
     from ironmill.net.clients.connection import ClientConnection
     from ironmill.net.clients.service import ClientService
 
-# From the accept, or the reply to a PING, to the end of the request line. Some clients take 2 s to write it,
-# and one that stops in the middle must have its answer within 3 s.
+# From the accept, or from the reply to a PING, to the end of the request line. Some clients take 2 s to write
+# it, and a client that stops in the middle of it must get its answer within 3 s.
 REQUEST_LINE_TIMEOUT_S = 2.5
-HALF_CLOSED_TIMEOUT_S = 6.0  # for a server to close once its client has half closed
+HALF_CLOSED_TIMEOUT_S = 6.0  # for the server to close after its client has half-closed
 
 
 class ClientReader:
-    """Reads from clients and dispatches the events."""
+    """Reads from clients and dispatches the events of the client protocol."""
 
     __slots__ = ("_closer", "_connection_limiter", "_gateway", "_intake", "_relay", "_scheduler")
 
     def __init__(self, service: ClientService) -> None:
-        """Uses the service's other parts, which must exist."""
+        """Creates the reader of a service whose closer, intake and relay must already be set."""
         self._connection_limiter = service.connection_limiter
         self._closer = service.closer
         self._gateway = service.gateway
@@ -46,7 +46,7 @@
         self._scheduler = service.scheduler
 
     def read(self, connection: ClientConnection) -> None:
-        """Reads from the accept until the end, or until an established connection has no data for now."""
+        """Reads a new connection until it ends, or until it is established and has no data for now."""
         protocol = connection.protocol
         connection.request_line_deadline = time.monotonic() + REQUEST_LINE_TIMEOUT_S
         try:
@@ -56,22 +56,22 @@
         except TimedOutError:
             self._reject_late(connection)
         except OSError as error:
-            is_first = protocol.state is ClientState.AWAITING_REQUEST
-            if is_first and not isinstance(error, ConnectionResetError):
+            is_before_request = protocol.state is ClientState.AWAITING_REQUEST
+            if is_before_request and not isinstance(error, ConnectionResetError):
                 self._connection_limiter.log_violation(str(error))
             self._closer.client_closed(connection, reset=True)
         else:
             has_request = connection.request is not None or connection.request_line is not None
             if protocol.state is ClientState.CLOSED and not has_request:
-                self._closer.finish(connection, b"")  # it closed without a request
+                self._closer.finish(connection, b"")  # the client closed without a request
 
     def read_established(self, connection: ClientConnection) -> None:
-        """Forwards the client's data, then leaves a task that starts when there is more."""
+        """Forwards the client's data, then schedules a task that runs once more data arrives."""
         stream = connection.stream
         protocol = connection.protocol
         try:
             while protocol.state is not ClientState.CLOSED:
-                if stream.drained:
+                if stream.recv_buffer_empty:
                     connection.reader_task = stream.spawn_when_readable(
                         connection.run_guarded, self.read_established, connection
                     )
@@ -86,14 +86,17 @@
             self._closer.client_closed(connection, reset=True)
 
     def _read_request(self, connection: ClientConnection) -> None:
-        """Reads until the connection is established or closed. Raises ``TimedOutError`` without a request."""
+        """Reads until the connection is established or closed.
+
+        Raises ``TimedOutError`` if the request line is not complete by its deadline.
+        """
         stream = connection.stream
         protocol = connection.protocol
         while protocol.state in (ClientState.AWAITING_REQUEST, ClientState.AWAITING_ANSWER):
             timeout_s = None
             if protocol.state is ClientState.AWAITING_REQUEST:
                 timeout_s = max(0.0, connection.request_line_deadline - time.monotonic())
-            data = stream.receive(timeout_s)  # past the deadline as well: bytes that have arrived count
+            data = stream.receive(timeout_s)  # with a timeout of 0 too, bytes that have arrived are read
             for event in protocol.receive(data) if data else protocol.end_of_stream():
                 self._handle(connection, event)
             stream.queued_since = None
@@ -101,20 +104,20 @@
                 return
             is_late = time.monotonic() >= connection.request_line_deadline
             if protocol.state is ClientState.AWAITING_REQUEST and is_late:
-                raise TimedOutError  # the timeout above does not bound bytes that arrive one at a time
+                raise TimedOutError  # the timeout of a single read does not bound a slow line
         if protocol.state is ClientState.ESTABLISHED:
             self.read_established(connection)
 
     def _reject_late(self, connection: ClientConnection) -> None:
-        """Answers a client whose request line is late.
+        """Answers a client whose request line was not complete in time.
 
-        One that has begun the line broke the protocol. One that has sent nothing may be about to send a
-        request, which a retry cannot harm.
+        A client that has sent only a part of the line violated the protocol. One that has sent nothing may be
+        about to send a request, which is safe to retry.
         """
         if connection.protocol.has_partial_line:
-            self._closer.reject_violation(connection, "the request line was not complete in time")
+            self._closer.reject_violation(connection, "the request line was not complete by its deadline")
         else:
-            self._connection_limiter.log_violation("no request line in time")
+            self._connection_limiter.log_violation("no request line was received by its deadline")
             self._closer.finish(connection, self._closer.busy(NO_CAPACITY_RETRY_AFTER_S))
 
     def _handle(self, connection: ClientConnection, event: ClientEvent) -> None:
@@ -140,7 +143,7 @@
         connection.stream.send(line, GRACEFUL_CLOSE_TIMEOUT_S)
 
     def _half_close(self, connection: ClientConnection) -> None:
-        """Ends the sending direction to the server; the end of the attempt kills this task."""
+        """Half-closes the server's connection and waits for the server, whose close kills this task."""
         connection.client_half_closed = True
         driver = connection.attempt_driver
         if driver is not None and driver.stream is not None:
--- a/ironmill/net/clients/relaying.py
+++ b/ironmill/net/clients/relaying.py
@@ -1,4 +1,4 @@
-"""Relays bytes between a client and its server, in both directions."""
+"""Relay of bytes between a client and its server, in both directions."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class DataRelay:
-    """Writes what one side sent to the other; at most one read of each side is in memory."""
+    """Writes what one side sent to the other; holds at most the data of one read per direction."""
 
     __slots__ = ("_closer", "_gateway")
 
     def __init__(self, gateway: Gateway, closer: ConnectionCloser) -> None:
-        """Reports lines to the gateway, and leaves broken connections to the closer."""
+        """Creates a relay that reports lines to ``gateway`` and closes broken connections with ``closer``."""
         self._gateway = gateway
         self._closer = closer
 
     def forward(self, connection: ClientConnection, event: DataReceived) -> None:
-        """Writes the client's bytes to the server; parks until they are written."""
+        """Writes the client's bytes to the server, and parks until they are written."""
         driver = connection.attempt_driver
         attempt = connection.attempt
         if not event.data or driver is None or driver.stream is None or attempt is None:
@@ -32,14 +32,14 @@
         try:
             driver.stream.send_from(event.data, connection.stream)
         except TimedOutError:
-            self._closer.client_closed(connection, reset=True)  # some of the client's bytes are lost
+            self._closer.client_closed(connection, reset=True)  # not all of the client's bytes were written
             return
         except OSError:
-            return  # the attempt's task notices the end as well and handles it
+            return  # the attempt's task notices the broken connection too, and handles it
         self._gateway.on_lines_sent(attempt, event.lines)
 
     def write(self, connection: ClientConnection, data: bytes) -> bool:
-        """Writes the server's bytes to the client, parking as needed; returns False if the client is gone."""
+        """Writes the server's bytes to the client, parking as needed; returns False if that fails."""
         stream = connection.stream
         connection.is_writing = True
         try:
@@ -54,11 +54,11 @@
         return True
 
     def _write_slowly(self, connection: ClientConnection, rest: bytes) -> None:
-        """Waits for a client that does not read; its server is not observed meanwhile."""
+        """Waits for a client that does not read; its server's response delay is not measured meanwhile."""
         if connection.attempt is not None:
             self._gateway.on_client_stalled(connection.attempt)
         source = None if connection.attempt_driver is None else connection.attempt_driver.stream
-        assert source is not None  # the bytes come from there
+        assert source is not None  # the bytes were read from it
         connection.stream.send_from(rest, source)
         if connection.attempt is not None:
             self._gateway.on_client_reading(connection.attempt)
--- a/ironmill/net/clients/service.py
+++ b/ironmill/net/clients/service.py
@@ -1,4 +1,4 @@
-"""What all clients' connections of a proxy share."""
+"""The service of a proxy's client connections, with the objects that all of them share."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class ClientDependencies(Struct, frozen=True, eq=False):
-    """What a ``ClientService`` works with."""
+    """The objects that a ``ClientService`` depends on."""
 
     scheduler: Scheduler
     gateway: Gateway
     config: Config
     connection_limiter: ConnectionLimiter
-    callers: Callers | None = None  # None where callers are not identified
-    dial: Dial | None = None  # None: plain TCP
+    callers: Callers | None = None  # None if callers are not identified
+    dial: Dial | None = None  # opens connections to servers; plain TCP if None
 
 
 class ClientService:
@@ -53,7 +53,7 @@
     )
 
     def __init__(self, dependencies: ClientDependencies) -> None:
-        """Builds the parts that serve connections."""
+        """Creates the objects that serve connections."""
         self.scheduler = dependencies.scheduler
         self.gateway = dependencies.gateway
         self.config = dependencies.config
--- a/ironmill/net/drain.py
+++ b/ironmill/net/drain.py
@@ -1,7 +1,7 @@
-"""Drain of a proxy, requested by operators: clients are migrated, and the process goes on.
+"""Drain of a proxy at an operator's request: clients are migrated, and the process keeps running.
 
-Where packets pass through (``familyInfo.mode`` is ``pass``) established connections are left alone: their
-packets go on coming here, or to another proxy once this one has exited.
+If packets pass through (``familyInfo.mode`` is ``pass``), established connections are not migrated: their
+packets still arrive at this proxy, or at another one after this proxy has exited.
 """
 
 from __future__ import annotations
@@ -14,23 +14,25 @@
 from ironmill.runtime.lifecycle import POLICIES, LifecycleEvent, ProcessState
 from ironmill.runtime.scheduler import Scheduler, Task
 
-# Spans from the request of the drain.
-# The front polls every 0.1 s and sends clients for 0.2 s more; requests are admitted until this moment.
+# Delays from the drain request.
+# The load balancer in front polls every 0.1 s and may route clients here for another 0.2 s. Requests are
+# admitted until this delay is over.
 FRONT_UPDATE_DELAY_S = 0.5
-# The last connection is sent MOVE by then; the line under way on it has 0.9 s of the allowed 4 s to end.
+# The last connection is told to migrate by then. Its current line has 0.9 s to end, within the 4 s allowed.
 MIGRATION_DEADLINE_S = 2.8
-FINAL_ANSWER_DEADLINE_S = 3.0  # pending requests get their final answer then
-LATE_MIGRATION_S = 1.0  # after that, for connections established in the meantime
+FINAL_ANSWER_DEADLINE_S = 3.0  # pending requests get their final answer at this time
+LATE_MIGRATION_S = 1.0  # duration after that, for connections established in the meantime
 
 log = logging.getLogger("ironmill.drain")
 
 
 class Drain:
-    """Runs a drain while the state of the process asks for one."""
+    """Runs a drain while the process is in a state that requires one."""
 
     def __init__(self, scheduler: Scheduler, gateway: Gateway, *, keeps_established: bool) -> None:
-        """``keeps_established``: established connections are not migrated, which saves their clients a
-        reconnect.
+        """Creates a drain that starts with the state ``DRAINING``.
+
+        If ``keeps_established`` is True, connections are not migrated, which saves their clients a reconnect.
         """
         self._scheduler = scheduler
         self._gateway = gateway
--- a/ironmill/net/health_check.py
+++ b/ironmill/net/health_check.py
@@ -1,4 +1,4 @@
-"""The driver of health checks: requests servers' load reports, on one cached connection to each."""
+"""Driver of health checks: requests servers' load reports, over one cached connection to each server."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 from ironmill.runtime.system_calls import RESOURCE_EXHAUSTED_ERRNOS
 
 REPLY_TIMEOUT_S = 0.5
-# Reserved in ``connection_limiter.RESERVED_DESCRIPTORS``; the least recently used is closed.
+# Limit of cached connections, reserved in ``connection_limiter.RESERVED_DESCRIPTORS``. Beyond it the least
+# recently used one is closed.
 MAX_CONNECTIONS = 20
 
 
 class HealthCheckDriver:
-    """Caches a connection to each server that is checked; replaces a broken one at the next check."""
+    """Checks servers, each on a cached connection; a broken connection is replaced at the next check."""
 
     def __init__(
         self,
@@ -29,7 +30,7 @@
         on_result: Callable[[Server, Outcome, LoadReport], None],
         dial: Dial | None = None,
     ) -> None:
-        """``dial`` opens connections; None: plain TCP."""
+        """Creates a driver that reports to ``on_result`` and connects with ``dial``, or plain TCP if None."""
         self._scheduler = scheduler
         self._dial = dial or partial(Stream.connect, scheduler)
         self._connect_timeout_s = connect_timeout_s
@@ -38,7 +39,7 @@
         self._checking: set[int] = set()
 
     def check(self, server: Server) -> None:
-        """Checks the server in a task of its own, unless a check of it is running."""
+        """Starts a check of the server in a task of its own, unless one is already running."""
         if server.number not in self._checking:
             self._checking.add(server.number)
             self._scheduler.spawn(self._run, server)
@@ -60,7 +61,7 @@
     def _check(self, server: Server) -> tuple[Outcome, LoadReport]:
         stream = self._cached_stream(server)
         if stream is None:
-            # Each server under check has a connection, or is about to.
+            # Each server that is being checked has a connection or is about to open one.
             if len(self._streams.keys() | self._checking) > MAX_CONNECTIONS and not self._make_room():
                 return Outcome.NOT_SENT, ()
             stream = self._streams[server.number] = self._dial(server.address, self._connect_timeout_s)
@@ -68,10 +69,10 @@
         return self._request_report(stream)
 
     def _cached_stream(self, server: Server) -> Stream | None:
-        """Returns the cached connection, now the most recently used; None if there is no usable one.
+        """Returns the cached connection and marks it as the most recently used; None if none is usable.
 
-        A server may close an idle connection, which is no fault, and bytes that arrived since the last reply
-        must not count as the next one.
+        A server may close an idle connection without being at fault, and bytes that arrived after the last
+        reply must not be taken for the next reply.
         """
         stream = self._streams.pop(server.number, None)
         if stream is None:
@@ -83,7 +84,7 @@
         return stream
 
     def _make_room(self) -> bool:
-        """Closes the least recently used idle connection; returns False if all are in use."""
+        """Closes the least recently used idle connection; returns False if every connection is in use."""
         number = next((number for number in self._streams if number not in self._checking), None)
         if number is None:
             return False
--- a/ironmill/net/listener.py
+++ b/ironmill/net/listener.py
@@ -1,8 +1,8 @@
-"""Accepts connections and passes each to a callback.
+"""Listener that accepts connections and passes each of them to a callback.
 
-Shared listeners take part in an upgrade: two processes listen at one address with ``SO_REUSEPORT``, and the
-kernel distributes connections between them. The process that exits first has the kernel pass all new ones to
-the other. The two processes do not communicate.
+Shared listeners are used for upgrades: two processes listen on one address with ``SO_REUSEPORT``, and the
+kernel distributes connections between them. The process that exits first makes the kernel pass all new
+connections to the other one. The two processes do not communicate.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 BACKLOG = 1024
 MAX_ACCEPTS_PER_TURN = 16
-# Linux's socket options for a program of a SO_REUSEPORT group, which Python does not define, and the opcode
-# of classic BPF that returns a constant.
+# Linux socket options that attach and detach the BPF program of a SO_REUSEPORT group, which Python does not
+# define, and the classic BPF opcode that returns a constant.
 _SO_ATTACH_REUSEPORT_CBPF = 51
 _SO_DETACH_REUSEPORT_BPF = 68
 _BPF_RETURN_CONSTANT = 0x06
-_SUCCESSOR_INDEX = 1  # the group orders its sockets by when they began to listen
+_SUCCESSOR_INDEX = 1  # sockets of a group are indexed in the order in which they began to listen
 
 log = logging.getLogger("ironmill.listener")
 
@@ -38,8 +38,8 @@
     """The result of one call of accept."""
 
     ACCEPTED = auto()
-    EMPTY = auto()  # no connection waits
-    FAILED = auto()  # connections may wait; accept has to be called again
+    EMPTY = auto()  # no connection is queued
+    FAILED = auto()  # connections may be queued; accept must be called again
 
 
 class Listener:
@@ -54,10 +54,10 @@
         shared: bool = False,
         make_stream: Callable[[Scheduler, socket.socket], Stream] = Stream,
     ) -> None:
-        """Binds the address; connections wait in the kernel's queue until ``start``.
+        """Binds to the address; connections wait in the kernel's accept queue until ``start``.
 
-        ``shared``: another process may listen at the address; one that does so already is the predecessor and
-        gets all connections until ``start``. Raises ``OSError`` if the address is not available.
+        ``shared`` allows another process to listen on the address. One that already does is the predecessor
+        and gets all connections until ``start``. Raises ``OSError`` if the address is not available.
         """
         self._scheduler = scheduler
         self._make_stream = make_stream
@@ -65,7 +65,7 @@
         self._shared = shared
         self.has_predecessor = shared and _is_bound(address)
         self._log_limiter = LogRateLimiter()
-        self._queued_since: float | None = None  # from when the next connection may have waited
+        self._queued_since: float | None = None  # earliest time at which the next connection was queued
         self._task: Task | None = None
         self._sock = retry_at_start(socket.socket, socket.AF_INET, socket.SOCK_STREAM)
         self._listening = False
@@ -78,26 +78,27 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """The address that it is bound to."""
+        """The local address that the socket is bound to."""
         host, port = self._sock.getsockname()
         return host, port
 
     def start(self) -> None:
-        """Accepts from now on. Does nothing if it accepts already or is closed."""
+        """Starts to accept connections. Does nothing if already started or closed."""
         if self._task is not None or self._sock.fileno() < 0:
             return
         if self.has_predecessor:
-            # Not in the constructor: the kernel would reset the connections queued here if the start failed.
+            # Not in the constructor: if the process failed to start, the kernel would reset the connections
+            # that are queued at this socket.
             self._listen()
-            # A program that an earlier upgrade left would pass this process's connections on.
+            # A BPF program left by an earlier upgrade would pass this process's connections to other sockets.
             self._set_group_option(_SO_DETACH_REUSEPORT_BPF, struct.pack("i", 0))
         self._task = self._scheduler.spawn(self._accept)
 
     def yield_to_successor(self) -> None:
-        """Passes all new connections to the process that was started after this one, if there is one.
+        """Makes the kernel pass all new connections to the process started after this one, if there is one.
 
-        The kernel resets connections that are queued at a listener when it closes, and queues new ones there
-        until then.
+        Without it the kernel would queue connections at this listener until it closes, and reset those that
+        are still queued then.
         """
         if self._shared and self._sock.fileno() >= 0:
             program = array("B", struct.pack("=HBBI", _BPF_RETURN_CONSTANT, 0, 0, _SUCCESSOR_INDEX))
@@ -105,15 +106,15 @@
             self._set_group_option(_SO_ATTACH_REUSEPORT_CBPF, value)
 
     def close(self, within: float = 0.0) -> None:
-        """Accepts what is queued, which a close would reset, and closes. Further calls do nothing.
+        """Accepts the queued connections, which a close would reset, and closes. Further calls do nothing.
 
-        Retries an accept that fails for ``within`` seconds, and parks then.
+        Retries a failed accept for up to ``within`` seconds, and parks between the tries.
         """
         if self._sock.fileno() < 0:
             return
         self._scheduler.kill(self._task)
         if self._listening:
-            self._empty_queue(time.monotonic() + within)
+            self._accept_queued(time.monotonic() + within)
         self._scheduler.forget(self._sock.fileno())
         self._sock.close()
 
@@ -131,7 +132,7 @@
         self._listening = True
 
     def _set_group_option(self, option: int, value: bytes) -> None:
-        with contextlib.suppress(OSError):  # without it the last connections before a close may be reset
+        with contextlib.suppress(OSError):  # on failure, the last connections before a close may be reset
             self._sock.setsockopt(socket.SOL_SOCKET, option, value)
 
     def _accept(self) -> None:
@@ -142,10 +143,10 @@
                 if result is AcceptResult.EMPTY:
                     break
                 if result is AcceptResult.FAILED:
-                    # The queued connection keeps the socket readable, so the loop would not park otherwise.
+                    # The queued connection keeps the socket readable, so that ``wait`` would not park.
                     self._scheduler.sleep(RETRY_INTERVAL_S)
 
-    def _empty_queue(self, deadline: float) -> None:
+    def _accept_queued(self, deadline: float) -> None:
         while True:
             result = self._accept_one()
             if result is AcceptResult.EMPTY:
@@ -162,33 +163,37 @@
             self._queued_since = None
             return AcceptResult.EMPTY
         except OSError as error:
-            # Descriptors or memory are exhausted, or this connection broke; others may be queued behind it.
-            skipped = self._log_limiter.allow()
-            if skipped is not None:
-                log.warning("cannot accept: %s (%d more since the last such line)", error.strerror, skipped)
+            # Descriptors or memory are exhausted, or this connection was aborted; others may be queued.
+            suppressed = self._log_limiter.allow()
+            if suppressed is not None:
+                log.warning(
+                    "accepting a connection failed: %s (%d similar messages suppressed)",
+                    error.strerror,
+                    suppressed,
+                )
             if self._queued_since is None:
                 self._queued_since = time.monotonic()
             return AcceptResult.FAILED
-        self._pass_on(sock)
+        self._hand_over(sock)
         return AcceptResult.ACCEPTED
 
-    def _pass_on(self, sock: socket.socket) -> None:
+    def _hand_over(self, sock: socket.socket) -> None:
         try:
             stream = self._make_stream(self._scheduler, sock)
             if self._queued_since is not None and stream.has_unread():
                 stream.queued_since = self._queued_since
             self._on_connection(stream)
         except OSError as error:
-            log.info("a connection broke when it was accepted: %s", error)
+            log.info("accepted connection is already broken: %s", error)
             sock.close()
         except Exception:
-            # The accepting task serves all later connections and must go on.
-            log.exception("a connection failed when it was accepted")
+            # The accepting task is needed for all later connections and must not end.
+            log.exception("unexpected error in setting up an accepted connection")
             sock.close()
 
 
 def _is_bound(address: tuple[str, int]) -> bool:
-    """Returns True if another process listens at the address, which cannot be bound without sharing then."""
+    """Returns True if the address is in use by another socket, so that an unshared bind fails."""
     with retry_at_start(socket.socket, socket.AF_INET, socket.SOCK_STREAM) as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: every pending request gets its final answer before the process exits."""
+"""Graceful shutdown, in which every pending request gets its final answer before the process exits."""
 
 from __future__ import annotations
 
@@ -16,42 +16,44 @@
 from ironmill.runtime.lifecycle import TERMINAL_STATES, LifecycleEvent
 from ironmill.runtime.scheduler import Scheduler
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # modules of disabled features are not imported
     from ironmill.net.admin_server import AdminServer
 
-# Spans from the signal.
-ACCEPT_PERIOD_S = 0.5  # new connections go on coming for up to 0.4 s
-# Proxies are restarted one after another: the one before this one is back by then and takes the clients.
+# Delays from the signal.
+ACCEPT_PERIOD_S = 0.5  # new connections keep arriving for up to 0.4 s
+# Proxies are restarted one after another. The proxy restarted before this one serves again by then, and can
+# take the migrated clients.
 MIGRATION_DELAY_S = 2.0
-# SIGKILL comes no sooner than the longest deadline, counted as at most this, and the grace.
+# SIGKILL follows no earlier than the longest request deadline, capped at MAX_DEADLINE_S, plus KILL_GRACE_S.
 MAX_DEADLINE_S = 3.0
 KILL_GRACE_S = 0.7
-EXIT_MARGIN_S = 0.25  # from the exit to the earliest SIGKILL
-# Before the exit: final answers are written and peers close, since the exit resets what has unread bytes.
+EXIT_MARGIN_S = 0.25  # between the exit and the earliest SIGKILL
+# Time before the exit to write final answers and for peers to close. The exit resets connections that have
+# unread bytes.
 FINAL_FLUSH_S = REJECTED_CLOSE_TIMEOUT_S + 0.05
-EVICTION_INTERVAL_S = 0.01  # between rounds of answers to clients whose request line is incomplete
-MAX_ACCEPT_RETRY_S = 1.0  # for accepts that fail while the queue of the listener is emptied
-# Minima where all deadlines are short:
-MIN_LAST_PLACEMENT_S = 0.05  # for the client accepted last to be placed
-MIN_MIGRATION_S = 0.25
+EVICTION_INTERVAL_S = 0.01  # between rounds of evicting clients with an incomplete request line
+MAX_ACCEPT_RETRY_S = 1.0  # for retries of failed accepts before the listener is closed
+# Lower bounds for the case that all deadlines are short.
+MIN_LAST_PLACEMENT_S = 0.05  # for the balancer to choose a server for the client accepted last
+MIN_MIGRATION_S = 0.25  # for the migrations before the final answers
 
 log = logging.getLogger("ironmill.shutdown")
 
 
 class ShutdownSchedule(Struct, frozen=True):
-    """Moments of the shutdown, in seconds from the signal."""
+    """Times of the phases of the shutdown, in seconds from the signal."""
 
-    close_at: float  # the listener is closed
-    migrate_at: float  # established connections are migrated from then on
-    end_at: float  # the process exits
+    close_at: float  # when the listener is closed
+    migrate_at: float  # when the migration of established connections begins
+    end_at: float  # when the process exits
 
     @classmethod
     def for_deadline(cls, longest_deadline_s: float) -> ShutdownSchedule:
-        """Returns the schedule for the longest deadline that the settings allow a client."""
+        """Returns the schedule for the longest request deadline that the settings allow."""
         end_at = min(MAX_DEADLINE_S, longest_deadline_s) + KILL_GRACE_S - EXIT_MARGIN_S
         flush_at = end_at - FINAL_FLUSH_S
-        # With short deadlines the end comes before MIGRATION_DELAY_S, and half of the time until then would
-        # be less than new connections go on coming.
+        # With short deadlines the process exits before MIGRATION_DELAY_S, and half of the time until the exit
+        # would be shorter than the period in which new connections still arrive.
         close_at = min(ACCEPT_PERIOD_S, flush_at - MIN_LAST_PLACEMENT_S)
         migrate_at = min(MIGRATION_DELAY_S, (close_at + end_at) / 2.0)
         latest_migrate_at = max((close_at + flush_at) / 2.0, flush_at - MIN_MIGRATION_S)
@@ -59,13 +61,13 @@
 
 
 class ConnectionAcceptor(Protocol):
-    """Accepts new connections of clients."""
+    """Accepts new client connections."""
 
     def yield_to_successor(self) -> None:
-        """Leaves new connections to a successor, if there is one."""
+        """Passes new connections to a successor process, if there is one."""
 
     def close(self, within: float) -> None:
-        """Stops accepting. Queued connections are accepted first, retried for ``within`` seconds. Parks."""
+        """Accepts the queued connections, with retries for ``within`` seconds, and stops accepting. Parks."""
 
 
 class ShutdownContext(Struct, frozen=True):
@@ -80,10 +82,10 @@
 
 
 class Shutdown:
-    """Ends the run of the scheduler gracefully when a signal asks for it."""
+    """Shuts a proxy down gracefully and stops its scheduler; run by a signal handler."""
 
     def __init__(self, context: ShutdownContext) -> None:
-        """Does nothing until ``run``."""
+        """Creates a shutdown of the parts in ``context``; ``run`` performs it."""
         self._scheduler = context.scheduler
         self._gateway = context.gateway
         self._acceptor = context.acceptor
@@ -92,46 +94,46 @@
         self._admin_server = context.admin_server
 
     def run(self) -> None:
-        """Shuts down and stops the scheduler. A second signal changes nothing. Parks."""
+        """Shuts down and stops the scheduler. Does nothing if a shutdown is already running. Parks."""
         if self._gateway.lifecycle.state in TERMINAL_STATES:
             return
         self._gateway.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
         pending, established = self._gateway.pending_count(), len(self._gateway.established())
         log.info("shutting down: %d pending, %d established", pending, established)
         longest_deadline_s = max(self._config.default_deadlines_s.values(), default=MAX_DEADLINE_S)
-        self._empty_gracefully(ShutdownSchedule.for_deadline(longest_deadline_s))
+        self._close_and_migrate(ShutdownSchedule.for_deadline(longest_deadline_s))
         self._finalize()
         metrics, counts = self._gateway.metrics, self._gateway.counts
         log.info("shut down: %s, %d attempts, %s", metrics.by_outcome(), metrics.attempts, counts)
         self._scheduler.stop()
 
-    def _empty_gracefully(self, schedule: ShutdownSchedule) -> None:
-        """Stops accepting, serves what is left, and migrates established connections."""
+    def _close_and_migrate(self, schedule: ShutdownSchedule) -> None:
+        """Stops accepting, serves the remaining requests and migrates established connections."""
         started_at = time.monotonic()
         flush_at = started_at + schedule.end_at - FINAL_FLUSH_S
         self._acceptor.yield_to_successor()
         self._scheduler.sleep(schedule.close_at)
-        self._acceptor.yield_to_successor()  # again: a successor may have begun to listen only now
+        self._acceptor.yield_to_successor()  # again, as a successor may have begun to listen meanwhile
         self._acceptor.close(max(0.0, min(MAX_ACCEPT_RETRY_S, flush_at - time.monotonic())))
         self._scheduler.sleep(max(0.0, started_at + schedule.migrate_at - time.monotonic()))
         BulkMigration(self._scheduler, self._gateway).migrate_all(flush_at)
 
     def _finalize(self) -> None:
-        """Answers everything that is still open, and lets the answers leave. Nothing begins any more."""
+        """Sends the remaining final answers and waits for clients to receive them. Starts no attempt."""
         finalized_at = time.monotonic()
         self._gateway.lifecycle.handle(LifecycleEvent.GRACE_PERIOD_ENDED)
         self._gateway.resolve_all()
         for request in self._gateway.established():
-            request.handler.migrate()  # also those established since the migration
+            request.handler.migrate()  # includes those established since the bulk migration
         self._scheduler.spawn(self._evict_silent, finalized_at + FINAL_FLUSH_S)
-        if self._admin_server is not None:  # the exit would reset the calls in its queue
+        if self._admin_server is not None:  # the exit would reset its pending calls
             self._admin_server.close(FINAL_FLUSH_S / 2.0)
         self._scheduler.sleep(max(0.0, finalized_at + FINAL_FLUSH_S - time.monotonic()))
 
     def _evict_silent(self, until: float) -> None:
-        """Answers all clients without a complete request line.
+        """Answers all clients whose request line is incomplete, at intervals until ``until``.
 
-        One that has unread bytes is left to its reader, which answers a complete line. It is evicted in a
+        A client with unread bytes is left to its reader, which answers a complete line. It is evicted in a
         later round if the line is still incomplete then.
         """
         while time.monotonic() < until:
--- a/ironmill/net/sockets.py
+++ b/ironmill/net/sockets.py
@@ -21,19 +21,19 @@
     UnsentError,
 )
 
-READ_BYTES = 16 * 1024  # of one read, and so the bound of what is buffered for the other side
-MAX_DISCARDED_BYTES = 64 * 1024  # read and dropped after the last answer
-MAX_IMMEDIATE_RETRIES = 16  # of a call that fails for lack of memory, where the task may not park
-MAX_READS_WITHOUT_YIELD = 4  # of one connection
-# A write that waits for its reader checks at this interval whether the source has closed, and gives up this
-# long after that: the close has to reach the other side within 1 s.
+READ_BYTES = 16 * 1024  # maximum of one read, which bounds the data buffered for the other side
+MAX_DISCARDED_BYTES = 64 * 1024  # maximum that is read and discarded after the final answer
+MAX_IMMEDIATE_RETRIES = 16  # of a call that fails for lack of memory while the task must not park
+MAX_READS_WITHOUT_YIELD = 4  # consecutive reads of one connection
+# A write that is blocked by its peer checks at this interval whether the source has closed. If it has, the
+# write fails after the timeout, because the close must reach the other side within 1 s.
 BLOCKED_WRITE_CHECK_INTERVAL_S = 0.25
 BLOCKED_WRITE_TIMEOUT_S = 0.4
-_LINGER_OFF = struct.pack("ii", 1, 0)
+_LINGER_RESET = struct.pack("ii", 1, 0)  # struct linger: on, with a timeout of 0, so that a close resets
 
 
 def _ignore_close() -> None:
-    """The default of ``Stream.on_close``."""
+    """Does nothing; the default of ``Stream.on_close``."""
 
 
 class TimedOutError(IronmillError):
@@ -43,17 +43,25 @@
 class Stream:
     """A connected, non-blocking socket."""
 
-    __slots__ = ("_immediate_reads", "_scheduler", "_sock", "closed", "drained", "on_close", "queued_since")
+    __slots__ = (
+        "_immediate_reads",
+        "_scheduler",
+        "_sock",
+        "closed",
+        "on_close",
+        "queued_since",
+        "recv_buffer_empty",
+    )
 
     def __init__(self, scheduler: Scheduler, sock: socket.socket) -> None:
-        """Takes ownership of a connected socket."""
+        """Takes ownership of a connected socket and makes it non-blocking."""
         self._scheduler = scheduler
         self._sock = sock
         self.closed = False
         self.on_close: Callable[[], object] = _ignore_close
         self._immediate_reads = 0  # consecutive reads that did not park
-        self.drained = False  # the last read emptied the socket's buffer
-        # The monotonic time from which the first bytes may have waited in the accept queue.
+        self.recv_buffer_empty = False  # True if the last read emptied the socket's receive buffer
+        # The earliest monotonic time at which bytes may have arrived while the connection was not accepted.
         self.queued_since: float | None = None
         sock.setblocking(False)
         if sock.family in (socket.AF_INET, socket.AF_INET6):
@@ -62,7 +70,7 @@
     def __del__(self) -> None:
         """Closes a stream that its owner dropped without closing it.
 
-        The kernel reuses the descriptor, and the scheduler would consider the new one registered already.
+        The kernel reuses the descriptor number, which the scheduler would still hold as registered.
         """
         if not getattr(self, "closed", True):
             self.closed = True
@@ -71,11 +79,11 @@
 
     @property
     def has_backpressure(self) -> bool:
-        """True while written data waits in a buffer for the socket; a plain stream has no buffer."""
+        """True while written data is buffered until the socket takes it; a plain stream has no buffer."""
         return False
 
     def handshake(self, deadline: float) -> None:
-        """Does what precedes the first byte; nothing on a plain stream."""
+        """Performs the handshake that precedes the first data byte; does nothing on a plain stream."""
 
     def peer_certificate(self) -> bytes | None:
         """Returns the peer's certificate in DER; None if it presented none."""
@@ -88,7 +96,7 @@
         """Opens a connection, from the local address ``source`` if it is not empty.
 
         Raises ``OSError`` if it is refused, ``TimedOutError`` after ``timeout`` seconds, and ``UnsentError``
-        if this machine could not begin it for as long.
+        if connect failed locally until then, before anything was sent.
         """
         give_up_at = time.monotonic() + timeout
         while True:
@@ -120,13 +128,13 @@
                 code = stream._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 raise OSError(code, os.strerror(code))
-        except BaseException:  # GreenletExit as well: a killed task must not leak the descriptor
+        except BaseException:  # also GreenletExit: a killed task must not leak the descriptor
             stream.close()
             raise
         return stream
 
     def peer_address(self) -> str:
-        """Returns the peer's host address; empty if it is gone or has none."""
+        """Returns the peer's IP address; empty if the peer has disconnected or has no address."""
         try:
             name = self._sock.getpeername()
         except OSError:
@@ -134,18 +142,19 @@
         return str(name[0]) if isinstance(name, tuple) else ""
 
     def receive(self, timeout: float | None = None) -> bytes:
-        """Returns some bytes, none at the end. Raises ``TimedOutError`` after ``timeout`` seconds.
+        """Returns received bytes, none at the end of the stream.
 
-        Reads without parking first, unless the last read emptied the socket's buffer.
+        Tries to read before it parks, unless the last read emptied the socket's receive buffer. Raises
+        ``TimedOutError`` after ``timeout`` seconds.
         """
         if self._immediate_reads >= MAX_READS_WITHOUT_YIELD:
-            # The reader of a sender at full speed would never park, and no other task would run.
+            # Otherwise a task that reads from a fast sender would never park and no other task would run.
             self._immediate_reads = 0
             self._scheduler.sleep(0.0)
         in_time = True
         until = math.inf if timeout is None else time.monotonic() + timeout
         while True:
-            if not self.drained or not in_time:
+            if not self.recv_buffer_empty or not in_time:
                 try:
                     data = self._sock.recv(READ_BYTES)
                 except BlockingIOError:
@@ -153,39 +162,39 @@
                 except OSError as error:
                     if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                         raise
-                    self._pause_retry(until)
+                    self._sleep_before_retry(until)
                     continue
                 else:
                     self._immediate_reads += 1
-                    self.drained = 0 < len(data) < READ_BYTES
+                    self.recv_buffer_empty = 0 < len(data) < READ_BYTES
                     return data
                 if not in_time:
                     raise TimedOutError
             in_time = self._scheduler.wait(self._sock.fileno(), READ, timeout)
-            self.drained = False
+            self.recv_buffer_empty = False
 
-    def _pause_retry(self, until: float) -> None:
-        """Parks after a call failed for lack of memory. Raises ``TimedOutError`` from ``until`` on."""
+    def _sleep_before_retry(self, until: float) -> None:
+        """Parks after a call failed for lack of memory. Raises ``TimedOutError`` if ``until`` has passed."""
         if time.monotonic() >= until:
             raise TimedOutError
         self._scheduler.sleep(RETRY_INTERVAL_S)
 
     def receive_nowait(self) -> bytes:
-        """Returns the bytes received so far without parking, perhaps none."""
+        """Returns bytes that have been received, without parking; empty if there are none."""
         return self._recv_nowait(READ_BYTES) or b""
 
     def _recv_nowait(self, size: int, flags: int = 0) -> bytes | None:
-        """Returns received bytes, perhaps none; None if lack of memory prevents the call again and again."""
+        """Returns received bytes, possibly none; None if lack of memory makes every retry fail."""
         for _ in range(MAX_IMMEDIATE_RETRIES):
             try:
                 return self._sock.recv(size, flags)
             except OSError as error:
                 if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
-                    return b""  # no bytes, or no connection
+                    return b""  # no bytes have arrived, or the connection is broken
         return None
 
     def is_closed_by_peer(self) -> bool:
-        """Returns True if the peer has closed or reset the connection, even behind unread bytes."""
+        """Returns True if the peer has closed or reset the connection, even if unread bytes precede that."""
         poll = select.poll()
         try:
             poll.register(self._sock.fileno(), select.POLLRDHUP)
@@ -194,21 +203,21 @@
         return bool(poll.poll(0))
 
     def has_unread(self) -> bool:
-        """Returns True if unread bytes have been received, or if lack of memory prevents the check."""
+        """Returns True if received bytes have not been read, or if lack of memory prevents the check."""
         data = self._recv_nowait(1, socket.MSG_PEEK)
         return data is None or bool(data)
 
     def is_stale(self) -> bool:
-        """Returns True if a cached connection must not be reused: it ended, or holds unrequested bytes."""
+        """Returns True if a cached connection must not be reused: it has ended or holds unexpected bytes."""
         return self.is_closed_by_peer() or self.has_unread()
 
     def spawn_when_readable(self, function: Callable[..., object], *args: object) -> Task:
-        """Starts a task once the socket is readable, ended or broken."""
-        self.drained = False
+        """Starts a task once the socket is readable, which includes its end and errors."""
+        self.recv_buffer_empty = False
         return self._scheduler.spawn_when(self._sock.fileno(), READ, function, *args)
 
     def send_some(self, data: bytes | memoryview, timeout: float | None = None) -> int:
-        """Writes what the socket takes, parking until it takes at least one byte; returns the count."""
+        """Writes what the socket takes, parking until it takes at least one byte; returns the byte count."""
         until = math.inf if timeout is None else time.monotonic() + timeout
         while True:
             try:
@@ -218,22 +227,22 @@
             except OSError as error:
                 if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                     raise
-                self._pause_retry(until)
+                self._sleep_before_retry(until)
                 continue
             if not self._scheduler.wait(self._sock.fileno(), WRITE, timeout):
                 raise TimedOutError
 
     def send_nowait(self, data: bytes) -> int:
-        """Writes as much as the socket takes without parking; returns the count, perhaps 0."""
+        """Writes as much as the socket takes without parking; returns the byte count, possibly 0."""
         sent = 0
         while sent < len(data):
-            taken = self._push_nowait(data[sent:])
-            if not taken:
+            written = self._send_once_nowait(data[sent:])
+            if not written:
                 break
-            sent += taken
+            sent += written
         return sent
 
-    def _push_nowait(self, data: bytes | bytearray) -> int:
+    def _send_once_nowait(self, data: bytes | bytearray) -> int:
         for _ in range(MAX_IMMEDIATE_RETRIES):
             try:
                 return self._sock.send(data)
@@ -245,27 +254,27 @@
         return 0
 
     def send(self, data: bytes, timeout: float | None = None) -> None:
-        """Writes all of it. Raises ``TimedOutError`` if the socket takes nothing for ``timeout`` seconds."""
-        rest = memoryview(data)
-        while rest:
-            rest = rest[self.send_some(rest, timeout) :]
+        """Writes all data. Raises ``TimedOutError`` if the socket takes nothing for ``timeout`` seconds."""
+        unsent = memoryview(data)
+        while unsent:
+            unsent = unsent[self.send_some(unsent, timeout) :]
 
     def flush(self, timeout: float | None = None) -> None:
         """Waits until the socket has taken the buffered data; a plain stream buffers nothing."""
 
     def send_from(self, data: bytes, source: Stream) -> None:
-        """Writes all of what the source sent, however slowly the peer reads, while the source is open.
+        """Writes all data that was read from ``source``, however slowly the peer reads.
 
         Raises ``TimedOutError`` once the source has closed and the peer has read nothing for
-        ``BLOCKED_WRITE_TIMEOUT_S``. The source is not read meanwhile, so its close would go unnoticed
-        otherwise.
+        ``BLOCKED_WRITE_TIMEOUT_S``. The source is not read during the write, so its close would go unnoticed
+        without this check.
         """
-        rest = memoryview(data)
+        unsent = memoryview(data)
         give_up_at = math.inf
-        while rest or self.has_backpressure:
+        while unsent or self.has_backpressure:
             try:
-                if rest:
-                    rest = rest[self.send_some(rest, BLOCKED_WRITE_CHECK_INTERVAL_S) :]
+                if unsent:
+                    unsent = unsent[self.send_some(unsent, BLOCKED_WRITE_CHECK_INTERVAL_S) :]
                 else:
                     self.flush(BLOCKED_WRITE_CHECK_INTERVAL_S)
                 give_up_at = math.inf
@@ -276,52 +285,53 @@
                     raise
 
     def shutdown_write(self) -> None:
-        """Ends the sending direction; the receiving direction stays open."""
+        """Shuts down the sending direction; the receiving direction stays open."""
         with contextlib.suppress(OSError):  # the peer may have closed already
             self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Closes the socket and calls ``on_close``. No task may be waiting on it."""
+        """Closes the socket and calls ``on_close``. No task may be waiting on the socket."""
         if not self.closed:
             self._scheduler.forget(self._sock.fileno())
         self.closed = True
-        with contextlib.suppress(OSError):  # close(2): the descriptor is released in any case
+        with contextlib.suppress(OSError):  # close(2) releases the descriptor even if it fails
             self._sock.close()
         on_close = self.on_close
         self.on_close = _ignore_close
         on_close()
 
     def close_immediately(self) -> None:
-        """Ends the sending direction and closes without parking, after reading what was received.
+        """Shuts down the sending direction, discards the received bytes and closes, without parking.
 
-        A close over unread bytes would reset the connection, and the reset would overtake the last answer.
+        A close with unread bytes would reset the connection, and the peer might lose the final answer.
         """
         self.shutdown_write()
-        left = MAX_DISCARDED_BYTES
-        while left > 0 and (data := self.receive_nowait()):
-            left -= len(data)
+        remaining_bytes = MAX_DISCARDED_BYTES
+        while remaining_bytes > 0 and (data := self.receive_nowait()):
+            remaining_bytes -= len(data)
         self.close()
 
     def abort(self) -> None:
-        """Closes with a reset."""
+        """Closes the connection with a reset."""
         if not self.closed:
             with contextlib.suppress(OSError):  # the connection is broken already
-                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_OFF)
+                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
             self.close()
 
     def close_gracefully(self, timeout: float) -> None:
-        """Ends the sending direction and reads to the peer's end, so that no reset overtakes the last bytes.
+        """Shuts down the sending direction, waits until the peer closes, and closes.
 
-        Parks for at most ``timeout`` seconds. Drops at most ``MAX_DISCARDED_BYTES``; what a peer sends beyond
-        that stays in the kernel until the close, so that it costs no processor time.
+        Unread bytes at the close would cause a reset, and the peer might lose the last bytes sent to it.
+        Parks for at most ``timeout`` seconds. Discards at most ``MAX_DISCARDED_BYTES``; what a peer sends
+        beyond that stays in the kernel until the close and costs no processor time.
         """
         self.shutdown_write()
         deadline = time.monotonic() + timeout
-        left = MAX_DISCARDED_BYTES
+        remaining_bytes = MAX_DISCARDED_BYTES
         try:
-            while left > 0 and (data := self.receive(max(0.0, deadline - time.monotonic()))):
-                left -= len(data)
-            if left <= 0:
+            while remaining_bytes > 0 and (data := self.receive(max(0.0, deadline - time.monotonic()))):
+                remaining_bytes -= len(data)
+            if remaining_bytes <= 0:
                 self._scheduler.sleep(max(0.0, deadline - time.monotonic()))
         except (OSError, TimedOutError):
             pass
--- a/ironmill/net/tls.py
+++ b/ironmill/net/tls.py
@@ -1,7 +1,8 @@
-"""A stream that speaks TLS, with the interface of a plain ``Stream``.
+"""A TLS stream with the interface of a plain ``Stream``.
 
-Encrypted records that the socket has not taken yet are buffered: at most one record more than the caller has
-been told is sent. ``has_backpressure`` reports such a buffer, and ``send`` waits until it is empty.
+Encrypted records that the socket has not taken yet are buffered, so that up to one record that was reported
+as sent may still be unsent. ``has_backpressure`` is True while the buffer is not empty, and ``send`` waits
+until it is.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 
 class TlsFailedError(IronmillError, ConnectionError):
-    """The peer broke TLS; it has been sent the alert if the socket took it at once."""
+    """The peer violated the TLS protocol; the alert has been sent if the socket could take it at once."""
 
 
 class TlsStream(Stream):
-    """A connected socket with TLS on it. ``handshake`` must be called before any data is read or written."""
+    """A connected socket that uses TLS. ``handshake`` must be called before any data is read or written."""
 
     __slots__ = ("_buffer", "_tls")
 
@@ -36,7 +37,7 @@
 
     @classmethod
     def for_server(cls, scheduler: Scheduler, sock: socket.socket, context: ssl.SSLContext) -> TlsStream:
-        """Returns the server's side of TLS on an accepted socket."""
+        """Returns the server's side of a TLS connection on an accepted socket."""
         return cls(scheduler, sock, TlsProtocol(context, is_server=True))
 
     @classmethod
@@ -48,7 +49,7 @@
         server_name: str,
         session: ssl.SSLSession | None = None,
     ) -> TlsStream:
-        """Returns the client's side, which verifies the server's name and may resume ``session``."""
+        """Returns the client's side, which verifies ``server_name`` and may resume ``session``."""
         tls = TlsProtocol(context, is_server=False, server_name=server_name, session=session)
         return cls(scheduler, sock, tls)
 
@@ -56,8 +57,8 @@
     def wrap(
         cls, scheduler: Scheduler, stream: Stream, context: ssl.SSLContext, server_name: str
     ) -> TlsStream:
-        """Returns the client's side on a connected stream, which must not be used any more."""
-        stream.closed = True  # its socket belongs to the new stream
+        """Returns the client's side on a connected plain stream, which must not be used afterwards."""
+        stream.closed = True  # the new stream owns its socket
         return cls.for_client(scheduler, stream._sock, context, server_name)
 
     def handshake(self, deadline: float) -> None:
@@ -68,10 +69,10 @@
         """
         while self._tls.state is TlsState.HANDSHAKE:
             self._flush(max(0.0, deadline - time.monotonic()))
-            left = deadline - time.monotonic()
-            if left <= 0.0:  # the wait below does not bound records that arrive one byte at a time
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0.0:  # the timeout of a single read does not bound a slow handshake
                 raise TimedOutError
-            self._take_records(super().receive(left))
+            self._process_records(super().receive(remaining_s))
         if self._tls.state is TlsState.TRUNCATED:
             raise ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
         self._flush(max(0.0, deadline - time.monotonic()))
@@ -82,53 +83,53 @@
 
     @property
     def tls(self) -> TlsProtocol:
-        """The state of TLS on this stream."""
+        """The TLS protocol state of this stream."""
         return self._tls
 
     @property
     def has_backpressure(self) -> bool:
-        """True while records wait for the socket."""
+        """True while encrypted records are buffered until the socket takes them."""
         return bool(self._buffer)
 
     def receive(self, timeout: float | None = None) -> bytes:
-        """Returns some bytes, none once the peer has sent close_notify.
+        """Returns decrypted bytes, none once the peer has sent close_notify.
 
-        Raises ``ConnectionResetError`` if the bytes end without close_notify, because data may be missing.
+        Raises ``ConnectionResetError`` if the stream ends without close_notify, because data may be missing.
         """
         while True:
             try:
                 data = self._tls.read(READ_BYTES)
             except TlsError as error:
-                raise self._failure(error) from None
-            self._push()  # a read may produce records: a key update, an alert
+                raise self._handle_failure(error) from None
+            self._flush_nowait()  # a read may produce records, such as a key update or an alert
             if data is not None:
                 if not data and self._tls.state is TlsState.TRUNCATED:
                     raise ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
-                self.drained = bool(data) and self.drained and not self._tls.pending
+                self.recv_buffer_empty = bool(data) and self.recv_buffer_empty and not self._tls.pending
                 return data
-            self._take_records(super().receive(timeout))
+            self._process_records(super().receive(timeout))
 
     def send_some(self, data: bytes | memoryview, timeout: float | None = None) -> int:
-        """Writes at most one record and waits until the socket has all of it."""
+        """Writes at most one record and waits until the socket has taken it; returns the byte count."""
         self._flush(timeout)
-        piece = bytes(data[:MAX_RECORD_BYTES])
-        self._encrypt(piece)
+        chunk = bytes(data[:MAX_RECORD_BYTES])
+        self._encrypt(chunk)
         self._flush(timeout)
-        return len(piece)
+        return len(chunk)
 
     def send_nowait(self, data: bytes) -> int:
-        """Writes what the socket takes at once; a part of the last record may stay in the buffer."""
+        """Encrypts what the socket takes without parking; a part of the last record may stay buffered."""
         sent = 0
-        self._push()
+        self._flush_nowait()
         while sent < len(data) and not self._buffer and self._tls.state is not TlsState.HANDSHAKE:
-            piece = data[sent : sent + MAX_RECORD_BYTES]
-            self._encrypt(piece)
-            self._push()
-            sent += len(piece)
+            chunk = data[sent : sent + MAX_RECORD_BYTES]
+            self._encrypt(chunk)
+            self._flush_nowait()
+            sent += len(chunk)
         return sent
 
     def send(self, data: bytes, timeout: float | None = None) -> None:
-        """Writes all of it, and the buffered records."""
+        """Writes all data and waits until the socket has taken the buffered records."""
         super().send(data, timeout)
         self._flush(timeout)
 
@@ -137,57 +138,57 @@
         self._flush(timeout)
 
     def shutdown_write(self) -> None:
-        """Sends close_notify and ends the sending direction; the receiving direction stays open."""
+        """Sends close_notify and shuts down the sending direction; the receiving direction stays open."""
         self._send_close_notify()
         super().shutdown_write()
 
     def close(self) -> None:
-        """Closes the socket, after close_notify where it can still be sent."""
+        """Sends close_notify if it still can be sent, and closes the socket."""
         if not self.closed:
             self._send_close_notify()
         super().close()
 
     def abort(self) -> None:
-        """Closes with a reset and without close_notify, so that it cannot pass for an orderly end."""
+        """Closes with a reset and without close_notify, so that the peer does not see an orderly close."""
         self._tls.abandon()
         super().abort()
 
     def _send_close_notify(self) -> None:
         if self._tls.state is TlsState.HANDSHAKE:
-            # The first byte of an attempt would reach a server that the drain deadline may already protect.
+            # The buffer may hold the first bytes of an attempt at a server whose drain grace period is over.
             self._buffer.clear()
             return
-        with contextlib.suppress(OSError, TlsError):  # the peer is gone, or broke TLS
+        with contextlib.suppress(OSError, TlsError):  # the peer has disconnected or violated TLS
             self._tls.shutdown_write()
-            self._push()
+            self._flush_nowait()
 
     def _encrypt(self, data: bytes) -> None:
         try:
             self._tls.write(data)
         except TlsError as error:
-            raise self._failure(error) from None
+            raise self._handle_failure(error) from None
 
-    def _take_records(self, data: bytes) -> None:
+    def _process_records(self, data: bytes) -> None:
         try:
             self._tls.receive(data)
         except TlsError as error:
-            raise self._failure(error) from None
+            raise self._handle_failure(error) from None
 
-    def _failure(self, error: TlsError) -> TlsFailedError:
-        """Sends the alert if the socket takes it at once; returns the error to raise."""
+    def _handle_failure(self, error: TlsError) -> TlsFailedError:
+        """Sends the alert if the socket takes it without parking; returns the error to raise."""
         with contextlib.suppress(OSError):
-            self._push()
+            self._flush_nowait()
         return TlsFailedError(str(error))
 
-    def _push(self) -> None:
-        """Moves new records to the buffer and writes what the socket takes at once."""
+    def _flush_nowait(self) -> None:
+        """Moves new records to the buffer and writes what the socket takes without parking."""
         self._buffer += self._tls.outgoing()
         if self._buffer:
-            del self._buffer[: self._push_nowait(self._buffer)]
+            del self._buffer[: self._send_once_nowait(self._buffer)]
 
     def _flush(self, timeout: float | None) -> None:
-        self._push()
+        self._flush_nowait()
         while self._buffer:
             if not self._scheduler.wait(self._sock.fileno(), WRITE, timeout):
                 raise TimedOutError
-            self._push()
+            self._flush_nowait()
