--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission of clients on loopback sockets: eviction of silent clients and immediate rejections."""
+"""Tests of admission on loopback sockets: eviction of silent clients and immediate rejections."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 def test_evicts_silent_clients_for_clients_with_requests() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         max_silent = proxy.connection_limiter.max_silent
-        silent = [proxy.client() for _ in range(max_silent + 2)]
-        assert read_line(silent[0]) == read_line(silent[1]) == b"BUSY 500\r\n"
+        silent_clients = [proxy.client() for _ in range(max_silent + 2)]
+        assert read_line(silent_clients[0]) == read_line(silent_clients[1]) == b"BUSY 500\r\n"
         assert proxy.established_pair()
         assert proxy.connection_limiter.used() <= proxy.connection_limiter.max_descriptors
 
@@ -27,15 +27,15 @@
 
 def test_rejects_client_immediately_if_nothing_can_be_evicted() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
-        pairs = []
-        for at in range(proxy.connection_limiter.max_descriptors // 2):
-            pairs.append(proxy.client(OPEN.replace(b"1a", b"%x" % at)))
+        clients = []
+        for client_id in range(proxy.connection_limiter.max_descriptors // 2):
+            clients.append(proxy.client(OPEN.replace(b"1a", b"%x" % client_id)))
             attempt = proxy.next_attempt()
             read_line(attempt)
             attempt.send(b"UP r1\r\n")
-        late = proxy.client(OPEN.replace(b"1a", b"ffff"))
-        assert read_line(late).startswith(b"BUSY ")
-        pairs[0].close()
+        rejected_client = proxy.client(OPEN.replace(b"1a", b"ffff"))
+        assert read_line(rejected_client).startswith(b"BUSY ")
+        clients[0].close()
         proxy.wait_until(
             lambda: proxy.connection_limiter.used() <= proxy.connection_limiter.max_descriptors - 2
         )
@@ -83,15 +83,15 @@
 def test_immediate_rejection_is_complete_despite_short_writes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each write takes one byte, and the connection closes after the whole answer."""
+    """Guards against a truncated answer when each write takes only one byte."""
 
-    class Short(socket.socket):
+    class OneByteSocket(socket.socket):
         def send(self, data: bytes, flags: int = 0) -> int:  # type: ignore[override]
             return super().send(data[:1], flags)
 
     def scenario(proxy: ProxyUnderTest) -> None:
         proxy.connection_limiter.max_descriptors = 0
-        monkeypatch.setattr(sockets_module.socket, "socket", Short)
+        monkeypatch.setattr(sockets_module.socket, "socket", OneByteSocket)
         with raw_client(proxy, OPEN) as client:
             assert read_to_end(proxy, client) == b"BUSY 500\r\n"
 
--- a/tests/system/test_attempts.py
+++ b/tests/system/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at servers on loopback sockets: their order, their retries and their end with the client."""
+"""Tests of attempts on loopback sockets: their order, retries, resumes and the client's close."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
             attempt = proxy.next_attempt()
             read_line(attempt)
             attempt.send(answer)
-            assert attempt.receive(5.0) == b""  # closed before the next attempt connects
+            assert attempt.receive(5.0) == b""  # the proxy closes it before the next attempt connects
             attempt.close()
         attempt = proxy.next_attempt()
         read_line(attempt)
@@ -71,7 +71,7 @@
 
 
 def test_attempt_that_connects_after_the_drain_grace_sends_nothing() -> None:
-    """A draining server's grace period applies to the first byte of the request line."""
+    """Guards against a request line that reaches a server after its drain grace period has ended."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         draining = ListedServer("s-0", *proxy.listeners[0].address, Stage.DRAINING, "a", 0, 1.0, 0.0)
@@ -87,11 +87,11 @@
 
 def test_connection_open_before_the_start_resumes_at_its_server() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
-        at = b"OPEN 1a 2b c=read,d=900,at=s-1\r\n"
-        client = proxy.client(at)
+        request_line = b"OPEN 1a 2b c=read,d=900,at=s-1\r\n"
+        client = proxy.client(request_line)
         for answer in (b"BUSY\r\n", b"UP r9\r\n"):  # the resume is retried until the server answers UP
             attempt = proxy.next_attempt()
-            assert read_line(attempt) == at
+            assert read_line(attempt) == request_line
             attempt.send(answer)
         assert read_line(client) == b"UP r9\r\n"
         (request,) = proxy.gateway.established()
@@ -104,7 +104,7 @@
 
 
 def test_request_of_a_client_that_closed_before_the_read_is_not_forwarded() -> None:
-    """The client's end follows its request line, and the attempt must not be written before it is read."""
+    """The client's FIN follows its request line; the attempt must not be sent before the FIN is read."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         servers = connect_instantly(proxy)
@@ -127,7 +127,7 @@
         with raw_client(proxy, OPEN) as client:
 
             def close_client(address: tuple[str, int], timeout: float) -> Stream:
-                client.close()  # in the turn in which the connection is established
+                client.close()  # in the scheduler turn in which the server's connection is established
                 return dial(address, timeout)
 
             proxy.dial = close_client
@@ -144,30 +144,30 @@
 def test_retry_that_connects_after_its_window_is_not_sent(
     scope: DeduplicationScope, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Servers drop duplicates only within the window: a later attempt could take effect a second time."""
-    window = 10.0
-    keyed = structs.replace(WITH_KEY, deduplication_scope=scope, deduplication_window=window)
-    settings = structs.replace(SETTINGS, classes=(IDEMPOTENT, keyed, NOT_IDEMPOTENT))
+    """Servers drop duplicates only within the window: a retry after it could execute the request twice."""
+    window_s = 10.0
+    keyed_class = structs.replace(WITH_KEY, deduplication_scope=scope, deduplication_window=window_s)
+    settings = structs.replace(SETTINGS, classes=(IDEMPOTENT, keyed_class, NOT_IDEMPOTENT))
 
     def scenario(proxy: ProxyUnderTest) -> None:
         dial, now = Stream.connect, proxy.gateway.now
 
-        def late(address: tuple[str, int], timeout: float) -> Stream:
+        def dial_until_window_ends(address: tuple[str, int], timeout: float) -> Stream:
             stream = dial(proxy.scheduler, address, timeout)
             if proxy.gateway.counts["attempts"] == 2:
-                # The connection is established as the window ends. The clock is moved, for on a busy machine
-                # a window in real time could end before the second attempt starts.
-                monkeypatch.setattr(proxy.gateway, "now", lambda: now() + window)
+                # The window ends when the connection is established. The clock is advanced for this, because
+                # on a busy machine a window in real time could end before the second attempt starts.
+                monkeypatch.setattr(proxy.gateway, "now", lambda: now() + window_s)
             return stream
 
-        proxy.dial = late
-        line = OPEN.replace(b"c=read", b"c=write").replace(b"d=1500", b"d=15000")
-        client = proxy.client(line)
-        first = proxy.next_attempt()
-        read_line(first)
-        first.abort()  # it may have run
-        second = proxy.next_attempt()
-        assert second.receive(5.0) == b""
+        proxy.dial = dial_until_window_ends
+        request_line = OPEN.replace(b"c=read", b"c=write").replace(b"d=1500", b"d=15000")
+        client = proxy.client(request_line)
+        first_attempt = proxy.next_attempt()
+        read_line(first_attempt)
+        first_attempt.abort()  # the request may have run
+        second_attempt = proxy.next_attempt()
+        assert second_attempt.receive(5.0) == b""
         assert read_line(client).split()[0] == answer
         assert proxy.gateway.counts == {"attempts": 2, "attempt RESET": 1, "attempt NOT_SENT": 1}
 
@@ -175,7 +175,7 @@
 
 
 def test_resume_stops_when_its_client_closes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A resume is retried only while its client is connected."""
+    """Guards against a resume that is retried although its client has closed."""
     monkeypatch.setattr(attempts_module, "RESUME_RETRY_INTERVAL_S", 0.0)
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -199,7 +199,7 @@
 
 
 def test_request_of_a_closed_client_is_not_retried() -> None:
-    """An attempt that starts more than 0.1 s after the client's end is a lost request."""
+    """Guards against a retry more than 0.1 s after the client's close, whose result would be lost."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(OPEN)
@@ -219,13 +219,13 @@
 def test_failed_task_releases_all_resources_of_its_connection(
     monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
-    """During its attempt and during its last answer: no slot, id or descriptor leaks."""
-    received: list[Ended] = []
+    """Guards against leaked slots, ids and descriptors after an exception in the attempt or final answer."""
+    ended_events: list[Ended] = []
     handle = Balancer.handle
 
     def recorded(balancer: Balancer, event: Event, now: float) -> object:
         if isinstance(event, Ended):
-            received.append(event)
+            ended_events.append(event)
         return handle(balancer, event, now)
 
     def fails(*_: object) -> None:
@@ -249,26 +249,26 @@
         assert proxy.gateway.metrics.in_progress == 0
 
     ProxyUnderTest().run(scenario)
-    assert len(received) == 1
+    assert len(ended_events) == 1
 
 
 def test_failed_action_does_not_affect_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One event may lead to the answers of several clients."""
+    """One event may produce answers for several clients; an exception for one must not affect the others."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         first, second = (proxy.client(OPEN.replace(b"1a", name)) for name in (b"1a", b"1b"))
         proxy.wait_until(lambda: proxy.gateway.pending_count() == 2)
-        ids = list(proxy.gateway.requests.by_id)
-        decisions = [Reject(ids[0], 0.1), Reject(ids[1], 0.1)]
-        handler = proxy.gateway.requests.by_id[ids[0]].handler
+        request_ids = list(proxy.gateway.requests.by_id)
+        actions = [Reject(request_ids[0], 0.1), Reject(request_ids[1], 0.1)]
+        failing_handler = proxy.gateway.requests.by_id[request_ids[0]].handler
 
-        def failing(self: ClientConnection, retry_after: float) -> None:
-            if self is handler:
+        def reject_or_fail(self: ClientConnection, retry_after: float) -> None:
+            if self is failing_handler:
                 raise ZeroDivisionError
             reject(self, retry_after)
 
-        monkeypatch.setattr(ClientConnection, "reject", failing)
-        monkeypatch.setattr(Balancer, "handle", lambda *_: decisions)
+        monkeypatch.setattr(ClientConnection, "reject", reject_or_fail)
+        monkeypatch.setattr(Balancer, "handle", lambda *_: actions)
         proxy.gateway.feed(TimerFired("any"))
         monkeypatch.undo()
         assert read_line(second) == b"BUSY 100\r\n"
--- a/tests/system/test_health_checks.py
+++ b/tests/system/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks on loopback sockets: stale answers and the descriptors that are reserved for them."""
+"""Tests of health checks on loopback sockets: stale replies and the descriptors reserved for checks."""
 
 from __future__ import annotations
 
@@ -17,54 +17,56 @@
 from tests.support.proxy_under_test import ProxyUnderTest, pace, read_line
 
 
-def health_check_driver(proxy: ProxyUnderTest, received: list[tuple[Outcome, object]]) -> HealthCheckDriver:
+def health_check_driver(proxy: ProxyUnderTest, results: list[tuple[Outcome, object]]) -> HealthCheckDriver:
     return HealthCheckDriver(
-        proxy.scheduler, 0.5, lambda _, outcome, report: received.append((outcome, report))
+        proxy.scheduler, 0.5, lambda _, outcome, report: results.append((outcome, report))
     )
 
 
 @pytest.mark.parametrize("between", [b"", b"PONG x0=9\r\n"])
 def test_health_check_ignores_bytes_received_between_two_checks(between: bytes) -> None:
-    """An idle connection that closes and a second answer say nothing about the load."""
-    received: list[tuple[Outcome, object]] = []
+    """Guards against failed checks and stale replies after an idle connection closed or received bytes."""
+    results: list[tuple[Outcome, object]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        driver, server = health_check_driver(proxy, received), proxy.gateway.server("s-0")
+        driver, server = health_check_driver(proxy, results), proxy.gateway.server("s-0")
         assert server is not None
         for _ in range(2):
             driver.check(server)
             attempt = proxy.next_attempt()  # the second one is a new connection
             read_line(attempt)
             attempt.send(b"PONG x0=0.5\r\n")
-            proxy.wait_until(lambda: bool(received))
+            proxy.wait_until(lambda: bool(results))
             if between:
                 attempt.send(between)
             else:
                 attempt.close()
-        proxy.wait_until(lambda: len(received) == 2)
+        proxy.wait_until(lambda: len(results) == 2)
 
     ProxyUnderTest().run(scenario)
-    assert received == [(Outcome.OK, (("x0", 0.5),))] * 2
+    assert results == [(Outcome.OK, (("x0", 0.5),))] * 2
 
 
 def test_health_checks_stay_within_their_reserved_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(health_check_module, "REPLY_TIMEOUT_S", 60.0)
-    received: list[tuple[Outcome, object]] = []
+    results: list[tuple[Outcome, object]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        driver, checks = health_check_driver(proxy, received), []
-        servers = [server for at in range(MAX_CONNECTIONS + 3) if (server := proxy.gateway.server(f"s-{at}"))]
+        driver, connections = health_check_driver(proxy, results), []
+        servers = [
+            server for index in range(MAX_CONNECTIONS + 3) if (server := proxy.gateway.server(f"s-{index}"))
+        ]
         for server in servers:
             driver.check(server)
-            checks.append(proxy.next_attempt())
-            if len(checks) > 1:
-                read_line(checks[-1])
-                checks[-1].send(b"PONG x0=0.5\r\n")
-                proxy.wait_until(lambda: len(received) == len(checks) - 1)
+            connections.append(proxy.next_attempt())
+            if len(connections) > 1:
+                read_line(connections[-1])
+                connections[-1].send(b"PONG x0=0.5\r\n")
+                proxy.wait_until(lambda: len(results) == len(connections) - 1)
         assert len(driver._streams) == MAX_CONNECTIONS
-        assert read_line(checks[0]) == b"STATS\r\n"  # its check is pending, so it stays open
-        assert [attempt.is_closed_by_peer() for attempt in checks[:5]] == [False, True, True, True, False]
-        assert {outcome for outcome, _ in received} == {Outcome.OK}
+        assert read_line(connections[0]) == b"STATS\r\n"  # its check is pending, so it stays open
+        assert [stream.is_closed_by_peer() for stream in connections[:5]] == [False, True, True, True, False]
+        assert {outcome for outcome, _ in results} == {Outcome.OK}
 
     ProxyUnderTest(MAX_CONNECTIONS + 3).run(scenario)
 
@@ -72,51 +74,51 @@
 def test_descriptor_exhaustion_affects_one_health_check_and_one_discovery_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The server is not at fault, and the watch continues."""
-    received: list[tuple[Outcome, object]] = []
-    connect, failed = Stream.connect, list[bool]()
+    """The failed check must not count against the server, and the discovery watch must continue."""
+    results: list[tuple[Outcome, object]] = []
+    connect, failures = Stream.connect, list[bool]()
 
-    def full(*args: object) -> Stream:
-        if len(failed) < 2:
-            failed.append(True)
+    def connect_after_two_failures(*args: object) -> Stream:
+        if len(failures) < 2:
+            failures.append(True)
             raise OSError(errno.EMFILE, "too many")
         return connect(*args)  # type: ignore[arg-type]
 
     def scenario(proxy: ProxyUnderTest) -> None:
         server = proxy.gateway.server("s-0")
         assert server is not None
-        monkeypatch.setattr(Stream, "connect", full)
-        health_check_driver(proxy, received).check(server)
-        proxy.wait_until(lambda: bool(received))
+        monkeypatch.setattr(Stream, "connect", connect_after_two_failures)
+        health_check_driver(proxy, results).check(server)
+        proxy.wait_until(lambda: bool(results))
         Discovery(
             proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
         ).start()
         assert requested_path(proxy.next_attempt()) == b"/api/targets"
 
     ProxyUnderTest().run(scenario)
-    assert received == [(Outcome.NOT_SENT, ())]
-    assert len(failed) == 2
+    assert results == [(Outcome.NOT_SENT, ())]
+    assert len(failures) == 2
 
 
 def test_simultaneous_health_checks_stay_within_their_reserved_descriptors() -> None:
-    received: list[tuple[Outcome, object]] = []
+    results: list[tuple[Outcome, object]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        connecting: list[int] = []
+        connecting_ports: list[int] = []
 
         def dial(address: tuple[str, int], timeout: float) -> Stream:
-            connecting.append(address[1])
+            connecting_ports.append(address[1])
             proxy.scheduler.sleep(60.0)
             raise TimedOutError
 
-        driver = health_check_driver(proxy, received)
+        driver = health_check_driver(proxy, results)
         driver._dial = dial
-        for at in range(MAX_CONNECTIONS + 2):
-            server = proxy.gateway.server(f"s-{at}")
+        for index in range(MAX_CONNECTIONS + 2):
+            server = proxy.gateway.server(f"s-{index}")
             assert server is not None
             driver.check(server)
-        proxy.wait_until(lambda: len(received) == 2)
-        assert len(connecting) == MAX_CONNECTIONS
+        proxy.wait_until(lambda: len(results) == 2)
+        assert len(connecting_ports) == MAX_CONNECTIONS
 
     ProxyUnderTest(MAX_CONNECTIONS + 2).run(scenario)
-    assert received == [(Outcome.NOT_SENT, ())] * 2
+    assert results == [(Outcome.NOT_SENT, ())] * 2
--- a/tests/system/test_migration_and_shutdown.py
+++ b/tests/system/test_migration_and_shutdown.py
@@ -1,4 +1,4 @@
-"""Migration of established connections and the graceful shutdown, on loopback sockets."""
+"""Tests of migration and of the graceful shutdown on loopback sockets."""
 
 from __future__ import annotations
 
@@ -60,8 +60,8 @@
     monkeypatch.setattr(shutdown_module, "MAX_DEADLINE_S", 0.9)
     monkeypatch.setattr(shutdown_module, "MIGRATION_DELAY_S", 0.6)
     signals = Signals()
-    hung_up: list[bool] = []
-    out: dict[str, bytes] = {}
+    sighup_calls: list[bool] = []
+    received: dict[str, bytes] = {}
 
     def scenario(proxy: ProxyUnderTest) -> None:
         established, server = proxy.established_pair()
@@ -73,32 +73,32 @@
                 )
             ).run,
         )
-        signals.on(signal.SIGHUP, lambda: hung_up.append(True))
+        signals.on(signal.SIGHUP, lambda: sighup_calls.append(True))
         signals.start(proxy.scheduler)
         proxy.scheduler.sleep(0.01)
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGHUP)
         proxy.scheduler.sleep(0.01)
-        late = proxy.client(OPEN.replace(b"1a", b"1b"))  # still accepted
+        late = proxy.client(OPEN.replace(b"1a", b"1b"))  # accepted although the shutdown has begun
         attempt = proxy.next_attempt()
         read_line(attempt)
         proxy.scheduler.sleep(0.2)
         attempt.send(b"UP r5\r\n")
-        out["late"] = read_line(late)
+        received["late"] = read_line(late)
         established.send(b"hey\r\n")  # relayed until the migration
-        out["line"] = read_line(server)
-        out["established"] = established.receive(5.0)
+        received["line"] = read_line(server)
+        received["established"] = established.receive(5.0)
 
     try:
         proxy = ProxyUnderTest(packets_pass_through=packets_pass_through)
         proxy.run(scenario)
     finally:
         signals.close()
-    assert hung_up
-    assert out["late"].startswith(b"UP r5\r\n")
-    assert out["line"] == b"hey\r\n"
-    assert out["established"] == b"MOVE\r\n"
+    assert sighup_calls
+    assert received["late"].startswith(b"UP r5\r\n")
+    assert received["line"] == b"hey\r\n"
+    assert received["established"] == b"MOVE\r\n"
 
 
 def test_resolve_all_rejects_pending_requests() -> None:
@@ -114,25 +114,26 @@
     ProxyUnderTest().run(scenario)
 
 
-@pytest.mark.parametrize("longest", [0.05, 0.3, 0.6, 1.0, 2.0, 3.2, 60.0])
-def test_shutdown_has_time_to_migrate_established_connections(longest: float) -> None:
-    """Migrations must leave time to end, but not start before the proxy restarted earlier serves again."""
-    times = ShutdownSchedule.for_deadline(longest)
-    assert times.close_at < times.migrate_at < times.end_at <= min(longest, 3.0) + 0.7
-    assert times.end_at - times.migrate_at >= (times.end_at - times.close_at) / 2.0 - 1e-9
-    if longest >= 3.0:
-        assert 1.95 <= times.migrate_at <= 2.5
+@pytest.mark.parametrize("longest_deadline_s", [0.05, 0.3, 0.6, 1.0, 2.0, 3.2, 60.0])
+def test_shutdown_has_time_to_migrate_established_connections(longest_deadline_s: float) -> None:
+    """Migrations need time to end, but must not start before the proxy restarted earlier serves again."""
+    schedule = ShutdownSchedule.for_deadline(longest_deadline_s)
+    assert schedule.close_at < schedule.migrate_at < schedule.end_at <= min(longest_deadline_s, 3.0) + 0.7
+    assert schedule.end_at - schedule.migrate_at >= (schedule.end_at - schedule.close_at) / 2.0 - 1e-9
+    if longest_deadline_s >= 3.0:
+        assert 1.95 <= schedule.migrate_at <= 2.5
 
 
-@pytest.mark.parametrize("longest", [0.3, 0.6, 2.0, 3.2])
-def test_shutdown_accepts_clients_until_the_front_has_noticed(longest: float) -> None:
+@pytest.mark.parametrize("longest_deadline_s", [0.3, 0.6, 2.0, 3.2])
+def test_shutdown_accepts_clients_until_the_load_balancer_has_noticed(longest_deadline_s: float) -> None:
     """New connections arrive for 0.2 to 0.4 s after SIGTERM, independent of the deadlines."""
-    times = ShutdownSchedule.for_deadline(longest)
-    assert times.close_at >= 0.4 + 0.04
-    assert times.close_at < times.end_at - shutdown_module.FINAL_FLUSH_S  # the last requests are decided
+    schedule = ShutdownSchedule.for_deadline(longest_deadline_s)
+    assert schedule.close_at >= 0.4 + 0.04
+    # Time is left to choose servers for the last requests.
+    assert schedule.close_at < schedule.end_at - shutdown_module.FINAL_FLUSH_S
 
 
-def shutdown_of(proxy: ProxyUnderTest, monkeypatch: pytest.MonkeyPatch) -> Shutdown:
+def short_shutdown(proxy: ProxyUnderTest, monkeypatch: pytest.MonkeyPatch) -> Shutdown:
     for name, value in {"ACCEPT_PERIOD_S": 0.02, "MAX_DEADLINE_S": 0.05, "KILL_GRACE_S": 0.6}.items():
         monkeypatch.setattr(shutdown_module, name, value)
     return Shutdown(
@@ -143,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cls", "written", "answer"),
+    ("class_name", "request_sent", "answer"),
     [
         ("read", True, b"BUSY"),
         ("read", False, b"BUSY"),
@@ -153,16 +154,16 @@
         ("write", True, b"ERR"),
     ],
 )
-def test_attempt_in_progress_at_shutdown_is_answered_by_what_may_have_run(
-    cls: str, written: bool, answer: bytes
+def test_answer_at_shutdown_depends_on_whether_the_attempt_may_have_run(
+    class_name: str, request_sent: bool, answer: bytes
 ) -> None:
-    """An attempt that may have run must not be rejected as harmless to retry, unless it is."""
+    """Guards against ``BUSY`` for a request that may have run and is not safe to retry."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        if not written:
+        if not request_sent:
             proxy.dial = lambda address, timeout: proxy.scheduler.sleep(60.0)  # type: ignore[assignment,return-value]
-        client = proxy.client(OPEN.replace(b"c=read", b"c=" + cls.encode()))
-        if written:
+        client = proxy.client(OPEN.replace(b"c=read", b"c=" + class_name.encode()))
+        if request_sent:
             attempt = proxy.next_attempt()
             read_line(attempt)
         proxy.wait_until(lambda: proxy.gateway.counts.get("attempts") == 1)
@@ -170,7 +171,7 @@
         assert not proxy.gateway.pending_count()
         assert read_line(client).split()[0] == answer
         assert client.receive(5.0) == b""
-        if written:
+        if request_sent:
             assert attempt.receive(5.0) == b""
         proxy.wait_until(lambda: not proxy.gateway.request_count())
         assert proxy.gateway.counts["attempts"] == 1
@@ -190,7 +191,7 @@
 
 
 def test_idle_connections_are_notified_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A request that arrives at that moment is answered already, and no reset overtakes the answer."""
+    """Guards against a missing or second answer, or a reset, for a request that arrives at the eviction."""
     answers: list[bytes] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -201,33 +202,33 @@
         ):
             proxy.wait_until(lambda: len(proxy.connection_limiter._silent) == 3)
 
-            def received(state: ProcessState) -> None:
+            def send_late_request(state: ProcessState) -> None:
                 if state is ProcessState.FINALIZING:
-                    late.sendall(OPEN)  # not read yet when the idle connections are closed
+                    late.sendall(OPEN)  # has not been read when the idle connections are closed
 
-            proxy.gateway.lifecycle.add_listener(received)
-            proxy.scheduler.spawn(shutdown_of(proxy, monkeypatch).run)
+            proxy.gateway.lifecycle.add_listener(send_late_request)
+            proxy.scheduler.spawn(short_shutdown(proxy, monkeypatch).run)
             assert read_line(Stream(proxy.scheduler, silent.dup())) == b"BUSY 200\r\n"
-            silent.sendall(OPEN)  # too late: it is answered already
+            silent.sendall(OPEN)  # too late: the client has been answered
             answers.extend(read_to_end(proxy, client) for client in (silent, idle, late))
 
     proxy = ProxyUnderTest()
-    proxy.run(scenario)  # until the process would exit
+    proxy.run(scenario)  # ends when the process would exit
     assert answers == [b"", b"PONG\r\nBUSY 200\r\n", b"BUSY 200\r\n"]
     assert not proxy.arrived
     assert proxy.gateway.metrics.classes["read"].rejected == 1
 
 
-def test_no_request_starts_while_settling() -> None:
+def test_no_request_starts_while_finalizing() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
-        for step in (
+        for event in (
             LifecycleEvent.STARTED,
             LifecycleEvent.SHUTDOWN_REQUESTED,
             LifecycleEvent.GRACE_PERIOD_ENDED,
         ):
-            proxy.gateway.lifecycle.handle(step)
+            proxy.gateway.lifecycle.handle(event)
         client.send(OPEN)
         assert read_line(client) == b"BUSY 200\r\n"
         assert client.receive(5.0) == b""
@@ -236,13 +237,13 @@
     ProxyUnderTest().run(scenario)
 
 
-@pytest.mark.parametrize("known", [True, False])
-def test_resuming_connection_is_failed_at_shutdown(known: bool) -> None:
-    """Its server has not answered, or discovery has not listed it yet."""
+@pytest.mark.parametrize("server_known", [True, False])
+def test_resuming_connection_is_failed_at_shutdown(server_known: bool) -> None:
+    """Guards against a missing answer if the server has not answered or is not listed by discovery yet."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        client = proxy.client(b"OPEN 1a 2b c=read,at=%b\r\n" % (b"s-0" if known else b"s-9"))
-        if known:
+        client = proxy.client(b"OPEN 1a 2b c=read,at=%b\r\n" % (b"s-0" if server_known else b"s-9"))
+        if server_known:
             read_line(proxy.next_attempt())
         proxy.wait_until(lambda: bool(proxy.gateway.resuming))
         proxy.gateway.resolve_all()
@@ -262,11 +263,11 @@
     received: list[bytes] = []
     monkeypatch.setattr(
         BulkMigration, "migrate_all", lambda self, deadline: None
-    )  # no connection was established in the last round
+    )  # as if no connection had been established during the last round
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client, _ = proxy.established_pair()
-        proxy.scheduler.spawn(shutdown_of(proxy, monkeypatch).run)
+        proxy.scheduler.spawn(short_shutdown(proxy, monkeypatch).run)
         received.append(read_line(client))
         received.append(client.receive(5.0))
 
@@ -275,7 +276,7 @@
 
 
 def test_resumed_connection_gets_no_second_answer_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The server's first line is not processed yet when the process ends."""
+    """Guards against a second answer if the server's first line has not been processed at the shutdown."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         monkeypatch.setattr(ClientAttempt, "on_server_data", lambda *_: proxy.scheduler.sleep(60.0))
@@ -287,6 +288,6 @@
         proxy.gateway.resolve_all()
         (request,) = proxy.gateway.established()
         request.handler.migrate()
-        assert read_line(client) == b"MOVE\r\n"  # and nothing before it
+        assert read_line(client) == b"MOVE\r\n"  # the first line after UP
 
     ProxyUnderTest().run(scenario)
--- a/tests/system/test_probes.py
+++ b/tests/system/test_probes.py
@@ -1,4 +1,4 @@
-"""Health checks: how the gateway and their driver carry them out."""
+"""Tests of health checks: the gateway, the reply protocol and the reuse of connections."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 def test_gateway_carries_out_health_checks(timers: FakeTimers) -> None:
-    gateway, hosts = Gateway(config(), timers), list[Server]()
+    gateway, checked_servers = Gateway(config(), timers), list[Server]()
 
     class FakeHealthChecker:
-        def check(self, host: Server) -> None:
-            hosts.append(host)
-            gateway.on_health_check(host, Outcome.OK, (("x0", 0.2),))
+        def check(self, server: Server) -> None:
+            checked_servers.append(server)
+            gateway.on_health_check(server, Outcome.OK, (("x0", 0.2),))
 
     gateway.use_health_checker(FakeHealthChecker())
     number = gateway._servers.by_uid("s-2").number  # type: ignore[union-attr]
     gateway._executor.execute(CheckHealth(number))
-    assert [host.number for host in hosts] == [number]
+    assert [server.number for server in checked_servers] == [number]
     assert gateway.counts["health check OK"] == 1
     handler = RecordingHandler()
     gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
@@ -35,39 +35,39 @@
 
 
 def test_health_check_replies_are_complete_and_bounded() -> None:
-    side = HealthCheckProtocol()
-    assert side.receive(b"PONG x0=0.5,ep") is None
-    assert side.receive(b"s=0\r\n") == (Outcome.OK, (("x0", 0.5), ("eps", 0.0)))
+    protocol = HealthCheckProtocol()
+    assert protocol.receive(b"PONG x0=0.5,ep") is None
+    assert protocol.receive(b"s=0\r\n") == (Outcome.OK, (("x0", 0.5), ("eps", 0.0)))
     assert HealthCheckProtocol().receive(b"NO\r\n") == (Outcome.ERROR, ())
     assert HealthCheckProtocol().receive(b"x" * 5000) == (Outcome.ERROR, ())
 
 
 def test_health_checks_reuse_a_connection_and_replace_a_broken_one() -> None:
-    received: list[tuple[Outcome, LoadReport]] = []
+    results: list[tuple[Outcome, LoadReport]] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
         driver = HealthCheckDriver(
-            proxy.scheduler, 0.5, lambda _, outcome, report: received.append((outcome, report))
+            proxy.scheduler, 0.5, lambda _, outcome, report: results.append((outcome, report))
         )
-        host = proxy.gateway.server("s-0")
-        assert host is not None
+        server = proxy.gateway.server("s-0")
+        assert server is not None
 
-        def ask() -> None:
-            driver.check(host)
-            driver.check(host)  # one question at a time
+        def check_twice() -> None:
+            driver.check(server)
+            driver.check(server)  # ignored while the first check is running
 
-        ask()
-        attempt: Stream = proxy.next_attempt()
-        for at in range(2):
-            assert read_line(attempt) == b"STATS\r\n"
-            attempt.send(b"PONG x0=%d\r\n" % at)
-            proxy.wait_until(lambda: len(received) == at + 1)  # noqa: B023
-            ask()
-        assert read_line(attempt) == b"STATS\r\n"
-        attempt.close()
-        proxy.wait_until(lambda: len(received) == 3)
-        ask()
+        check_twice()
+        connection: Stream = proxy.next_attempt()
+        for check_index in range(2):
+            assert read_line(connection) == b"STATS\r\n"
+            connection.send(b"PONG x0=%d\r\n" % check_index)
+            proxy.wait_until(lambda: len(results) == check_index + 1)  # noqa: B023
+            check_twice()
+        assert read_line(connection) == b"STATS\r\n"
+        connection.close()
+        proxy.wait_until(lambda: len(results) == 3)
+        check_twice()
         assert read_line(proxy.next_attempt()) == b"STATS\r\n"
 
     ProxyUnderTest().run(scenario)
-    assert received == [(Outcome.OK, (("x0", 0.0),)), (Outcome.OK, (("x0", 1.0),)), (Outcome.RESET, ())]
+    assert results == [(Outcome.OK, (("x0", 0.0),)), (Outcome.OK, (("x0", 1.0),)), (Outcome.RESET, ())]
--- a/tests/system/test_relaying.py
+++ b/tests/system/test_relaying.py
@@ -1,4 +1,4 @@
-"""Established connections on loopback sockets: bytes in both directions, backpressure and ends."""
+"""Tests of established connections on loopback sockets: relaying in both directions, backpressure, closes."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
         client.send(OPEN[:9])
         client.send(OPEN[9:])
         attempt = proxy.next_attempt()
-        first = read_line(attempt)
-        head, _, tail = first.partition(b"d=")
-        assert (head, tail.partition(b",")[2]) == (b"OPEN 1a 2b c=read,", b"g=3c\r\n")
-        assert 0 < int(tail.partition(b",")[0]) < 1500
+        request_line = read_line(attempt)
+        before_deadline, _, from_deadline = request_line.partition(b"d=")
+        assert (before_deadline, from_deadline.partition(b",")[2]) == (b"OPEN 1a 2b c=read,", b"g=3c\r\n")
+        assert 0 < int(from_deadline.partition(b",")[0]) < 1500
         attempt.send(b"UP r")
         attempt.send(b"1\r\nmore\r\nhal")
         data = client.receive(5.0)
@@ -42,7 +42,7 @@
     ProxyUnderTest().run(scenario)
 
 
-def test_each_side_ends_in_the_way_of_the_other() -> None:
+def test_reset_half_close_and_close_are_passed_on_to_the_other_side() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
         attempt.abort()
@@ -70,7 +70,7 @@
 
 
 def test_unresponsive_server_is_given_up_and_its_client_migrated(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that fails closes no connection."""
+    """A server machine that fails does not close its connections, so only a timeout reveals the failure."""
     monkeypatch.setattr("ironmill.requests.response_delay.UNRESPONSIVE_TIMEOUT_S", 0.2)
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -85,27 +85,27 @@
 
 
 def test_slow_reader_applies_backpressure_and_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    counts: list[int] = []
-    monkeypatch.setattr(DelayMeter, "lines_answered", lambda self, id_, count: counts.append(count))
+    line_counts: list[int] = []
+    monkeypatch.setattr(DelayMeter, "lines_answered", lambda self, id_, count: line_counts.append(count))
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
-        total = 40_000_000
-        sent = [0]
+        total_bytes = 40_000_000
+        sent_bytes = [0]
 
         def send_all() -> None:
-            while sent[0] < total:
+            while sent_bytes[0] < total_bytes:
                 attempt.send(b"z" * READ_BYTES)
-                sent[0] += READ_BYTES
+                sent_bytes[0] += READ_BYTES
             attempt.close_gracefully(5.0)
 
         proxy.scheduler.spawn(send_all)
         proxy.scheduler.sleep(0.3)
-        assert sent[0] < total  # the buffers on the way are full, so that the proxy stops reading
-        received = 0
+        assert sent_bytes[0] < total_bytes  # all buffers are full, so that the proxy stops reading
+        received_bytes = 0
         while piece := client.receive(5.0):
-            received += len(piece)
-        assert received == sent[0] >= total
+            received_bytes += len(piece)
+        assert received_bytes == sent_bytes[0] >= total_bytes
 
     ProxyUnderTest().run(scenario)
 
@@ -124,7 +124,7 @@
         assert "unresponsive" not in proxy.gateway.counts
         while not client.receive(5.0).endswith(b"\r\n"):
             pass
-        client.send(b"you\r\n")  # the delay of the server is measured again
+        client.send(b"you\r\n")  # the server's response delay is measured again
         assert read_line(attempt) == b"you\r\n"
         proxy.wait_until(lambda: proxy.gateway.counts.get("unresponsive") == 1)
         proxy.scheduler.kill(sender)
@@ -134,21 +134,21 @@
 
 @pytest.mark.parametrize("end", ["reset", "finish"])
 def test_server_close_is_noticed_while_the_client_does_not_read(end: str) -> None:
-    """The server is not read while the write to the client waits."""
+    """The server is not read while a write to the client is blocked; its close must still be detected."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
         (request,) = proxy.gateway.established()
-        driver = request.handler
-        assert isinstance(driver, ClientConnection)
+        connection = request.handler
+        assert isinstance(connection, ClientConnection)
         if end == "reset":
             fill_buffers(proxy, attempt)
             attempt.abort()
         else:
-            # With small buffers on the way to the client the rest waits at the proxy, followed by the end.
-            driver.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            # With small buffers on the way to the client, the proxy holds unsent data when the server closes.
+            connection.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             client._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            while not driver.is_writing:
+            while not connection.is_writing:
                 attempt.send(b"z" * 1024)
                 proxy.scheduler.sleep(0.0)
             attempt.shutdown_write()
@@ -164,7 +164,7 @@
         fill_buffers(proxy, client)
         client.abort()
         proxy.wait_until(lambda: not proxy.gateway.request_count())
-        with pytest.raises(ConnectionResetError):  # not all that was sent has been received
+        with pytest.raises(ConnectionResetError):  # not all of the client's data was delivered
             while attempt.receive(5.0):
                 pass
 
@@ -172,7 +172,7 @@
 
 
 def test_slow_reader_gets_all_data_of_a_closed_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Only a client that reads nothing at all times out."""
+    """Guards against a timeout for a client that reads slowly; only one that reads nothing may time out."""
     monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_CHECK_INTERVAL_S", 0.01)
     monkeypatch.setattr(sockets_module, "BLOCKED_WRITE_TIMEOUT_S", 0.4)
 
@@ -184,19 +184,19 @@
         request.handler.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
         attempt.send(b"z" * 800_000)
         attempt.shutdown_write()
-        received = 0
+        received_bytes = 0
         while piece := client.receive(5.0):
-            received += len(piece)
-            proxy.scheduler.sleep(0.02)  # longer in all than the timeout of a client that reads nothing
-        assert received == 800_000
+            received_bytes += len(piece)
+            proxy.scheduler.sleep(0.02)  # in total longer than BLOCKED_WRITE_TIMEOUT_S
+        assert received_bytes == 800_000
 
     ProxyUnderTest().run(scenario)
 
 
-def test_early_data_that_cannot_be_written_ends_with_its_client(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The server has accepted the connection and reads nothing, and the client has closed."""
-    failed: list[object] = []
-    monkeypatch.setattr(connection_module.log, "exception", lambda *args: failed.append(args))
+def test_early_data_that_cannot_be_written_closes_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an exception when a server accepts the connection but does not read the early data."""
+    logged_errors: list[object] = []
+    monkeypatch.setattr(connection_module.log, "exception", lambda *args: logged_errors.append(args))
 
     def scenario(proxy: ProxyUnderTest) -> None:
         def time_out(stream: Stream, data: bytes, source: Stream) -> None:
@@ -212,4 +212,4 @@
         assert not proxy.connection_limiter.used()
 
     ProxyUnderTest().run(scenario)
-    assert not failed
+    assert not logged_errors
--- a/tests/system/test_sockets.py
+++ b/tests/system/test_sockets.py
@@ -1,4 +1,4 @@
-"""Listener, scheduler and streams on real sockets, also when descriptors run out or calls fail."""
+"""Tests of the listener, scheduler and streams on real sockets, including failed calls and no descriptors."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 def test_listener_survives_descriptor_exhaustion(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Full:
-        """A listening socket of a process that has no descriptors left, for two calls."""
+    class ExhaustedSocket:
+        """A listening socket whose first two accepts fail for lack of descriptors."""
 
         def __init__(self, sock: socket.socket) -> None:
-            self._sock, self.left = sock, 2
+            self._sock, self.remaining_failures = sock, 2
 
         def accept(self) -> Any:
-            if self.left:
-                self.left -= 1
+            if self.remaining_failures:
+                self.remaining_failures -= 1
                 raise OSError(errno.EMFILE, "too many")
             return self._sock.accept()
 
@@ -32,10 +32,10 @@
             return getattr(self._sock, name)
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        full = Full(proxy.listener._sock)
-        proxy.listener._sock = full  # type: ignore[assignment]
+        listening_sock = ExhaustedSocket(proxy.listener._sock)
+        proxy.listener._sock = listening_sock  # type: ignore[assignment]
         assert proxy.established_pair()
-        assert full.left == 0
+        assert listening_sock.remaining_failures == 0
 
     ProxyUnderTest().run(scenario)
 
@@ -86,38 +86,38 @@
 
 def test_connect_times_out() -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
-        full = socket.socket()
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        address = full.getsockname()
+        listening_sock = socket.socket()
+        listening_sock.bind(("127.0.0.1", 0))
+        listening_sock.listen(0)
+        address = listening_sock.getsockname()
         streams = []
         with pytest.raises(TimedOutError):
             for _ in range(9):
                 streams.append(Stream.connect(proxy.scheduler, address, 0.05))
         for stream in streams:
             stream.close()
-        full.close()
+        listening_sock.close()
 
     ProxyUnderTest().run(scenario)
 
 
 def test_unread_bytes_are_read_before_the_close(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The wait for the peer's end has timed out, and its bytes have just arrived."""
+    """Guards against a reset when bytes arrive after the wait for the peer's close has timed out."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        ours, theirs = socket.socketpair()
-        stream = Stream(proxy.scheduler, ours)
+        local_sock, peer_sock = socket.socketpair()
+        stream = Stream(proxy.scheduler, local_sock)
 
-        def late(timeout: float | None = None) -> bytes:
-            theirs.sendall(b"late")
+        def send_and_time_out(timeout: float | None = None) -> bytes:
+            peer_sock.sendall(b"late")
             raise TimedOutError
 
-        monkeypatch.setattr(Stream, "receive", lambda self, timeout=None: late(timeout))
+        monkeypatch.setattr(Stream, "receive", lambda self, timeout=None: send_and_time_out(timeout))
         stream.send_nowait(b"last\r\n")
         stream.close_gracefully(1.0)
-        assert theirs.recv(99) == b"last\r\n"
-        assert theirs.recv(99) == b""  # a Unix socket also resets on a close with unread bytes
-        theirs.close()
+        assert peer_sock.recv(99) == b"last\r\n"
+        assert peer_sock.recv(99) == b""  # a Unix socket, too, resets on a close with unread bytes
+        peer_sock.close()
 
     ProxyUnderTest().run(scenario)
 
@@ -131,7 +131,7 @@
 
 
 class BrokenSocket:
-    """A socket some of whose calls fail."""
+    """A socket whose methods named in ``errors`` fail with the given errno."""
 
     def __init__(self, sock: socket.socket, **errors: int) -> None:
         self._sock, self._errors = sock, errors
@@ -150,7 +150,7 @@
 @pytest.mark.parametrize("code", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETRESET])
 @pytest.mark.parametrize("call", ["recv", "send", "setsockopt"])
 def test_broken_connection_is_closed_and_counted(call: str, code: int) -> None:
-    """A broken connection may raise ETIMEDOUT or EHOSTUNREACH; no descriptor leaks."""
+    """Guards against a leaked descriptor when a broken connection raises an error such as ETIMEDOUT."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         accepted: list[Stream] = []
@@ -160,7 +160,7 @@
         (stream,) = accepted
         stream._sock = BrokenSocket(stream._sock, **{call: code})  # type: ignore[assignment]
         if call == "setsockopt":
-            attempt.abort()  # the client's side is to be aborted as well
+            attempt.abort()  # so that the proxy aborts the client's side, too
         elif call == "send":
             attempt.send(b"line\r\n")
         else:
@@ -177,15 +177,15 @@
 
 
 def test_interrupted_connect_continues(monkeypatch: pytest.MonkeyPatch) -> None:
-    """connect(2): after EINTR the connection is established asynchronously."""
+    """Guards against a failed connect after EINTR: the kernel establishes it asynchronously (connect(2))."""
 
-    class Interrupted(socket.socket):
+    class InterruptedSocket(socket.socket):
         def connect_ex(self, address: object) -> int:
             code = super().connect_ex(address)  # type: ignore[arg-type]
             return errno.EINTR if code == errno.EINPROGRESS else code
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        monkeypatch.setattr(sockets_module.socket, "socket", Interrupted)
+        monkeypatch.setattr(sockets_module.socket, "socket", InterruptedSocket)
         assert proxy.established_pair()
 
     ProxyUnderTest().run(scenario)
--- a/tests/system/test_tls_handshakes.py
+++ b/tests/system/test_tls_handshakes.py
@@ -1,4 +1,4 @@
-"""TLS handshakes that fail or stall, and the sans-I/O protocol against a model."""
+"""Tests of TLS handshakes that fail or stall, and of the sans-I/O protocol against a model."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 MALFORMED_HANDSHAKES: dict[str, Callable[[bytes], list[bytes]]] = {
-    "half a hello": lambda first: [first[: len(first) // 2]],
-    "nothing": lambda first: [],
-    "plain lines": lambda first: [OPEN],
-    "HTTP": lambda first: [b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"],
-    "a record that is too long": lambda first: [b"\x16\x03\x01\xff\xff" + b"x" * 70_000],
-    "hellos without end": lambda first: [first] * 2000,
-    "60 MB of rubbish": lambda first: [bytes(range(256)) * 240] * 1000,
-    "records of nothing": lambda first: [b"\x16\x03\x01\x00\x00"] * 30_000,
+    "half a ClientHello": lambda hello: [hello[: len(hello) // 2]],
+    "no bytes": lambda hello: [],
+    "plaintext line": lambda hello: [OPEN],
+    "HTTP": lambda hello: [b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"],
+    "oversized record": lambda hello: [b"\x16\x03\x01\xff\xff" + b"x" * 70_000],
+    "repeated ClientHello": lambda hello: [hello] * 2000,
+    "60 MB of invalid bytes": lambda hello: [bytes(range(256)) * 240] * 1000,
+    "empty records": lambda hello: [b"\x16\x03\x01\x00\x00"] * 30_000,
 }
 
 
@@ -47,25 +47,25 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, TlsProxyUnderTest)
-        bad = Stream.connect(proxy.scheduler, proxy.listener.address, 1.0)
+        bad_client = Stream.connect(proxy.scheduler, proxy.listener.address, 1.0)
 
-        def flood() -> None:
+        def send_all() -> None:
             try:
                 for piece in pieces:
-                    bad.send(piece, 5.0)
+                    bad_client.send(piece, 5.0)
             except (OSError, TimedOutError):
                 pass
 
-        proxy.scheduler.spawn(flood)
+        proxy.scheduler.spawn(send_all)
         client, _ = proxy.established_tls_pair()
         client.close()
         try:
-            while bad.receive(5.0):
+            while bad_client.receive(5.0):
                 pass
         except ConnectionError:
             pass
         proxy.scheduler.sleep(0.01)
-        bad.close()
+        bad_client.close()
         wait_until_released(proxy)
 
     TlsProxyUnderTest(authority).run(scenario)
@@ -75,31 +75,31 @@
     authority: Authority, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(reading_module, "REQUEST_LINE_TIMEOUT_S", 0.3)
-    ended: list[bool] = []
+    closed_by_proxy: list[bool] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        bad = Stream.connect(proxy.scheduler, proxy.listener.address, 1.0)
+        slow_client = Stream.connect(proxy.scheduler, proxy.listener.address, 1.0)
         with pytest.raises(OSError):
-            for at in range(10_000):
-                bad.send(client_hello(authority)[at : at + 1] or b"x")
+            for offset in range(10_000):
+                slow_client.send(client_hello(authority)[offset : offset + 1] or b"x")
                 proxy.scheduler.sleep(0.005)
-        ended.append(True)
-        bad.close()
+        closed_by_proxy.append(True)
+        slow_client.close()
         wait_until_released(proxy)
 
     TlsProxyUnderTest(authority).run(scenario)
-    assert ended
+    assert closed_by_proxy
 
 
 def test_handshake_fails_without_common_version_or_trusted_server(
     authority: Authority, tmp_path: Path
 ) -> None:
-    old = authority.client()
-    old.maximum_version = ssl.TLSVersion.TLSv1_2
+    old_version_context = authority.client()
+    old_version_context.maximum_version = ssl.TLSVersion.TLSv1_2
 
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, TlsProxyUnderTest)
-        for context in (old, Authority(tmp_path, "other").client()):
+        for context in (old_version_context, Authority(tmp_path, "other").client()):
             with pytest.raises(OSError):
                 proxy.tls_client(context=context)
         wait_until_released(proxy)
@@ -109,7 +109,10 @@
 
 
 class TlsModel(RuleBasedStateMachine):
-    """Two sides that exchange records in random pieces: each side reads what the other wrote, in order."""
+    """A client and a server that exchange records in random pieces.
+
+    Each side must read exactly what the other has written, in order.
+    """
 
     authority: Authority
 
@@ -118,54 +121,54 @@
         authority = type(self).authority
         self.client = TlsProtocol(authority.client(), is_server=False, server_name="localhost")
         self.server = TlsProtocol(server_tls(settings(authority)).context, is_server=True)
-        self.wires = {"client": bytearray(), "server": bytearray()}
+        self.in_transit = {"client": bytearray(), "server": bytearray()}
         self.sent = {"client": b"", "server": b""}
-        self.came = {"client": b"", "server": b""}
-        self.ended: set[str] = set()
-
-    def side(self, who: str) -> TlsProtocol:
-        return self.client if who == "client" else self.server
-
-    @rule(who=st.sampled_from(["client", "server"]), size=st.sampled_from([1, 5, 100, 1000, 20_000]))
-    def carry(self, who: str, size: int) -> None:
-        """Some of what one side has written reaches the other, which reads all it can."""
-        other = "server" if who == "client" else "client"
-        self.wires[who] += self.side(who).outgoing()
-        piece = bytes(self.wires[who][:size])
-        del self.wires[who][:size]
+        self.received = {"client": b"", "server": b""}
+        self.closed_sides: set[str] = set()
+
+    def protocol(self, side: str) -> TlsProtocol:
+        return self.client if side == "client" else self.server
+
+    @rule(sender=st.sampled_from(["client", "server"]), size=st.sampled_from([1, 5, 100, 1000, 20_000]))
+    def deliver(self, sender: str, size: int) -> None:
+        """Delivers up to ``size`` bytes in transit from ``sender``; the receiver reads all that it can."""
+        receiver = "server" if sender == "client" else "client"
+        self.in_transit[sender] += self.protocol(sender).outgoing()
+        piece = bytes(self.in_transit[sender][:size])
+        del self.in_transit[sender][:size]
         if piece:
-            self.side(other).receive(piece)
-        while data := self.side(other).read():
-            self.came[other] += data
-        assert self.sent[who].startswith(self.came[other])
-        if self.side(other).state is TlsState.ENDED:
-            assert who in self.ended
-            assert self.came[other] == self.sent[who]
+            self.protocol(receiver).receive(piece)
+        while data := self.protocol(receiver).read():
+            self.received[receiver] += data
+        assert self.sent[sender].startswith(self.received[receiver])
+        if self.protocol(receiver).state is TlsState.ENDED:
+            assert sender in self.closed_sides
+            assert self.received[receiver] == self.sent[sender]
 
     @precondition(lambda self: self.client.state is not TlsState.HANDSHAKE)
-    @rule(who=st.sampled_from(["client", "server"]), data=st.binary(min_size=1, max_size=40_000))
-    def write(self, who: str, data: bytes) -> None:
-        side = self.side(who)
-        if side.state is TlsState.HANDSHAKE:
+    @rule(sender=st.sampled_from(["client", "server"]), data=st.binary(min_size=1, max_size=40_000))
+    def write(self, sender: str, data: bytes) -> None:
+        protocol = self.protocol(sender)
+        if protocol.state is TlsState.HANDSHAKE:
             return
-        if who in self.ended:
+        if sender in self.closed_sides:
             with pytest.raises(TlsError):
-                side.write(data)
+                protocol.write(data)
             return
-        side.write(data)
-        self.sent[who] += data
+        protocol.write(data)
+        self.sent[sender] += data
 
-    @rule(who=st.sampled_from(["client", "server"]))
-    def finish(self, who: str) -> None:
-        if self.side(who).state is not TlsState.HANDSHAKE:
-            self.ended.add(who)
-        self.side(who).shutdown_write()
+    @rule(sender=st.sampled_from(["client", "server"]))
+    def finish(self, sender: str) -> None:
+        if self.protocol(sender).state is not TlsState.HANDSHAKE:
+            self.closed_sides.add(sender)
+        self.protocol(sender).shutdown_write()
 
     def teardown(self) -> None:
         for _ in range(40):
-            for who in ("client", "server"):
-                self.carry(who, 1 << 20)
-        assert self.came == {"client": self.sent["server"], "server": self.sent["client"]}
+            for sender in ("client", "server"):
+                self.deliver(sender, 1 << 20)
+        assert self.received == {"client": self.sent["server"], "server": self.sent["client"]}
 
 
 def test_tls_protocol_agrees_with_a_model(authority: Authority) -> None:
@@ -175,9 +178,9 @@
 
 
 def test_handshake_bytes_are_bounded(authority: Authority) -> None:
-    side = TlsProtocol(server_tls(settings(authority)).context, is_server=True)
+    protocol = TlsProtocol(server_tls(settings(authority)).context, is_server=True)
     with pytest.raises(TlsError):
         for _ in range(MAX_HANDSHAKE_BYTES):
-            side.receive(b"\x16\x03\x01\x00\x00")
-    assert side.state is TlsState.FAILED
-    assert side.read() == b""
+            protocol.receive(b"\x16\x03\x01\x00\x00")
+    assert protocol.state is TlsState.FAILED
+    assert protocol.read() == b""
--- a/tests/system/test_tls_relaying.py
+++ b/tests/system/test_tls_relaying.py
@@ -1,4 +1,4 @@
-"""TLS to clients and servers: the same relaying, backpressure and ends as on plain TCP."""
+"""Tests of TLS to clients and servers: the same relaying, backpressure and closes as on plain TCP."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 
 
 def test_tls_client_that_does_not_read_applies_backpressure(authority: Authority) -> None:
-    """Buffers are bounded with TLS as well."""
+    """Guards against unbounded buffers with TLS when a client does not read."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, TlsProxyUnderTest)
         client, attempt = proxy.established_tls_pair()
-        sent = 0
+        sent_bytes = 0
         with pytest.raises(TimedOutError):
-            while sent < 1 << 28:
-                sent += attempt.send_some(b"x" * 65536, 0.3)
-        assert sent < 1 << 25
-        received = 0
-        while received < sent:
-            received += len(client.receive(5.0))
+            while sent_bytes < 1 << 28:
+                sent_bytes += attempt.send_some(b"x" * 65536, 0.3)
+        assert sent_bytes < 1 << 25
+        received_bytes = 0
+        while received_bytes < sent_bytes:
+            received_bytes += len(client.receive(5.0))
         client.close()
         wait_until_released(proxy)
 
@@ -69,12 +69,12 @@
     client.abort()
 
 
-def end_by_rubbish(client: TlsStream) -> None:
-    client._sock.send(b"rubbish that is no record at all")
+def end_by_invalid_record(client: TlsStream) -> None:
+    client._sock.send(b"bytes that form no TLS record...")
 
 
 @pytest.mark.parametrize(
-    "end", [end_with_close_notify, end_without_close_notify, end_by_reset, end_by_rubbish]
+    "end", [end_with_close_notify, end_without_close_notify, end_by_reset, end_by_invalid_record]
 )
 def test_any_close_of_a_tls_client_ends_its_attempt_and_releases_everything(
     authority: Authority, end: Callable[[TlsStream], None]
@@ -154,7 +154,7 @@
 
 
 def test_no_handshake_starts_at_a_leaving_server(authority: Authority) -> None:
-    """A drain's grace period applies to an attempt's first byte, and with TLS that is the handshake's."""
+    """A server's drain grace period applies to the first byte sent, which with TLS is in the handshake."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, UpstreamTlsProxyUnderTest)
