--- a/ironmill/net/clients/attempts.py
+++ b/ironmill/net/clients/attempts.py
@@ -53,7 +53,7 @@
     # Implementation of AttemptOwner
 
     def may_start(self) -> bool:
-        """Returns False if the gateway considers it too late, or if the client has closed."""
+        """Returns False if the start time or the server's drain grace is over, or the client has closed."""
         attempt = self._attempt
         return attempt is not None and self._service.gateway.may_start(attempt) and self._check_client()
 
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -130,12 +130,12 @@
             self._admin_server.close(FINAL_FLUSH_S / 2.0)
         self._scheduler.sleep(max(0.0, finalized_at + FINAL_FLUSH_S - time.monotonic()))
 
-    def _evict_silent(self, until: float) -> None:
-        """Answers all clients whose request line is incomplete, at intervals until ``until``.
+    def _evict_silent(self, deadline: float) -> None:
+        """Answers all clients whose request line is incomplete, in rounds until the deadline.
 
         A client with unread bytes is left to its reader, which answers a complete line. It is evicted in a
         later round if the line is still incomplete then.
         """
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             self._connection_limiter.evict_silent()
             self._scheduler.sleep(EVICTION_INTERVAL_S)
--- a/ironmill/net/sockets.py
+++ b/ironmill/net/sockets.py
@@ -152,7 +152,7 @@
             self._immediate_reads = 0
             self._scheduler.sleep(0.0)
         in_time = True
-        until = math.inf if timeout is None else time.monotonic() + timeout
+        deadline = math.inf if timeout is None else time.monotonic() + timeout
         while True:
             if not self.recv_buffer_empty or not in_time:
                 try:
@@ -162,7 +162,7 @@
                 except OSError as error:
                     if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                         raise
-                    self._sleep_before_retry(until)
+                    self._sleep_before_retry(deadline)
                     continue
                 else:
                     self._immediate_reads += 1
@@ -173,9 +173,9 @@
             in_time = self._scheduler.wait(self._sock.fileno(), READ, timeout)
             self.recv_buffer_empty = False
 
-    def _sleep_before_retry(self, until: float) -> None:
-        """Parks after a call failed for lack of memory. Raises ``TimedOutError`` if ``until`` has passed."""
-        if time.monotonic() >= until:
+    def _sleep_before_retry(self, deadline: float) -> None:
+        """Parks after a call failed for lack of memory. Raises ``TimedOutError`` after the deadline."""
+        if time.monotonic() >= deadline:
             raise TimedOutError
         self._scheduler.sleep(RETRY_INTERVAL_S)
 
@@ -203,7 +203,7 @@
         return bool(poll.poll(0))
 
     def has_unread(self) -> bool:
-        """Returns True if received bytes have not been read, or if lack of memory prevents the check."""
+        """Returns True if there are unread received bytes, or if lack of memory prevents the check."""
         data = self._recv_nowait(1, socket.MSG_PEEK)
         return data is None or bool(data)
 
@@ -218,7 +218,7 @@
 
     def send_some(self, data: bytes | memoryview, timeout: float | None = None) -> int:
         """Writes what the socket takes, parking until it takes at least one byte; returns the byte count."""
-        until = math.inf if timeout is None else time.monotonic() + timeout
+        deadline = math.inf if timeout is None else time.monotonic() + timeout
         while True:
             try:
                 return self._sock.send(data)
@@ -227,7 +227,7 @@
             except OSError as error:
                 if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                     raise
-                self._sleep_before_retry(until)
+                self._sleep_before_retry(deadline)
                 continue
             if not self._scheduler.wait(self._sock.fileno(), WRITE, timeout):
                 raise TimedOutError
