--- a/ironmill/net/admin_server.py
+++ b/ironmill/net/admin_server.py
@@ -1,7 +1,8 @@
-"""Server of the admin API: one HTTP call per connection, independent of the load of clients.
+"""Server of the admin API, with one HTTP request per connection.
 
-Connections are bounded in number and time, so they take nothing from clients: a call that is not complete in
-time is rejected, and at ``MAX_CONNECTIONS`` a new connection closes the oldest one.
+It answers whatever the load of clients is, and its connections are bounded in number and time so that they
+take no resources from clients. A request that is not complete in time is rejected. At ``MAX_CONNECTIONS``, a
+new connection closes the oldest one.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 if TYPE_CHECKING:
     from ironmill.administration.http import HttpExchange
 
-MAX_CONNECTIONS = 12  # at once; their descriptors are among those that ConnectionLimiter reserves
+MAX_CONNECTIONS = 12  # concurrent; ConnectionLimiter reserves their descriptors
 REQUEST_TIMEOUT_S = 3.0  # from the accept to the end of the request
-RESPONSE_TIMEOUT_S = 1.0  # for the response to be written
-CLOSE_TIMEOUT_S = 0.2  # for the peer to close as well
+RESPONSE_TIMEOUT_S = 1.0  # to write the response
+CLOSE_TIMEOUT_S = 0.2  # for the peer to close its side
 
 log = logging.getLogger("ironmill.admin")
 
 
 class AdminServer:
-    """Listens at the second address and answers each call from a table of routes."""
+    """Listens on the admin address and answers requests with the handlers of ``Routes``."""
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int], routes: Routes) -> None:
         """Binds the address. Raises ``OSError`` if it is not available."""
@@ -40,11 +41,11 @@
         self.address = self._listener.address
 
     def start(self) -> None:
-        """Starts to accept calls."""
+        """Starts to accept connections."""
         self._listener.start()
 
     def close(self, within: float = 0.0) -> None:
-        """Stops listening; accepted calls are still answered. ``within``: as for ``Listener.close``."""
+        """Stops listening; accepted requests are still answered. ``within``: as for ``Listener.close``."""
         self._listener.close(within)
 
     def _accepted(self, stream: Stream) -> None:
@@ -55,7 +56,7 @@
         self._connections[stream] = self._scheduler.spawn(self._serve, stream)
 
     def _serve(self, stream: Stream) -> None:
-        # Imported at the first call: h11 would add a tenth to the start time.
+        # Imported at the first request, since importing h11 would make the start 10 % longer.
         from ironmill.administration.http import HttpExchange
 
         try:
@@ -65,14 +66,14 @@
                 stream.send(exchange.encode(response), RESPONSE_TIMEOUT_S)
                 stream.close_gracefully(CLOSE_TIMEOUT_S)
         except (OSError, TimedOutError):
-            pass  # the peer is gone, or does not read its response
+            pass  # the peer has disconnected or does not read the response
         finally:
             self._connections.pop(stream, None)
             if not stream.closed:
                 stream.close_immediately()
 
     def _respond(self, stream: Stream, exchange: HttpExchange) -> ApiResponse | None:
-        """Reads one request and returns its response; None if the peer closes before it is complete."""
+        """Reads one request and returns its response, or None if the peer closes before it is complete."""
         deadline = time.monotonic() + REQUEST_TIMEOUT_S
         while True:
             try:
--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: the complete endpoint list once, then one poll for changes after another."""
+"""Watches discovery: requests the complete endpoint list once, and then polls for changes."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from ironmill.requests.discovery_backoff import MAX_CALL_S, DiscoveryBackoff
 from ironmill.runtime.scheduler import Scheduler, Task
 
-# How long a poll waits for changes. Short, because a poll that is lost, or blocked by a hung agent, is
-# noticed only after it.
+# The time for which discovery may hold a poll until there is a change. It is short because a poll that is
+# lost, or blocked by a hung agent, is noticed only after this time.
 POLL_WAIT_MS = 1_000
-CALL_TIMEOUT_S = MAX_CALL_S  # of a call beyond that wait, from its connect to the last byte of its answer
-# An empty list in place of servers is requested once more before it is applied, because it is more likely a
-# fault of discovery. A longer wait would delay a true one past the grace period of draining servers, of which
-# the gateway leaves 0.1 s.
+CALL_TIMEOUT_S = MAX_CALL_S  # from the connect to the last byte of the answer, in addition to that wait
+# If an empty endpoint list would replace known servers, the list is requested once more before it is
+# applied, because a fault of discovery is more likely. A longer timeout would delay a genuine empty list past
+# the grace period of draining servers, of which the gateway leaves 0.1 s.
 CONFIRMATION_TIMEOUT_S = 0.08
 
 FULL_LIST_PATH = "/api/targets"
@@ -32,24 +32,24 @@
 
 
 def _ignore_call() -> None:
-    """The default of ``DiscoveryListener.on_call``."""
+    """Does nothing. The default of ``DiscoveryListener.on_call``."""
 
 
 def _no_servers() -> int:
-    """The default of ``DiscoveryListener.server_count``."""
+    """Returns 0. The default of ``DiscoveryListener.server_count``."""
     return 0
 
 
 class DiscoveryListener(Struct, frozen=True, eq=False):
-    """What a watch calls. No callback may park."""
+    """Callbacks of a watch. None of them may park."""
 
     on_update: Callable[[EndpointUpdate], None]
-    on_call: Callable[[], object] = _ignore_call  # after each call, whether it was answered or failed
-    server_count: Callable[[], int] = _no_servers  # of the endpoint list in use
+    on_call: Callable[[], object] = _ignore_call  # called after each answered or failed call
+    server_count: Callable[[], int] = _no_servers  # size of the endpoint list in use
 
 
 class Discovery:
-    """Watches one address, and changes to another without a gap."""
+    """Watches discovery at one address, and switches to another address without a gap."""
 
     def __init__(
         self,
@@ -59,25 +59,25 @@
         new_backoff: Callable[[], DiscoveryBackoff],
         known_revision: int | None = None,
     ) -> None:
-        """``known_revision`` is that of the list in use until an answer comes, if there is one."""
+        """``known_revision``: revision of the endpoint list in use before the first answer, if any."""
         self._scheduler = scheduler
         self._listener = listener
         self._new_backoff = new_backoff
         self._current = self._make_watch(address, listener.on_call, known_revision)
-        self._next: Watch | None = None
+        self._replacement: Watch | None = None
 
     def start(self) -> None:
-        """Begins the watch."""
+        """Starts the watch."""
         self._current.start()
 
     def watch_at(self, address: Address) -> None:
-        """Watches another address. The old watch ends when the new one has the complete list."""
-        if self._next is not None:
-            self._next.stop()
-            self._next = None
+        """Watches another address. The old watch ends when the new one has received the complete list."""
+        if self._replacement is not None:
+            self._replacement.stop()
+            self._replacement = None
         if address != self._current.address:
-            self._next = self._make_watch(address, _ignore_call)
-            self._next.start()
+            self._replacement = self._make_watch(address, _ignore_call)
+            self._replacement.start()
 
     def _make_watch(
         self, address: Address, on_call: Callable[[], object], known_revision: int | None = None
@@ -89,15 +89,15 @@
         return watch
 
     def _on_update(self, watch: Watch, update: EndpointUpdate) -> None:
-        if watch is self._next:
+        if watch is self._replacement:
             self._current.stop()
             self._current = watch
-            self._next = None
+            self._replacement = None
         self._listener.on_update(update)
 
 
 class Watch:
-    """The watch at one address."""
+    """A watch on discovery at one address."""
 
     def __init__(
         self,
@@ -107,7 +107,7 @@
         backoff: DiscoveryBackoff,
         known_revision: int | None = None,
     ) -> None:
-        """Does nothing until ``start``."""
+        """Creates a watch that does nothing until ``start``. ``known_revision``: as for ``Discovery``."""
         self.address = address
         self._scheduler = scheduler
         self._listener = listener
@@ -119,16 +119,16 @@
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Begins to poll."""
+        """Starts to poll."""
         self._task = self._scheduler.spawn(self._watch)
 
     def stop(self) -> None:
-        """Ends the watch; an answer on its way is dropped."""
+        """Ends the watch and drops the answer to a pending call."""
         self._scheduler.kill(self._task)
         self._connection.close()
 
     def _watch(self) -> None:
-        if self._revision is not None:  # the known list is in use meanwhile
+        if self._revision is not None:  # the known endpoint list is in use during the delay
             self._scheduler.sleep(self._backoff.first_delay())
         while True:
             started_at = time.monotonic()
@@ -138,7 +138,7 @@
                 self._is_failing = False
                 self._listener.on_call()
             except Exception as error:  # noqa: BLE001 (it is logged by _log_failure)
-                # The watch must go on, also after a programming error: without it no change arrives any more.
+                # The watch continues even after a programming error, or no further change would arrive.
                 self._log_failure(error)
                 self._is_failing = True
                 self._connection.close()
@@ -162,7 +162,7 @@
             update = self._confirm_empty(update)
         if update.full or self._revision is not None:
             self._listener.on_update(update)
-            self._revision = update.revision  # not before: an update that was not applied is polled again
+            self._revision = update.revision  # set last: an update that was not applied is polled again
 
     def _poll_wait_ms(self) -> int:
         """Returns 0 for the first poll, which clients wait for, and after a failure."""
@@ -170,9 +170,9 @@
         return 0 if self._is_failing or is_first else POLL_WAIT_MS
 
     def _confirm_empty(self, empty: EndpointUpdate) -> EndpointUpdate:
-        """Requests the list again; returns it if it names servers, otherwise the empty one."""
+        """Requests the endpoint list again and returns it if it has servers, otherwise the empty update."""
         received_at = time.monotonic()
-        log.warning("discovery: an empty list; requesting it again")
+        log.warning("discovery: received an empty endpoint list; requesting it again")
         try:
             update = self._request(FULL_LIST_PATH, CONFIRMATION_TIMEOUT_S)
         except CALL_ERRORS:
@@ -183,7 +183,10 @@
         return structs.replace(empty, age=time.monotonic() - received_at)
 
     def _request(self, path: str, timeout_s: float) -> EndpointUpdate:
-        """Returns the answer with status 200, from the connect to its last byte within the timeout."""
+        """Returns the update from one call. The timeout runs from the connect to the last byte of the answer.
+
+        Raises one of ``CALL_ERRORS``, also for a status other than 200.
+        """
         was_open = self._connection.is_open
         response = self._connection.get(path, time.monotonic() + timeout_s)
         self._has_answered = True
@@ -192,17 +195,17 @@
         message = JsonObject(parse_json(response.body, "routing table:"), "", "routing table")
         update = parse_endpoint_update(message)
         if was_open and self._revision is not None and update.revision < self._revision:
-            # A duplicate answer to an earlier call would bring back servers that have left. A discovery that
-            # restarts its revisions does so on a new connection.
-            raise HttpError(f"revision {update.revision} after {self._revision}")
+            # A duplicate of an earlier answer would restore removed servers. Discovery that restarts its
+            # revisions does so on a new connection.
+            raise HttpError(f"received revision {update.revision} after revision {self._revision}")
         return update
 
 
 class HttpConnection:
-    """A connection for GET requests, reused while the peer keeps it open."""
+    """An HTTP connection for GET requests, reused while the peer keeps it open."""
 
     def __init__(self, scheduler: Scheduler, address: Address) -> None:
-        """Connects at the first request."""
+        """Creates a closed connection; the first request opens it."""
         self._scheduler = scheduler
         self._address = address
         self._stream: Stream | None = None
@@ -210,11 +213,14 @@
 
     @property
     def is_open(self) -> bool:
-        """True if the next request may reuse a connection."""
+        """Whether there is a connection that the next request may reuse."""
         return self._stream is not None
 
     def get(self, path: str, deadline: float) -> Response:
-        """Returns the response. After ``OSError``, ``HttpError`` or ``TimedOutError``, call ``close``."""
+        """Sends a request and returns the response.
+
+        Raises ``OSError``, ``HttpError`` or ``TimedOutError``; the caller must then call ``close``.
+        """
         stream = self._connect(deadline)
         host, port = self._address
         request = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
@@ -224,15 +230,15 @@
             responses = self._parser.feed(data) if data else [self._parser.end_of_stream()]
             for response in responses:
                 if response is None:
-                    raise HttpError("the connection ended before the answer")
+                    raise HttpError("connection closed before the response")
                 if not response.keep_alive or len(responses) > 1 or not self._parser.at_message_boundary:
-                    self.close()  # further bytes must not count as the next response
+                    self.close()  # extra bytes must not be taken for the next response
                 return response
-            if time.monotonic() >= deadline:  # the timeout of a read does not bound bytes that arrive singly
+            if time.monotonic() >= deadline:  # read timeouts do not bound a peer that sends single bytes
                 raise TimedOutError
 
     def close(self) -> None:
-        """Closes the connection, if there is one."""
+        """Closes the connection if it is open."""
         if self._stream is not None:
             self._stream.close()
             self._stream = None
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy: builds scheduler, gateway and drivers, and runs them until shutdown."""
+"""The process of a proxy: builds its scheduler, gateway and I/O drivers, and runs them until shutdown."""
 
 from __future__ import annotations
 
@@ -29,38 +29,38 @@
 from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent
 from ironmill.runtime.scheduler import Scheduler
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # features that are off are not imported at run time
     from ironmill.configuration.operator_files import OperatorFiles
     from ironmill.net.admin_server import AdminServer
     from ironmill.net.operator_features import OperatorFeatures
 
-# Clients are accepted after discovery's first answer, or after this time: the known list may be out of date,
-# and a server that drains must get nothing new.
+# The proxy accepts clients after the first answer from discovery, or after this timeout. The endpoint list of
+# the configuration may be out of date, and a draining server must get no new requests.
 FIRST_POLL_TIMEOUT_S = 0.5
-SUCCESSOR_FIRST_POLL_TIMEOUT_S = 3.0  # the same in an upgrade, where the old process serves meanwhile
+SUCCESSOR_FIRST_POLL_TIMEOUT_S = 3.0  # used in an upgrade, while the old process still serves clients
 
-# In an upgrade the new process has 6 s to become ready, and then the old one is shut down. The rest is for
-# differences between the readings of two clocks.
-MAX_SUCCESSION_S = 6.5
+# In an upgrade the new process has 6 s to become ready before the old one is shut down. The remaining 0.5 s
+# allows for differences between two clocks.
+MAX_UPGRADE_OVERLAP_S = 6.5
 
 log = logging.getLogger("ironmill")
 
 
 class ProxyOptions(Struct, frozen=True):
-    """What a proxy is built from. The two readers are called again at SIGHUP."""
+    """Arguments of a proxy. ``read_config`` and ``read_files`` are called again at SIGHUP."""
 
     config: Config
     read_config: Callable[[], Config]
-    files: OperatorFiles | None = None  # None where no settings are named
+    files: OperatorFiles | None = None  # None if no settings file is named
     read_files: Callable[[Config], OperatorFiles | None] = no_operator_files
     poller: str = "epoll"
 
 
 class Proxy:
-    """Binds its addresses when it is built, and serves until shutdown."""
+    """A proxy that binds its addresses when it is created and serves until shutdown."""
 
     def __init__(self, options: ProxyOptions, signals: Signals) -> None:
-        """Raises ``OSError`` if an address is not available."""
+        """Binds the addresses. Raises ``OSError`` if one is not available."""
         config = options.config
         self._config = config
         self._signals = signals
@@ -68,9 +68,9 @@
         self.scheduler = Scheduler(options.poller)
         self.lifecycle = Lifecycle()
         self.gateway = self._build_gateway()
-        self.listener = Listener(self.scheduler, config.listen, self._accepted, shared=True)
+        self.listener = Listener(self.scheduler, config.listen, self._on_connection, shared=True)
         if self.listener.has_predecessor:
-            self.gateway.on_predecessor(MAX_SUCCESSION_S)
+            self.gateway.on_predecessor(MAX_UPGRADE_OVERLAP_S)
         self.discovery = self._build_discovery()
         self.connection_limiter = ConnectionLimiter(config.sockets)
         self._features = self._build_features(options)
@@ -78,10 +78,10 @@
         self.reload = self._build_reload(options)
         self.admin_server = self._build_admin_server()
         if self._features is not None:
-            self._features.listen_for_tls(self._accepted)
+            self._features.listen_for_tls(self._on_connection)
         self._listeners = self._build_listeners()
 
-    # Builders, by concern
+    # Construction
 
     def _build_gateway(self) -> Gateway:
         gateway = Gateway(self._config, self.scheduler, self.lifecycle)
@@ -178,11 +178,11 @@
     def _log_start(self) -> None:
         log.info("listening on %s:%d", *self.listener.address)
         if self.listener.has_predecessor:
-            log.info("another process listens there: clients are accepted once discovery has answered")
+            log.info("another process listens there: accepting clients once discovery has answered")
         for listener in self._listeners[1:]:
             log.info("listening for TLS on %s:%d", *listener.address)
         log.info(
-            "of %d descriptors %d are for clients",
+            "file descriptor limit %d, of which %d are available to clients",
             self._config.sockets,
             self.connection_limiter.max_descriptors,
         )
@@ -190,39 +190,39 @@
     def _first_poll_timeout_s(self) -> float:
         if self.listener.has_predecessor:
             return SUCCESSOR_FIRST_POLL_TIMEOUT_S
-        # Where discovery is polled a change counts as notified only when it was answered. The first polls of
-        # a large fleet are spread over seconds, and restarted proxies must serve in the meantime.
+        # If proxies poll discovery, a change counts as notified only once the poll is answered. The first
+        # polls of a large fleet are spread over seconds, and restarted proxies must serve in the meantime.
         return 0.0 if self._config.settings.subscribes_to_discovery else FIRST_POLL_TIMEOUT_S
 
     def _start_accepting(self) -> None:
-        """Accepts clients, now that discovery has answered once or has not in time."""
+        """Accepts clients. Called at the first answer from discovery, or when its timeout ends."""
         for listener in self._listeners:
             listener.start()
         self.lifecycle.handle(LifecycleEvent.STARTED)
 
     def yield_to_successor(self) -> None:
-        """Leaves new connections to a process that was started after this one, if there is one."""
+        """Passes all new connections to a process that was started after this one, if there is one."""
         for listener in self._listeners:
             listener.yield_to_successor()
 
     def close(self, within: float = 0.0) -> None:
-        """Leaves the cluster and stops accepting. ``within``: as for ``Listener.close``."""
+        """Leaves the cluster and stops accepting clients. ``within`` is passed to ``Listener.close``."""
         if self._features is not None:
             self._features.leave()
         for listener in self._listeners:
             listener.close(within)
 
-    def _accepted(self, stream: Stream) -> None:
+    def _on_connection(self, stream: Stream) -> None:
         self._clients.serve(stream)
 
     def _connect(self, address: Address, timeout: float) -> Stream:
-        """Connects to a server, over TLS where the current settings ask for it."""
+        """Connects to a server, over TLS if the current settings require it."""
         stream = Stream.connect(self.scheduler, address, timeout)
         return stream if self._features is None else self._features.secure(stream, address)
 
 
 def raise_descriptor_limit(descriptors: int) -> None:
-    """Raises the soft limit of open descriptors to the number, or to the hard limit if that is lower."""
+    """Raises the soft limit on open descriptors to ``descriptors``, or to the hard limit if that is lower."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < descriptors:
         limit = descriptors if hard == resource.RLIM_INFINITY else min(descriptors, hard)
--- a/ironmill/net/reload.py
+++ b/ironmill/net/reload.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP: the configuration file and the operators' files are read again and applied."""
+"""Reloads the configuration file and the operators' files at SIGHUP."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
 if TYPE_CHECKING:
     from ironmill.configuration.operator_files import OperatorFiles
 
-# Keys whose changes are not logged: each start has its own seed and list, and discovery's address is applied.
+# Keys whose changes are not logged: each start has its own seed and endpoint list, and a new address of
+# discovery is applied.
 _UNLOGGED_KEYS = ("seed", "known", "discovery")
-# How long a file is tried again that cannot be read for a transient reason. Changes count as notified 4 s
-# after the signal, and the first poll of another discovery takes a second of that.
+# The time for which reading a file is retried after a transient failure. Changes count as notified 4 s after
+# the signal, and the first poll at a new address of discovery takes 1 s of that.
 READ_RETRY_TIMEOUT_S = 2.0
 READ_RETRY_INTERVAL_S = 0.02
-MAX_LOGGED_KEYS = 8  # bounds the line if the files have nothing in common
+MAX_LOGGED_KEYS = 8  # bounds the log line if the two files have little in common
 
 log = logging.getLogger("ironmill.reload")
 
 
 def no_operator_files(_: Config) -> OperatorFiles | None:
-    """Reads nothing: no settings were named at the start."""
+    """Returns None. Used if no settings file was named at the start."""
     return None
 
 
 def _ignore(_: OperatorFiles) -> None:
-    """Applies nothing."""
+    """Does nothing. The default of ``Reload.apply_files``."""
 
 
 class Reload:
-    """Applies a new configuration file; what cannot be applied while the process runs is logged."""
+    """Applies changed configuration, and logs the changes that require a restart."""
 
     def __init__(
         self,
@@ -43,7 +44,7 @@
         watch_at: Callable[[Address], object],
         sleep: Callable[[float], object] = time.sleep,
     ) -> None:
-        """``watch_at`` moves the watch of the endpoint list to an address of discovery."""
+        """``config`` is the configuration in use; ``watch_at`` moves the watch on discovery to an address."""
         self._config = config
         self._read_config = read_config
         self._watch_at = watch_at
@@ -52,14 +53,14 @@
         self.apply_files: Callable[[OperatorFiles], None] = _ignore
 
     def run(self) -> None:
-        """Reads all files again and applies them; if one of them is not valid, none is applied. Parks."""
+        """Reads all files again and applies them; if one is invalid, none is applied. Parks."""
         try:
             new = self._read_with_retries()
             files = self.read_files(new)
         except MalformedError as error:
             log.error("reload: %s; the old configuration stays in use", error)
             return
-        self._log_ignored(self._config.raw_values, new.raw_values)
+        self._log_unapplied(self._config.raw_values, new.raw_values)
         log.info("reload: discovery is at %s:%d", *new.discovery)
         self._watch_at(new.discovery)
         if files is not None:
@@ -67,7 +68,7 @@
             self.apply_files(files)
 
     @staticmethod
-    def _log_ignored(old: Mapping[str, object], new: Mapping[str, object]) -> None:
+    def _log_unapplied(old: Mapping[str, object], new: Mapping[str, object]) -> None:
         changed = [
             key
             for key in sorted(old.keys() | new.keys())
@@ -79,7 +80,10 @@
         log.warning("reload: requires a restart: %s%s", ", ".join(changed[:MAX_LOGGED_KEYS]), more)
 
     def _read_with_retries(self) -> Config:
-        """Reads the configuration, again while that fails for a transient reason. Parks."""
+        """Reads the configuration, with retries while that fails for a transient reason. Parks.
+
+        Raises ``MalformedError`` if the file is invalid or stays unreadable.
+        """
         deadline = time.monotonic() + READ_RETRY_TIMEOUT_S
         while True:
             try:
--- a/ironmill/net/signals.py
+++ b/ironmill/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals as tasks: the handler only writes a byte, and the action of the signal runs in the scheduler."""
+"""Runs the action of a signal as a task of the scheduler; the signal handler only writes a byte."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 log = logging.getLogger("ironmill.signals")
 
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
-MAX_READ_BYTES = 4096  # one byte per signal that has arrived
+MAX_READ_BYTES = 4096  # one byte per received signal
 
 
 class Signals:
-    """Handles SIGHUP, SIGTERM and SIGINT. Signals that arrive before ``start`` are dispatched by it."""
+    """Handles SIGHUP, SIGTERM and SIGINT. Signals before ``start`` are dispatched after it."""
 
     def __init__(self) -> None:
         """Installs the handlers."""
-        # A handler alone cannot interrupt the poll: Python resumes it afterwards.
+        # A handler alone cannot wake the scheduler: Python resumes an interrupted poll after the handler.
         self._receiver, self._sender = retry_at_start(socket.socketpair)
         self._receiver.setblocking(False)
         self._sender.setblocking(False)
@@ -32,10 +32,10 @@
 
     @staticmethod
     def _ignore(number: int, frame: types.FrameType | None) -> None:
-        """Does nothing: the byte that Python writes to the socket pair wakes the scheduler."""
+        """Does nothing, since the byte that Python writes to the socket pair wakes the scheduler."""
 
     def on(self, number: int, action: Callable[[], object]) -> None:
-        """Registers the action, which is run in its own task at each signal of that number."""
+        """Registers the action, which runs in its own task each time the signal ``number`` arrives."""
         self._actions[number] = action
 
     def start(self, scheduler: Scheduler) -> None:
@@ -55,11 +55,11 @@
             scheduler.wait(self._receiver.fileno(), READ)
             try:
                 received = self._receiver.recv(MAX_READ_BYTES)
-            except OSError as error:  # without this task no signal would end the process gracefully
-                log.warning("signals: %s", error)
+            except OSError as error:  # must not end this task, or signals would no longer be handled
+                log.warning("signals: cannot read from the wakeup socket: %s", error)
                 scheduler.sleep(RETRY_INTERVAL_S)
                 continue
-            # Signals of one number that arrived together run the action once.
+            # If the same signal arrived several times, its action runs once.
             for number in dict.fromkeys(received):
                 if number in self._actions:
                     scheduler.spawn(self._actions[number])
