--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -1,4 +1,4 @@
-"""Process of a control machine: the origin or a relay of distribution, with its admin API."""
+"""The process of a control machine: the origin or a relay of distribution, with an admin API."""
 
 from __future__ import annotations
 
@@ -24,42 +24,45 @@
 from ironmill.runtime import logs
 from ironmill.runtime.scheduler import Scheduler
 
-FINAL_FLUSH_S = 0.1  # lets queued datagrams and responses leave before the process exits
+FINAL_FLUSH_S = 0.1  # time to send queued datagrams and responses before the process exits
 
 log = logging.getLogger("ironmill")
 
 
 class FlushingOrigin:
-    """The origin as the admin API uses it: the datagrams that a push causes are sent at once."""
+    """The origin for the admin API. Sends the datagrams of a push without waiting for the next tick."""
 
     def __init__(self, origin: Origin, distribution: Distribution) -> None:
-        """``distribution`` is the driver of the origin."""
+        """Wraps the origin. ``distribution`` owns its socket."""
         self._origin = origin
         self._distribution = distribution
 
     def push(
         self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
-        """As ``Origin.push``."""
+        """Calls ``Origin.push``, and sends the datagrams that it queues."""
         try:
             return self._origin.push(changes, metadata, now, expect)
         finally:
             self._distribution.flush()
 
     def undo(self, number: int) -> Changes:
-        """As ``Origin.undo``."""
+        """Returns the result of ``Origin.undo``."""
         return self._origin.undo(number)
 
     def history(self, max_count: int) -> list[StoredRevision]:
-        """As ``Origin.history``."""
+        """Returns the result of ``Origin.history``."""
         return self._origin.history(max_count)
 
 
 class ControlMachine:
-    """Binds its addresses when it is built, and serves until SIGTERM or SIGINT."""
+    """A control machine that binds its addresses when it is created and serves until SIGTERM or SIGINT."""
 
     def __init__(self, name: str, files: OperatorFiles, admin_address: Address, signals: Signals) -> None:
-        """Raises ``OSError`` if an address is not available, ``StoreError`` if the store is not usable."""
+        """Opens the store and binds the addresses.
+
+        Raises ``OSError`` if an address is not available and ``StoreError`` if the store cannot be used.
+        """
         settings = files.settings.distribution
         assert settings is not None
         self.scheduler = Scheduler()
@@ -97,12 +100,12 @@
 
 
 def serve(name: str, files: OperatorFiles, admin_address: Address) -> int:
-    """Runs one control machine and returns the exit status: 2, with one line, if it cannot start."""
+    """Runs a control machine and returns its exit status: 2, with one line on stderr, if it cannot start."""
     settings = files.settings.distribution
     if settings is None or settings.role == "subscriber":
         print(
             f"ironmill: {files.settings.path}: no settings of a control machine; "
-            "distribution's role is relay or origin there",
+            "the role of distribution must be relay or origin",
             file=sys.stderr,
         )
         return 2
--- a/ironmill/net/datagrams.py
+++ b/ironmill/net/datagrams.py
@@ -1,4 +1,4 @@
-"""Drives a state machine of datagrams with one UDP socket and one timer on the scheduler."""
+"""Runs a datagram protocol, implemented as a state machine, on a UDP socket of the scheduler."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from ironmill.runtime.scheduler import READ, Scheduler, Task
 from ironmill.runtime.system_calls import retry_at_start
 
-MAX_DATAGRAMS_PER_TURN = 32  # before other tasks run
-RECEIVE_BUFFER_BYTES = 1 << 20  # keeps the datagrams that arrive while the process is paused
+MAX_DATAGRAMS_PER_TURN = 32  # received before other tasks run
+RECEIVE_BUFFER_BYTES = 1 << 20  # holds datagrams that arrive while the process is paused
 
 log = logging.getLogger("ironmill.datagrams")
 
 
 class DatagramMachine(Protocol):
-    """A state machine without I/O; both methods return the datagrams to send."""
+    """A protocol state machine without I/O. Both methods return the datagrams to send."""
 
     def tick(self, now: float) -> Sequence[Datagram]:
-        """Runs everything that is due."""
+        """Runs all timed actions that are due."""
 
     def receive(self, data: bytes, source: Address, now: float) -> Sequence[Datagram]:
-        """Handles a datagram."""
+        """Handles a received datagram."""
 
 
 class Datagrams:
-    """A bound UDP socket and the tasks that serve it."""
+    """A bound UDP socket and the tasks that receive, tick and send."""
 
     def __init__(self, scheduler: Scheduler, listen: Address) -> None:
-        """Binds the socket; raises ``OSError`` if that fails."""
+        """Binds the socket. Raises ``OSError`` if that fails."""
         self._scheduler = scheduler
         self._sock = retry_at_start(socket.socket, socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -60,9 +60,9 @@
         ]
 
     def send(self, datagrams: Sequence[Datagram]) -> None:
-        """Sends datagrams; one that the system does not accept is lost like any other."""
+        """Sends datagrams. One that the kernel rejects is dropped, as if lost in the network."""
         for address, data in datagrams:
-            with contextlib.suppress(OSError):  # no route or no buffer
+            with contextlib.suppress(OSError):  # no route or no buffer space
                 self._sock.sendto(data, address)
 
     @property
@@ -86,7 +86,7 @@
                 except BlockingIOError:
                     break
                 except OSError:
-                    continue  # an earlier datagram met an unreachable port; silence is detected elsewhere
+                    continue  # ICMP port unreachable for a sent datagram; the machine detects lost peers
                 self._step(machine.receive, data, source, time.monotonic())
             self._scheduler.sleep(0.0)
 
@@ -96,8 +96,8 @@
             self._scheduler.sleep(interval_s)
 
     def _step(self, step: Callable[..., Sequence[Datagram]], *args: object) -> None:
-        """Runs one step of the machine. An exception ends that step alone, so the machine goes on."""
+        """Runs one step of the machine and sends its datagrams. An exception ends only that step."""
         try:
             self.send(step(*args))
         except Exception:
-            log.exception("a step on datagrams failed")
+            log.exception("handling a datagram or tick failed")
--- a/ironmill/net/distribution.py
+++ b/ironmill/net/distribution.py
@@ -1,4 +1,4 @@
-"""The driver of distribution in a proxy and in a control machine: its socket, its clock and its log."""
+"""Runs distribution in a proxy or a control machine: provides the socket, the clock and the log."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Distribution:
-    """One process's node on its UDP socket."""
+    """The distribution node of this process and its UDP socket."""
 
     def __init__(
         self, scheduler: Scheduler, name: str, settings: DistributionSettings, keys: Sequence[bytes]
@@ -53,16 +53,16 @@
 
     @property
     def address(self) -> Address:
-        """The address of the socket."""
+        """The address that the socket is bound to."""
         return self._datagrams.address
 
     @property
     def origins(self) -> list[str]:
-        """Names of the control machines that may be the origin."""
+        """The names of the control machines that may be the origin."""
         return [endpoint.name for endpoint in self._origins]
 
     def use_proxy_node(self, consumer: Consumer) -> ProxyNode:
-        """Makes this process a proxy's node; the consumer applies what it receives."""
+        """Makes this process the node of a proxy. The consumer applies the received configuration."""
         node = ProxyNode(self._context(), self._relays or self._controls, consumer)
         self.node = node
         return node
@@ -80,7 +80,7 @@
         return node
 
     def start(self) -> None:
-        """Begins to exchange datagrams."""
+        """Starts to exchange datagrams."""
         assert self.node is not None
         log.info(
             "distribution",
@@ -91,19 +91,19 @@
         self._datagrams.start(self.node, TICK_INTERVAL_S)
 
     def health(self) -> ConfigurationHealth:
-        """Returns what a proxy's health check reports of distributed configuration."""
+        """Returns the state of distributed configuration for the health endpoint of a proxy."""
         assert self.node is not None
         status = self.node.status(time.monotonic())
         assert isinstance(status, SubscriberStatus)
         return ConfigurationHealth.of(status)
 
     def flush(self) -> None:
-        """Sends at once what a call to the node has queued."""
+        """Sends the datagrams that calls to the node have queued."""
         if self.node is not None and not self._datagrams.closed:
             self._datagrams.send(self.node.flush())
 
     def leave(self) -> None:
-        """Sends the node's last messages and closes the socket. A second call has no effect."""
+        """Sends the last messages of the node and closes the socket. Further calls do nothing."""
         if self._datagrams.closed:
             return
         if self.node is not None:
--- a/ironmill/net/distribution_log.py
+++ b/ironmill/net/distribution_log.py
@@ -1,4 +1,4 @@
-"""The log lines of distribution: name, fields and level of each event."""
+"""Log lines of distribution events: the name, the fields and the level for each event type."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
     """How events of one type are logged."""
 
     name: str
-    fields: Callable[[Any], Fields]  # of an event
+    fields: Callable[[Any], Fields]  # returns the fields for an event
     is_warning: bool = False
 
 
 def log_line(event: Event) -> LogLine:
-    """Returns how an event is logged."""
+    """Returns the log line for the type of the event."""
     return _LOG_LINES[type(event)]
 
 
--- a/ironmill/net/key_ring_watcher.py
+++ b/ironmill/net/key_ring_watcher.py
@@ -1,4 +1,4 @@
-"""Watches the file of the key ring, so that a rotation of keys needs no signal."""
+"""Watches the key ring file, so that key rotation needs no signal."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FileVersion(Struct, frozen=True):
-    """Metadata by which two versions of a file are distinguished."""
+    """Metadata that distinguishes two versions of a file."""
 
     modified_ns: int
     size: int
@@ -27,15 +27,18 @@
 
 
 class KeyRingWatcher:
-    """Reads the key ring again whenever its file has changed. A ring that cannot be read changes nothing."""
+    """Reloads the key ring whenever its file has changed. An unreadable or invalid ring is not applied."""
 
     def __init__(self, timers: Timers, path: str, on_change: Callable[[KeyRing], None]) -> None:
-        """Does nothing until ``start``. The first check reads the file, which may have changed meanwhile."""
+        """Creates a watcher that does nothing until ``start``.
+
+        The first check reads the file in any case, since it may have changed after the caller read it.
+        """
         self._timers = timers
         self._on_change = on_change
         self.path = path
-        self._version: FileVersion | None = None  # that was read
-        self._rejected_version: FileVersion | None = None  # that was reported
+        self._loaded_version: FileVersion | None = None
+        self._rejected_version: FileVersion | None = None  # latest one whose rejection was logged
 
     def start(self) -> None:
         """Starts to check the file every ``CHECK_INTERVAL_S``."""
@@ -44,22 +47,22 @@
     def _check(self) -> None:
         self._timers.call_later(CHECK_INTERVAL_S, self._check)
         version = self._current_version()
-        if version is None or version == self._version:
+        if version is None or version == self._loaded_version:
             return
         try:
             ring = read_ring(self.path)
         except MalformedError as error:
-            # The file may be half written, or reading may fail for a moment: the next check tries again.
+            # The file may be partly written, or the read may have failed temporarily: the next check retries.
             if version != self._rejected_version:
                 self._rejected_version = version
                 log.error("key ring rejected", reason=str(error))
             return
-        self._version = version
+        self._loaded_version = version
         log.info("key ring loaded", keys=sum(1 for _ in ring))
         self._on_change(ring)
 
     def _current_version(self) -> FileVersion | None:
-        """The version of the file; None if it cannot be examined."""
+        """Returns the current version of the file, or None if its metadata cannot be read."""
         try:
             status = Path(self.path).stat()
         except OSError:
--- a/ironmill/net/membership.py
+++ b/ironmill/net/membership.py
@@ -1,4 +1,4 @@
-"""The driver of membership: one member on a UDP socket of the scheduler."""
+"""Runs the membership protocol of this process on a UDP socket of the scheduler."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     def __init__(
         self, scheduler: Scheduler, name: str, settings: MembershipSettings, keys: Sequence[bytes]
     ) -> None:
-        """Binds the socket; raises ``OSError`` if that fails."""
+        """Binds the socket. Raises ``OSError`` if that fails."""
         self.settings = settings
         self._datagrams = Datagrams(scheduler, settings.listen)
         self.codec = Codec(settings.cluster, keys)
@@ -57,23 +57,23 @@
 
     @property
     def address(self) -> Address:
-        """The address of the socket."""
+        """The address that the socket is bound to."""
         return self._datagrams.address
 
     def start(self) -> None:
-        """Starts to take part."""
+        """Starts to exchange datagrams with the cluster."""
         log.info("membership", address=format_address(self.address), cluster=self.settings.cluster)
         self._datagrams.start(self.member, TICK_INTERVAL_S)
 
     def leave(self) -> None:
-        """Announces a graceful shutdown and closes the socket; does nothing the second time."""
+        """Announces a graceful shutdown and closes the socket. Further calls do nothing."""
         if self._datagrams.closed:
             return
         self._datagrams.send(self.member.leave(time.monotonic()))
         self._datagrams.close()
 
     def answer_members_request(self, _: ApiRequest) -> ApiResponse:
-        """Answers ``GET /admin/members`` with the view."""
+        """Answers ``GET /admin/members`` with the current view of the cluster."""
         member = self.member
         removed = [record for _, record in sorted(member.view.records.items()) if not record.is_present]
         body = {
--- a/ironmill/net/operator_features.py
+++ b/ironmill/net/operator_features.py
@@ -1,6 +1,7 @@
-"""The parts of a proxy that operators' files turn on: callers, membership, distribution and TLS.
+"""Optional features of a proxy, enabled by operators' files: callers, membership, distribution and TLS.
 
-Imported only where settings are named. A part that the settings do not mention is not imported either.
+This module is imported only if a settings file is named, and the module of each feature only if the settings
+enable the feature.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from ironmill.runtime import logs
 from ironmill.runtime.scheduler import Scheduler
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # features that are off are not imported at run time
     from ironmill.administration.proxy_api import ProxyApi
     from ironmill.identity.callers import Callers
     from ironmill.net.distribution import Distribution
@@ -30,10 +31,13 @@
 
 
 class OperatorFeatures:
-    """Builds the parts of one proxy, and applies changed files to them."""
+    """Builds the optional features of a proxy, and applies changed files to them."""
 
     def __init__(self, scheduler: Scheduler, name: str, files: OperatorFiles) -> None:
-        """``name`` is the proxy's. Raises ``OSError`` if an address is not available."""
+        """Builds the features that ``files`` enable. ``name`` is the name of the proxy.
+
+        Raises ``OSError`` if an address is not available.
+        """
         self._scheduler = scheduler
         self._name = name
         self._files = files
@@ -75,14 +79,14 @@
         return distribution
 
     def listen_for_tls(self, on_connection: Callable[[Stream], None]) -> None:
-        """Binds the listener for TLS, if the settings name one. Raises ``OSError`` if that fails."""
+        """Binds the TLS listener if the settings have one. Raises ``OSError`` if that fails."""
         settings = self._files.settings.tls
         if settings is None or self._files.tls is None:
             return
         from ironmill.net.tls import TlsStream
 
         def make_stream(scheduler: Scheduler, sock: socket.socket) -> Stream:
-            # The context in use at the accept: a replaced certificate is presented from then on.
+            # Reads the context at each accept, so that new connections get a replaced certificate.
             assert self._files.tls is not None
             return TlsStream.for_server(scheduler, sock, self._files.tls.context)
 
@@ -109,14 +113,14 @@
             self.distribution.start()
 
     def leave(self) -> None:
-        """Announces that this process ends."""
+        """Announces to other processes that this one shuts down."""
         if self.membership is not None:
             self.membership.leave()
         if self.distribution is not None:
             self.distribution.leave()
 
     def secure(self, stream: Stream, address: Address) -> Stream:
-        """Wraps a connection to the server at the address in TLS, if the current settings ask for it."""
+        """Wraps a connection to the server at ``address`` in TLS if the current settings require it."""
         settings = self._files.settings.upstream
         if self._files.upstream is None or settings is None:
             return stream
@@ -127,20 +131,23 @@
     # Reload
 
     def apply(self, files: OperatorFiles) -> None:
-        """Applies changed files. Callers are judged by them from the next credential on.
+        """Applies changed files. Credentials of callers are checked against them from now on.
 
         Logs a warning for each change that requires a restart.
         """
         old = self._files
-        self._files = self._with_listening_tls(files)
+        self._files = self._with_current_tls(files)
         self._apply_membership(files)
         self._apply_distribution(files)
         if old.settings.log != files.settings.log:
             logs.set_up(self._name, files.settings.log)
         self._apply_identity(files)
 
-    def _with_listening_tls(self, new: OperatorFiles) -> OperatorFiles:
-        """The new files with the TLS context in use, where it has to stay or has not changed."""
+    def _with_current_tls(self, new: OperatorFiles) -> OperatorFiles:
+        """Returns the new files, with the current TLS context where it is kept.
+
+        It is kept if it is unchanged, and if the address changed, which requires a restart.
+        """
         old = self._files
         old_listen = None if old.settings.tls is None else old.settings.tls.listen
         new_listen = None if new.settings.tls is None else new.settings.tls.listen
@@ -148,7 +155,7 @@
             log.warning("reload: requires a restart: tls listen")
             return replace(new, tls=old.tls)
         if old.tls is not None and new.tls is not None and old.tls.digest == new.tls.digest:
-            return replace(new, tls=old.tls)  # with its session tickets
+            return replace(new, tls=old.tls)  # keeps its session tickets valid
         return new
 
     def _apply_membership(self, files: OperatorFiles) -> None:
