--- a/ironmill/net/revision_store.py
+++ b/ironmill/net/revision_store.py
@@ -1,8 +1,8 @@
-"""The embedded store of revisions: one SQLite file. A commit is durable before it returns.
+"""The embedded store of revisions in one SQLite file. A commit is durable before it returns.
 
-A revision is one transaction. Each opening takes the next epoch in a transaction too, and each commit checks
-within its own that the epoch is still the one this opening took: of two processes on one file only the later
-one can write.
+Each revision is one transaction. Opening the store takes the next epoch in a transaction, and each commit
+checks in its transaction that no later epoch has been taken. Of two processes that open one file, only the
+later one can therefore write.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
     StoredRevision,
 )
 
-MAX_KEPT_REVISIONS = 100_000  # older ones cannot be undone, and their tickets are unknown
-MAX_HISTORY_REVISIONS = 1000  # in one answer
-BUSY_TIMEOUT_S = 1.0  # wait for another process that is writing
+MAX_KEPT_REVISIONS = 100_000  # older revisions cannot be restored, and their tickets are not recognized
+MAX_HISTORY_REVISIONS = 1000  # returned by one call of history
+BUSY_TIMEOUT_S = 1.0  # for a lock that another process holds
 FILE_MODE = 0o600
 FORMAT_VERSION = 1
-APPLICATION_ID = int.from_bytes(b"IMrv")  # in the file's header
+APPLICATION_ID = int.from_bytes(b"IMrv")  # SQLite application ID in the file header
 
-# Rows of the table of numbers.
+# Names of the rows of the table ``numbers``.
 LINEAGE, EPOCH, OBSERVED_EPOCH = "lineage", "epoch", "observed"
 
 _CREATE_TABLES = """
@@ -67,7 +67,8 @@
 _SELECT_OLDEST_NUMBER = "SELECT min(number) FROM revisions"
 _SELECT_HISTORY = "SELECT epoch, number, at, author, note FROM revisions ORDER BY number DESC LIMIT ?"
 _SELECT_CHANGES = "SELECT key, value FROM changes WHERE number = ?"
-# Of each key that later revisions changed: the value before the first of those, unless it is current.
+# For each key changed after the given revision, selects the value before the first of these changes, unless
+# it equals the current value.
 _SELECT_UNDO = """
 SELECT changes.key, changes.previous
 FROM (SELECT key, min(number) AS number FROM changes WHERE number > ? GROUP BY key) AS first
@@ -77,14 +78,18 @@
 
 
 class SqliteStore:
-    """A ``RevisionStore`` in one file, opened for writing."""
+    """A ``RevisionStore`` in an SQLite file, opened for writing."""
 
     def __init__(self, path: str, max_kept_revisions: int = MAX_KEPT_REVISIONS) -> None:
-        """Opens the file, creating it if there is none. Raises ``StoreError`` if it cannot be used."""
+        """Opens the file and takes the next epoch; creates the file if it does not exist.
+
+        Raises ``StoreError`` if the file cannot be used.
+        """
         self.path = path
         self._max_kept_revisions = max_kept_revisions
         try:
-            # SQLite would create the file readable by others, and report the system's error less precisely.
+            # SQLite would create a file that other users can read, and would report the system error less
+            # precisely.
             os.close(os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE))
         except OSError as error:
             raise StoreError(f"{path}: the store cannot be opened: {error.strerror}") from None
@@ -98,8 +103,8 @@
             raise
 
     def _open(self) -> None:
-        self._check_format()  # before anything in the file is changed
-        # With WAL, EXTRA is the same as FULL; where there is no WAL it syncs the journal's folder as well.
+        self._check_format()  # before the first change to the file
+        # With WAL, EXTRA equals FULL. If WAL is not available, EXTRA also syncs the directory of the journal.
         self._connection.execute("PRAGMA journal_mode = WAL")
         self._connection.execute("PRAGMA synchronous = EXTRA")
         with self._transaction():
@@ -108,19 +113,19 @@
             self.lineage = self._read_number(LINEAGE)
             self.epoch = max(self._read_number(EPOCH), self._read_number(OBSERVED_EPOCH)) + 1
             if self.epoch >= NUMBER_LIMIT:
-                raise StoreError(f"{self.path}: the store has no epoch left")
+                raise StoreError(f"{self.path}: the store has no epochs left")
             self._write_number(EPOCH, self.epoch)
             self.position = self._latest_position()
 
     def _check_format(self) -> bool:
-        """Returns True for a store, False for an empty file. Raises ``StoreError`` for anything else."""
+        """Returns True for a store and False for an empty file. Raises ``StoreError`` for any other file."""
         if self._query_int(_COUNT_TABLES) == 0:
             return False
         if self._query_int("PRAGMA application_id") != APPLICATION_ID:
-            raise StoreError(f"{self.path}: is a database, but no store of revisions")
+            raise StoreError(f"{self.path}: the file is an SQLite database, but not a revision store")
         if (version := self._query_int("PRAGMA user_version")) != FORMAT_VERSION:
             raise StoreError(
-                f"{self.path}: the store is of form {version}; this program reads form {FORMAT_VERSION}"
+                f"{self.path}: the store has format {version}; this program supports format {FORMAT_VERSION}"
             )
         return True
 
@@ -134,25 +139,31 @@
         self._write_number(OBSERVED_EPOCH, 0)
 
     def close(self) -> None:
-        """Closes the file. Every later call raises ``StoreError``."""
+        """Closes the file. Later calls of other methods raise ``StoreError``."""
         with contextlib.suppress(sqlite3.Error):
             self._connection.close()
 
-    # RevisionStore
+    # Interface of RevisionStore
 
     def entries(self) -> Iterator[tuple[str, bytes]]:
-        """Yields all keys and values, by key. Must be read to its end before the next commit.
+        """Yields all keys and values in the order of keys. Must be exhausted before the next commit.
 
         Raises ``StoreError``.
         """
         with self._translate_errors():
             for key, value in self._connection.execute(_SELECT_ENTRIES):
                 if not isinstance(key, str) or not isinstance(value, bytes):
-                    raise StoreError(f"{self.path}: the store is damaged: an entry is of no right kind")
+                    raise StoreError(
+                        f"{self.path}: the store is damaged: an entry has a key or value of the wrong type"
+                    )
                 yield key, value
 
     def commit(self, changes: Changes, metadata: RevisionMetadata) -> Position:
-        """Stores one more revision, durably. Raises ``RevisionError``, ``FencedError`` and ``StoreError``."""
+        """Stores the changes durably as the next revision and returns its position.
+
+        If a kept revision has the same ticket, stores nothing and returns the position of that revision.
+        Raises ``RevisionError``, ``FencedError`` and ``StoreError``.
+        """
         check_changes(changes)
         _check_metadata(metadata)
         with self._translate_errors():
@@ -164,18 +175,21 @@
                     return known
                 target = Position(self.epoch, self.position.number + 1)
                 if target.number >= NUMBER_LIMIT:
-                    raise StoreError(f"{self.path}: the store has no number left")
+                    raise StoreError(f"{self.path}: the store has no revision numbers left")
                 self._insert_revision(target, changes, metadata)
             self.position = target
             return target
 
     def committed(self, ticket: str) -> Position | None:
-        """Returns the position of the kept revision with this ticket, or None. Raises ``StoreError``."""
+        """Returns the position of the kept revision with this ticket, or None if there is none.
+
+        Raises ``StoreError``.
+        """
         with self._translate_errors():
             return self._position_by_ticket(ticket)
 
     def history(self, max_count: int) -> list[StoredRevision]:
-        """Returns the last kept revisions, newest first, at most ``MAX_HISTORY_REVISIONS``.
+        """Returns the latest kept revisions, newest first, at most ``MAX_HISTORY_REVISIONS``.
 
         Raises ``StoreError``.
         """
@@ -188,9 +202,9 @@
             ]
 
     def undo(self, number: int) -> Changes:
-        """Returns the changes that restore all values as of a revision; 0 is before the first one.
+        """Returns the changes that restore all values as of revision ``number``; 0 is the empty store.
 
-        Raises ``StoreError`` if that revision is not kept or the changes are more than one revision may have.
+        Raises ``StoreError`` if the revision is no longer kept, or if one revision cannot hold the changes.
         """
         with self._translate_errors():
             self._check_undo(number)
@@ -198,26 +212,29 @@
             changes: Changes = dict(self._connection.execute(_SELECT_UNDO, parameters))
             if len(changes) > MAX_REVISION_CHANGES:
                 raise StoreError(
-                    f"{self.path}: to go back to revision {number} takes more than {MAX_REVISION_CHANGES} "
-                    "changes, more than one revision may hold"
+                    f"{self.path}: a revert to revision {number} requires more than {MAX_REVISION_CHANGES} "
+                    "changes, the maximum of one revision"
                 )
             return changes
 
     def fenced(self) -> bool:
-        """Returns True once another process has opened the store since. Raises ``StoreError``."""
+        """Returns True if another process has opened the store after this one. Raises ``StoreError``."""
         with self._translate_errors():
             return self._read_number(EPOCH) != self.epoch
 
     def observe(self, epoch: int) -> None:
-        """Makes the next opening take an epoch above this one. Raises ``StoreError``."""
+        """Records an epoch of another process, so that the next opening takes a higher one.
+
+        Raises ``StoreError`` if the epoch is invalid or cannot be stored.
+        """
         if not 0 <= epoch < NUMBER_LIMIT - 1:
-            raise StoreError(f"{self.path}: {epoch} is no epoch")
+            raise StoreError(f"{self.path}: {epoch} is not a valid epoch")
         if epoch <= self.epoch:
-            return  # the next opening takes a higher one anyway
+            return  # the next opening takes a higher epoch in any case
         with self._translate_errors(), self._transaction():
             self._write_number(OBSERVED_EPOCH, max(epoch, self._read_number(OBSERVED_EPOCH)))
 
-    # Within a transaction
+    # Statements
 
     def _check_undo(self, number: int) -> None:
         oldest = self._query_int(_SELECT_OLDEST_NUMBER)
@@ -226,8 +243,8 @@
             raise StoreError(f"{self.path}: there is no revision {number}; the last one is {last}")
         if number < last and (oldest is None or number < oldest - 1):
             raise StoreError(
-                f"{self.path}: revision {number} is too old to go back to; "
-                f"the oldest one that is kept is {oldest}"
+                f"{self.path}: revision {number} is too old to revert to; "
+                f"the oldest kept revision is {oldest}"
             )
 
     def _insert_revision(self, target: Position, changes: Changes, metadata: RevisionMetadata) -> None:
@@ -238,7 +255,7 @@
             (number, target.epoch, metadata.at, metadata.author, metadata.note, metadata.ticket),
         )
         for key, value in changes.items():
-            execute(_INSERT_CHANGE, (number, key, value))  # before the entry: it stores the previous value
+            execute(_INSERT_CHANGE, (number, key, value))  # first, since it copies the previous value
             if value is None:
                 execute(_DELETE_ENTRY, (key,))
             else:
@@ -272,12 +289,12 @@
         if row is None or row[0] is None:
             return None
         if not isinstance(row[0], int):
-            raise StoreError(f"{self.path}: the store is damaged: {statement!r} gives no number")
+            raise StoreError(f"{self.path}: the store is damaged: {statement!r} does not return an integer")
         return row[0]
 
     @contextlib.contextmanager
     def _transaction(self) -> Iterator[None]:
-        """Commits what is written within it, or rolls all of it back on an exception."""
+        """Commits the changes of the ``with`` block, or rolls them all back on an exception."""
         self._connection.execute("BEGIN IMMEDIATE")
         try:
             yield
@@ -292,33 +309,34 @@
             raise
 
     def _roll_back(self) -> None:
-        if self._connection.in_transaction:  # SQLite itself rolls back on some errors, as of a full disk
+        if self._connection.in_transaction:  # SQLite rolls back by itself on some errors, such as a full disk
             with contextlib.suppress(sqlite3.Error):
                 self._connection.execute("ROLLBACK")
 
     def _overwrite_failed_commit(self) -> None:
-        """Writes a transaction without effect in the place of one whose commit has failed.
+        """Overwrites a transaction whose commit failed with a transaction that has no effect.
 
-        The write-ahead log may hold that one complete, only its sync having failed. After a kill the next
-        opening would take it for committed. Another one takes its place even if it cannot be synced either.
+        If only the sync failed, the write-ahead log may hold the complete failed transaction, and if the
+        process is killed, the next opening would treat it as committed. The new transaction overwrites it in
+        the log even if it cannot be synced either.
         """
         with contextlib.suppress(sqlite3.Error):
             self._connection.execute("BEGIN IMMEDIATE")
-            for difference in (1, -1):  # SQLite writes no page for a value that is the same
+            for difference in (1, -1):  # SQLite does not write a page whose values are unchanged
                 self._connection.execute(_ADD_TO_NUMBERS, (difference,))
             self._connection.execute("COMMIT")
         self._roll_back()
 
     @contextlib.contextmanager
     def _translate_errors(self) -> Iterator[None]:
-        """Turns errors of SQLite into ``StoreError``, with a message of one line."""
+        """Converts errors of SQLite to ``StoreError`` with a one-line message."""
         try:
             yield
         except sqlite3.Error as error:
-            # Errors of the Python module itself, such as a closed connection, have no name.
+            # Errors raised by the Python module itself, such as for a closed connection, have no error name.
             name = getattr(error, "sqlite_errorname", "")
-            hint = "; make room, and it takes revisions again" if name == "SQLITE_FULL" else ""
-            raise StoreError(f"{self.path}: the store fails: {error}{hint}") from None
+            hint = "; free disk space to store revisions again" if name == "SQLITE_FULL" else ""
+            raise StoreError(f"{self.path}: the store failed: {error}{hint}") from None
 
 
 def _check_metadata(metadata: RevisionMetadata) -> None:
@@ -328,6 +346,6 @@
         ("note", metadata.note, MAX_NOTE_LENGTH),
     ):
         if len(text) > limit:
-            raise RevisionError(f"{name}: it has {limit} characters at most")
+            raise RevisionError(f"{name}: must have at most {limit} characters")
     if not 0 < len(metadata.ticket) <= MAX_TICKET_LENGTH:
-        raise RevisionError(f"ticket: it has 1 to {MAX_TICKET_LENGTH} characters")
+        raise RevisionError(f"ticket: must have 1 to {MAX_TICKET_LENGTH} characters")
--- a/tests/system/test_revision_store.py
+++ b/tests/system/test_revision_store.py
@@ -1,4 +1,4 @@
-"""The embedded store of revisions: against a model, beside a second writer, killed, without room, damaged."""
+"""Tests of the revision store: a model, a second writer, a killed process, a full disk and damaged files."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
 
 KEYS = st.sampled_from([f"shard/{name}" for name in "abcdefgh"] + ["straße", "x" * MAX_KEY_BYTES])
 CHANGES = st.dictionaries(KEYS, st.none() | st.binary(max_size=4), min_size=1, max_size=5)
-KEEP = 12
-MEMORY = Path("/dev/shm")
+KEPT_REVISIONS = 12
+MEMORY_FOLDER = Path("/dev/shm")
 
 
 @pytest.fixture
 def store(tmp_path: Path) -> Iterator[SqliteStore]:
-    it = SqliteStore(str(tmp_path / "store"))
-    yield it
-    it.close()
+    store = SqliteStore(str(tmp_path / "store"))
+    yield store
+    store.close()
 
 
-def put(store: RevisionStore, changes: Changes, ticket: str = "") -> Position:
+def commit_changes(store: RevisionStore, changes: Changes, ticket: str = "") -> Position:
     ticket = ticket or f"t{store.position.number + 1}-{store.epoch}"
     return store.commit(changes, RevisionMetadata(1.5, "ann", "a note", ticket))
 
 
-def applied(state: dict[str, bytes], changes: Changes) -> dict[str, bytes]:
+def apply_changes(state: dict[str, bytes], changes: Changes) -> dict[str, bytes]:
     return {key: value for key, value in (state | changes).items() if value is not None}
 
 
@@ -60,120 +60,125 @@
     path = str(tmp_path / "store")
     lineages = set()
     for epoch in (1, 2, 3):
-        it = SqliteStore(path)
-        assert (it.epoch, it.position, list(it.entries()), it.history(9)) == (epoch, START, [], [])
-        assert it.undo(0) == {}
-        lineages.add(it.lineage)
-        it.close()
+        store = SqliteStore(path)
+        assert (store.epoch, store.position, list(store.entries()), store.history(9)) == (
+            epoch,
+            START,
+            [],
+            [],
+        )
+        assert store.undo(0) == {}
+        lineages.add(store.lineage)
+        store.close()
     other = SqliteStore(str(tmp_path / "other"))
     assert len(lineages) == 1
     assert lineages != {other.lineage}
-    assert all(0 < it < 1 << 62 for it in (*lineages, other.lineage))
+    assert all(0 < lineage < 1 << 62 for lineage in (*lineages, other.lineage))
     assert os.stat(path).st_mode & 0o077 == 0
     other.close()
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """The store and a model of it: each state that there ever was."""
+    """Compares the store with a model that records the state after each revision."""
 
     def __init__(self) -> None:
         super().__init__()
-        # In memory, for on a disk each commit waits for it.
-        self.folder = Path(tempfile.mkdtemp(dir=MEMORY if MEMORY.is_dir() else None))
-        self.store = SqliteStore(str(self.folder / "store"), KEEP)
-        self.fenced: SqliteStore | None = None
+        # In memory if possible, because on a disk each commit waits for a sync.
+        self.folder = Path(tempfile.mkdtemp(dir=MEMORY_FOLDER if MEMORY_FOLDER.is_dir() else None))
+        self.store = SqliteStore(str(self.folder / "store"), KEPT_REVISIONS)
+        self.fenced_store: SqliteStore | None = None
         self.states: list[dict[str, bytes]] = [{}]
-        self.entries: list[StoredRevision] = []
+        self.revisions: list[StoredRevision] = []
         self.tickets: dict[str, Position] = {}
 
     def teardown(self) -> None:
-        for one in (self.store, self.fenced):
-            if one is not None:
-                one.close()
+        for store in (self.store, self.fenced_store):
+            if store is not None:
+                store.close()
         shutil.rmtree(self.folder)
 
-    def keep(self, changes: Changes) -> None:
+    def commit_and_record(self, changes: Changes) -> None:
         ticket = f"ticket-{len(self.tickets)}"
         number = len(self.states)
         position = self.store.commit(changes, RevisionMetadata(float(number), f"by-{number}", "", ticket))
         assert position == Position(self.store.epoch, number) == self.store.position
         assert self.store.committed(ticket) == position
         self.tickets[ticket] = position
-        self.states.append(applied(self.states[-1], changes))
-        self.entries.append(StoredRevision(position, float(number), f"by-{number}", "", changes))
+        self.states.append(apply_changes(self.states[-1], changes))
+        self.revisions.append(StoredRevision(position, float(number), f"by-{number}", "", changes))
 
     @rule(changes=CHANGES)
     def commit(self, changes: Changes) -> None:
-        self.keep(changes)
+        self.commit_and_record(changes)
 
     @precondition(lambda self: self.tickets)
     @rule(data=st.data(), changes=CHANGES)
-    def again(self, data: st.DataObject, changes: Changes) -> None:
-        ticket = data.draw(st.sampled_from(list(self.tickets)[-KEEP:]))
+    def commit_with_used_ticket(self, data: st.DataObject, changes: Changes) -> None:
+        ticket = data.draw(st.sampled_from(list(self.tickets)[-KEPT_REVISIONS:]))
         assert self.store.commit(changes, RevisionMetadata(0.0, "", "", ticket)) == self.tickets[ticket]
 
-    @rule(back=st.integers(0, KEEP))
-    def undo(self, back: int) -> None:
-        number = max(0, len(self.states) - 1 - back)
+    @rule(revisions_back=st.integers(0, KEPT_REVISIONS))
+    def undo(self, revisions_back: int) -> None:
+        number = max(0, len(self.states) - 1 - revisions_back)
         changes = self.store.undo(number)
-        assert applied(self.states[-1], changes) == self.states[number]
-        now = self.states[-1]
-        assert all(now.get(key) != value for key, value in changes.items())  # what is as it was is left out
+        assert apply_changes(self.states[-1], changes) == self.states[number]
+        current = self.states[-1]
+        assert all(current.get(key) != value for key, value in changes.items())  # omits unchanged values
         if changes:
-            self.keep(changes)
+            self.commit_and_record(changes)
 
     @rule()
     def reopen(self) -> None:
         epoch = self.store.epoch
         self.store.close()
-        self.store = SqliteStore(str(self.folder / "store"), KEEP)
+        self.store = SqliteStore(str(self.folder / "store"), KEPT_REVISIONS)
         assert self.store.epoch == epoch + 1
 
     @rule()
-    def second_writer(self) -> None:
-        if self.fenced is not None:
-            self.fenced.close()
+    def open_second_store(self) -> None:
+        if self.fenced_store is not None:
+            self.fenced_store.close()
         assert not self.store.fenced()
-        self.fenced, self.store = self.store, SqliteStore(str(self.folder / "store"), KEEP)
-        assert self.fenced.fenced()
+        self.fenced_store, self.store = self.store, SqliteStore(str(self.folder / "store"), KEPT_REVISIONS)
+        assert self.fenced_store.fenced()
         assert not self.store.fenced()
 
-    @precondition(lambda self: self.fenced is not None)
+    @precondition(lambda self: self.fenced_store is not None)
     @rule(changes=CHANGES)
-    def the_first_one_writes(self, changes: Changes) -> None:
-        assert self.fenced is not None
-        assert self.fenced.fenced()
+    def commit_to_fenced_store(self, changes: Changes) -> None:
+        assert self.fenced_store is not None
+        assert self.fenced_store.fenced()
         with pytest.raises(FencedError, match="another process has opened the store"):
-            self.fenced.commit(changes, RevisionMetadata(0.0, "", "", "fenced"))
+            self.fenced_store.commit(changes, RevisionMetadata(0.0, "", "", "fenced"))
 
     @rule()
-    def no_room(self) -> None:
+    def commit_to_full_disk(self) -> None:
         connection = self.store._connection
         (pages,) = connection.execute("PRAGMA page_count").fetchone()
         connection.execute(f"PRAGMA max_page_count = {pages}")
-        many: Changes = {f"big/{at}": b"x" * MAX_VALUE_BYTES for at in range(80)}
-        with pytest.raises(StoreError, match="is full; make room") as caught:
-            self.store.commit(many, RevisionMetadata(0.0, "", "", "full"))
+        large_changes: Changes = {f"big/{index}": b"x" * MAX_VALUE_BYTES for index in range(80)}
+        with pytest.raises(StoreError, match="is full; free disk space") as caught:
+            self.store.commit(large_changes, RevisionMetadata(0.0, "", "", "full"))
         assert "\n" not in str(caught.value)
         connection.execute("PRAGMA max_page_count = 1000000")
         assert self.store.committed("full") is None
 
-    @rule(more=st.integers(0, 3))
-    def observe(self, more: int) -> None:
-        self.store.observe(self.store.epoch + more)
-        if more:  # and the next opening is above it
+    @rule(epochs_ahead=st.integers(0, 3))
+    def observe(self, epochs_ahead: int) -> None:
+        self.store.observe(self.store.epoch + epochs_ahead)
+        if epochs_ahead:  # the next opening takes a higher epoch than the observed one
             epoch = self.store.epoch
             self.store.close()
-            self.store = SqliteStore(str(self.folder / "store"), KEEP)
-            assert self.store.epoch == epoch + more + 1
+            self.store = SqliteStore(str(self.folder / "store"), KEPT_REVISIONS)
+            assert self.store.epoch == epoch + epochs_ahead + 1
 
     @invariant()
-    def agrees(self) -> None:
+    def store_matches_model(self) -> None:
         assert dict(self.store.entries()) == self.states[-1]
         assert self.store.position.number == len(self.states) - 1
         assert not self.store.fenced()
-        assert self.store.history(1000) == self.entries[::-1][:KEEP]
-        assert self.store.history(2) == self.entries[::-1][:2]
+        assert self.store.history(1000) == self.revisions[::-1][:KEPT_REVISIONS]
+        assert self.store.history(2) == self.revisions[::-1][:2]
 
 
 TestStoreMachine = StoreMachine.TestCase
@@ -181,28 +186,28 @@
 
 
 def test_undo_beyond_the_kept_history_fails(tmp_path: Path) -> None:
-    it = SqliteStore(str(tmp_path / "store"), max_kept_revisions=3)
-    for at in range(6):
-        put(it, {"a": b"%d" % at})
-    assert it.undo(3) == {"a": b"2"}
+    store = SqliteStore(str(tmp_path / "store"), max_kept_revisions=3)
+    for index in range(6):
+        commit_changes(store, {"a": b"%d" % index})
+    assert store.undo(3) == {"a": b"2"}
     for number in (0, 2):
-        with pytest.raises(StoreError, match=f"revision {number} is too old to go back to; .* is 4"):
-            it.undo(number)
+        with pytest.raises(StoreError, match=f"revision {number} is too old to revert to; .* is 4"):
+            store.undo(number)
     for number in (-1, 7):
         with pytest.raises(StoreError, match=f"there is no revision {number}; the last one is 6"):
-            it.undo(number)
-    assert it.committed("t3-1") is None
-    assert it.committed("t4-1") == Position(1, 4)
-    it.close()
+            store.undo(number)
+    assert store.committed("t3-1") is None
+    assert store.committed("t4-1") == Position(1, 4)
+    store.close()
 
 
 def test_undo_spans_several_revisions(store: SqliteStore) -> None:
-    put(store, {"a": b"1", "b": b"1", "gone": b"1"})
-    put(store, {"a": b"2", "new": b"2", "gone": None})
-    put(store, {"a": b"3", "new": b"3", "b": b"2"})
-    put(store, {"b": b"1", "gone": b"other"})
-    assert store.undo(1) == {"a": b"1", "new": None, "gone": b"1"}  # b has its value again already
-    assert put(store, store.undo(1)) == Position(1, 5)
+    commit_changes(store, {"a": b"1", "b": b"1", "gone": b"1"})
+    commit_changes(store, {"a": b"2", "new": b"2", "gone": None})
+    commit_changes(store, {"a": b"3", "new": b"3", "b": b"2"})
+    commit_changes(store, {"b": b"1", "gone": b"other"})
+    assert store.undo(1) == {"a": b"1", "new": None, "gone": b"1"}  # the value of b is already restored
+    assert commit_changes(store, store.undo(1)) == Position(1, 5)
     assert dict(store.entries()) == {"a": b"1", "b": b"1", "gone": b"1"}
     assert store.undo(1) == {}
     assert store.undo(3) == {"a": b"3", "new": b"3", "gone": None, "b": b"2"}
@@ -211,28 +216,28 @@
 
 def test_undo_larger_than_a_revision_fails(store: SqliteStore) -> None:
     for half in range(2):
-        put(store, {f"{half}-{at}": b"" for at in range(MAX_REVISION_CHANGES // 2 + 1)})
+        commit_changes(store, {f"{half}-{index}": b"" for index in range(MAX_REVISION_CHANGES // 2 + 1)})
     assert len(store.undo(1)) == MAX_REVISION_CHANGES // 2 + 1
-    with pytest.raises(StoreError, match="to go back to revision 0 takes more than 4096 changes"):
+    with pytest.raises(StoreError, match="a revert to revision 0 requires more than 4096 changes"):
         store.undo(0)
 
 
 @pytest.mark.parametrize(
-    ("changes", "author", "note", "ticket", "wrong"),
+    ("changes", "author", "note", "ticket", "expected_error"),
     [
         ({}, "", "", "t", "one change at least"),
         ({"": b""}, "", "", "t", "a key has 1 to"),
         ({"a": b"x" * (MAX_VALUE_BYTES + 1)}, "", "", "t", "a: a value has"),
-        ({"a": b""}, "x" * (MAX_AUTHOR_LENGTH + 1), "", "t", "author: it has 128 characters at most"),
-        ({"a": b""}, "", "x" * (MAX_NOTE_LENGTH + 1), "t", "note: it has 1024 characters at most"),
-        ({"a": b""}, "", "", "", "ticket: it has 1 to 64 characters"),
-        ({"a": b""}, "", "", "t" * (MAX_TICKET_LENGTH + 1), "ticket: it has 1 to 64 characters"),
+        ({"a": b""}, "x" * (MAX_AUTHOR_LENGTH + 1), "", "t", "author: must have at most 128 characters"),
+        ({"a": b""}, "", "x" * (MAX_NOTE_LENGTH + 1), "t", "note: must have at most 1024 characters"),
+        ({"a": b""}, "", "", "", "ticket: must have 1 to 64 characters"),
+        ({"a": b""}, "", "", "t" * (MAX_TICKET_LENGTH + 1), "ticket: must have 1 to 64 characters"),
     ],
 )
 def test_rejects_revisions_out_of_bounds(
-    store: SqliteStore, changes: Changes, author: str, note: str, ticket: str, wrong: str
+    store: SqliteStore, changes: Changes, author: str, note: str, ticket: str, expected_error: str
 ) -> None:
-    with pytest.raises(RevisionError, match=wrong):
+    with pytest.raises(RevisionError, match=expected_error):
         store.commit(changes, RevisionMetadata(1.0, author, note, ticket))
     assert (store.position, list(store.entries())) == (START, [])
 
@@ -240,35 +245,35 @@
 def test_invalid_time_leaves_the_store_unchanged(store: SqliteStore) -> None:
     with pytest.raises(StoreError, match="NOT NULL"):
         store.commit({"a": b"1"}, RevisionMetadata(float("nan"), "", "", "t"))
-    assert (list(store.entries()), put(store, {"a": b"2"})) == ([], Position(1, 1))
+    assert (list(store.entries()), commit_changes(store, {"a": b"2"})) == ([], Position(1, 1))
 
 
 def test_restored_backup_takes_an_epoch_above_the_observed_ones(tmp_path: Path) -> None:
     path, backup = tmp_path / "store", tmp_path / "backup"
-    it = SqliteStore(str(path))
-    put(it, {"a": b"1"})
-    it.close()
+    store = SqliteStore(str(path))
+    commit_changes(store, {"a": b"1"})
+    store.close()
     shutil.copy(path, backup)
     for epoch in (2, 3, 4):
-        it = SqliteStore(str(path))
-        put(it, {"a": b"later %d" % epoch})
-        it.close()
+        store = SqliteStore(str(path))
+        commit_changes(store, {"a": b"later %d" % epoch})
+        store.close()
     shutil.copy(backup, path)
-    it = SqliteStore(str(path))
-    assert (it.epoch, it.position) == (2, Position(1, 1))
-    it.observe(4)  # a proxy shows what it holds: 4.4
-    it.observe(3)
-    it.close()
-    it = SqliteStore(str(path))
-    assert it.epoch == 5
-    assert put(it, {"a": b"after"}) == Position(5, 2) > Position(4, 4)
-    for epoch in (-1, NUMBER_LIMIT - 1, 1 << 70):  # what would leave no epoch is not taken
-        with pytest.raises(StoreError, match="is no epoch"):
-            it.observe(epoch)
-    it.close()
-    it = SqliteStore(str(path))
-    assert it.epoch == 6
-    it.close()
+    store = SqliteStore(str(path))
+    assert (store.epoch, store.position) == (2, Position(1, 1))
+    store.observe(4)  # as when a proxy reports its position 4.4
+    store.observe(3)
+    store.close()
+    store = SqliteStore(str(path))
+    assert store.epoch == 5
+    assert commit_changes(store, {"a": b"after"}) == Position(5, 2) > Position(4, 4)
+    for epoch in (-1, NUMBER_LIMIT - 1, 1 << 70):  # epochs that leave none for the next opening are rejected
+        with pytest.raises(StoreError, match="is not a valid epoch"):
+            store.observe(epoch)
+    store.close()
+    store = SqliteStore(str(path))
+    assert store.epoch == 6
+    store.close()
 
 
 def test_store_locked_by_another_process_is_a_one_line_error(
@@ -277,17 +282,17 @@
     store._connection.execute("PRAGMA busy_timeout = 50")
     other = sqlite3.connect(store.path, isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
-    with pytest.raises(StoreError, match="the store fails: database is locked"):
-        put(store, {"a": b"1"})
+    with pytest.raises(StoreError, match="the store failed: database is locked"):
+        commit_changes(store, {"a": b"1"})
     other.execute("ROLLBACK")
     other.close()
-    assert put(store, {"a": b"1"}) == Position(1, 1)
+    assert commit_changes(store, {"a": b"1"}) == Position(1, 1)
 
 
 def test_every_call_after_close_is_a_one_line_error(store: SqliteStore) -> None:
     store.close()
     for call in (
-        lambda: put(store, {"a": b"1"}),
+        lambda: commit_changes(store, {"a": b"1"}),
         lambda: list(store.entries()),
         lambda: store.history(1),
         lambda: store.undo(0),
@@ -295,23 +300,23 @@
         lambda: store.observe(9),
         store.fenced,
     ):
-        with pytest.raises(StoreError, match="the store fails: Cannot operate on a closed database"):
+        with pytest.raises(StoreError, match="the store failed: Cannot operate on a closed database"):
             call()
 
 
-def fails(path: Path, wrong: str) -> None:
-    with pytest.raises(StoreError, match=wrong) as caught:
+def assert_open_fails(path: Path, expected_error: str) -> None:
+    with pytest.raises(StoreError, match=expected_error) as caught:
         SqliteStore(str(path))
     assert str(caught.value).startswith(f"{path}: ")
     assert "\n" not in str(caught.value)
 
 
-def test_rejects_files_that_are_no_store(tmp_path: Path) -> None:
+def test_rejects_files_that_are_not_a_store(tmp_path: Path) -> None:
     path = tmp_path / "store"
-    fails(tmp_path, "the store cannot be opened: Is a directory")
-    fails(tmp_path / "none" / "store", "the store cannot be opened: No such file or directory")
+    assert_open_fails(tmp_path, "the store cannot be opened: Is a directory")
+    assert_open_fails(tmp_path / "none" / "store", "the store cannot be opened: No such file or directory")
     path.write_bytes(b"something else " * 500)
-    fails(path, "the store fails: file is not a database")
+    assert_open_fails(path, "the store failed: file is not a database")
     assert path.read_bytes() == b"something else " * 500
     path.unlink()
     other = sqlite3.connect(path)
@@ -319,67 +324,71 @@
     other.commit()
     other.close()
     before = path.read_bytes()
-    fails(path, "is a database, but no store of revisions")
+    assert_open_fails(path, "the file is an SQLite database, but not a revision store")
     assert path.read_bytes() == before
     path.unlink()
     SqliteStore(str(path)).close()
     other = sqlite3.connect(path)
     other.execute("PRAGMA user_version = 7")
     other.close()
-    fails(path, "the store is of form 7; this program reads form 1")
+    assert_open_fails(path, "the store has format 7; this program supports format 1")
 
 
 def test_damaged_store_is_a_one_line_error_and_yields_no_wrong_values(tmp_path: Path) -> None:
     path = tmp_path / "store"
-    it = SqliteStore(str(path))
-    for at in range(50):
-        put(it, {f"k{at}-{more}": b"v" * MAX_VALUE_BYTES for more in range(20)})
-    it.close()
-    whole = path.read_bytes()
-    expected = {f"k{at}-{more}": b"v" * MAX_VALUE_BYTES for at in range(50) for more in range(20)}
-    rng, found = random.Random(5), 0
+    store = SqliteStore(str(path))
+    for revision in range(50):
+        commit_changes(store, {f"k{revision}-{index}": b"v" * MAX_VALUE_BYTES for index in range(20)})
+    store.close()
+    undamaged = path.read_bytes()
+    expected = {
+        f"k{revision}-{index}": b"v" * MAX_VALUE_BYTES for revision in range(50) for index in range(20)
+    }
+    rng, detected = random.Random(5), 0
     for _ in range(40):
-        data = bytearray(whole)
+        data = bytearray(undamaged)
         page = rng.randrange(len(data) // 4096) * 4096
         data[page : page + 4096] = rng.randbytes(4096)
         path.write_bytes(data)
         try:
             damaged = SqliteStore(str(path))
             try:
-                # A page of the history or a free one may be hit: then the values are those there were.
+                # The damaged page may belong to the history or be free; the values are correct then.
                 assert dict(damaged.entries()) == expected
             finally:
                 damaged.close()
         except StoreError as error:
-            found += 1
+            detected += 1
             assert "\n" not in str(error)
-    assert found > 5
-    path.write_bytes(whole[: len(whole) // 3])
+    assert detected > 5
+    path.write_bytes(undamaged[: len(undamaged) // 3])
     with pytest.raises(StoreError):
         list(SqliteStore(str(path)).entries())
 
 
 @pytest.fixture
-def nobody() -> Iterator[None]:
-    """Whoever runs the tests as root is somebody else meanwhile, for root may write everywhere."""
-    root = os.geteuid() == 0
-    if root:
+def unprivileged_user() -> Iterator[None]:
+    """Drops root privileges during the test, because root may write to any file."""
+    is_root = os.geteuid() == 0
+    if is_root:
         os.seteuid(65534)
     yield
-    if root:
+    if is_root:
         os.seteuid(0)
 
 
-def test_rejects_a_read_only_file(nobody: None) -> None:
+def test_rejects_a_read_only_file(unprivileged_user: None) -> None:
     folder = Path(tempfile.mkdtemp())
     path = folder / "store"
     try:
         SqliteStore(str(path)).close()
         path.chmod(0o400)
-        fails(path, "the store cannot be opened: Permission denied")
+        assert_open_fails(path, "the store cannot be opened: Permission denied")
         path.chmod(0o600)
-        folder.chmod(0o500)  # and where it may be written, but nothing beside it
-        fails(path, "the store fails: (unable to open database file|attempt to write a readonly database)")
+        folder.chmod(0o500)  # the file is writable, but SQLite cannot create files beside it
+        assert_open_fails(
+            path, "the store failed: (unable to open database file|attempt to write a readonly database)"
+        )
     finally:
         folder.chmod(0o700)
         shutil.rmtree(folder)
@@ -396,34 +405,41 @@
     number = store.position.number + 1
     value = b"%d" % number * 20
     metadata = RevisionMetadata(1.0, "a", "", f"{number}-{store.epoch}")
-    told = store.commit({f"k{at}": value for at in range(200)}, metadata)
-    print(told.number, flush=True)
+    position = store.commit({f"k{index}": value for index in range(200)}, metadata)
+    print(position.number, flush=True)
 """
 
 
 def test_process_killed_during_commits_keeps_complete_revisions(tmp_path: Path) -> None:
-    path, rng, last = str(tmp_path / "store"), random.Random(3), 0
-    for turn in range(8):
+    path, rng, last_number = str(tmp_path / "store"), random.Random(3), 0
+    for run in range(8):
         child = subprocess.Popen([sys.executable, "-c", WRITER, path], stdout=subprocess.PIPE, text=True)
         assert child.stdout is not None
-        assert child.stdout.readline().strip() == str(last + 1)
+        assert child.stdout.readline().strip() == str(last_number + 1)
         time.sleep(0.02 + 0.2 * rng.random())
         child.kill()
-        told = [int(line) for line in child.stdout.read().split()]
+        reported = [int(line) for line in child.stdout.read().split()]
         child.wait(10.0)
-        it = SqliteStore(path)
-        last = it.position.number
-        assert it.epoch == 2 * turn + 2
-        assert told[-1] <= last <= told[-1] + 1  # what was told is there; one more may be, and is whole
-        state = dict(it.entries())
-        assert state == {f"k{at}": b"%d" % last * 20 for at in range(200)}
-        assert [entry.position.number for entry in it.history(3)] == [last, last - 1, last - 2]
-        assert it.undo(last - 1) == {f"k{at}": b"%d" % (last - 1) * 20 for at in range(200)}
-        assert it._connection.execute("PRAGMA integrity_check").fetchall() == [("ok",)]
-        it.close()
+        store = SqliteStore(path)
+        last_number = store.position.number
+        assert store.epoch == 2 * run + 2
+        # Every reported revision is kept; one more may have been committed before the process was killed.
+        assert reported[-1] <= last_number <= reported[-1] + 1
+        state = dict(store.entries())
+        assert state == {f"k{index}": b"%d" % last_number * 20 for index in range(200)}
+        assert [revision.position.number for revision in store.history(3)] == [
+            last_number,
+            last_number - 1,
+            last_number - 2,
+        ]
+        assert store.undo(last_number - 1) == {
+            f"k{index}": b"%d" % (last_number - 1) * 20 for index in range(200)
+        }
+        assert store._connection.execute("PRAGMA integrity_check").fetchall() == [("ok",)]
+        store.close()
 
 
 def test_implements_the_store_interface(store: SqliteStore) -> None:
-    it: RevisionStore = store  # mypy says whether it is
-    assert it.position == START
+    interface: RevisionStore = store  # mypy checks the assignment
+    assert interface.position == START
     assert revision_store.MAX_KEPT_REVISIONS == 100_000
