--- a/ironmill/runtime/__init__.py
+++ b/ironmill/runtime/__init__.py
@@ -1,5 +1,5 @@
-"""What every program of the project runs on.
+"""Runtime shared by all programs of the project.
 
-Owns the scheduler of greenlets, timers, the schedule of garbage collections, the classification of system
-call errors, logging and the lifecycle of a process. Imports only ``ironmill.errors`` of the project.
+Contains the greenlet scheduler, timers, the garbage collection schedule, the classification of system call
+errors, logging and the lifecycle of a process. Imports only ``ironmill.errors`` of the project.
 """
--- a/ironmill/runtime/gc_schedule.py
+++ b/ironmill/runtime/gc_schedule.py
@@ -1,8 +1,8 @@
 """Schedule of the garbage collector.
 
-A full collection visits every object, so its pause grows with the number of connections. The
-objects of a connection are freed by reference counting alone (``tests/system/test_garbage_collection.py``
-checks it), so full collections wait until few connections are open.
+A full collection visits every object, so its pause grows with the number of connections. Reference counting
+alone frees the objects of a connection, as ``tests/system/test_garbage_collection.py`` checks. Full
+collections can therefore wait until few connections are open.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from ironmill.runtime.scheduler import Timers
 
-YOUNG_THRESHOLD = 2000  # net new objects between two collections of the youngest generation
-MIDDLE_THRESHOLD = 10  # of those collections between two of the middle generation
-DISABLED_THRESHOLD = 1 << 30
+YOUNG_THRESHOLD = 2000  # net allocations between two collections of the youngest generation
+MIDDLE_THRESHOLD = 10  # collections of the youngest generation between two of the middle one
+DISABLED_THRESHOLD = 1 << 30  # so high that no automatic full collection runs
 CHECK_INTERVAL_S = 30.0
-MAX_CONNECTIONS_FOR_FULL_COLLECTION = 500  # keeps the pause at some 10 ms
+MAX_CONNECTIONS_FOR_FULL_COLLECTION = 500  # keeps the pause at about 10 ms
 
 
 class GcSchedule:
@@ -28,9 +28,9 @@
         self._count_connections = count_connections
 
     def start(self) -> None:
-        """Exempts all present objects from collection, and starts the schedule."""
+        """Exempts all existing objects from collection, enables the collector and starts the schedule."""
         gc.freeze()
-        gc.enable()  # ``__main__`` has disabled it
+        gc.enable()  # ``__main__`` disabled it
         gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, DISABLED_THRESHOLD)
         self._timers.call_later(CHECK_INTERVAL_S, self._check)
 
--- a/ironmill/runtime/lifecycle.py
+++ b/ironmill/runtime/lifecycle.py
@@ -1,7 +1,7 @@
-"""Lifecycle of one process, from its start to its exit, as a table of transitions. No I/O, no clock.
+"""Lifecycle of a process from start to exit, as a table of state transitions without I/O or a clock.
 
-The drivers that accept clients, answer health checks or migrate clients read the current policy here and
-report events here; nothing else decides what the process does in a state.
+The drivers that accept clients, answer health checks or migrate clients report events to ``Lifecycle`` and
+read the current policy from it. The policy alone decides what the process does in a state.
 """
 
 from __future__ import annotations
@@ -13,40 +13,40 @@
 
 
 class ProcessState(Enum):
-    """State of the process. The values are those of ``state`` in ``/admin/health``."""
+    """State of the process. ``/admin/health`` reports the value as ``state``."""
 
     STARTING = "starting"  # discovery has not answered yet
-    DRAIN_PENDING = "held"  # not started yet, and a drain was requested meanwhile
+    DRAIN_PENDING = "held"  # discovery has not answered yet, and a drain was requested
     SERVING = "serving"
-    DRAINING = "draining"  # clients are migrated; the front may not have observed the drain yet
-    DRAINED = "drained"  # the front has observed the drain
-    SHUTTING_DOWN = "ending"  # answers pending requests, then exits
-    FINALIZING = "settling"  # too close to the exit to begin an attempt
+    DRAINING = "draining"  # clients are migrated; the front-end load balancer may not know of the drain yet
+    DRAINED = "drained"  # the front-end load balancer knows of the drain
+    SHUTTING_DOWN = "ending"  # pending requests are answered before the exit
+    FINALIZING = "settling"  # too little time is left before the exit to start an attempt
     SHUTTING_DOWN_DRAINED = "closing"  # shutdown during or after a drain
 
 
 class LifecycleEvent(Enum):
-    """Event that may change the state."""
+    """Event that may change the state of the process."""
 
-    STARTED = auto()  # discovery has answered or failed: clients are accepted from now on
+    STARTED = auto()  # discovery has answered or timed out, so clients are accepted
     DRAIN_REQUESTED = auto()
-    DRAIN_PROPAGATED = auto()  # the front has had the time to observe the drain
+    DRAIN_PROPAGATED = auto()  # the front-end load balancer has had time to notice the drain
     RESUME_REQUESTED = auto()
     SHUTDOWN_REQUESTED = auto()
-    GRACE_PERIOD_ENDED = auto()  # nothing new may begin before the exit
+    GRACE_PERIOD_ENDED = auto()  # no new attempt may start before the exit
 
 
 class Policy(Struct, frozen=True):
-    """What the process does in a state."""
+    """Behaviour of the process in a state."""
 
-    ready: bool  # the answer of ``/admin/health``
-    answers_pong: bool  # the answer to the front's PING; ``DRAINING`` if false
-    admits_requests: bool  # else they are rejected at once, with a time to retry after
-    migrates_clients: bool  # established connections are migrated, and the process goes on
+    ready: bool  # whether ``/admin/health`` reports the process as ready
+    answers_pong: bool  # answers ``PING`` of the front-end load balancer with ``PONG``, else ``DRAINING``
+    admits_requests: bool  # otherwise rejects them at once, with a retry time
+    migrates_clients: bool  # migrates established connections while the process continues to run
 
 
 POLICIES = {
-    # No connection is accepted in STARTING, so its other fields matter to no client.
+    # No connection is accepted in STARTING, so clients do not notice its other fields.
     ProcessState.STARTING: Policy(
         ready=False, answers_pong=True, admits_requests=True, migrates_clients=False
     ),
@@ -60,7 +60,8 @@
     ProcessState.DRAINED: Policy(
         ready=False, answers_pong=False, admits_requests=False, migrates_clients=True
     ),
-    # PONG goes on: a successor may listen at the same address, and the front would take DRAINING for its.
+    # Still answers PONG: a successor may listen on the same address, and the front-end load balancer would
+    # attribute DRAINING to it.
     ProcessState.SHUTTING_DOWN: Policy(
         ready=False, answers_pong=True, admits_requests=True, migrates_clients=False
     ),
@@ -72,7 +73,7 @@
     ),
 }
 
-# An event that is not listed for a state changes nothing there. A shutdown cannot be cancelled.
+# Events that are not listed for a state are ignored in it. A shutdown cannot be cancelled.
 TRANSITIONS = {
     (ProcessState.STARTING, LifecycleEvent.STARTED): ProcessState.SERVING,
     (ProcessState.STARTING, LifecycleEvent.DRAIN_REQUESTED): ProcessState.DRAIN_PENDING,
@@ -99,10 +100,10 @@
 
 
 class Lifecycle:
-    """Holds the state of one process and notifies listeners of its changes."""
+    """Holds the state of the process and notifies listeners of state changes."""
 
     def __init__(self, state: ProcessState = ProcessState.STARTING) -> None:
-        """Begins in the given state."""
+        """Sets the initial state."""
         self.state = state
         self._listeners: list[Listener] = []
 
@@ -112,11 +113,11 @@
         return POLICIES[self.state]
 
     def add_listener(self, listener: Listener) -> None:
-        """Calls the listener with the new state after each change."""
+        """Registers a listener, which is called with the new state after each change."""
         self._listeners.append(listener)
 
     def handle(self, event: LifecycleEvent) -> None:
-        """Applies the event, and notifies the listeners if the state changes."""
+        """Applies the event and notifies the listeners if the state changes."""
         before = self.state
         self.state = TRANSITIONS.get((before, event), before)
         if self.state is not before:
--- a/ironmill/runtime/logs.py
+++ b/ironmill/runtime/logs.py
@@ -1,8 +1,8 @@
 """Logging of events with fields.
 
-An event is a short name, and its data go in fields. Without settings a line is plain text with the fields as
-``name=value``; with settings structlog writes it, as text or JSON lines. Secrets (tokens, keys, certificates)
-must not be fields: log their names and kinds only.
+An event has a short name, and its data are in fields. Without log settings, a line is plain text with fields
+as ``name=value``. With log settings, structlog formats lines as text or JSON. Fields must not contain secrets
+(tokens, keys, certificates); log only their names and kinds.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 from msgspec import Struct
 
-_FIELDS_ATTRIBUTE = "ironmill_fields"  # of a log record
+_FIELDS_ATTRIBUTE = "ironmill_fields"  # attribute of a log record that holds the fields
 DEFAULT_LEVEL = "INFO"
 
 
 class LogSettings(Struct, frozen=True):
-    """The operators' settings of the log."""
+    """Log settings of the operators."""
 
-    form: str = "text"  # or json
+    form: str = "text"  # text or json
     level: str = "info"
 
 
 class _RootLevel:
-    """Level of the root logger: the settings' one, unless distributed configuration overrides it."""
+    """Level of the root logger: from the settings, unless distributed configuration overrides it."""
 
     configured = DEFAULT_LEVEL
-    override = ""  # empty: none
+    override = ""  # empty if the level is not overridden
 
     def apply(self) -> None:
         logging.getLogger().setLevel((self.override or self.configured).upper())
@@ -42,7 +42,7 @@
     """A logger of the standard library whose events take fields."""
 
     def __init__(self, name: str) -> None:
-        """``name`` is the logger's, with dots."""
+        """``name`` is the dotted name of the logger."""
         self._log = logging.getLogger(name)
 
     def info(self, event: str, **fields: object) -> None:
@@ -59,19 +59,19 @@
 
 
 class _PlainFormatter(logging.Formatter):
-    """Formats a record as one line: time, name of the proxy, event, fields."""
+    """Formats a record as one line of time, process name, event and fields."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"%(asctime)s.%(msecs)03d {name} %(message)s", "%H:%M:%S")
 
-    def formatMessage(self, record: logging.LogRecord) -> str:  # noqa: N802  (the library's name)
+    def formatMessage(self, record: logging.LogRecord) -> str:  # noqa: N802  (name defined by the base class)
         fields: dict[str, object] = getattr(record, _FIELDS_ATTRIBUTE, {})
         text = super().formatMessage(record)
         return " ".join([text, *(f"{name}={value}" for name, value in fields.items())])
 
 
 def set_up(name: str, settings: LogSettings | None) -> None:
-    """Logs to standard error from now on, under the name of the process. May be called again."""
+    """Configures logging to standard error under the name of the process. May be called again."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(_PlainFormatter(name) if settings is None else _structured_formatter(name, settings))
     root = logging.getLogger()
@@ -83,13 +83,13 @@
 
 
 def override_level(level: str) -> None:
-    """Overrides the level of the settings, also of later ones; an empty level ends the override."""
+    """Overrides the level of current and later settings. An empty level ends the override."""
     _root_level.override = level
     _root_level.apply()
 
 
 def _structured_formatter(name: str, settings: LogSettings) -> logging.Formatter:
-    import structlog  # what is off is not imported
+    import structlog  # imported only if log settings are present
 
     def add_fields(_: object, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         event.update(getattr(event["_record"], _FIELDS_ATTRIBUTE, {}))
--- a/ironmill/runtime/rate_limited_log.py
+++ b/ironmill/runtime/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Rate limit for log lines about events that peers can cause as often as they like."""
+"""Rate limit for log lines about events that peers can trigger at any rate."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class LogRateLimiter:
-    """Allows one line per ``LINE_INTERVAL_S``, which bounds the processor time and the size of the log."""
+    """Allows one line per ``LINE_INTERVAL_S``, which bounds the CPU time and the size of the log."""
 
     def __init__(self) -> None:
-        """Allows the first line at once."""
+        """Creates a limiter that allows the first line."""
         self._logged_at = -LINE_INTERVAL_S
         self._suppressed = 0
 
     def allow(self) -> int | None:
-        """Returns the number of lines suppressed since the last one; None if this one is suppressed too."""
+        """Returns how many lines were suppressed since the last allowed one; None if this one is, too."""
         now = time.monotonic()
         if now - self._logged_at < LINE_INTERVAL_S:
             self._suppressed += 1
--- a/ironmill/runtime/scheduler.py
+++ b/ironmill/runtime/scheduler.py
@@ -1,14 +1,14 @@
-"""Scheduler of greenlets over ``select.epoll`` or ``select.poll``.
+"""Scheduler of greenlets based on ``select.epoll`` or ``select.poll``.
 
 The hub is the greenlet that called ``run``. Tasks park in ``wait`` or ``sleep``, and the hub resumes them.
 Timer actions run in the hub and must not park.
 
 A descriptor is registered at its first wait and stays registered until ``forget``, so an idle connection
-costs no system calls. Events are level-triggered. An event without a waiting task is unregistered when it
-first occurs; a later wait registers it again and still finds it.
+costs no system calls. Events are level-triggered. If an event occurs without a waiting task, it is
+unregistered; a later wait registers it again and still reports it.
 
-A task is killed by raising ``GreenletExit`` at its wait. It releases its resources in ``finally`` blocks
-and context managers, and must not park in them.
+Killing a task raises ``GreenletExit`` in its ``wait`` or ``sleep``. The task releases its resources in
+``finally`` blocks and context managers, and must not park there.
 """
 
 from __future__ import annotations
@@ -29,39 +29,39 @@
 _BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
 _READABLE, _WRITABLE = READ | _BROKEN, WRITE | _BROKEN
 
-MAX_IDLE_GREENLETS = 64  # finished greenlets that are kept for further tasks
+MAX_IDLE_GREENLETS = 64  # finished greenlets that are kept for reuse by later tasks
 
 log = logging.getLogger("ironmill.runtime.scheduler")
 
 
 class Timers(Protocol):
-    """The timers of the scheduler, for code that never parks."""
+    """The timer interface of the scheduler, for code that never parks."""
 
     def call_later(self, delay: float, action: Callable[..., object], *args: object) -> Timer:
-        """Schedules the action after the delay, in seconds."""
+        """Schedules the action to run after ``delay`` seconds."""
 
     def cancel(self, timer: Timer | None) -> None:
-        """Cancels a timer; one that was run already is ignored."""
+        """Cancels a timer. Does nothing if it has already run."""
 
 
 class Poller(Protocol):
     """The common interface of ``select.epoll`` and ``select.poll``; the timeout is in milliseconds."""
 
     def register(self, fd: int, mask: int) -> None:
-        """Registers a new descriptor for the events."""
+        """Registers a new descriptor for the events in ``mask``."""
 
     def modify(self, fd: int, mask: int) -> None:
-        """Replaces the events of a registered descriptor."""
+        """Replaces the event mask of a registered descriptor."""
 
     def unregister(self, fd: int) -> None:
-        """Removes a descriptor."""
+        """Unregisters a descriptor."""
 
     def poll(self, timeout: float | None) -> list[tuple[int, int]]:
         """Returns the descriptors that are ready, with their events."""
 
 
 class _Epoll:
-    """``select.epoll``, whose timeout is in seconds."""
+    """Adapts ``select.epoll``, whose timeout is in seconds, to ``Poller``."""
 
     def __init__(self) -> None:
         self._epoll = retry_at_start(select.epoll)
@@ -72,7 +72,8 @@
         )
 
     def poll(self, timeout: float | None) -> list[tuple[int, int]]:
-        # Half a millisecond less, since the error of the division could be rounded up to another one.
+        # epoll rounds the timeout up to whole milliseconds. Half a millisecond is subtracted so that a
+        # rounding error of the division does not add one more.
         return self._epoll.poll(timeout if not timeout else (timeout - 0.5) / 1000.0)
 
 
@@ -80,22 +81,22 @@
 
 
 class Task:
-    """A function that runs in a greenlet, and the event that it waits for."""
+    """A function that runs in a greenlet, with the event that it waits for."""
 
-    __slots__ = ("_args", "_function", "greenlet", "killed", "parked", "watch")
+    __slots__ = ("_args", "_function", "awaited", "greenlet", "killed", "parked")
 
     def __init__(self, function: Callable[..., object], args: tuple[Any, ...]) -> None:
-        """Is not scheduled yet."""
+        """Creates a task without scheduling it."""
         self._function: Callable[..., object] | None = function
         self._args = args
-        self.greenlet: greenlet | None = None  # from its start to its end
-        self.parked = True  # also before its start, which is its first turn
+        self.greenlet: greenlet | None = None  # set while the task runs or is parked
+        self.parked = True  # also true before the task starts
         self.killed = False
-        self.watch: tuple[int, int] | None = None
+        self.awaited: tuple[int, int] | None = None  # descriptor and event
 
     @property
     def started(self) -> bool:
-        """True if it has started, or never will."""
+        """Whether ``run`` has been called, even if the task was killed before it started."""
         return self._function is None
 
     def run(self) -> None:
@@ -109,23 +110,23 @@
                 function(*args)
         except GreenletExit:
             pass
-        except Exception:  # boundary of the task: its failure must not end the process
-            log.exception("a task failed")
+        except Exception:  # a failing task must not end the process
+            log.exception("task failed")
 
     def is_current(self) -> bool:
-        """Returns True if the caller runs in this task."""
+        """Returns whether the caller runs in this task."""
         return self.greenlet is not None and self.greenlet is getcurrent()
 
 
 class Scheduler:
-    """Runs tasks and timers in one thread, until stopped."""
+    """Runs tasks and timers in one thread until it is stopped."""
 
     def __init__(self, poller: str = "epoll") -> None:
         """``poller`` is a key of ``POLLERS``. The calling greenlet becomes the hub."""
         self._hub = getcurrent()
-        self._poll = POLLERS[poller]()
+        self._poller = POLLERS[poller]()
         self._timers = TimerQueue()
-        self._idle: list[greenlet] = []  # finished, kept for further tasks
+        self._idle_greenlets: list[greenlet] = []  # finished, kept for reuse
         self._ready: deque[tuple[Task, object]] = deque()
         self._masks: dict[int, int] = {}  # registered events by descriptor
         self._readers: dict[int, Task] = {}
@@ -138,22 +139,25 @@
     # Tasks
 
     def spawn(self, function: Callable[..., object], *args: object) -> Task:
-        """Starts a task that runs the function, in the next round of the hub."""
+        """Creates a task that starts to run the function in the next round of the hub."""
         task = Task(function, args)
         self._wake(task, None)
         return task
 
     def spawn_when(self, fd: int, event: int, function: Callable[..., object], *args: object) -> Task:
-        """Starts a task that runs the function once the descriptor is ready or broken.
+        """Creates a task that runs the function once the descriptor is ready or has an error.
 
-        Until then the task has no stack, which is most of the memory of a parked task.
+        Until then the task needs no stack, which is most of the memory of a parked task.
         """
         task = Task(function, args)
         self._watch(task, fd, event)
         return task
 
     def kill(self, task: Task | None) -> None:
-        """Ends the task at its wait. Its descriptor may be closed as soon as this returns."""
+        """Ends a parked task; if it is the current one, raises ``GreenletExit``.
+
+        Its descriptor may be closed as soon as this returns.
+        """
         if task is None or task.killed:
             return
         task.killed = True
@@ -163,16 +167,16 @@
         self._wake(task, None)
 
     def sleep(self, delay: float) -> None:
-        """Parks the task for the delay, in seconds."""
+        """Parks the current task for ``delay`` seconds."""
         self._park(delay)
 
     def wait(self, fd: int, event: int, timeout: float | None = None) -> bool:
-        """Parks until the descriptor is ready for READ or WRITE, or broken; False at the timeout, in seconds.
+        """Parks the current task until the descriptor is ready for READ or WRITE or has an error.
 
-        The caller must call ``forget`` before it closes the descriptor. Raises ``RuntimeError`` if another
-        task waits for the same event.
+        Returns False if that takes longer than ``timeout`` seconds. The caller must call ``forget`` before it
+        closes the descriptor. Raises ``RuntimeError`` if another task waits for the same event.
         """
-        task = self._running()
+        task = self._current_task()
         self._watch(task, fd, event)
         try:
             return self._park(timeout) is True
@@ -180,24 +184,24 @@
             self._unwatch(task)
 
     def forget(self, fd: int) -> None:
-        """Unregisters the descriptor. Must be called before it is closed, since its number is reused."""
+        """Unregisters the descriptor. Must be called before it is closed, as its number is reused."""
         if self._masks.pop(fd, None) is not None:
-            self._poll.unregister(fd)
+            self._poller.unregister(fd)
 
     # The hub
 
     def run(self) -> None:
-        """Runs tasks and timers until ``stop``. May be called again, and then continues."""
+        """Runs tasks and timers until ``stop``. May be called again to continue."""
         self._stopped = False
         ready, readers, writers = self._ready, self._readers, self._writers
         while not self._stopped:
             for _ in range(len(ready)):
-                self._turn(*ready.popleft())
+                self._run_turn(*ready.popleft())
             delay = self._timers.run()
             if self._stopped:
                 break
             timeout = None if delay is None else math.ceil(delay * 1000.0)
-            for fd, events in self._poll.poll(0 if ready else timeout):
+            for fd, events in self._poller.poll(0 if ready else timeout):
                 reader = readers.get(fd) if events & _READABLE else None
                 writer = writers.get(fd) if events & _WRITABLE else None
                 if writer is None and (reader is None or events & WRITE):
@@ -208,10 +212,10 @@
                         self._wake(task, True)
 
     def stop(self) -> None:
-        """Ends ``run`` after the current turn."""
+        """Makes ``run`` return after the current round."""
         self._stopped = True
 
-    def _turn(self, task: Task, value: object) -> None:
+    def _run_turn(self, task: Task, value: object) -> None:
         self._current = task
         try:
             if task.greenlet is not None:
@@ -220,29 +224,33 @@
                 else:
                     task.greenlet.switch(value)
             elif not task.started:
-                task.greenlet = self._idle.pop() if self._idle else greenlet(self._work, self._hub)
+                task.greenlet = (
+                    self._idle_greenlets.pop()
+                    if self._idle_greenlets
+                    else greenlet(self._run_tasks, self._hub)
+                )
                 task.greenlet.switch(task)
         finally:
             self._current = None
 
-    def _work(self, task: Task | None) -> None:
-        """Runs one task after another, since creating a greenlet costs more than a short task."""
+    def _run_tasks(self, task: Task | None) -> None:
+        """Runs tasks one after another, since creating a greenlet costs more than running a short task."""
         while task is not None:
             task.run()
             task.greenlet = None
-            if len(self._idle) >= MAX_IDLE_GREENLETS:
+            if len(self._idle_greenlets) >= MAX_IDLE_GREENLETS:
                 return
-            self._idle.append(getcurrent())
+            self._idle_greenlets.append(getcurrent())
             task = None  # drops the reference while the greenlet is idle
             task = self._hub.switch()
 
-    def _running(self) -> Task:
+    def _current_task(self) -> Task:
         if self._current is None:
             raise RuntimeError("wait and sleep must be called from a task")
         return self._current
 
     def _park(self, timeout: float | None) -> object:
-        task = self._running()
+        task = self._current_task()
         timer = None if timeout is None else self.call_later(max(0.0, timeout), self._wake, task, False)
         task.parked = True
         try:
@@ -251,40 +259,40 @@
             self.cancel(timer)
 
     def _wake(self, task: Task, value: object) -> None:
-        if task.parked:  # readiness and timeout may occur in one round
+        if task.parked:  # false if readiness and timeout occur in the same round
             task.parked = False
             self._ready.append((task, value))
 
     def _watch(self, task: Task, fd: int, event: int) -> None:
         waiters, others = (self._readers, self._writers) if event == READ else (self._writers, self._readers)
         if fd in waiters:
-            raise RuntimeError(f"two tasks wait for the same event of descriptor {fd}")
+            raise RuntimeError(f"another task already waits for the same event of descriptor {fd}")
         waiters[fd] = task
-        task.watch = (fd, event)
+        task.awaited = (fd, event)
         mask = self._masks.get(fd)
         if mask is None or not mask & event:
-            # The other event stays registered only if a task waits for it.
+            # Keeps the other event registered only if a task waits for it.
             self._register(fd, event | (READ + WRITE - event if fd in others else 0))
 
     def _unwatch(self, task: Task) -> None:
-        """Ends the wait. The event stays registered, since it is usually waited for again."""
-        if task.watch is not None:
-            fd, event = task.watch
-            task.watch = None
+        """Ends the wait. The event stays registered, since a task usually waits for it again."""
+        if task.awaited is not None:
+            fd, event = task.awaited
+            task.awaited = None
             del (self._readers if event == READ else self._writers)[fd]
 
     def _drop_unwaited(self, fd: int) -> None:
-        """Unregisters events without a waiting task, which would wake the hub again and again."""
+        """Unregisters the events without a waiting task, which would wake the hub repeatedly."""
         mask = (READ if fd in self._readers else 0) | (WRITE if fd in self._writers else 0)
         if mask:
             self._register(fd, mask)
         else:
-            self.forget(fd)  # errors and hang-ups are reported whatever the mask
+            self.forget(fd)  # errors and hang-ups are reported even for an empty mask
 
     def _register(self, fd: int, mask: int) -> None:
         known = self._masks.get(fd)
         if known is None:
-            self._poll.register(fd, mask)
+            self._poller.register(fd, mask)
         elif known != mask:
-            self._poll.modify(fd, mask)
+            self._poller.modify(fd, mask)
         self._masks[fd] = mask
--- a/ironmill/runtime/timers.py
+++ b/ironmill/runtime/timers.py
@@ -1,7 +1,7 @@
-"""Timers on the standard library's ``sched``, cancelled in constant time. Nothing here parks.
+"""Timers based on ``sched`` of the standard library, with cancellation in constant time. Nothing here parks.
 
-``sched.scheduler.cancel`` searches and rebuilds its whole queue. Here a cancelled timer drops its action and
-stays in the queue until it is due, or until cancelled entries outnumber the others and are removed together.
+``sched.scheduler.cancel`` searches and rebuilds its whole queue. Here a cancelled timer drops its action but
+stays in the queue until it is due. Once cancelled entries outnumber the others, they are removed together.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 from collections.abc import Callable
 from typing import Any
 
-# Cancelled entries are removed from this number on, once they are more than half of the queue. Bounds the
-# memory of long timers that are set and cancelled all the time.
-MIN_CANCELLED_TO_SWEEP = 4096
+# The minimum number of cancelled entries for a removal; they must also be more than half of the queue. The
+# removal bounds the memory for long timers that are constantly set and cancelled.
+MIN_CANCELLED_TO_REMOVE = 4096
 
 log = logging.getLogger("ironmill.runtime.timers")
 
 
 def _no_delay(_: float) -> None:
-    """``sched`` yields to other threads after each action; there are none, and it costs a system call."""
+    """Does nothing. ``sched`` would yield to other threads after each action, but there are none to run."""
 
 
 class Timer:
-    """An action that is run once when it is due, unless it is cancelled before."""
+    """An action that runs once when it is due, unless it is cancelled first."""
 
     __slots__ = ("action", "args")
 
     def __init__(self, action: Callable[..., object] | None, args: tuple[Any, ...]) -> None:
-        """Holds an action and its arguments."""
-        self.action = action  # None once it was run or cancelled
+        """Creates a timer with its action and arguments."""
+        self.action = action  # None once it has run or has been cancelled
         self.args = args
 
 
 class TimerQueue:
-    """Timers on one clock, in seconds, run by the caller. An exception of an action is logged."""
+    """A queue of timers that the caller runs. Exceptions of actions are logged."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        """Creates an empty queue on the clock."""
+        """Creates an empty queue. ``clock`` returns the time in seconds."""
         self._clock = clock
         self._queue = sched.scheduler(clock, _no_delay)
         self._entries = 0
@@ -49,23 +49,23 @@
         return self._entries - self._cancelled
 
     def call_later(self, delay: float, action: Callable[..., object], *args: object) -> Timer:
-        """Schedules the action after the delay, in seconds."""
+        """Schedules the action to run after ``delay`` seconds."""
         timer = Timer(action, args)
         self._queue.enterabs(self._clock() + delay, 0, self._fire, (timer,))
         self._entries += 1
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Cancels a timer; one that was run already is ignored."""
+        """Cancels a timer. Does nothing if it has already run."""
         if timer is None or timer.action is None:
             return
         timer.action, timer.args = None, ()
         self._cancelled += 1
-        if self._cancelled >= MIN_CANCELLED_TO_SWEEP and self._cancelled * 2 > self._entries:
-            self._sweep()
+        if self._cancelled >= MIN_CANCELLED_TO_REMOVE and self._cancelled * 2 > self._entries:
+            self._remove_cancelled()
 
     def run(self) -> float | None:
-        """Runs what is due. Returns the seconds until the next entry is due, None if there is none."""
+        """Runs the timers that are due. Returns the seconds until the next entry is due, or None."""
         return self._queue.run(blocking=False)
 
     def _fire(self, timer: Timer) -> None:
@@ -77,11 +77,11 @@
         timer.action, timer.args = None, ()
         try:
             action(*args)
-        except Exception:  # boundary of a task: a failing timer must not end the process
-            log.exception("a timer failed")
+        except Exception:  # a failing timer must not end the process
+            log.exception("timer action failed")
 
-    def _sweep(self) -> None:
-        """Rebuilds the queue without cancelled entries, in constant time per cancellation on average."""
+    def _remove_cancelled(self) -> None:
+        """Rebuilds the queue without cancelled entries, in amortized constant time per cancellation."""
         old, self._queue = self._queue, sched.scheduler(self._clock, _no_delay)
         for event in old.queue:
             if event.argument[0].action is not None:
--- a/tests/system/test_scheduler.py
+++ b/tests/system/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler's waits, with either poller: registrations that persist, and unwanted events."""
+"""Tests of the scheduler's waits with both pollers: persistent registrations and unwanted events."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ironmill.runtime.scheduler import POLLERS, READ, WRITE, Scheduler
 
 
-class Counted:
-    """A poller that counts its calls."""
+class CountingPoller:
+    """Counts the calls of each method of a poller."""
 
     def __init__(self, inner: Any) -> None:
         self.inner = inner
@@ -29,58 +29,58 @@
 
 @pytest.fixture(params=sorted(POLLERS))
 def scheduler(request: pytest.FixtureRequest) -> Scheduler:
-    it = Scheduler(request.param)
-    it._poll = Counted(it._poll)
-    return it
+    scheduler = Scheduler(request.param)
+    scheduler._poller = CountingPoller(scheduler._poller)
+    return scheduler
 
 
-def calls(scheduler: Scheduler, name: str) -> int:
-    poll: Any = scheduler._poll
-    return int(poll.calls.get(name, 0))
+def call_count(scheduler: Scheduler, name: str) -> int:
+    poller: Any = scheduler._poller
+    return int(poller.calls.get(name, 0))
 
 
-def play(scheduler: Scheduler, story: Callable[[], None]) -> None:
-    failed: list[BaseException] = []
+def run_in_task(scheduler: Scheduler, scenario: Callable[[], None]) -> None:
+    errors: list[BaseException] = []
 
-    def told() -> None:
+    def run_scenario() -> None:
         try:
-            story()
+            scenario()
         except Exception as error:
-            failed.append(error)
+            errors.append(error)
         scheduler.stop()
 
-    scheduler.spawn(told)
+    scheduler.spawn(run_scenario)
     scheduler.call_later(30.0, scheduler.stop)
     scheduler.run()
-    if failed:
-        raise failed[0]
+    if errors:
+        raise errors[0]
 
 
 def test_descriptor_is_registered_once_for_many_waits(scheduler: Scheduler) -> None:
     left, right = socket.socketpair()
 
-    def story() -> None:
+    def scenario() -> None:
         for _ in range(50):
             right.send(b"x")
             assert scheduler.wait(left.fileno(), READ, 5.0)
             left.recv(9)
         scheduler.forget(left.fileno())
 
-    play(scheduler, story)
-    assert (calls(scheduler, "register"), calls(scheduler, "modify")) == (1, 0)
-    assert calls(scheduler, "unregister") == 1
+    run_in_task(scheduler, scenario)
+    assert (call_count(scheduler, "register"), call_count(scheduler, "modify")) == (1, 0)
+    assert call_count(scheduler, "unregister") == 1
 
 
 def test_unwanted_events_do_not_keep_the_hub_awake(scheduler: Scheduler) -> None:
-    """Bytes that wait while their task does something else, and a close that no task waits for."""
+    """Guards against a busy loop on data, or on a close, that no task waits for."""
     left, right = socket.socketpair()
 
-    def story() -> None:
+    def scenario() -> None:
         scheduler.wait(left.fileno(), READ, 0.001)
         right.send(b"x")
         for _ in range(10):
             scheduler.sleep(0.002)
-        assert scheduler.wait(left.fileno(), READ, 5.0)  # what came meanwhile is not missed
+        assert scheduler.wait(left.fileno(), READ, 5.0)  # the data that arrived during the sleep is reported
         right.close()
         for _ in range(10):
             scheduler.sleep(0.002)
@@ -88,15 +88,15 @@
         assert scheduler.wait(left.fileno(), READ, 5.0)
         scheduler.forget(left.fileno())
 
-    play(scheduler, story)
-    assert calls(scheduler, "poll") < 60
+    run_in_task(scheduler, scenario)
+    assert call_count(scheduler, "poll") < 60
 
 
 def test_waits_for_both_directions_of_one_descriptor(scheduler: Scheduler) -> None:
     left, right = socket.socketpair()
     for sock in (left, right):
         sock.setblocking(False)
-    seen: list[str] = []
+    completed: list[str] = []
 
     def write() -> None:
         for _ in range(3):
@@ -106,48 +106,48 @@
                 except BlockingIOError:
                     break
             assert scheduler.wait(left.fileno(), WRITE, 5.0)
-            seen.append("wrote")
+            completed.append("write")
 
-    def story() -> None:
+    def scenario() -> None:
         scheduler.spawn(write)
         for _ in range(3):
             scheduler.sleep(0.002)
             right.send(b"x")
             assert scheduler.wait(left.fileno(), READ, 5.0)
             left.recv(9)
-            seen.append("read")
+            completed.append("read")
             while True:
                 try:
                     right.recv(1 << 20)
                 except BlockingIOError:
                     break
-        while seen.count("wrote") < 3:
+        while completed.count("write") < 3:
             scheduler.sleep(0.002)
         with pytest.raises(RuntimeError):
             scheduler.spawn(scheduler.wait, left.fileno(), READ, 1.0)
             scheduler.sleep(0.001)
             scheduler.wait(left.fileno(), READ, 1.0)
 
-    play(scheduler, story)
-    assert (seen.count("wrote"), seen.count("read")) == (3, 3)
+    run_in_task(scheduler, scenario)
+    assert (completed.count("write"), completed.count("read")) == (3, 3)
 
 
-def test_reused_descriptor_number_is_registered_anew(scheduler: Scheduler) -> None:
-    def story() -> None:
-        numbers = set()
+def test_reused_descriptor_number_is_registered_again(scheduler: Scheduler) -> None:
+    def scenario() -> None:
+        descriptors = set()
         for _ in range(20):
             left, right = socket.socketpair()
-            numbers.add(left.fileno())
+            descriptors.add(left.fileno())
             assert not scheduler.wait(left.fileno(), READ, 0.0)
             right.send(b"x")
             assert scheduler.wait(left.fileno(), READ, 5.0)
             scheduler.forget(left.fileno())
-            scheduler.forget(left.fileno())  # a second close of the same stream
+            scheduler.forget(left.fileno())  # repeated, as by a second close of a stream
             left.close()
             right.close()
-        assert len(numbers) < 20
+        assert len(descriptors) < 20  # numbers were reused
 
-    play(scheduler, story)
+    run_in_task(scheduler, scenario)
 
 
 def test_both_pollers_use_the_same_event_values() -> None:
--- a/tests/unit/runtime/test_lifecycle.py
+++ b/tests/unit/runtime/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The table of transitions, against random events."""
+"""Tests of the transition table with random events."""
 
 from __future__ import annotations
 
