--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -147,7 +147,7 @@
 
     def _log_failure(self, error: Exception) -> None:
         if not isinstance(error, CALL_ERRORS):
-            log.exception("discovery: a call failed")
+            log.exception("discovery: unexpected error in a call")
         elif not self._is_failing:
             log.warning("discovery: %s %s", type(error).__name__, error)
 
--- a/ironmill/runtime/scheduler.py
+++ b/ironmill/runtime/scheduler.py
@@ -89,7 +89,7 @@
         """Creates a task without scheduling it."""
         self._function: Callable[..., object] | None = function
         self._args = args
-        self.greenlet: greenlet | None = None  # set while the task runs or is parked
+        self.greenlet: greenlet | None = None  # None before the task starts and after it ends
         self.parked = True  # also true before the task starts
         self.killed = False
         self.awaited: tuple[int, int] | None = None  # descriptor and event
--- a/ironmill/runtime/timers.py
+++ b/ironmill/runtime/timers.py
@@ -20,7 +20,7 @@
 
 
 def _no_delay(_: float) -> None:
-    """Does nothing. ``sched`` would yield to other threads after each action, but there are none to run."""
+    """Does nothing: ``sched`` yields after each action, a system call with no other thread to run."""
 
 
 class Timer:
--- a/tests/system/test_discovery_watch.py
+++ b/tests/system/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery, against an agent that the test plays on a loopback socket."""
+"""Tests of the watch on discovery, with an agent that the test emulates on a loopback socket."""
 
 from __future__ import annotations
 
@@ -39,17 +39,17 @@
         paths.append(read_line(agent).split(b" ")[1])
         agent.close()
         paths.append(read_line(proxy.next_attempt()).split(b" ")[1])
-        watch, again = b"/api/targets?after=%d&wait_ms=1000", b"/api/targets?after=43&wait_ms=0"
-        assert paths == [b"/api/targets", watch % 41, watch % 43, again, again]
+        poll, retry = b"/api/targets?after=%d&wait_ms=1000", b"/api/targets?after=43&wait_ms=0"
+        assert paths == [b"/api/targets", poll % 41, poll % 43, retry, retry]
 
     proxy = ProxyUnderTest()
     proxy.run(scenario)
-    assert [(routing.revision, routing.full) for routing in received] == [(41, True), (43, False)]
+    assert [(update.revision, update.full) for update in received] == [(41, True), (43, False)]
 
 
-@pytest.mark.parametrize("again", ["named", "empty", "partly", "silent", "broken"])
-def test_empty_endpoint_list_is_requested_again(again: str) -> None:
-    """An empty list would remove all servers, and is more likely a fault of discovery."""
+@pytest.mark.parametrize("second_answer", ["servers", "empty", "truncated", "silent", "closed"])
+def test_empty_endpoint_list_is_requested_again(second_answer: str) -> None:
+    """Guards against removing all servers for an empty list, more likely a fault of discovery."""
     received: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -65,24 +65,24 @@
         answer_discovery(agent, 16)
         paths.append(read_line(agent).split(b" ")[1])
         assert not received
-        if again == "named":
+        if second_answer == "servers":
             answer_discovery(agent, 17, ONE)
-        elif again == "empty":
+        elif second_answer == "empty":
             answer_discovery(agent, 17)
-        elif again == "partly":
+        elif second_answer == "truncated":
             agent.send(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
-        elif again == "broken":
+        elif second_answer == "closed":
             agent.close()
         proxy.wait_until(lambda: bool(received))
         assert paths == [b"/api/targets?after=15&wait_ms=1000", b"/api/targets"]
-        if again in ("partly", "silent", "broken"):
+        if second_answer in ("truncated", "silent", "closed"):
             agent = proxy.next_attempt()  # the watch continues from its revision
         assert read_line(agent).split(b" ")[1] == b"/api/targets?after=%d&wait_ms=1000" % received[0].revision
 
     ProxyUnderTest().run(scenario)
-    (routing,) = received
-    assert (routing.revision, len(routing.servers)) == ((17, 1) if again == "named" else (16, 0))
-    assert (routing.age > 0.0) is (again != "named")
+    (update,) = received
+    assert (update.revision, len(update.servers)) == ((17, 1) if second_answer == "servers" else (16, 0))
+    assert (update.age > 0.0) is (second_answer != "servers")
 
 
 def test_empty_endpoint_list_is_applied_if_no_server_was_known() -> None:
@@ -100,36 +100,36 @@
 
 
 def test_watch_without_answers_reconnects_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An agent may block a call indefinitely, and a drain would go unnoticed meanwhile.
+    """Guards against missing a drain while an agent blocks a call indefinitely.
 
-    Only a call without an answer has a short timeout: a busy machine may answer the others late.
+    Only calls that stay unanswered get a short timeout, since a busy machine may answer the others late.
     """
     assert discovery_module.POLL_WAIT_MS / 1000.0 + discovery_module.CALL_TIMEOUT_S <= 2.5
     monkeypatch.setattr(discovery_module, "POLL_WAIT_MS", 20)
     monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 30.0)
     revisions: list[int] = []
-    ended = [0, 0]  # calls that were answered, and all that ended
+    call_counts = [0, 0]  # answered calls, all completed calls
 
-    def take(routing: EndpointUpdate) -> None:
-        revisions.append(routing.revision)
-        ended[0] += 1
-        monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)  # of the next call
+    def on_update(update: EndpointUpdate) -> None:
+        revisions.append(update.revision)
+        call_counts[0] += 1
+        monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)  # for the next call
 
-    def called() -> None:
-        ended[1] += 1
-        if ended[1] > ended[0] * 2 - 1:  # a silent call behind each answered one
+    def on_call() -> None:
+        call_counts[1] += 1
+        if call_counts[1] > call_counts[0] * 2 - 1:  # the call after each answered one gets no answer
             monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 30.0)
 
     def scenario(proxy: ProxyUnderTest) -> None:
         address = proxy.listeners[0].address
-        Discovery(proxy.scheduler, address, DiscoveryListener(take, called), pace).start()
+        Discovery(proxy.scheduler, address, DiscoveryListener(on_update, on_call), pace).start()
         agent = proxy.next_attempt()
         read_line(agent)
         for revision in (41, 42):
             answer_discovery(agent, revision)
             proxy.wait_until(lambda: revisions[-1:] == [revision])  # noqa: B023
             silent_agent = agent
-            agent = proxy.next_attempt()  # on a new connection, for the last one brings no answer
+            agent = proxy.next_attempt()  # a new connection, since the last one gets no answer
             assert b"after=%d&" % revision in read_line(agent)
             assert b"after=%d&" % revision in read_line(silent_agent)
 
@@ -157,7 +157,7 @@
             b'HTTP/1.1 200 OK\r\nContent-Length: 35\r\n\r\n{"rev":17,"all":false,"targets":[]}',
         ):
             agent = proxy.next_attempt()
-            wait_ms = 0 if agents else 1000  # the first call waits for a change, a retry does not
+            wait_ms = 0 if agents else 1000  # the first call waits for a change; retries do not
             agents[:] = [agent]
             assert read_line(agent).split(b" ")[1] == b"/api/targets?after=15&wait_ms=%d" % wait_ms
             agent.send(answer)
@@ -166,7 +166,7 @@
         proxy.wait_until(lambda: bool(received))
 
     ProxyUnderTest().run(scenario)
-    assert [routing.revision for routing in received] == [17]
+    assert [update.revision for update in received] == [17]
     assert [record.getMessage() for record in caplog.records if record.name == "ironmill.discovery"] == [
         "discovery: HttpError status 503"
     ]
@@ -189,17 +189,17 @@
         read_line(old)
         discovery.watch_at(proxy.listeners[1].address)
         proxy.next_attempt()
-        discovery.watch_at(proxy.listeners[2].address)  # before the second address has answered
+        discovery.watch_at(proxy.listeners[2].address)  # before the second address answers
         new = proxy.next_attempt()
         assert read_line(new).startswith(b"GET /api/targets HTTP")
-        answer_discovery(old, 42)  # still applied, for the new watch has no list yet
+        answer_discovery(old, 42)  # still applied, since the new watch has no list yet
         proxy.wait_until(lambda: received == [41, 42])
         answer_discovery(new, 7)
         proxy.wait_until(lambda: received == [41, 42, 7])
-        data = b""
-        while piece := old.receive(5.0):
-            data += piece
-        assert data.count(b"GET") <= 1
+        requests = b""
+        while chunk := old.receive(5.0):
+            requests += chunk
+        assert requests.count(b"GET") <= 1
 
     ProxyUnderTest(3).run(scenario)
 
@@ -208,7 +208,7 @@
 def test_endless_answer_of_discovery_does_not_block_the_watch(
     monkeypatch: pytest.MonkeyPatch, part: str
 ) -> None:
-    """Each piece of the answer arrives in time."""
+    """Guards against a timeout that restarts at each received byte."""
     monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.1)
     monkeypatch.setattr(discovery_backoff, "RECONNECT_DELAY_S", 0.01)
 
@@ -233,7 +233,7 @@
 
 @pytest.mark.parametrize("late", [True, False])
 def test_duplicate_answer_of_discovery_does_not_restore_removed_servers(late: bool) -> None:
-    """The duplicate follows the answer directly, or arrives when the next call is pending."""
+    """The duplicate follows the answer immediately or arrives while the next call is pending."""
     received: list[EndpointUpdate] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
@@ -247,30 +247,30 @@
             assert requested_path(agent) == b"/api/targets?after=41&wait_ms=1000"
             answer_discovery(agent, 40, ONE)
         else:
-            old = b'{"rev":40,"all":true,"targets":[%b]}' % ONE
-            new = b'{"rev":41,"all":true,"targets":[]}'
+            old_body = b'{"rev":40,"all":true,"targets":[%b]}' % ONE
+            new_body = b'{"rev":41,"all":true,"targets":[]}'
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
-            agent.send(head % len(new) + new + head % len(old) + old)
-        agent = proxy.next_attempt()  # polled again, on a connection without old answers
+            agent.send(head % len(new_body) + new_body + head % len(old_body) + old_body)
+        agent = proxy.next_attempt()  # the next poll is on a new connection, without old answers
         assert requested_path(agent) == b"/api/targets?after=41&wait_ms=%d" % (0 if late else 1000)
-        answer_discovery(agent, 7, ONE)  # a restarted discovery is accepted on a new connection
+        answer_discovery(agent, 7, ONE)  # restarted revisions are accepted on a new connection
         proxy.wait_until(lambda: received[-1].revision == 7)
 
     ProxyUnderTest().run(scenario)
-    assert [routing.revision for routing in received] == [41, 7]
+    assert [update.revision for update in received] == [41, 7]
 
 
 def test_watch_survives_an_exception_in_its_listener(caplog: pytest.LogCaptureFixture) -> None:
-    """Without the watch no change would arrive; an update that was not applied is polled again."""
+    """Guards against a watch that ends, or that skips the update that was not applied."""
     received: list[EndpointUpdate] = []
 
-    def take(routing: EndpointUpdate) -> None:
-        received.append(routing)
+    def on_update(update: EndpointUpdate) -> None:
+        received.append(update)
         if len(received) == 1:
             raise ZeroDivisionError
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(take), pace).start()
+        Discovery(proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(on_update), pace).start()
         for _ in range(2):
             agent = proxy.next_attempt()
             assert requested_path(agent) == b"/api/targets"
@@ -278,7 +278,7 @@
         proxy.wait_until(lambda: len(received) == 2)
 
     ProxyUnderTest().run(scenario)
-    assert "a call failed" in caplog.text
+    assert "unexpected error in a call" in caplog.text
 
 
 def test_watch_reconnects_immediately_after_a_close_between_calls(
--- a/tests/system/test_failing_key_store.py
+++ b/tests/system/test_failing_key_store.py
@@ -1,4 +1,4 @@
-"""The key store where writes and syncs fail or are cut off, and the watcher of the ring where reads fail."""
+"""Tests of the key store with failing or interrupted writes, and of the ring watcher with failing reads."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def failing_sync(failing_call: int) -> Callable[[int], None]:
-    """Returns a replacement of fsync(2) whose n-th call fails, counted from 1."""
-    calls = 0
+    """Returns a replacement for fsync(2) whose call number ``failing_call`` fails, counted from 1."""
+    call_count = 0
 
     def sync(_: int) -> None:
-        nonlocal calls
-        calls += 1
-        if calls == failing_call:
+        nonlocal call_count
+        call_count += 1
+        if call_count == failing_call:
             raise OSError(errno.EIO, os.strerror(errno.EIO))
 
     return sync
@@ -35,7 +35,7 @@
 def test_key_is_created_by_a_second_try_after_a_failed_sync(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, failing_call: int
 ) -> None:
-    """A private key that was left behind made the store refuse its id for ever."""
+    """Guards against a leftover private key that makes the store reject its key id permanently."""
     store = KeyStore(tmp_path)
     monkeypatch.setattr(os, "fsync", failing_sync(failing_call))
     with pytest.raises(CommandError, match="Input/output error"):
@@ -49,7 +49,7 @@
     assert sorted(path.name for path in tmp_path.iterdir()) == ["k1.pem", "ring.json"]
 
 
-def test_failed_sync_is_one_line(
+def test_failed_sync_is_reported_on_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(os, "fsync", failing_sync(1))
@@ -57,8 +57,8 @@
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_files_that_a_killed_command_left_do_not_stop_the_next_one(tmp_path: Path) -> None:
-    """The next command may have the number of the killed process, as in a container."""
+def test_files_left_by_a_killed_command_do_not_block_the_next_one(tmp_path: Path) -> None:
+    """The next command may have the process ID of the killed one, as in a container."""
     store = KeyStore(tmp_path)
     store.new("k1", "EdDSA")
     for name in ("ring.json", "k2.pem"):
@@ -68,7 +68,7 @@
     assert store.ring().signing() is not None
 
 
-def test_private_key_of_a_killed_command_is_named_with_what_to_do(tmp_path: Path) -> None:
+def test_private_key_left_by_a_killed_command_is_reported_with_a_remedy(tmp_path: Path) -> None:
     store = KeyStore(tmp_path)
     store.new("k1", "EdDSA")
     (tmp_path / "k2.pem").write_bytes((tmp_path / "k1.pem").read_bytes())
@@ -76,36 +76,38 @@
         store.new("k2", "EdDSA")
 
 
-def test_ring_whose_read_failed_for_a_moment_is_read_again(
+def test_ring_whose_read_failed_temporarily_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A retired key would otherwise be accepted until the next change of the file."""
+    """Guards against accepting a retired key until the next change of the file."""
     keys, timers = Keys(tmp_path), FakeTimers(monkeypatch)
-    taken: list[KeyRing] = []
-    watch = KeyRingWatcher(timers, str(keys.path), taken.append)
-    watch.start()
+    loaded: list[KeyRing] = []
+    watcher = KeyRingWatcher(timers, str(keys.path), loaded.append)
+    watcher.start()
     timers.run(1.0)
-    taken.clear()
-    real, failures = Path.read_bytes, [errno.EMFILE, errno.EIO]
+    loaded.clear()
+    original_read_bytes, error_codes = Path.read_bytes, [errno.EMFILE, errno.EIO]
 
     def read_bytes(path: Path) -> bytes:
-        if path == keys.path and failures:
-            code = failures.pop()
+        if path == keys.path and error_codes:
+            code = error_codes.pop()
             raise OSError(code, os.strerror(code))
-        return real(path)
+        return original_read_bytes(path)
 
     keys.new("c", "EdDSA")
     monkeypatch.setattr(Path, "read_bytes", read_bytes)
     timers.run(2.0)
-    assert [[key.kid for key in ring] for ring in taken] == [["a", "b", "c"]]
+    assert [[key.kid for key in ring] for ring in loaded] == [["a", "b", "c"]]
 
 
-def test_ring_that_changed_before_the_watch_is_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The ring is read first and watched later: a change between the two counts."""
+def test_ring_that_changed_before_the_watcher_started_is_read(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against missing a change between the first read of the ring and the start of the watcher."""
     keys, timers = Keys(tmp_path), FakeTimers(monkeypatch)
     keys.ring()
     keys.new("c", "EdDSA")
-    taken: list[KeyRing] = []
-    KeyRingWatcher(timers, str(keys.path), taken.append).start()
+    loaded: list[KeyRing] = []
+    KeyRingWatcher(timers, str(keys.path), loaded.append).start()
     timers.run(1.0)
-    assert [[key.kid for key in ring] for ring in taken] == [["a", "b", "c"]]
+    assert [[key.kid for key in ring] for ring in loaded] == [["a", "b", "c"]]
--- a/tests/system/test_failing_sync.py
+++ b/tests/system/test_failing_sync.py
@@ -1,4 +1,4 @@
-"""A store whose syncs fail, and a process that is killed then."""
+"""Tests of a store whose syncs fail before the process is killed."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 class UnsyncedConnection:
-    """A connection whose commits reach the write-ahead log whole, and then fail as by fsync(2) with EIO.
+    """A connection whose commits are written completely to the write-ahead log, but then fail with EIO.
 
-    SQLite takes such a transaction for rolled back, but leaves its frames in the log. They are made by the
-    same statements on a copy of the files, which continues the same chain of checksums.
+    Emulates a failing fsync(2): SQLite treats the transaction as rolled back, but leaves its frames in the
+    log. The frames come from running the same statements on a copy of the files, whose log has the same chain
+    of checksums.
     """
 
     def __init__(self, inner: sqlite3.Connection, path: Path, folder: Path) -> None:
@@ -43,10 +44,10 @@
         return self.inner.execute(statement, parameters)
 
     def _write_frames(self) -> None:
-        copied = copy_of(self.path, self.folder / str(self.failed_commits))
+        copied = copy_files(self.path, self.folder / str(self.failed_commits))
         copied_log = Path(f"{copied}-wal")
         with copied_log.open("r+b") as file:
-            file.truncate(self._synced_size)  # without what failed before
+            file.truncate(self._synced_size)  # removes the frames of earlier failed commits
         connection = sqlite3.connect(copied, isolation_level=None)
         for statement, parameters in self._statements:
             connection.execute(statement, parameters)
@@ -58,36 +59,36 @@
             file.write(frames)
 
 
-def copy_of(path: Path, folder: Path) -> Path:
-    """Returns a copy of the files as a process that is killed now leaves them."""
+def copy_files(path: Path, folder: Path) -> Path:
+    """Returns a copy of the files in the state that a process killed now would leave."""
     folder.mkdir(parents=True)
     for suffix in ("", "-wal"):
         shutil.copy(f"{path}{suffix}", folder)
     return folder / path.name
 
 
-def put(store: SqliteStore, changes: Changes, ticket: str) -> Position:
+def commit_changes(store: SqliteStore, changes: Changes, ticket: str) -> Position:
     return store.commit(changes, RevisionMetadata(1.0, "ann", "", ticket))
 
 
 @pytest.fixture
 def store(tmp_path: Path) -> Iterator[SqliteStore]:
-    it = SqliteStore(str(tmp_path / "store"))
-    yield it
-    it.close()
+    store = SqliteStore(str(tmp_path / "store"))
+    yield store
+    store.close()
 
 
-@pytest.mark.parametrize("keys", [1, 300])
-def test_revision_whose_sync_failed_is_not_in_force_after_a_kill(
-    store: SqliteStore, tmp_path: Path, keys: int
+@pytest.mark.parametrize("key_count", [1, 300])
+def test_revision_whose_sync_failed_is_not_applied_after_a_kill(
+    store: SqliteStore, tmp_path: Path, key_count: int
 ) -> None:
-    """The log holds it whole, and the next opening would take it for committed."""
-    first = put(store, {"a": b"1"}, "t1")
+    """Guards against a write-ahead log with the complete transaction, which the next opening would apply."""
+    first = commit_changes(store, {"a": b"1"}, "t1")
     connection = UnsyncedConnection(store._connection, tmp_path / "store", tmp_path / "frames")
     store._connection = connection  # type: ignore[assignment]
     with pytest.raises(StoreError):
-        put(store, {f"b{at}": bytes(100) for at in range(keys)}, "t2")
+        commit_changes(store, {f"b{index}": bytes(100) for index in range(key_count)}, "t2")
     assert store.committed("t2") is None
-    reopened = SqliteStore(str(copy_of(tmp_path / "store", tmp_path / "killed")))
+    reopened = SqliteStore(str(copy_files(tmp_path / "store", tmp_path / "killed")))
     assert (reopened.position, dict(reopened.entries())) == (first, {"a": b"1"})
     reopened.close()
--- a/tests/system/test_garbage_collection.py
+++ b/tests/system/test_garbage_collection.py
@@ -1,4 +1,4 @@
-"""What a connection leaves behind is freed at once: full collections come seldom and may not be needed."""
+"""Tests that closed connections leave no reference cycles, since full collections are rare."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_garbage_collector_is_enabled_once_the_proxy_serves(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is off while modules are read, which makes the start shorter."""
+    """The collector is disabled during imports, which shortens the start."""
     called: list[str] = []
     for name in ("freeze", "enable", "set_threshold"):
         monkeypatch.setattr(gc, name, lambda *_, name=name: called.append(name))
@@ -23,7 +23,7 @@
     assert called == ["freeze", "enable", "set_threshold"]
 
 
-def served(proxy: ProxyUnderTest) -> None:
+def client_closes(proxy: ProxyUnderTest) -> None:
     client, attempt = proxy.established_pair()
     client.send(b"hey\r\n")
     assert read_line(attempt) == b"hey\r\n"
@@ -32,7 +32,7 @@
     attempt.close()
 
 
-def ended_by_the_server(proxy: ProxyUnderTest) -> None:
+def server_ends(proxy: ProxyUnderTest) -> None:
     client, attempt = proxy.established_pair()
     attempt.send(b"BYE\r\n")
     attempt.close_gracefully(1.0)
@@ -40,7 +40,7 @@
     client.close()
 
 
-def moved(proxy: ProxyUnderTest) -> None:
+def client_is_migrated(proxy: ProxyUnderTest) -> None:
     client, attempt = proxy.established_pair()
     proxy.gateway.established()[0].handler.migrate()
     assert read_line(client) == b"MOVE\r\n"
@@ -48,7 +48,7 @@
     attempt.close()
 
 
-def broken(proxy: ProxyUnderTest) -> None:
+def server_resets(proxy: ProxyUnderTest) -> None:
     client, attempt = proxy.established_pair()
     attempt.abort()
     with pytest.raises(ConnectionError):
@@ -56,13 +56,13 @@
     client.close()
 
 
-def turned_away(proxy: ProxyUnderTest) -> None:
+def request_line_is_invalid(proxy: ProxyUnderTest) -> None:
     client = proxy.client(b"nonsense\r\n")
     assert read_line(client) == b"ERR\r\n"
     client.close()
 
 
-def refused(proxy: ProxyUnderTest) -> None:
+def servers_reject(proxy: ProxyUnderTest) -> None:
     client = proxy.client(OPEN)
     for _ in range(3):
         attempt: Stream = proxy.next_attempt()
@@ -75,7 +75,7 @@
     client.close()
 
 
-def left(proxy: ProxyUnderTest) -> None:
+def client_resets(proxy: ProxyUnderTest) -> None:
     client = proxy.client(OPEN)
     attempt = proxy.next_attempt()
     read_line(attempt)
@@ -85,11 +85,22 @@
     attempt.close()
 
 
-@pytest.mark.parametrize("scenario", [served, ended_by_the_server, moved, broken, turned_away, refused, left])
+@pytest.mark.parametrize(
+    "scenario",
+    [
+        client_closes,
+        server_ends,
+        client_is_migrated,
+        server_resets,
+        request_line_is_invalid,
+        servers_reject,
+        client_resets,
+    ],
+)
 def test_closed_connection_leaves_no_reference_cycle(scenario: Callable[[ProxyUnderTest], None]) -> None:
-    seen: set[str] = set()
+    cyclic_types: set[str] = set()
 
-    def run(proxy: ProxyUnderTest) -> None:
+    def run_scenario(proxy: ProxyUnderTest) -> None:
         scenario(proxy)
         proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.connection_limiter.used() == 0)
         gc.collect()
@@ -102,10 +113,10 @@
                 )
             proxy.scheduler.sleep(0.01)
             gc.collect()
-            seen.update(
-                type(found).__qualname__
-                for found in gc.garbage
-                if type(found).__module__.startswith("ironmill")
+            cyclic_types.update(
+                type(garbage).__qualname__
+                for garbage in gc.garbage
+                if type(garbage).__module__.startswith("ironmill")
             )
         finally:
             gc.set_debug(0)
@@ -113,33 +124,33 @@
 
     gc.disable()
     try:
-        ProxyUnderTest().run(run)
+        ProxyUnderTest().run(run_scenario)
     finally:
         gc.enable()
-    assert seen == set()
+    assert cyclic_types == set()
 
 
 def test_full_collections_wait_until_few_connections_are_established(monkeypatch: pytest.MonkeyPatch) -> None:
-    now, held, full = 0.0, gc_schedule.MAX_CONNECTIONS_FOR_FULL_COLLECTION + 1, 0
+    now, connections, collections = 0.0, gc_schedule.MAX_CONNECTIONS_FOR_FULL_COLLECTION + 1, 0
 
     def collect() -> None:
-        nonlocal full
-        full += 1
+        nonlocal collections
+        collections += 1
 
-    before = gc.get_threshold()
+    thresholds = gc.get_threshold()
     timers = TimerQueue(lambda: now)
     monkeypatch.setattr(gc, "collect", collect)
     monkeypatch.setattr(gc, "freeze", lambda: None)
     try:
-        GcSchedule(timers, lambda: held).start()
+        GcSchedule(timers, lambda: connections).start()
         assert gc.get_threshold()[2] == gc_schedule.DISABLED_THRESHOLD
     finally:
-        gc.set_threshold(*before)
+        gc.set_threshold(*thresholds)
     for _ in range(4):
         now += gc_schedule.CHECK_INTERVAL_S
         timers.run()
-    assert full == 0
-    held = gc_schedule.MAX_CONNECTIONS_FOR_FULL_COLLECTION
+    assert collections == 0
+    connections = gc_schedule.MAX_CONNECTIONS_FOR_FULL_COLLECTION
     now += gc_schedule.CHECK_INTERVAL_S
     timers.run()
-    assert full == 1
+    assert collections == 1
--- a/tests/system/test_reload.py
+++ b/tests/system/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP: what is applied from a new file, and what an invalid one changes."""
+"""Tests of the reload at SIGHUP: which changes are applied, and that an invalid file changes nothing."""
 
 from __future__ import annotations
 
