--- a/ironmill/net/datagrams.py
+++ b/ironmill/net/datagrams.py
@@ -31,7 +31,7 @@
 
 
 class Datagrams:
-    """A bound UDP socket and the tasks that receive, tick and send."""
+    """A bound UDP socket and the tasks that connect it to a state machine."""
 
     def __init__(self, scheduler: Scheduler, listen: Address) -> None:
         """Binds the socket. Raises ``OSError`` if that fails."""
