--- a/ironmill/identity/__init__.py
+++ b/ironmill/identity/__init__.py
@@ -1,5 +1,5 @@
-"""Who a caller is and what it may do.
+"""Authentication and authorization of callers.
 
-Owns tokens, certificates, the key ring, the rules that map credentials to callers, and the sessions of
-callers. No I/O. May import ``runtime``.
+Contains tokens, certificates, the key ring, the rules that map credentials to callers, and the sessions of
+callers. Performs no I/O, and may import ``runtime``.
 """
--- a/ironmill/identity/callers.py
+++ b/ironmill/identity/callers.py
@@ -1,7 +1,8 @@
 """Callers with open connections: authentication, authorization, and migration when a credential ends.
 
-No I/O: drivers call a ``CallerSession``, one for each connection, and are told to migrate established
-connections. Settings and key ring are replaced together.
+This module performs no I/O. The driver of each client connection calls its own ``CallerSession``, and is told
+to migrate the connection once its credential is no longer valid. The settings and the key ring are replaced
+together.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 EXPIRY_CHECK_INTERVAL_S = 1.0
 MAX_LOGGED_REJECTIONS_PER_S = 20
-MAX_STALE_EXPIRIES = 64  # beyond one for each established connection
+MAX_STALE_EXPIRIES = 64  # heap entries of closed connections, beyond one for each established connection
 
 log = EventLog("ironmill.identity.callers")
 
@@ -39,15 +40,15 @@
         timers: Timers,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """``clock`` returns Unix time."""
+        """Creates a registry without connections. ``clock`` returns Unix time."""
         self.authenticator = Authenticator(settings, key_ring, clock())
         self._timers = timers
         self._clock = clock
         self._usage = CallerUsage()
         self._established: dict[MigratableConnection, Admitted] = {}
-        self._migrating: set[MigratableConnection] = set()  # of the established ones
-        self._expiries: list[tuple[float, int, MigratableConnection]] = []  # a heap
-        self._serial = itertools.count()
+        self._migrating: set[MigratableConnection] = set()  # a subset of the established ones
+        self._expiries: list[tuple[float, int, MigratableConnection]] = []  # a heap by expiry time
+        self._expiry_serials = itertools.count()
         self._key_timers: list[Timer] = []
         self._rejections_logged = 0
         self._rejections_logged_since = 0.0
@@ -55,34 +56,34 @@
         self._set_key_timers()
         timers.call_later(EXPIRY_CHECK_INTERVAL_S, self._check_expiries)
 
-    # Called by sessions
+    # Methods that sessions call
 
     def new_session(self, driver: MigratableConnection, address: str) -> CallerSession:
-        """Returns the session of a client that has connected from the address."""
+        """Returns a new session for a client that connected from the address."""
         return CallerSession(self, driver, address)
 
     def authenticate_token(
         self, token: bytes, address: str, settings: IdentitySettings | None = None
     ) -> Verdict:
-        """Decides on a token."""
+        """Returns the verdict on a token."""
         verdict = self.authenticator.authenticate_token(token, address, self._clock(), settings)
         return self._log_rejection(verdict, address)
 
     def authenticate_certificate(
         self, der: bytes, address: str, settings: IdentitySettings | None = None
     ) -> Verdict:
-        """Decides on a certificate whose chain was verified."""
+        """Returns the verdict on a certificate whose chain was verified."""
         verdict = self.authenticator.authenticate_certificate(der, self._clock(), settings)
         return self._log_rejection(verdict, address)
 
     def authenticate_anonymous(self, address: str, settings: IdentitySettings | None = None) -> Verdict:
-        """Decides on a client without a credential."""
+        """Returns the verdict on a client without a credential."""
         return self._log_rejection(self.authenticator.authenticate_anonymous(settings), address)
 
     def authorize(
         self, admitted: Admitted, class_name: str, address: str, settings: IdentitySettings | None = None
     ) -> Verdict:
-        """Decides on a request of the class. The credential is checked again."""
+        """Returns the verdict on a request of the class. Checks the credential again."""
         classes = admitted.caller.rights.classes
         if classes is not None and class_name not in classes:
             return self._log_rejection(self.authenticator.reject(RejectionReason.CLASS), address)
@@ -90,32 +91,32 @@
         return self._log_rejection(verdict, address)
 
     def open_connection(self, admitted: Admitted) -> float | None:
-        """Counts a connection. If the caller may have none, returns the seconds until it may retry."""
+        """Counts a connection. If the caller is at its limit, returns the seconds until it may retry."""
         retry_after = self._usage.open_connection(admitted.caller, self._clock())
         if retry_after is not None:
             log.info("caller over its rights", tenant=admitted.caller.tenant, caller=admitted.caller.name)
         return retry_after
 
     def close_connection(self, admitted: Admitted, driver: MigratableConnection) -> None:
-        """Ends a connection that ``open_connection`` counted."""
+        """Releases a connection that ``open_connection`` counted."""
         self._usage.close_connection(admitted.caller)
         self._established.pop(driver, None)
         self._migrating.discard(driver)
 
     def connection_established(self, admitted: Admitted, driver: MigratableConnection) -> None:
-        """Tracks an established connection. Migrates it if its credential ended in the meantime."""
+        """Tracks an established connection. Migrates it if its credential is no longer valid."""
         self._established[driver] = admitted
         if admitted.expires_at is not None:
-            heapq.heappush(self._expiries, (admitted.expires_at, next(self._serial), driver))
-        if self._has_ended(admitted):
-            self._migrate([driver])
+            heapq.heappush(self._expiries, (admitted.expires_at, next(self._expiry_serials), driver))
+        if self._is_no_longer_admitted(admitted):
+            self._schedule_migrations([driver])
 
-    # Called on changes of the configuration
+    # Methods that are called when the configuration changes
 
     def reconfigure(self, settings: IdentitySettings, key_ring: KeyRing) -> None:
-        """Replaces settings and key ring, and checks the established connections.
+        """Replaces the settings and the key ring, and checks the established connections.
 
-        Distributed denials stay in effect.
+        The distributed denials stay in effect.
         """
         settings = replace(settings, distributed_denials=self._distributed_denials)
         self.authenticator.reconfigure(settings, key_ring, self._clock())
@@ -125,25 +126,33 @@
     def set_denials(self, denials: Denials) -> None:
         """Replaces the distributed denials, and migrates the connections that are newly denied.
 
-        Only new denials are compared with the established connections, as this is called often.
+        Compares only the new denials with the established connections, as this method is called often.
         """
-        new = denials - self._distributed_denials
+        added = denials - self._distributed_denials
         self._distributed_denials = denials
         authenticator = self.authenticator
         settings = replace(authenticator.settings, distributed_denials=denials)
         authenticator.reconfigure(settings, authenticator.key_ring, self._clock())
-        if new:
-            self._migrate([driver for driver, it in self._established.items() if _is_denied(new, it)])
+        if added:
+            self._schedule_migrations(
+                [driver for driver, admitted in self._established.items() if _is_denied(added, admitted)]
+            )
 
     def recheck_connections(self) -> None:
-        """Migrates the established connections whose credential would not be admitted any more."""
-        self._migrate([driver for driver, admitted in self._established.items() if self._has_ended(admitted)])
+        """Migrates the established connections whose credential would no longer be admitted."""
+        self._schedule_migrations(
+            [
+                driver
+                for driver, admitted in self._established.items()
+                if self._is_no_longer_admitted(admitted)
+            ]
+        )
 
     def counts(self) -> dict[str, int]:
         """Returns the number of verdicts by kind."""
         return dict(self.authenticator.counts)
 
-    def _has_ended(self, admitted: Admitted) -> bool:
+    def _is_no_longer_admitted(self, admitted: Admitted) -> bool:
         return isinstance(self.authenticator.reauthenticate(admitted, self._clock()), Rejected)
 
     def _check_expiries(self) -> None:
@@ -155,29 +164,30 @@
             _, _, driver = heapq.heappop(self._expiries)
             if driver in self._established:
                 expired.append(driver)
-        self._migrate(expired)
-        # Connections end long before their credentials; their entries must not keep them in memory.
+        self._schedule_migrations(expired)
+        # Most connections close long before their credentials expire. Without this cleanup their heap entries
+        # would keep them in memory.
         if len(self._expiries) > 2 * len(self._established) + MAX_STALE_EXPIRIES:
             self._expiries = [entry for entry in self._expiries if entry[2] in self._established]
             heapq.heapify(self._expiries)
 
-    def _migrate(self, drivers: list[MigratableConnection]) -> None:
-        """Migrates connections evenly over the configured time, so that not all reconnect at once."""
-        within = self.authenticator.settings.migrate_within_s
+    def _schedule_migrations(self, drivers: list[MigratableConnection]) -> None:
+        """Migrates connections evenly over the configured time, so that they do not all reconnect at once."""
+        period_s = self.authenticator.settings.migrate_within_s
         drivers = [driver for driver in drivers if driver not in self._migrating]
-        if within is None or not drivers:
+        if period_s is None or not drivers:
             return
         self._migrating.update(drivers)
-        log.info("credentials ended", connections=len(drivers), within_s=within)
-        for at, driver in enumerate(drivers):
-            self._timers.call_later(within * at / len(drivers), self._migrate_now, driver)
+        log.info("credentials ended", connections=len(drivers), within_s=period_s)
+        for index, driver in enumerate(drivers):
+            self._timers.call_later(period_s * index / len(drivers), self._migrate_now, driver)
 
     def _migrate_now(self, driver: MigratableConnection) -> None:
         if driver in self._established:
             driver.migrate()
 
     def _set_key_timers(self) -> None:
-        """Has the connections checked when a key's time ends."""
+        """Schedules a check of the connections for the time at which each key expires."""
         for timer in self._key_timers:
             self._timers.cancel(timer)
         now = self._clock()
--- a/ironmill/identity/certificates.py
+++ b/ironmill/identity/certificates.py
@@ -1,4 +1,4 @@
-"""The facts of a client's certificate. TLS has verified its chain before."""
+"""Parses client certificates. The TLS handshake has verified their chain before."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from ironmill.identity.errors import CredentialError, RejectionReason
 
-MAX_NAMES = 64  # of one certificate
+MAX_NAMES = 64  # subject alternative names of one certificate
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,8 +21,8 @@
 
 
 def parse_certificate(der: bytes) -> Certificate:
-    """Returns the certificate's facts. Raises CredentialError if it is malformed or has no names."""
-    from cryptography import x509  # not needed without callers
+    """Parses a certificate in DER. Raises CredentialError if it is malformed or has no or too many names."""
+    from cryptography import x509  # imported here because proxies without callers do not need it
 
     try:
         certificate = x509.load_der_x509_certificate(der)
@@ -35,8 +35,8 @@
         expires_at = certificate.not_valid_after_utc.timestamp()
     except (ValueError, x509.ExtensionNotFound, x509.DuplicateExtension):
         raise CredentialError(
-            RejectionReason.MALFORMED, "a certificate without subject alternative names"
+            RejectionReason.MALFORMED, "certificate is invalid or has no subject alternative names"
         ) from None
     if len(names) > MAX_NAMES:
-        raise CredentialError(RejectionReason.MALFORMED, "a certificate with too many names")
+        raise CredentialError(RejectionReason.MALFORMED, "certificate has too many subject alternative names")
     return Certificate(hashlib.sha256(der).hexdigest(), names, not_before, expires_at)
--- a/ironmill/identity/errors.py
+++ b/ironmill/identity/errors.py
@@ -1,4 +1,4 @@
-"""Errors of credentials and of the key ring."""
+"""Exceptions for credentials and the key ring."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RejectionReason(Enum):
-    """Why a credential was rejected. It is logged and counted; the client does not learn it."""
+    """The reason why a credential was rejected. It is logged and counted, but not sent to the client."""
 
     MISSING = "missing"
     MALFORMED = "malformed"
@@ -25,13 +25,13 @@
 
 
 class CredentialError(IronmillError):
-    """A credential that is rejected."""
+    """Raised for a credential that is rejected."""
 
     def __init__(self, reason: RejectionReason, detail: str = "") -> None:
-        """``detail`` says what is malformed."""
+        """Creates an error. ``detail`` describes what is malformed."""
         super().__init__(f"{reason.value}: {detail}" if detail else reason.value)
         self.reason = reason
 
 
 class KeyRingError(IronmillError):
-    """An invalid key ring, of which no key is used, or an operation that would make it invalid."""
+    """Raised for an invalid key ring, none of whose keys is used, or a change that would make it invalid."""
--- a/ironmill/identity/rules.py
+++ b/ironmill/identity/rules.py
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Rights:
-    """What a caller may do through one proxy. None is no limit."""
+    """The limits of a caller at one proxy. None means no limit."""
 
-    classes: frozenset[str] | None = None
-    max_connections: int | None = None  # established or being established
-    max_openings_per_s: float | None = None
+    classes: frozenset[str] | None = None  # request classes that the caller may use
+    max_connections: int | None = None  # both established and being established
+    max_openings_per_s: float | None = None  # connections opened per second
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,33 +34,36 @@
 
     issuer: str
     audience: str
-    subject: str = "*"  # a pattern
+    subject: str = "*"  # a pattern for matches_pattern
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRule:
-    """A caller, and the tokens and certificates that belong to it."""
+    """A rule that maps tokens and certificates to a caller."""
 
     caller: Caller
     tokens: tuple[TokenMatch, ...] = ()
-    line: int = 0  # in the settings file
+    line: int = 0  # the line of the rule in the settings file
     names: tuple[str, ...] = ()  # patterns of certificates' names, as dns:NAME, uri:URI or email:ADDRESS
 
 
 @dataclass(frozen=True, slots=True)
 class Denials:
-    """Credentials that distributed configuration denies. The cost of a check grows only with the patterns."""
+    """Credentials that the distributed configuration denies.
+
+    The time of a check grows with the number of patterns, not with that of subjects or fingerprints.
+    """
 
     subjects: frozenset[str] = frozenset()
-    patterns: tuple[str, ...] = ()  # of subjects
-    fingerprints: frozenset[str] = frozenset()
+    patterns: tuple[str, ...] = ()  # patterns of denied subjects
+    fingerprints: frozenset[str] = frozenset()  # of certificates
 
     def deny_subject(self, subject: str) -> bool:
         """Returns True if the subject is denied."""
         return subject in self.subjects or any(matches_pattern(pattern, subject) for pattern in self.patterns)
 
     def __sub__(self, other: Denials) -> Denials:
-        """Returns the denials that the other ones do not include."""
+        """Returns the denials that ``other`` does not include."""
         return Denials(
             self.subjects - other.subjects,
             tuple(pattern for pattern in self.patterns if pattern not in other.patterns),
@@ -77,50 +80,50 @@
 
 @dataclass(frozen=True, slots=True)
 class IdentitySettings:
-    """The operators' settings of callers, as one immutable value."""
+    """The operators' settings for callers, as an immutable value."""
 
     key_ring_path: str
     rules: tuple[CallerRule, ...] = ()
-    denied_subjects: tuple[str, ...] = ()  # patterns
+    denied_subjects: tuple[str, ...] = ()  # patterns of subjects
     denied_fingerprints: frozenset[str] = frozenset()  # of certificates
     anonymous: Caller | None = None  # the caller without a credential; None: a credential is required
     clock_skew_s: float = 30.0
     migrate_within_s: float | None = None  # None: connections stay open when their credential ends
-    cache_size: int = 8192  # tokens
-    suspect_checks_per_s: float = 50.0
-    distributed_denials: Denials = NO_DENIALS  # not from the settings file
+    cache_size: int = 8192  # verified tokens
+    suspect_checks_per_s: float = 50.0  # signature checks for all suspect addresses together
+    distributed_denials: Denials = NO_DENIALS  # from the distributed configuration, not the settings file
 
 
 @dataclass(frozen=True, slots=True)
 class RuleEvaluation:
-    """The result of one rule, for ``caller explain``."""
+    """The result of evaluating one rule, for the command ``caller explain``."""
 
     rule: CallerRule
-    mismatch: str  # empty if the rule matches
+    mismatch: str  # why the rule does not match; empty if it matches
 
 
 def matches_pattern(pattern: str, text: str) -> bool:
-    """Returns True if the whole text matches: ``*`` is any text, ``?`` any character."""
-    return _compiled(pattern).fullmatch(text) is not None
+    """Returns True if the whole text matches; ``*`` stands for any text and ``?`` for any character."""
+    return _compile_pattern(pattern).fullmatch(text) is not None
 
 
 @lru_cache(maxsize=MAX_COMPILED_PATTERNS)
-def _compiled(pattern: str) -> re.Pattern[str]:
+def _compile_pattern(pattern: str) -> re.Pattern[str]:
     first, *rest = pattern.split("*")
     if not rest:
-        return re.compile(_escaped(first), re.DOTALL)
+        return re.compile(_escape(first), re.DOTALL)
     # The first match of the text between two stars is sufficient. The atomic group prevents backtracking,
-    # whose cost would grow exponentially with the number of stars.
-    between = "".join(f"(?>.*?{_escaped(text)})" for text in rest[:-1] if text)
-    return re.compile(f"{_escaped(first)}{between}.*{_escaped(rest[-1])}", re.DOTALL)
+    # whose time would grow exponentially with the number of stars.
+    between = "".join(f"(?>.*?{_escape(text)})" for text in rest[:-1] if text)
+    return re.compile(f"{_escape(first)}{between}.*{_escape(rest[-1])}", re.DOTALL)
 
 
-def _escaped(text: str) -> str:
+def _escape(text: str) -> str:
     return "".join("." if character == "?" else re.escape(character) for character in text)
 
 
 def audiences(claims: Mapping[str, object]) -> tuple[str, ...]:
-    """Returns the token's audience, which may be one text or a list of them (RFC 7519, 4.1.3)."""
+    """Returns the token's audiences; the claim is a string or a list of strings (RFC 7519, 4.1.3)."""
     value = claims.get("aud")
     if isinstance(value, str):
         return (value,)
@@ -128,19 +131,19 @@
 
 
 def mismatch(match: TokenMatch, claims: Mapping[str, object]) -> str:
-    """Returns why the claims do not match; an empty text if they do."""
+    """Returns why the claims do not match, or an empty string if they do."""
     subject = claims.get("sub")
     if claims.get("iss") != match.issuer:
         return f"issuer {claims.get('iss')!r} is not {match.issuer!r}"
     if match.audience not in audiences(claims):
-        return f"audience {claims.get('aud')!r} does not name {match.audience!r}"
+        return f"audience {claims.get('aud')!r} does not include {match.audience!r}"
     if not isinstance(subject, str) or not matches_pattern(match.subject, subject):
-        return f"subject {subject!r} does not fit {match.subject!r}"
+        return f"subject {subject!r} does not match {match.subject!r}"
     return ""
 
 
 def explain(settings: IdentitySettings, claims: Mapping[str, object]) -> list[RuleEvaluation]:
-    """Evaluates the rules in order, up to the first that matches."""
+    """Evaluates the rules in order, up to and including the first that matches."""
     evaluations = []
     for rule in settings.rules:
         mismatches = [mismatch(match, claims) for match in rule.tokens]
@@ -162,7 +165,7 @@
 
 
 def caller_of_claims(settings: IdentitySettings, claims: Mapping[str, object]) -> Caller | None:
-    """Returns the caller of the first rule that the claims match, or None."""
+    """Returns the caller of the first rule that matches the claims, or None."""
     for rule in settings.rules:
         if any(not mismatch(match, claims) for match in rule.tokens):
             return rule.caller
@@ -170,7 +173,7 @@
 
 
 def caller_of_names(settings: IdentitySettings, names: tuple[str, ...]) -> Caller | None:
-    """Returns the caller of the first rule that one of a certificate's names matches, or None."""
+    """Returns the caller of the first rule that matches one of a certificate's names, or None."""
     for rule in settings.rules:
         if any(matches_pattern(pattern, name) for pattern in rule.names for name in names):
             return rule.caller
--- a/ironmill/identity/usage.py
+++ b/ironmill/identity/usage.py
@@ -1,4 +1,4 @@
-"""The connections of each caller through this proxy, against its rights."""
+"""Counts the connections of each caller through this proxy and enforces its limits."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from ironmill.identity.rate_limiter import RateLimiter
 from ironmill.identity.rules import Caller
 
-RETRY_AFTER_S = 1.0  # for a caller that has all the connections it may have
+RETRY_AFTER_S = 1.0  # for a caller that has reached its number of connections
 MIN_RETRY_AFTER_S = 0.001
 
 
 @dataclass(slots=True)
 class _Usage:
     connections: int = 0
-    openings: RateLimiter | None = None
+    openings: RateLimiter | None = None  # None without a limit on openings per second
 
 
 class CallerUsage:
-    """Counts connections by the name of the caller."""
+    """Counts connections by caller name."""
 
     def __init__(self) -> None:
-        """Counts nothing yet."""
+        """Creates a counter without callers."""
         self._usage: dict[str, _Usage] = {}
 
     def open_connection(self, caller: Caller, now: float) -> float | None:
-        """Counts a connection of the caller. If it may have none, returns the seconds until it may retry."""
+        """Counts a connection. If the caller is at a limit, returns the seconds until it may retry."""
         usage = self._usage.setdefault(caller.name, _Usage())
         limit, rate = caller.rights.max_connections, caller.rights.max_openings_per_s
         if limit is not None and usage.connections >= limit:
@@ -40,13 +40,13 @@
         return None
 
     def close_connection(self, caller: Caller) -> None:
-        """Ends a connection of the caller. Forgets a caller without connections and without a rate."""
+        """Releases a connection of the caller. Forgets a caller without connections and rate limiter."""
         usage = self._usage[caller.name]
         usage.connections -= 1
         if usage.connections <= 0 and usage.openings is None:
             del self._usage[caller.name]
 
     def connections(self, name: str) -> int:
-        """Returns the number of connections of the caller with that name."""
+        """Returns the number of connections of the caller with this name."""
         usage = self._usage.get(name)
         return 0 if usage is None else usage.connections
--- a/tests/support/identity.py
+++ b/tests/support/identity.py
@@ -1,4 +1,4 @@
-"""Keys, tokens and settings for tests of identity."""
+"""Keys, tokens and settings for tests of authentication and authorization."""
 
 from __future__ import annotations
 
@@ -25,34 +25,34 @@
 
 
 class Keys(KeyStore):
-    """Keys ``a`` (EdDSA, signing) and ``b`` (ES256, coming), and tokens signed with them."""
+    """A store with the keys ``a`` (EdDSA, signing) and ``b`` (ES256, coming), which also signs tokens."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
         self.new("a", "EdDSA")
         self.new("b", "ES256")
         self.write(self.ring().promoted("a", time.time(), 0.0))
-        self._private = {kid: self.private(kid) for kid in "ab"}
+        self._private_keys = {kid: self.private(kid) for kid in "ab"}
 
     def token(self, kid: str = "a", **changes: Any) -> bytes:
-        """Returns a token that is valid for an hour, with claims changed; None omits a claim."""
+        """Returns a token that is valid for an hour, with the given claims changed; None omits a claim."""
         now = time.time()
         claims: dict[str, Any] = {"iss": ISSUER, "aud": AUDIENCE, "sub": "farm-1", "exp": now + 3600.0}
         claims = {name: value for name, value in (claims | changes).items() if value is not None}
         algorithm = {"a": "EdDSA", "b": "ES256"}[kid]
-        return jwt.encode(claims, self._private[kid], algorithm=algorithm, headers={"kid": kid}).encode()
+        return jwt.encode(claims, self._private_keys[kid], algorithm=algorithm, headers={"kid": kid}).encode()
 
     def raw(self, header: bytes, claims: bytes, kid: str = "a") -> bytes:
-        """Returns a token of arbitrary header and claims with a valid signature."""
-        signed = part(header) + b"." + part(claims)
-        return signed + b"." + part(self._private[kid].sign(signed))
+        """Returns a token with an arbitrary header and claims and a valid signature."""
+        signing_input = part(header) + b"." + part(claims)
+        return signing_input + b"." + part(self._private_keys[kid].sign(signing_input))
 
 
 def forged(token: bytes) -> bytes:
-    """Returns the token with another signature."""
-    head, _, signature = token.rpartition(b".")
+    """Returns the token with an invalid signature."""
+    signing_input, _, signature = token.rpartition(b".")
     flipped = bytes(signature[:1].swapcase() if signature[:1].isalpha() else b"A") + signature[1:]
-    return head + b"." + (flipped if flipped != signature else b"B" + signature[1:])
+    return signing_input + b"." + (flipped if flipped != signature else b"B" + signature[1:])
 
 
 def rule(name: str = "farms", subject: str = "farm-*", **rights: Any) -> CallerRule:
@@ -74,50 +74,52 @@
 
 
 def hostile_tokens(keys: Keys) -> dict[str, bytes]:
-    """Returns tokens that try to pass unverified, or to cost much, by what they do."""
+    """Returns tokens that try to evade verification or to consume resources, by the attack's description."""
     public = keys.private("a").public_key()
     pem = public.public_bytes(serialization.Encoding.PEM, serialization.PublicFormat.SubjectPublicKeyInfo)
-    good = keys.token()
-    head, claims, signature = good.split(b".")
+    valid_token = keys.token()
+    header, claims, signature = valid_token.split(b".")
     hs256 = part(b'{"alg":"HS256","kid":"a"}') + b"." + claims
     return {
         "none": part(b'{"alg":"none","kid":"a"}') + b"." + claims + b".",
         "none, signed": part(b'{"alg":"none","kid":"a"}') + b"." + claims + b"." + signature,
-        "HS256 by the public key": hs256
+        "HS256 signed with the public key": hs256
         + b"."
         + part(jwt.algorithms.HMACAlgorithm(jwt.algorithms.HMACAlgorithm.SHA256).sign(hs256, pem)),
-        "another key's algorithm": keys.raw(b'{"alg":"ES256","kid":"a"}', CLAIMS),
+        "algorithm of another key": keys.raw(b'{"alg":"ES256","kid":"a"}', CLAIMS),
         "kid is a path": keys.raw(b'{"alg":"EdDSA","kid":"../../a"}', CLAIMS),
         "kid is long": keys.raw(b'{"alg":"EdDSA","kid":"' + b"a" * 1_000_000 + b'"}', CLAIMS),
         "kid is a list": keys.raw(b'{"alg":"EdDSA","kid":["a"]}', CLAIMS),
         "no kid": keys.raw(b'{"alg":"EdDSA"}', CLAIMS),
         "crit": keys.raw(b'{"alg":"EdDSA","kid":"a","crit":["exp"]}', CLAIMS),
-        "a claim twice": keys.raw(HEADER, CLAIMS[:-1] + b',"sub":"farm-2"}'),
-        "alg twice": keys.raw(b'{"alg":"none","alg":"EdDSA","kid":"a"}', CLAIMS),
+        "duplicate claim": keys.raw(HEADER, CLAIMS[:-1] + b',"sub":"farm-2"}'),
+        "duplicate alg": keys.raw(b'{"alg":"none","alg":"EdDSA","kid":"a"}', CLAIMS),
         "NaN": keys.raw(HEADER, CLAIMS.replace(b"9e9", b"NaN")),
         "Infinity": keys.raw(HEADER, CLAIMS.replace(b"9e9", b"Infinity")),
         "1e400": keys.raw(HEADER, CLAIMS.replace(b"9e9", b"1e400")),
-        "a number without end": keys.raw(HEADER, CLAIMS.replace(b"9e9", b"9" * 2000)),
+        "very long number": keys.raw(HEADER, CLAIMS.replace(b"9e9", b"9" * 2000)),
         "deep lists": keys.raw(HEADER, b"[" * 1400 + b"]" * 1400),
         "deep objects": keys.raw(HEADER, b'{"a":' * 400 + b"1" + b"}" * 400),
-        "a little too deep": keys.raw(HEADER, CLAIMS[:-1] + b',"x":[[[[[1]]]]]}'),
-        "many names": keys.raw(HEADER, b"{" + b",".join(b'"%d":1' % it for it in range(300)) + b"}"),
+        "one level too deep": keys.raw(HEADER, CLAIMS[:-1] + b',"x":[[[[[1]]]]]}'),
+        "too many names": keys.raw(
+            HEADER, b"{" + b",".join(b'"%d":1' % number for number in range(300)) + b"}"
+        ),
         "claims are a list": keys.raw(HEADER, b"[1]"),
-        "claims are no UTF-8": keys.raw(HEADER, b'{"sub":"\xff"}'),
-        "rubbish": b"%%%.%%%.%%%",
-        "padding": good + b"==",
-        "unused bits": head
+        "claims are not UTF-8": keys.raw(HEADER, b'{"sub":"\xff"}'),
+        "invalid base64url": b"%%%.%%%.%%%",
+        "padding": valid_token + b"==",
+        "unused bits are not 0": header
         + b"."
         + claims
         + b"."
         + signature[:-1]
         + (b"B" if signature[-1:] in b"AQgw" else bytes([signature[-1] + 1])),
-        "two parts": head + b"." + claims,
-        "five parts": good + b".a.b",
+        "two parts": header + b"." + claims,
+        "five parts": valid_token + b".a.b",
         "empty": b"",
-        "the wrong signature": forged(good),
-        "the signature of another": head + b"." + claims + b"." + keys.token(sub="farm-2").split(b".")[2],
-        "a short signature": head + b"." + claims + b"." + part(b"x"),
+        "invalid signature": forged(valid_token),
+        "signature of another token": header + b"." + claims + b"." + keys.token(sub="farm-2").split(b".")[2],
+        "short signature": header + b"." + claims + b"." + part(b"x"),
     }
 
 
--- a/tests/unit/identity/conftest.py
+++ b/tests/unit/identity/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for tests of identity."""
+"""Fixtures for the tests of authentication and authorization."""
 
 from __future__ import annotations
 
--- a/tests/unit/identity/test_authenticator.py
+++ b/tests/unit/identity/test_authenticator.py
@@ -1,4 +1,4 @@
-"""Authentication of tokens: times, keys, the cache and throttling."""
+"""Tests of token authentication: validity periods, keys, the cache and throttling."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "kind"),
+    ("changes", "expected_reason"),
     [
         ({"exp": time.time() - 31.0}, RejectionReason.EXPIRED),
         ({"exp": None}, RejectionReason.MALFORMED),
@@ -60,10 +60,12 @@
     ],
 )
 def test_signed_but_invalid_token_is_rejected(
-    keys: Keys, changes: dict[str, Any], kind: RejectionReason
+    keys: Keys, changes: dict[str, Any], expected_reason: RejectionReason
 ) -> None:
     authenticator = authenticator_of(keys, denied_subjects=("*-bad",))
-    assert reason(authenticator.authenticate_token(keys.token(**changes), "x", time.time())) is kind
+    assert (
+        reason(authenticator.authenticate_token(keys.token(**changes), "x", time.time())) is expected_reason
+    )
 
 
 def test_token_times_tolerate_clock_skew(keys: Keys) -> None:
@@ -74,20 +76,25 @@
     assert isinstance(authenticator.authenticate_token(token, "x", now + 109.0), Admitted)
     assert (
         reason(authenticator.authenticate_token(token, "x", now + 110.0)) is RejectionReason.EXPIRED
-    )  # although it is cached
+    )  # the token is rejected although it is cached
 
 
 def test_retired_key_is_rejected_at_once_despite_cache(keys: Keys) -> None:
-    """A cached token is accepted until the key's time ends, and rejected from then on."""
+    """A cached token must be accepted until its key expires, and rejected from then on."""
     authenticator, now = authenticator_of(keys), time.time()
-    token, fresh = keys.token(), keys.token(sub="farm-2")
+    token, uncached_token = keys.token(), keys.token(sub="farm-2")
     ring = keys.ring().retired("a", now + 5.0)
     authenticator.reconfigure(authenticator.settings, ring, now)
     assert isinstance(authenticator.authenticate_token(token, "x", now), Admitted)
     assert isinstance(authenticator.authenticate_token(token, "x", now + 4.9), Admitted)
-    for late in (5.0, 6.0):
-        assert reason(authenticator.authenticate_token(token, "x", now + late)) is RejectionReason.KEY_RETIRED
-        assert reason(authenticator.authenticate_token(fresh, "x", now + late)) is RejectionReason.KEY_RETIRED
+    for delay_s in (5.0, 6.0):
+        assert (
+            reason(authenticator.authenticate_token(token, "x", now + delay_s)) is RejectionReason.KEY_RETIRED
+        )
+        assert (
+            reason(authenticator.authenticate_token(uncached_token, "x", now + delay_s))
+            is RejectionReason.KEY_RETIRED
+        )
     key = ring.get("a")
     assert key is not None
     authenticator.reconfigure(
@@ -122,7 +129,7 @@
 
 def test_cache_is_bounded_and_may_be_disabled(keys: Keys) -> None:
     authenticator, now = authenticator_of(keys, cache_size=3), time.time()
-    tokens = [keys.token(sub=f"farm-{at}") for at in range(5)]
+    tokens = [keys.token(sub=f"farm-{index}") for index in range(5)]
     for token in tokens:
         authenticator.authenticate_token(token, "x", now)
     assert len(authenticator) == 3
@@ -130,29 +137,33 @@
     assert authenticator.signatures_verified == 5
     authenticator.authenticate_token(tokens[0], "x", now)
     assert authenticator.signatures_verified == 6
-    off = authenticator_of(keys, cache_size=0)
+    uncached = authenticator_of(keys, cache_size=0)
     for _ in range(2):
-        off.authenticate_token(tokens[0], "x", now)
-    assert (off.signatures_verified, len(off)) == (2, 0)
+        uncached.authenticate_token(tokens[0], "x", now)
+    assert (uncached.signatures_verified, len(uncached)) == (2, 0)
 
 
 def test_forged_tokens_are_throttled_and_valid_callers_are_not(keys: Keys) -> None:
     authenticator, now = authenticator_of(keys, suspect_checks_per_s=10.0), time.time()
-    good, bad = keys.token(), [forged(keys.token(sub=f"farm-{at}")) for at in range(400)]
-    assert isinstance(authenticator.authenticate_token(good, "bad", now), Admitted)
+    valid_token, forged_tokens = (
+        keys.token(),
+        [forged(keys.token(sub=f"farm-{index}")) for index in range(400)],
+    )
+    assert isinstance(authenticator.authenticate_token(valid_token, "bad", now), Admitted)
     throttled = 0
-    for at, token in enumerate(bad):
-        verdict = authenticator.authenticate_token(token, "bad", now + at * 0.001)
+    for index, token in enumerate(forged_tokens):
+        verdict = authenticator.authenticate_token(token, "bad", now + index * 0.001)
         assert not isinstance(verdict, Admitted)
         throttled += isinstance(verdict, Throttled)
     assert authenticator.signatures_verified <= 1 + 5 + authenticator_module.SUSPECT_CHECK_BURST + 10.0 * 0.4
     assert throttled == authenticator.counts["throttled"] > 350
-    before = authenticator.signatures_verified
-    # A new caller elsewhere is verified at once; a known one at the suspect address needs no verification.
+    verified_before = authenticator.signatures_verified
+    # A new caller at another address is verified at once. A known caller at the suspect address needs no
+    # verification, because its token is cached.
     assert isinstance(authenticator.authenticate_token(keys.token(sub="farm-9"), "good", now + 0.5), Admitted)
-    assert isinstance(authenticator.authenticate_token(good, "bad", now + 0.5), Admitted)
-    assert authenticator.signatures_verified == before + 1
-    # A new caller at the suspect address is throttled, but not rejected.
+    assert isinstance(authenticator.authenticate_token(valid_token, "bad", now + 0.5), Admitted)
+    assert authenticator.signatures_verified == verified_before + 1
+    # A new caller at the suspect address may be throttled, but must not be rejected.
     assert isinstance(
         authenticator.authenticate_token(keys.token(sub="farm-8"), "bad", now + 0.5), (Admitted, Throttled)
     )
@@ -161,18 +172,18 @@
 
 def test_valid_callers_at_address_of_forger_are_not_throttled(keys: Keys) -> None:
     authenticator, now = authenticator_of(keys, suspect_checks_per_s=0.001), time.time()
-    for at in range(120):
-        verdict = authenticator.authenticate_token(keys.token(sub=f"farm-{at}"), "shared", now)
+    for index in range(120):
+        verdict = authenticator.authenticate_token(keys.token(sub=f"farm-{index}"), "shared", now)
         assert isinstance(verdict, Admitted)
-        if at % 2:
+        if index % 2:
             assert reason(
-                authenticator.authenticate_token(forged(keys.token(sub=f"farm-{at}-x")), "shared", now)
+                authenticator.authenticate_token(forged(keys.token(sub=f"farm-{index}-x")), "shared", now)
             )
-    # Presenting one valid token repeatedly does not make up for forgeries.
-    good = keys.token()
-    for at in range(60):
-        authenticator.authenticate_token(good, "bad", now)
-        authenticator.authenticate_token(forged(keys.token(sub=f"farm-{at}-y")), "bad", now)
+    # Presenting one valid token repeatedly does not offset forged tokens.
+    valid_token = keys.token()
+    for index in range(60):
+        authenticator.authenticate_token(valid_token, "bad", now)
+        authenticator.authenticate_token(forged(keys.token(sub=f"farm-{index}-y")), "bad", now)
     assert (
         authenticator.counts["throttled"]
         >= 60 - 2 * suspect_addresses.SUSPECT_AFTER - authenticator_module.SUSPECT_CHECK_BURST
--- a/tests/unit/identity/test_rules.py
+++ b/tests/unit/identity/test_rules.py
@@ -1,4 +1,4 @@
-"""Rules that map credentials to callers."""
+"""Tests of the rules that map credentials to callers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def test_rules_are_evaluated_in_order() -> None:
-    it = identity(rule("mirrors", "mirror-*"), rule("farms"), rule("all", "*"))
+    settings = identity(rule("mirrors", "mirror-*"), rule("farms"), rule("all", "*"))
     claims = {"iss": ISSUER, "aud": ["x", AUDIENCE], "sub": "farm-7"}
-    steps = explain(it, claims)
-    assert [(step.rule.caller.name, step.mismatch) for step in steps] == [
-        ("mirrors", "subject 'farm-7' does not fit 'mirror-*'"),
+    evaluations = explain(settings, claims)
+    assert [(evaluation.rule.caller.name, evaluation.mismatch) for evaluation in evaluations] == [
+        ("mirrors", "subject 'farm-7' does not match 'mirror-*'"),
         ("farms", ""),
     ]
     assert "audience" in mismatch(TokenMatch(ISSUER, "else"), claims)
--- a/tests/unit/identity/test_suspect_addresses.py
+++ b/tests/unit/identity/test_suspect_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses that presented invalid signatures."""
+"""Tests of the record of addresses that presented invalid signatures."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 def test_suspect_addresses_are_bounded_and_forgotten(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(suspect_addresses, "MAX_ADDRESSES", 10)
     suspects = suspect_addresses.SuspectAddresses()
-    for at in range(100):
+    for index in range(100):
         for _ in range(suspect_addresses.SUSPECT_AFTER):
-            suspects.record_failure(str(at), 1.0)
-    assert sum(str(at) in suspects for at in range(100)) == 10
+            suspects.record_failure(str(index), 1.0)
+    assert sum(str(index) in suspects for index in range(100)) == 10
     suspects.forget_old(1.0 + suspect_addresses.MEMORY_S)
     assert "99" not in suspects
--- a/tests/unit/identity/test_tokens.py
+++ b/tests/unit/identity/test_tokens.py
@@ -1,4 +1,4 @@
-"""Parsing of tokens: hostile and arbitrary input."""
+"""Tests of token parsing with hostile and arbitrary input."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         parse_token(data)
 
 
-_json = st.recursive(
+_json_values = st.recursive(
     st.none() | st.booleans() | st.floats() | st.integers() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner, max_size=3),
     max_leaves=12,
@@ -44,8 +44,8 @@
 
 
 @given(
-    st.dictionaries(st.sampled_from(["alg", "kid", "crit", "typ"]), _json),
-    st.dictionaries(st.sampled_from(["iss", "aud", "sub", "exp", "nbf"]), _json),
+    st.dictionaries(st.sampled_from(["alg", "kid", "crit", "typ"]), _json_values),
+    st.dictionaries(st.sampled_from(["iss", "aud", "sub", "exp", "nbf"]), _json_values),
 )
 def test_arbitrary_objects_are_parsed_or_rejected(header: dict[str, Any], claims: dict[str, Any]) -> None:
     raw = part(json.dumps(header).encode()) + b"." + part(json.dumps(claims).encode()) + b".AAAA"
