--- a/ironmill/__init__.py
+++ b/ironmill/__init__.py
@@ -1,3 +1,3 @@
-"""ironmill: a proxy for long-lived TCP connections on real sockets."""
+"""ironmill: a proxy for long-lived TCP connections."""
 
 __version__ = "0.2.0"
--- a/ironmill/errors.py
+++ b/ironmill/errors.py
@@ -1,5 +1,5 @@
-"""The base class of the project's own exceptions."""
+"""The base class of the exceptions that ironmill defines."""
 
 
 class IronmillError(Exception):
-    """Base class of every exception that the project defines."""
+    """Base class of all exceptions that ironmill defines."""
--- a/ironmill/protocol/__init__.py
+++ b/ironmill/protocol/__init__.py
@@ -1,5 +1,5 @@
-"""State machines of the line protocol, of discovery's HTTP and of TLS: bytes in, typed events out.
+"""State machines for the line protocol, for HTTP to discovery and for TLS: bytes in, typed events out.
 
-It owns every word of these protocols on the wire; other packages see typed events and attributes. It knows
-neither sockets nor a clock, and may import ``balancing`` and ``runtime``.
+Only this package contains the keywords and field names of these protocols; other packages use typed events
+and attributes. It uses neither sockets nor a clock, and may import ``balancing`` and ``runtime``.
 """
--- a/ironmill/protocol/discovery.py
+++ b/ironmill/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""Messages of discovery: the endpoint list and its changes, parsed from JSON."""
+"""Responses of discovery: the endpoint list and changes to it, parsed from JSON."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ListedServer(Struct, frozen=True):
-    """One server as discovery lists it."""
+    """A server in the endpoint list."""
 
     uid: str
     host: str
@@ -20,20 +20,20 @@
     zone: str
     cell: int
     weight: float
-    started_at: float  # Unix time in seconds by another machine's clock; 0: long ago
+    started_at: float  # Unix time in seconds by another machine's clock; 0 if it started long ago
 
 
 class EndpointUpdate(Struct, frozen=True):
-    """One response of discovery: the complete endpoint list, or the changes since a revision."""
+    """A response of discovery: the complete endpoint list, or the changes since a revision."""
 
     revision: int
-    full: bool
+    full: bool  # whether the servers are the complete list
     servers: tuple[ListedServer, ...]
     age: float = 0.0  # seconds since discovery sent it
 
 
 def parse_endpoint_update(message: JsonObject) -> EndpointUpdate:
-    """Parses a response. Skips servers in an unknown state; raises ``MalformedError``."""
+    """Parses a response, without the servers in an unknown state. Raises ``MalformedError``."""
     servers = []
     for item in message.nested_list("targets"):
         stage = STAGES.get(item.text("state"))
@@ -57,5 +57,5 @@
 def _parse_endpoint(item: JsonObject) -> tuple[str, int]:
     host, _, port = item.text("endpoint").rpartition(":")
     if not host or not (port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536):
-        raise MalformedError(f"routing table: the endpoint of {item.text('uid')} is not HOST:PORT")
+        raise MalformedError(f"routing table: endpoint of server {item.text('uid')} is not HOST:PORT")
     return host, int(port)
--- a/ironmill/protocol/request.py
+++ b/ironmill/protocol/request.py
@@ -1,4 +1,4 @@
-"""The line that opens a connection, what it states about a request, and the reply that rejects one."""
+"""The request line that opens a connection, its attributes, and the reply that rejects a request."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ironmill.protocol.lines import LINE_END
 
 # Clients whose connection was open before this process started send 4,294,967 ms, the largest number of
-# microseconds in 32 bits; anything beyond a day is an error.
+# microseconds that fits in 32 bits. A deadline of more than a day is treated as an error.
 MAX_DEADLINE_MS = 86_400_000
 
 # Names of the request line's fields on the wire.
@@ -21,13 +21,13 @@
 
 
 class MalformedLineError(IronmillError):
-    """A request line that does not have the protocol's form."""
+    """Raised for a line that is not a valid request line."""
 
 
 class RequestLine(Struct, frozen=True):
     """A parsed request line."""
 
-    raw: bytes  # with the line's end
+    raw: bytes  # with the CRLF
     id: str
     key: str
     class_name: str
@@ -35,55 +35,57 @@
 
     @property
     def deadline_s(self) -> float | None:
-        """Seconds for which the client waits for its final answer; None if the line does not state it."""
+        """How many seconds the client waits for its final answer; None if the line does not state it."""
         deadline_ms = self.fields.get(_DEADLINE)
         return None if deadline_ms is None else int(deadline_ms) / 1000.0
 
     @property
     def resumes_at(self) -> str | None:
-        """The id of the server at which the connection was opened before this process started, if any."""
+        """The id of the server to which the connection was open before this process started, or None."""
         return self.fields.get(_SERVER)
 
     @property
     def may_have_early_data(self) -> bool:
-        """True if bytes of a connection that is already open at a server may follow before the answer."""
+        """True if data may precede the answer, because the connection is already open at a server."""
         return self.fields.get(_MID_STREAM) == "1" or _SERVER in self.fields
 
     def with_deadline(self, milliseconds: int) -> bytes:
-        """Returns the raw line with ``d`` replaced, if the line states one."""
-        head, space, listed = self.raw.rpartition(b" ")
-        return head + space + re.sub(rb"(^|,)d=[0-9]+", rb"\g<1>d=%d" % milliseconds, listed, count=1)
+        """Returns the raw line with the value of its field ``d`` replaced, if it has that field."""
+        head, space, field_list = self.raw.rpartition(b" ")
+        return head + space + re.sub(rb"(^|,)d=[0-9]+", rb"\g<1>d=%d" % milliseconds, field_list, count=1)
 
 
 class RequestAttributes(Struct, frozen=True):
-    """What a request line states beyond the class and the deadline."""
+    """The attributes of a request line other than the class and the deadline."""
 
     tenant: str = ""
     key: int | None = None
     group: int | None = None
-    load_hint: float = 0.0  # work per second on a standard core; 0: unknown
-    returning: bool = False  # the client reconnects after a break, a migration or a failed attempt
-    rerouted: bool = False  # packets of a connection that is open at a server
+    load_hint: float = 0.0  # work per second on a standard core; 0 if unknown
+    returning: bool = False  # the client reconnects after a disconnect, a migration or a failed attempt
+    rerouted: bool = False  # the request carries on a connection that is already open at a server
 
 
 def parse_request_line(line: bytes) -> RequestLine:
     """Parses ``OPEN ID KEY name=value,...``.
 
-    Raises ``MalformedLineError`` that names the broken rule, without any of the client's bytes: they may hold
-    a credential, and the text is logged.
+    Raises ``MalformedLineError``. Its message states the violated rule, and contains no bytes from the
+    client, because they may contain a credential and the message is logged.
     """
     try:
         parts = line.decode("ascii").split(" ")
     except UnicodeDecodeError:
-        raise MalformedLineError("the request line is not ASCII") from None
+        raise MalformedLineError("request line is not ASCII") from None
     if len(parts) != 4 or parts[0] != "OPEN" or not all(parts):
-        raise MalformedLineError("the request line is not OPEN ID KEY LIST")
+        raise MalformedLineError("request line is not of the form OPEN ID KEY name=value,...")
     fields = _parse_fields(parts[3])
     if _CLASS not in fields:
-        raise MalformedLineError("the request line has no class")
+        raise MalformedLineError("request line has no class (field c)")
     deadline = fields.get(_DEADLINE)
-    if deadline is not None and not _is_deadline(deadline):
-        raise MalformedLineError(f"d is not a number of milliseconds up to {MAX_DEADLINE_MS}")
+    if deadline is not None and not _is_valid_deadline(deadline):
+        raise MalformedLineError(
+            f"field d of the request line is not a number of milliseconds up to {MAX_DEADLINE_MS}"
+        )
     return RequestLine(line + LINE_END, parts[1], parts[2], fields[_CLASS], fields)
 
 
@@ -92,20 +94,20 @@
     for item in text.split(","):
         name, equals, value = item.partition("=")
         if not equals or not name:
-            raise MalformedLineError("the list of the request line holds an item that is not name=value")
+            raise MalformedLineError("request line has a field that is not of the form name=value")
         if name in fields:
-            # A server might read the first of two values where this proxy reads the last.
-            raise MalformedLineError("a name occurs twice in the list of the request line")
+            # A server might use the first of two values where this proxy uses the last.
+            raise MalformedLineError("request line has a duplicate field name")
         fields[name] = value
     return fields
 
 
-def _is_deadline(text: str) -> bool:
+def _is_valid_deadline(text: str) -> bool:
     return re.fullmatch(r"[0-9]{1,9}", text) is not None and int(text) <= MAX_DEADLINE_MS
 
 
 def parse_identifier(text: str | None) -> int | None:
-    """Converts a key or group to a number: hexadecimal as clients send it, a digest of any other text."""
+    """Converts a key or group to a number: parses a hexadecimal one, and hashes any other string."""
     if not text:
         return None
     try:
@@ -115,7 +117,7 @@
 
 
 def request_attributes(line: RequestLine) -> RequestAttributes:
-    """Returns the typed attributes of a request line; a load hint that is not a finite number counts as 0."""
+    """Returns the attributes of a request line. A load hint that is not a finite number counts as 0."""
     fields = line.fields
     try:
         hint = max(0.0, float(fields.get(_LOAD_HINT, "0")))
@@ -132,6 +134,6 @@
 
 
 def busy_line(retry_after_s: float) -> bytes:
-    """Returns the reply ``BUSY``: a retry is harmless, after so many seconds where the number is positive."""
+    """Returns the reply ``BUSY``, with the delay after which the client may retry if it is positive."""
     milliseconds = math.ceil(retry_after_s * 1000.0)
     return b"BUSY %d\r\n" % milliseconds if milliseconds > 0 else b"BUSY\r\n"
--- a/ironmill/protocol/server.py
+++ b/ironmill/protocol/server.py
@@ -1,4 +1,7 @@
-"""The server's side of an attempt and of a health check as state machines: bytes in, typed events out."""
+"""State machines for the connection to a server, of an attempt and of a health check.
+
+They turn the bytes that the server sends into typed events.
+"""
 
 from __future__ import annotations
 
@@ -13,31 +16,36 @@
 
 LoadReport = tuple[tuple[str, float], ...]
 
-# The first word of an answer other than UP, and of a line that ends an established connection.
-_REJECTIONS = {b"BUSY": Outcome.FULL, b"ERR": Outcome.ERROR, b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}
-_FAREWELLS = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED, b"ERR": Outcome.ERROR}
+# Outcomes by the first word of an answer other than UP, and of a line that ends an established connection.
+_ANSWER_OUTCOMES = {
+    b"BUSY": Outcome.FULL,
+    b"ERR": Outcome.ERROR,
+    b"BYE": Outcome.OK,
+    b"MOVE": Outcome.CANCELLED,
+}
+_END_OUTCOMES = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED, b"ERR": Outcome.ERROR}
 
 
 class AttemptEstablished(Struct, frozen=True):
     """The server accepted the connection."""
 
-    line: bytes  # the server's line, with its end; it goes to the client unchanged
-    following: bytes  # received behind it; to be fed again once the client has the line
+    line: bytes  # the server's answer with its CRLF, to be forwarded to the client unchanged
+    following: bytes  # bytes received after it, to be passed to receive once the client has the line
 
 
 class AttemptRejected(Struct, frozen=True):
-    """The server gave another answer than ``UP``."""
+    """The server sent an answer other than ``UP``."""
 
     outcome: Outcome
-    line: bytes  # with its end
+    line: bytes  # with the CRLF
 
 
 class ServerDataReceived(Struct, frozen=True):
-    """Bytes to forward to the client."""
+    """The server sent bytes to forward to the client."""
 
     data: bytes
-    answers: int  # lines among them that answer one of the client's
-    loads: tuple[float, ...]  # the values of LOAD lines among them
+    answers: int  # the number of lines among them that answer a line of the client
+    loads: tuple[float, ...]  # the values of the LOAD lines among them
 
 
 AttemptEvent: TypeAlias = AttemptEstablished | AttemptRejected | ServerDataReceived
@@ -54,7 +62,7 @@
 
 
 def parse_load_report(text: bytes) -> LoadReport:
-    """Parses the load report at the end of a line; empty where there is none or it is malformed."""
+    """Parses the load report at the end of a line. Returns an empty one if it is absent or malformed."""
     pairs = []
     for item in text.decode("ascii", "replace").split(","):
         name, equals, value = item.partition("=")
@@ -68,16 +76,16 @@
 
 
 class HealthCheckProtocol:
-    """One request for a load report and its reply; the connection may then serve the next."""
+    """One request for a load report and its reply. The connection may be reused for the next health check."""
 
     REQUEST = b"STATS" + LINE_END
 
     def __init__(self) -> None:
-        """Expects the reply to one ``REQUEST``."""
+        """Creates a state machine that expects the reply to one ``REQUEST``."""
         self._lines = LineReader()
 
     def receive(self, data: bytes) -> tuple[Outcome, LoadReport] | None:
-        """Returns the reply once it is complete, else None."""
+        """Returns the outcome and the load report once the reply is complete, else None."""
         try:
             lines = self._lines.feed(data)
         except LineTooLongError:
@@ -89,39 +97,39 @@
 
 
 class AttemptProtocol:
-    """Tracks what one attempt has written and parses what its server sends."""
+    """Tracks the bytes that one attempt has written, and parses the bytes that its server sends."""
 
-    __slots__ = ("_farewell", "_lines", "_received", "established", "report", "state", "unwritten")
+    __slots__ = ("_end_outcome", "_lines", "_received", "established", "report", "state", "unwritten")
 
     def __init__(self, request_line: bytes) -> None:
-        """``request_line`` is what the attempt writes, with the line's end."""
+        """Creates the state machine of a new attempt, which writes ``request_line`` with its CRLF."""
         self.state = AttemptState.CONNECTING
         self.unwritten = request_line
         self.report: LoadReport = ()
-        self.established = False  # stays true once the connection has ended
-        self._received = b""  # until the answer is complete
+        self.established = False  # stays True after the connection has ended
+        self._received = b""  # bytes received before the answer was complete
         self._lines = LineReader()
-        self._farewell = Outcome.RESET  # the outcome if the connection ended now
+        self._end_outcome = Outcome.RESET  # the outcome if the established connection ended now
 
     @property
     def at_line_boundary(self) -> bool:
-        """True if what was forwarded to the client ends with a complete line."""
+        """True if the bytes forwarded to the client end with a complete line."""
         return self._lines.at_line_boundary
 
     def connected(self) -> bytes:
-        """Records that the connection is up; returns the bytes to write."""
+        """Records that the connection to the server was opened. Returns the bytes to write."""
         self.state = AttemptState.SENDING_REQUEST
         return self.unwritten
 
     def wrote(self, count: int) -> bytes:
-        """Records that so many bytes were written; returns the bytes left to write."""
+        """Records that ``count`` bytes were written. Returns the bytes that remain to be written."""
         self.unwritten = self.unwritten[count:]
         if not self.unwritten:
             self.state = AttemptState.AWAITING_ANSWER
         return self.unwritten
 
     def receive(self, data: bytes) -> list[AttemptEvent]:
-        """Returns the events that bytes from the server cause; none once the attempt is closed."""
+        """Returns the events that bytes from the server cause, or none once the attempt is closed."""
         if self.state is AttemptState.ESTABLISHED:
             return [self._receive_data(data)]
         if self.state is AttemptState.CLOSED:
@@ -129,21 +137,21 @@
         return self._receive_answer(data)
 
     def end_of_stream(self) -> Outcome:
-        """Records that the connection ended, broke or never came up; returns the attempt's outcome."""
-        before = self.state
+        """Records that the connection ended, failed or could not be opened. Returns the attempt's outcome."""
+        previous_state = self.state
         self.state = AttemptState.CLOSED
-        if before in (AttemptState.CONNECTING, AttemptState.SENDING_REQUEST):
+        if previous_state in (AttemptState.CONNECTING, AttemptState.SENDING_REQUEST):
             return Outcome.CONNECT_FAILED
-        return self._farewell if before is AttemptState.ESTABLISHED else Outcome.RESET
+        return self._end_outcome if previous_state is AttemptState.ESTABLISHED else Outcome.RESET
 
     def time_out(self) -> Outcome:
-        """Records that the proxy stopped waiting; returns the attempt's outcome.
+        """Records that the attempt timed out. Returns its outcome.
 
-        An attempt whose request line was not completely written cannot have run.
+        The server cannot have executed an attempt whose request line was not completely written.
         """
-        before = self.state
+        previous_state = self.state
         self.state = AttemptState.CLOSED
-        if before in (AttemptState.CONNECTING, AttemptState.SENDING_REQUEST):
+        if previous_state in (AttemptState.CONNECTING, AttemptState.SENDING_REQUEST):
             return Outcome.CONNECT_FAILED
         return Outcome.TIMEOUT
 
@@ -159,7 +167,7 @@
         keyword, _, rest = line.partition(b" ")
         if keyword != b"UP":
             self.report = parse_load_report(rest)
-            return [self._reject(_REJECTIONS.get(keyword, Outcome.ERROR), line)]
+            return [self._reject(_ANSWER_OUTCOMES.get(keyword, Outcome.ERROR), line)]
         self.state = AttemptState.ESTABLISHED
         self.established = True
         length = len(line) + len(LINE_END)
@@ -177,11 +185,11 @@
         loads = []
         for line in self._lines.feed(data):
             keyword, _, rest = line.partition(b" ")
-            self._farewell = _FAREWELLS.get(keyword, Outcome.RESET)
+            self._end_outcome = _END_OUTCOMES.get(keyword, Outcome.RESET)
             if keyword == b"LOAD":
-                with contextlib.suppress(ValueError):  # the line is forwarded in any case
+                with contextlib.suppress(ValueError):  # the line is forwarded even if its value is malformed
                     loads.append(float(rest))
-            elif keyword in _FAREWELLS:
+            elif keyword in _END_OUTCOMES:
                 self.report = parse_load_report(rest)
             else:
                 answers += 1
--- a/tests/unit/protocol/test_protocol.py
+++ b/tests/unit/protocol/test_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol's state machines against models, with arbitrary segmentation of the bytes."""
+"""Tests of the protocol state machines against models, with arbitrary segmentation of the bytes."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
     parse_load_report,
 )
 
-FIRST = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59\r\n"
+REQUEST_LINE = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59\r\n"
 PIECES = st.lists(st.sampled_from([b"", b"a", b"\r", b"\n", b"\r\n", b"hey\r\n", b"BYE"]), max_size=9)
 
 
 @given(PIECES)
 def test_lines_do_not_depend_on_segmentation(pieces: list[bytes]) -> None:
-    lines, whole = LineReader(), b"".join(pieces)
-    out = [line for piece in pieces for line in lines.feed(piece)]
-    assert out == whole.split(b"\r\n")[:-1]
-    assert lines.at_line_boundary == (whole.endswith(b"\r\n") or not whole)
+    reader, stream = LineReader(), b"".join(pieces)
+    lines = [line for piece in pieces for line in reader.feed(piece)]
+    assert lines == stream.split(b"\r\n")[:-1]
+    assert reader.at_line_boundary == (stream.endswith(b"\r\n") or not stream)
 
 
 def test_strict_reader_rejects_a_line_longer_than_the_limit() -> None:
@@ -53,48 +53,48 @@
 
 
 def test_lenient_reader_truncates_a_line_longer_than_the_limit() -> None:
-    lines = LineReader(strict=False)
-    assert lines.feed(b"y" * MAX_LINE_BYTES * 3) == []
-    assert lines.feed(b"y\r") == []
-    assert not lines.at_line_boundary
-    (line, then) = lines.feed(b"\nnext\r\n")
-    assert len(line) <= MAX_LINE_BYTES
-    assert (then, lines.at_line_boundary) == (b"next", True)
+    reader = LineReader(strict=False)
+    assert reader.feed(b"y" * MAX_LINE_BYTES * 3) == []
+    assert reader.feed(b"y\r") == []
+    assert not reader.at_line_boundary
+    (long_line, next_line) = reader.feed(b"\nnext\r\n")
+    assert len(long_line) <= MAX_LINE_BYTES
+    assert (next_line, reader.at_line_boundary) == (b"next", True)
 
 
 class ClientMachine(RuleBasedStateMachine):
-    """A model of a client's connection: its data is forwarded once, in order, and never before UP."""
+    """A model of a client connection: data is forwarded exactly once, in order, and never before ``UP``."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.side = ClientProtocol()
+        self.protocol = ClientProtocol()
         self.state = ClientState.AWAITING_REQUEST
         self.sent = self.forwarded = b""
-        self.mid = False
+        self.may_have_early_data = False
 
     @initialize(pings=st.integers(0, 3), cut=st.integers(0, 90), early=PIECES, mid=st.booleans())
     def open(self, pings: int, cut: int, early: list[bytes], mid: bool) -> None:
-        self.mid = mid
+        self.may_have_early_data = mid
         self.sent = b"".join(early)
-        first = FIRST.replace(b",d=", b",mid=1,d=") if mid else FIRST
-        data = b"PING\r\n" * pings + first + self.sent
-        events = self.side.receive(data[:cut]) + self.side.receive(data[cut:])
+        request_line = REQUEST_LINE.replace(b",d=", b",mid=1,d=") if mid else REQUEST_LINE
+        data = b"PING\r\n" * pings + request_line + self.sent
+        events = self.protocol.receive(data[:cut]) + self.protocol.receive(data[cut:])
         if self.sent and not mid:
             assert isinstance(events[-1], ProtocolViolated)
             self.state = ClientState.CLOSED
             return
         assert [type(event) for event in events] == [PingReceived] * pings + [RequestReceived]
         assert isinstance(events[-1], RequestReceived)
-        assert events[-1].line.raw == first
+        assert events[-1].line.raw == request_line
         self.state = ClientState.AWAITING_ANSWER
 
     @rule(data=st.sampled_from([b"one\r\n", b"tw", b"o\r\n"]))
     def send(self, data: bytes) -> None:
-        events = self.side.receive(data)
+        events = self.protocol.receive(data)
         if self.state is ClientState.CLOSED:
             assert events == []
             return
-        if self.state is ClientState.AWAITING_ANSWER and not self.mid:
+        if self.state is ClientState.AWAITING_ANSWER and not self.may_have_early_data:
             assert [type(event) for event in events] == [ProtocolViolated]
             self.state = ClientState.CLOSED
             return
@@ -106,7 +106,7 @@
     @precondition(lambda self: self.state is ClientState.AWAITING_ANSWER)
     @rule()
     def establish(self) -> None:
-        self.forwarded += self.side.establish().data
+        self.forwarded += self.protocol.establish().data
         self.state = ClientState.ESTABLISHED
 
     @rule()
@@ -115,19 +115,19 @@
             ClientState.AWAITING_ANSWER: [ClientClosed()],
             ClientState.ESTABLISHED: [ClientHalfClosed()],
         }
-        assert self.side.end_of_stream() == expected.get(self.state, [])
+        assert self.protocol.end_of_stream() == expected.get(self.state, [])
         if self.state is not ClientState.ESTABLISHED:
             self.state = ClientState.CLOSED
 
     @precondition(lambda self: self.state is ClientState.ESTABLISHED)
     @rule()
     def close(self) -> None:
-        self.side.close()
+        self.protocol.close()
         self.state = ClientState.CLOSED
 
     @invariant()
     def agrees(self) -> None:
-        assert self.side.state is self.state
+        assert self.protocol.state is self.state
         if self.state is ClientState.ESTABLISHED:
             assert self.forwarded == self.sent
         elif self.state is ClientState.AWAITING_ANSWER:
@@ -138,87 +138,89 @@
 
 
 class AttemptMachine(RuleBasedStateMachine):
-    """A model of an attempt: the outcome states correctly whether it can have run."""
+    """A model of an attempt: the outcome states correctly whether the server can have executed it."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.side = AttemptProtocol(FIRST)
-        self.left = len(FIRST)
+        self.protocol = AttemptProtocol(REQUEST_LINE)
+        self.unwritten_bytes = len(REQUEST_LINE)
         self.state = AttemptState.CONNECTING
-        self.expected = Outcome.RESET  # at the end of an established connection
+        self.expected_outcome = Outcome.RESET  # the outcome if the established connection ended now
 
     @precondition(lambda self: self.state is AttemptState.CONNECTING)
     @rule()
     def connect(self) -> None:
-        assert self.side.connected() == FIRST
+        assert self.protocol.connected() == REQUEST_LINE
         self.state = AttemptState.SENDING_REQUEST
 
     @precondition(lambda self: self.state is AttemptState.SENDING_REQUEST)
     @rule(count=st.integers(1, 80))
     def write(self, count: int) -> None:
-        self.left -= min(count, self.left)
-        assert len(self.side.wrote(min(count, len(self.side.unwritten)))) == self.left
-        if self.left == 0:
+        self.unwritten_bytes -= min(count, self.unwritten_bytes)
+        assert len(self.protocol.wrote(min(count, len(self.protocol.unwritten)))) == self.unwritten_bytes
+        if self.unwritten_bytes == 0:
             self.state = AttemptState.AWAITING_ANSWER
 
     @precondition(lambda self: self.state is AttemptState.AWAITING_ANSWER)
     @rule(answer=st.sampled_from(["UP r1", "BUSY", "BUSY inflight=7", "ERR", "BYE", "MOVE", "SYNTAX", "NO"]))
     def answer(self, answer: str) -> None:
         line = answer.encode() + b"\r\n"
-        assert self.side.receive(line[:2]) == []
-        (event,) = self.side.receive(line[2:] + b"later")
+        assert self.protocol.receive(line[:2]) == []
+        (event,) = self.protocol.receive(line[2:] + b"later")
         if answer.startswith("UP"):
             assert event == AttemptEstablished(line, b"later")
-            assert self.side.receive(event.following) == [ServerDataReceived(b"later", 0, ())]
-            assert self.side.receive(b"\r\n") == [ServerDataReceived(b"\r\n", 1, ())]
+            assert self.protocol.receive(event.following) == [ServerDataReceived(b"later", 0, ())]
+            assert self.protocol.receive(b"\r\n") == [ServerDataReceived(b"\r\n", 1, ())]
             self.state = AttemptState.ESTABLISHED
         else:
             outcomes = {"BUSY": Outcome.FULL, "BYE": Outcome.OK, "MOVE": Outcome.CANCELLED}
             assert event == AttemptRejected(outcomes.get(answer.split(" ")[0], Outcome.ERROR), line)
-            assert self.side.report == ((("inflight", 7.0),) if "=" in answer else ())
+            assert self.protocol.report == ((("inflight", 7.0),) if "=" in answer else ())
             self.state = AttemptState.CLOSED
 
     @precondition(lambda self: self.state is AttemptState.ESTABLISHED)
     @rule(line=st.sampled_from([b"hey", b"LOAD 4.5", b"LOAD x", b"BYE", b"MOVE", b"BYE util=0.5"]))
     def relay(self, line: bytes) -> None:
         loads = (4.5,) if line == b"LOAD 4.5" else ()
-        assert self.side.receive(line + b"\r\n") == [
+        assert self.protocol.receive(line + b"\r\n") == [
             ServerDataReceived(line + b"\r\n", int(line == b"hey"), loads)
         ]
-        assert self.side.at_line_boundary
-        self.expected = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}.get(line.split()[0], Outcome.RESET)
+        assert self.protocol.at_line_boundary
+        self.expected_outcome = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}.get(
+            line.split()[0], Outcome.RESET
+        )
 
     @precondition(lambda self: self.state is not AttemptState.CLOSED)
     @rule(times_out=st.booleans())
     def end(self, times_out: bool) -> None:
         times_out = times_out and self.state is not AttemptState.ESTABLISHED
-        outcome = self.side.time_out() if times_out else self.side.end_of_stream()
+        outcome = self.protocol.time_out() if times_out else self.protocol.end_of_stream()
         if self.state in (AttemptState.CONNECTING, AttemptState.SENDING_REQUEST):
             assert outcome is Outcome.CONNECT_FAILED
         elif self.state is AttemptState.ESTABLISHED:
-            assert outcome is self.expected
+            assert outcome is self.expected_outcome
         else:
             assert outcome is (Outcome.TIMEOUT if times_out else Outcome.RESET)
         self.state = AttemptState.CLOSED
 
     @precondition(lambda self: self.state is AttemptState.CLOSED)
     @rule()
-    def late_bytes(self) -> None:
-        assert self.side.receive(b"UP r1\r\n") == []
+    def receive_after_close(self) -> None:
+        assert self.protocol.receive(b"UP r1\r\n") == []
 
     @invariant()
     def agrees(self) -> None:
-        assert self.side.state is self.state
-        # An attempt may only be reported as never run while its last byte is unwritten.
-        assert (self.side.unwritten == b"") == (self.left == 0)
+        assert self.protocol.state is self.state
+        # An attempt may be reported as not executed only while its last byte is unwritten.
+        assert (self.protocol.unwritten == b"") == (self.unwritten_bytes == 0)
 
 
 TestAttempt = AttemptMachine.TestCase
 
 
 def test_with_deadline_rewrites_only_d() -> None:
-    first = parse_request_line(FIRST[:-2])
-    assert first.with_deadline(75) == FIRST.replace(b"d=2000", b"d=75")
+    request_line = parse_request_line(REQUEST_LINE[:-2])
+    assert request_line.with_deadline(75) == REQUEST_LINE.replace(b"d=2000", b"d=75")
     assert (
         parse_request_line(b"OPEN d=1 d=2 c=x,bad=3,d=4").with_deadline(9)
         == b"OPEN d=1 d=2 c=x,bad=3,d=9\r\n"
@@ -236,10 +238,10 @@
         "returning": True,
         "rerouted": True,
     }
-    plain = request_attributes(parse_request_line(b"OPEN i odd-key c=x,h=nan"))
-    assert isinstance(plain.key, int)
-    assert (plain.tenant, plain.group, plain.load_hint) == ("", None, 0.0)
-    assert not plain.returning and not plain.rerouted
+    minimal = request_attributes(parse_request_line(b"OPEN i odd-key c=x,h=nan"))
+    assert isinstance(minimal.key, int)
+    assert (minimal.tenant, minimal.group, minimal.load_hint) == ("", None, 0.0)
+    assert not minimal.returning and not minimal.rerouted
     assert request_attributes(parse_request_line(b"OPEN i 2b c=x,again=1")).returning
 
 
@@ -263,17 +265,17 @@
     ],
 )
 def test_rejects_malformed_request_line(line: bytes) -> None:
-    side = ClientProtocol()
-    (event,) = side.receive(line + b"\r\n" + FIRST)
+    protocol = ClientProtocol()
+    (event,) = protocol.receive(line + b"\r\n" + REQUEST_LINE)
     assert isinstance(event, ProtocolViolated)
-    assert side.receive(FIRST) == []
+    assert protocol.receive(REQUEST_LINE) == []
 
 
 def test_early_data_is_bounded() -> None:
-    side = ClientProtocol()
-    side.receive(FIRST.replace(b",d=", b",mid=1,d="))
-    assert side.receive(b"x" * MAX_EARLY_BYTES) == []
-    assert [type(event) for event in side.receive(b"x")] == [ProtocolViolated]
+    protocol = ClientProtocol()
+    protocol.receive(REQUEST_LINE.replace(b",d=", b",mid=1,d="))
+    assert protocol.receive(b"x" * MAX_EARLY_BYTES) == []
+    assert [type(event) for event in protocol.receive(b"x")] == [ProtocolViolated]
 
 
 def test_malformed_load_report_is_empty() -> None:
@@ -296,10 +298,16 @@
 
 
 @given(st.lists(st.sampled_from(RESPONSES), max_size=4), st.integers(1, 40))
-def test_responses_do_not_depend_on_segmentation(parts: list[tuple[bytes, object]], size: int) -> None:
-    data, parser = b"".join(raw for raw, _ in parts), ResponseParser()
-    out = [r for at in range(0, len(data), size) for r in parser.feed(data[at : at + size])]
-    assert [(r.status, r.body, r.keep_alive) for r in out] == [meaning for _, meaning in parts]
+def test_responses_do_not_depend_on_segmentation(responses: list[tuple[bytes, object]], size: int) -> None:
+    data, parser = b"".join(raw for raw, _ in responses), ResponseParser()
+    parsed = [
+        response
+        for start in range(0, len(data), size)
+        for response in parser.feed(data[start : start + size])
+    ]
+    assert [(response.status, response.body, response.keep_alive) for response in parsed] == [
+        expected for _, expected in responses
+    ]
 
 
 def test_response_without_a_length_ends_with_the_connection() -> None:
--- a/tests/unit/simulator/test_simulator.py
+++ b/tests/unit/simulator/test_simulator.py
@@ -153,9 +153,9 @@
         (("rules", "coldFrom"), "much", "rules.coldFrom is not a number"),
         (("ceilings",), 7, "ceilings is not an object"),
         (("categories",), {}, "categories is not a list"),
-        (("categories", 0, "effect"), 7, "effect is not a text"),
-        (("categories", 0, "group"), [], "group is not a text"),
-        (("discovery",), True, "discovery is not a text"),
+        (("categories", 0, "effect"), 7, "effect is not a string"),
+        (("categories", 0, "group"), [], "group is not a string"),
+        (("discovery",), True, "discovery is not a string"),
     ],
 )
 def test_invalid_settings_name_key(path: tuple[Any, ...], value: object, reason: str) -> None:
