--- a/tests/support/tls.py
+++ b/tests/support/tls.py
@@ -1,4 +1,4 @@
-"""Proxies under test that speak TLS to their clients or to their servers."""
+"""Proxies under test that use TLS to their clients or to their servers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class TlsProxyUnderTest(ProxyUnderTest):
-    """A proxy that speaks TLS to its clients."""
+    """A proxy that uses TLS to its clients."""
 
     def __init__(self, authority: Authority, callers: IdentitySettings | None = None, **changes: Any) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
         return stream
 
     def established_tls_pair(self, *certificate: str) -> tuple[TlsStream, Stream]:
-        """Returns a TLS client whose connection is established, and the server's side of it."""
+        """Returns a TLS client whose connection is established, and the server's end of the attempt."""
         client = self.tls_client(*certificate)
         client.send(OPEN.replace(b"1a", b"%x" % random.getrandbits(60)))
         attempt = self.next_attempt()
@@ -80,12 +80,12 @@
 
 
 def wait_until_released(proxy: ProxyUnderTest) -> None:
-    """Waits until the proxy has neither requests nor descriptors of clients."""
+    """Waits until the proxy has no requests and no open client connections."""
     proxy.wait_until(lambda: not proxy.gateway.request_count() and proxy.connection_limiter.used() == 0)
 
 
 class UpstreamTlsProxyUnderTest(ProxyUnderTest):
-    """A proxy whose servers speak TLS, and which checks that their certificate is for ``name``."""
+    """A proxy whose servers use TLS, and which verifies that their certificate is for ``name``."""
 
     def __init__(self, authority: Authority, name: str) -> None:
         super().__init__()
@@ -93,10 +93,10 @@
         for listener in self.listeners:
             listener._make_stream = lambda scheduler, sock: TlsStream.for_server(scheduler, sock, context)
         upstream = upstream_tls(UpstreamTls(str(authority.path)))
-        self.connects = 0
+        self.connect_count = 0
 
         def dial(address: tuple[str, int], timeout: float) -> Stream:
-            self.connects += 1
+            self.connect_count += 1
             stream = Stream.connect(self.scheduler, address, timeout)
             return TlsStream.wrap(self.scheduler, stream, upstream, name)
 
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers on loopback sockets, with a proxy process, and by an operator's commands."""
+"""Tests of callers on loopback sockets, with a proxy process, and with the operator's commands."""
 
 from __future__ import annotations
 
@@ -57,8 +57,8 @@
 def establish(proxy: ProxyUnderTest, token: bytes) -> tuple[Stream, Stream]:
     client = proxy.client(auth(token) + OPEN.replace(b"1a", b"%x" % random.getrandbits(60)))
     attempt = proxy.next_attempt()
-    first = read_line(attempt)
-    assert first.startswith(b"OPEN ")  # the credential is not forwarded
+    request_line = read_line(attempt)
+    assert request_line.startswith(b"OPEN ")  # the credential is not forwarded
     attempt.send(b"UP r1\r\n")
     assert read_line(client) == b"UP r1\r\n"
     return client, attempt
@@ -68,8 +68,8 @@
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
-        for at in range(len(line := auth(keys.token()) + OPEN)):
-            client.send(line[at : at + 1])
+        for index in range(len(data := auth(keys.token()) + OPEN)):
+            client.send(data[index : index + 1])
         attempt = proxy.next_attempt()
         assert read_line(attempt).startswith(b"OPEN 1a 2b c=read,")
         attempt.send(b"UP r1\r\nhey\r\n")
@@ -104,11 +104,14 @@
 
 def test_anonymous_caller_has_own_tenant_and_rights(keys: Keys) -> None:
     anonymous = Caller("stranger", "strangers", Rights(frozenset({"read"}), max_connections=1))
-    events: list[Any] = []
+    balancer_events: list[Any] = []
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        inner = proxy.gateway._balancer.handle
-        proxy.gateway._balancer.handle = lambda event, now: (events.append(event), inner(event, now))[1]
+        handle = proxy.gateway._balancer.handle
+        proxy.gateway._balancer.handle = lambda event, now: (
+            balancer_events.append(event),
+            handle(event, now),
+        )[1]
         first = proxy.client(OPEN)
         attempt = proxy.next_attempt()
         read_line(attempt)
@@ -120,7 +123,7 @@
         proxy.wait_until(lambda: not proxy.gateway.request_count())
         client, _ = establish(proxy, keys.token())
         client.close()
-        tenants = [event.tenant for event in events if type(event).__name__ == "Request"]
+        tenants = [event.tenant for event in balancer_events if type(event).__name__ == "Request"]
         assert tenants == ["strangers", "tenant-farms"]
 
     proxy_with_identity(identity(anonymous=anonymous), keys.ring()).run(scenario)
@@ -135,48 +138,48 @@
     proxy_with_identity(identity(rule(classes=frozenset({"write"}))), keys.ring()).run(scenario)
 
 
-@pytest.mark.parametrize("within", [None, 0.05])
-def test_connections_of_retired_key_stay_or_migrate(keys: Keys, within: float | None) -> None:
+@pytest.mark.parametrize("period_s", [None, 0.05])
+def test_connections_of_retired_key_stay_or_migrate(keys: Keys, period_s: float | None) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         assert proxy.callers is not None
         connections = [establish(proxy, keys.token(kid)) for kid in "aabab"]
         proxy.callers.reconfigure(
-            identity(migrate_within_s=within), keys.ring().retired("a", time.time() - 1.0)
+            identity(migrate_within_s=period_s), keys.ring().retired("a", time.time() - 1.0)
         )
         assert answer(proxy, auth(keys.token("a")) + OPEN) == b"ERR\r\n"
-        if within is not None:
-            for at in (0, 1, 3):
-                assert read_line(connections[at][0]) == b"MOVE\r\n"
+        if period_s is not None:
+            for index in (0, 1, 3):
+                assert read_line(connections[index][0]) == b"MOVE\r\n"
             proxy.wait_until(lambda: len(proxy.gateway.established()) == 2)
         proxy.scheduler.sleep(0.1)
-        for at in range(5) if within is None else (2, 4):
-            client, attempt = connections[at]
+        for index in range(5) if period_s is None else (2, 4):
+            client, attempt = connections[index]
             client.send(b"hey\r\n")
             assert read_line(attempt) == b"hey\r\n"
 
-    proxy_with_identity(identity(migrate_within_s=within), keys.ring()).run(scenario)
+    proxy_with_identity(identity(migrate_within_s=period_s), keys.ring()).run(scenario)
 
 
 def test_incomplete_ring_file_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     keys, timers = Keys(tmp_path), FakeTimers(monkeypatch)
-    taken: list[KeyRing] = []
-    watch = KeyRingWatcher(timers, str(keys.path), taken.append)
-    watch.start()
+    received_rings: list[KeyRing] = []
+    watcher = KeyRingWatcher(timers, str(keys.path), received_rings.append)
+    watcher.start()
     data = keys.path.read_bytes()
-    for cut in (data[:50], b"", data[:-9]):
-        keys.path.write_bytes(cut)
+    for incomplete in (data[:50], b"", data[:-9]):
+        keys.path.write_bytes(incomplete)
         timers.run(1.0)
     keys.path.unlink()
     timers.run(1.0)
-    assert taken == []
+    assert received_rings == []
     assert {record.getMessage() for record in caplog.records} == {"key ring rejected"}
     keys.path.write_bytes(data)
     timers.run(1.0)
-    assert [key.kid for key in taken[0]] == ["a", "b"]
+    assert [key.kid for key in received_rings[0]] == ["a", "b"]
     timers.run(5.0)
-    assert len(taken) == 1
+    assert len(received_rings) == 1
 
 
 SETTINGS = f"""<ironmill xmlns="urn:ironmill:settings:1">
@@ -199,20 +202,20 @@
         config = proxy_config(
             "p", ("127.0.0.1", free_port()), dependencies.discovery, 4096, platform_settings()
         )
-        more = [f"--settings={self.settings}"]
-        self.proxy = ProxyProcess(write_config(folder, config), folder, options=more)
+        command_options = [f"--settings={self.settings}"]
+        self.proxy = ProxyProcess(write_config(folder, config), folder, options=command_options)
         self.scheduler = Scheduler()
-        self.answers: Counter[tuple[str, str]] = Counter()
+        self.answers: Counter[tuple[str, str]] = Counter()  # by kind of client and first word
 
-    def open(self, kind: str, token: bytes, at: float = 0.0) -> str:
-        """Opens a connection at that time. Returns the first word of the answer, empty for none."""
-        self.scheduler.sleep(at)
+    def open(self, kind: str, token: bytes, delay_s: float = 0.0) -> str:
+        """Opens a connection after a delay. Returns the first word of the answer, or an empty string."""
+        self.scheduler.sleep(delay_s)
         client = Client(self.scheduler, self.proxy.address)
         try:
             client.open(token=token)
             word = "UP"
-            # There is only one answer: the next line is the reply. But a probe may be established just when
-            # its key retires, and is then migrated.
+            # The proxy sends only one answer, so the next line is the server's reply. A probe may also be
+            # established at the moment when its key is retired, and is then migrated.
             assert client.exchange(b"line") in ((b"line", b"MOVE") if kind == "probe" else (b"line",))
         except NotServedError as error:
             word = str(error).partition(" ")[0]
@@ -222,49 +225,55 @@
 
 
 def test_key_rotation_while_clients_reconnect(tmp_path: Path) -> None:
-    """No valid caller is rejected, no forged one admitted, and each gets one answer."""
+    """No valid caller may be rejected, no invalid one admitted, and each must get exactly one answer."""
     keys = Keys(tmp_path)
     rng = random.Random(4)
     now = time.time()
     with Dependencies(tmp_path, 3) as dependencies:
-        it = ProxyWithClients(tmp_path, dependencies)
-        with it.proxy:
-            it.proxy.wait_ready()
-            bad = {
+        clients = ProxyWithClients(tmp_path, dependencies)
+        with clients.proxy:
+            clients.proxy.wait_ready()
+            invalid_tokens = {
                 "expired": lambda kid: keys.token(kid, exp=now - 60.0),
                 "early": lambda kid: keys.token(kid, nbf=now + 3600.0),
                 "forged": lambda kid: forged(keys.token(kid, sub=f"farm-{rng.random()}")),
                 "audience": lambda kid: keys.token(kid, aud="other"),
             }
 
-            def reconnect(count: int, good: str, more: dict[str, Any]) -> None:
-                kinds = [*more, *["good"] * 4]
-                for at in range(count):
-                    kind = kinds[at % len(kinds)]
-                    kid = rng.choice(good)
-                    token = keys.token(kid, sub=f"farm-{at}") if kind == "good" else more[kind](kid)
-                    it.scheduler.spawn(it.open, kind, token, 0.2 + 1.2 * rng.random())
+            def reconnect(count: int, valid_kids: str, invalid: dict[str, Any]) -> None:
+                kinds = [*invalid, *["good"] * 4]
+                for index in range(count):
+                    kind = kinds[index % len(kinds)]
+                    kid = rng.choice(valid_kids)
+                    token = keys.token(kid, sub=f"farm-{index}") if kind == "good" else invalid[kind](kid)
+                    clients.scheduler.spawn(clients.open, kind, token, 0.2 + 1.2 * rng.random())
 
             def scenario() -> None:
-                reconnect(160, "ab", bad)
-                it.scheduler.sleep(0.7)
+                reconnect(160, "ab", invalid_tokens)
+                clients.scheduler.sleep(0.7)
                 keys.write(keys.ring().promoted("b", time.time(), 3600.0))
-                while sum(it.answers.values()) < 160:
-                    it.scheduler.sleep(0.02)
+                while sum(clients.answers.values()) < 160:
+                    clients.scheduler.sleep(0.02)
                 keys.write(keys.ring().retired("a", time.time()))
-                while it.open("probe", keys.token("a")) == "UP":
-                    it.scheduler.sleep(0.02)
-                reconnect(160, "b", bad | {"retired": lambda _: keys.token("a", sub=f"farm-{rng.random()}")})
-                while sum(n for (kind, _), n in it.answers.items() if kind != "probe") < 320:
-                    it.scheduler.sleep(0.02)
-
-            run_scenario(it.scheduler, scenario, 90.0)
-            assert it.proxy.end() == 0
-        log = it.proxy.log.read_text()
-    answers = {kind: {word for (of, word) in it.answers if of == kind} for kind, _ in it.answers}
+                while clients.open("probe", keys.token("a")) == "UP":
+                    clients.scheduler.sleep(0.02)
+                reconnect(
+                    160,
+                    "b",
+                    invalid_tokens | {"retired": lambda _: keys.token("a", sub=f"farm-{rng.random()}")},
+                )
+                while sum(count for (kind, _), count in clients.answers.items() if kind != "probe") < 320:
+                    clients.scheduler.sleep(0.02)
+
+            run_scenario(clients.scheduler, scenario, 90.0)
+            assert clients.proxy.end() == 0
+        log = clients.proxy.log.read_text()
+    answers = {
+        kind: {word for (other, word) in clients.answers if other == kind} for kind, _ in clients.answers
+    }
     assert answers.pop("probe") <= {"UP", "ERR"}
     assert answers.pop("good") == {"UP"}
-    assert answers == {key: {"ERR"} for key in [*bad, "retired"]}
+    assert answers == {invalid_kind: {"ERR"} for invalid_kind in [*invalid_tokens, "retired"]}
     events = [orjson.loads(line) for line in log.splitlines()]
     kinds = {event["kind"] for event in events if event["event"] == "credential rejected"}
     assert {"expired", "not yet valid", "signature", "no caller"} <= kinds
@@ -273,73 +282,73 @@
 
 
 def test_flood_of_forged_tokens_does_not_delay_valid_callers(keys: Keys) -> None:
-    """Forgeries are verified within their budget, and no valid caller is rejected or throttled."""
-    words: Counter[tuple[str, str]] = Counter()
+    """Forged tokens are verified within their budget, and no valid caller is rejected or throttled."""
+    answers: Counter[tuple[str, str]] = Counter()  # by kind of client and first word
 
     def scenario(proxy: ProxyUnderTest) -> None:
         assert proxy.callers is not None
-        forgeries = [forged(keys.token(sub=f"farm-{at}")) for at in range(200)]
+        forged_tokens = [forged(keys.token(sub=f"farm-{index}")) for index in range(200)]
 
         def flood() -> None:
-            for token in forgeries:
+            for token in forged_tokens:
                 client = Stream.connect(proxy.scheduler, proxy.listener.address, 5.0, "127.0.0.9")
                 client.send(auth(token) + OPEN)
-                words["forged", read_line(client)[:4].decode().strip()] += 1
+                answers["forged", read_line(client)[:4].decode().strip()] += 1
                 client.close()
 
         proxy.scheduler.spawn(flood)
-        for at in range(30):
-            client, attempt = establish(proxy, keys.token(sub=f"farm-{at}"))
-            words["good", "UP"] += 1
+        for index in range(30):
+            client, attempt = establish(proxy, keys.token(sub=f"farm-{index}"))
+            answers["good", "UP"] += 1
             client.close()
             attempt.close()
-        proxy.wait_until(lambda: sum(words.values()) == 230)
-        # Each valid token costs a signature; of the forged ones only the budget was verified.
-        allowed = SUSPECT_AFTER + SUSPECT_CHECK_BURST + 1
-        assert 30 < proxy.callers.authenticator.signatures_verified <= 30 + allowed
-        assert words["forged", "BUSY"] == proxy.callers.counts()["throttled"] >= 200 - allowed
+        proxy.wait_until(lambda: sum(answers.values()) == 230)
+        # Each valid token requires a signature check; the forged ones are limited by the budget.
+        check_budget = SUSPECT_AFTER + SUSPECT_CHECK_BURST + 1
+        assert 30 < proxy.callers.authenticator.signatures_verified <= 30 + check_budget
+        assert answers["forged", "BUSY"] == proxy.callers.counts()["throttled"] >= 200 - check_budget
 
     proxy_with_identity(identity(suspect_checks_per_s=0.001), keys.ring()).run(scenario)
-    assert {word for kind, word in words if kind == "forged"} == {"ERR", "BUSY"}
+    assert {word for kind, word in answers if kind == "forged"} == {"ERR", "BUSY"}
 
 
 def test_settings_reload_under_load_and_invalid_file_changes_nothing(tmp_path: Path) -> None:
-    """Five reloads, one of an invalid file; each applies to all callers or to none."""
+    """Five reloads, one of an invalid file. Each must take effect completely or not at all."""
     keys = Keys(tmp_path)
     with Dependencies(tmp_path, 2) as dependencies:
-        it = ProxyWithClients(tmp_path, dependencies)
-        with it.proxy:
-            it.proxy.wait_ready()
+        clients = ProxyWithClients(tmp_path, dependencies)
+        with clients.proxy:
+            clients.proxy.wait_ready()
 
             def scenario() -> None:
-                ending = False
+                stopping = False
 
                 def load() -> None:
-                    while not ending:
-                        it.open("load", keys.token(sub="farm-load"))
+                    while not stopping:
+                        clients.open("load", keys.token(sub="farm-load"))
 
                 for _ in range(4):
-                    it.scheduler.spawn(load)
-                narrow = SETTINGS.replace("farm-*", "farm-load")
-                denied = SETTINGS.replace("<caller", '<deny subject="farm-1"/><caller')
+                    clients.scheduler.spawn(load)
+                load_caller_only = SETTINGS.replace("farm-*", "farm-load")
+                with_denial = SETTINGS.replace("<caller", '<deny subject="farm-1"/><caller')
                 for text, word in (
-                    (narrow, "ERR"),
+                    (load_caller_only, "ERR"),
                     (SETTINGS, "UP"),
                     ("<ironmill", "UP"),
-                    (denied, "ERR"),
+                    (with_denial, "ERR"),
                     (SETTINGS, "UP"),
                 ):
-                    it.settings.write_text(text)
-                    os.kill(it.proxy.popen.pid, signal.SIGHUP)
-                    it.scheduler.sleep(0.2)
-                    while it.open("one", keys.token()) != word:
-                        it.scheduler.sleep(0.02)
-                ending = True
-
-            run_scenario(it.scheduler, scenario, 60.0)
-            assert it.proxy.end() == 0
-        log = it.proxy.log.read_text()
-    assert {word for kind, word in it.answers if kind == "load"} == {"UP"}
+                    clients.settings.write_text(text)
+                    os.kill(clients.proxy.popen.pid, signal.SIGHUP)
+                    clients.scheduler.sleep(0.2)
+                    while clients.open("one", keys.token()) != word:
+                        clients.scheduler.sleep(0.02)
+                stopping = True
+
+            run_scenario(clients.scheduler, scenario, 60.0)
+            assert clients.proxy.end() == 0
+        log = clients.proxy.log.read_text()
+    assert {word for kind, word in clients.answers if kind == "load"} == {"UP"}
     assert log.count("the old configuration stays in use") == 1
 
 
@@ -353,15 +362,15 @@
         out, err = capsys.readouterr()
         return status, out, err
 
-    issue = ["token", "issue", "farm-1", *store, "--audience", AUDIENCE, "--issuer", ISSUER]
+    issue_command = ["token", "issue", "farm-1", *store, "--audience", AUDIENCE, "--issuer", ISSUER]
     assert run("keys", "new", "../x", *store)[0] == 2
     assert run("keys", "new", "k1", *store, "--algorithm=HS256")[0] == 2
     assert run("keys", "new", "k1", *store)[0] == 0
     assert "there is a key 'k1' already" in run("keys", "new", "k1", *store)[2]
-    assert "no key is signing" in run(*issue)[2]
+    assert "no key is signing" in run(*issue_command)[2]
     assert run("keys", "promote", "k1", *store, "--overlap=soon")[0] == 2
     assert run("keys", "promote", "k1", *store)[0] == 0
-    token = run(*issue)[1].strip()
+    token = run(*issue_command)[1].strip()
     assert orjson.loads(run("token", "inspect", token)[1])["claims"]["sub"] == "farm-1"
     assert run("token", "inspect", "a.b.c")[0] == 2
     settings = tmp_path / "settings.xml"
@@ -372,7 +381,7 @@
     assert explained[0] == "line 4, caller farms: matches"
     assert explained[1].startswith("admitted by key k1: caller farms of tenant community, all classes")
     (tmp_path / "k1.pem").chmod(0o640)
-    assert "others may read it; it must be 0600" in run(*issue)[2]
+    assert "others may read it; it must be 0600" in run(*issue_command)[2]
     (tmp_path / "k1.pem").chmod(0o600)
     assert "let another key sign first" in run("keys", "retire", "k1", *store)[2]
     assert run("keys", "new", "k2", *store, "--algorithm=ES256")[0] == 0
@@ -385,12 +394,12 @@
 
 
 def test_identity_is_not_imported_without_settings() -> None:
-    code = (
+    program = (
         "import sys, ironmill.cli\n"
         "heavy = ('lxml', 'structlog', 'cryptography', 'jwt', 'ironmill.identity', "
         "'ironmill.identity.callers', 'ironmill.configuration.settings', 'ironmill.commands', "
         "'ironmill_testbed')\n"
         "print([name for name in heavy if name in sys.modules])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
--- a/tests/system/test_tls_certificates.py
+++ b/tests/system/test_tls_certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of TLS connections: the callers they identify, denials, replacement and unusable files."""
+"""Tests of TLS certificates: the callers that they identify, denials, replacement and unusable files."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 def certificates_by_name(
     authority: Authority, tmp_path_factory: pytest.TempPathFactory
 ) -> dict[str, tuple[str, str]]:
-    other = Authority(tmp_path_factory.mktemp("other"), "other")
+    other_authority = Authority(tmp_path_factory.mktemp("other"), "other")
     return {
         "good": authority.certificate("good", "a.farm.example"),
         "expired": authority.certificate("expired", "a.farm.example", until=NOW - DAY / 2),
@@ -46,7 +46,7 @@
         "denied": authority.certificate("denied", "c.farm.example"),
         "nobody": authority.certificate("nobody", "a.example"),
         "nameless": authority.certificate("nameless"),
-        "foreign": other.certificate("foreign", "a.farm.example"),
+        "foreign": other_authority.certificate("foreign", "a.farm.example"),
     }
 
 
@@ -80,7 +80,7 @@
         for name, pair in certificates_by_name.items():
             received[name] = answer_to(proxy, pair)
         counts = proxy.callers.counts()
-        assert [counts[f"rejected {it}"] for it in ("denied", "no caller", "malformed")] == [1, 1, 1]
+        assert [counts[f"rejected {reason}"] for reason in ("denied", "no caller", "malformed")] == [1, 1, 1]
         wait_until_released(proxy)
 
     TlsProxyUnderTest(
@@ -111,13 +111,13 @@
         assert proxy.callers is not None
         denied, _ = proxy.established_tls_pair(*certificates_by_name["denied"])
         good, attempt = proxy.established_tls_pair(*certificates_by_name["good"])
-        without = IdentitySettings(
+        with_denial = IdentitySettings(
             "",
             CALLER_RULES,
             migrate_within_s=0.05,
             denied_fingerprints=frozenset({fingerprint(certificates_by_name["denied"][0])}),
         )
-        proxy.callers.reconfigure(without, KeyRing())
+        proxy.callers.reconfigure(with_denial, KeyRing())
         assert read_line(denied) == b"MOVE\r\n"
         good.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
@@ -128,7 +128,7 @@
 
 def test_session_is_resumed_until_the_certificate_is_replaced(authority: Authority) -> None:
     context = authority.client()
-    context.maximum_version = ssl.TLSVersion.TLSv1_2  # its session exists once the handshake is done
+    context.maximum_version = ssl.TLSVersion.TLSv1_2  # its session exists once the handshake is complete
 
     def connect(
         proxy: TlsProxyUnderTest, session: ssl.SSLSession | None
@@ -144,33 +144,33 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         assert isinstance(proxy, TlsProxyUnderTest)
-        first, session = connect(proxy, None)
-        second, session = connect(proxy, session)
+        resumed_first, session = connect(proxy, None)
+        resumed_second, session = connect(proxy, session)
         authority.certificate("server", "localhost")
         proxy.context = server_tls(settings(authority)).context
-        third, _ = connect(proxy, session)
-        assert (first, second, third) == (False, True, False)
+        resumed_third, _ = connect(proxy, session)
+        assert (resumed_first, resumed_second, resumed_third) == (False, True, False)
 
     TlsProxyUnderTest(authority).run(scenario)
 
 
 def test_unusable_tls_files_are_rejected(authority: Authority, tmp_path: Path) -> None:
     server_tls(settings(authority))
-    rubbish = tmp_path / "rubbish.pem"
-    rubbish.write_text("rubbish")
-    rubbish.chmod(0o600)
-    open_key = tmp_path / "open.key"
-    open_key.write_bytes((authority.folder / "server.key").read_bytes())
-    open_key.chmod(0o644)
+    invalid_file = tmp_path / "rubbish.pem"
+    invalid_file.write_text("rubbish")
+    invalid_file.chmod(0o600)
+    readable_key = tmp_path / "open.key"
+    readable_key.write_bytes((authority.folder / "server.key").read_bytes())
+    readable_key.chmod(0o644)
     optional = {"clients": "optional", "authorities": str(authority.path)}
-    for changes, wrong in (
+    for changes, message in (
         ({"certificate": str(tmp_path / "none")}, "cannot be read"),
-        ({"key": str(rubbish)}, "is no certificate"),
-        ({"key": str(open_key)}, "it must be 0600"),
-        (optional | {"authorities": str(rubbish)}, "holds nothing"),
-        (optional | {"crl": str(rubbish)}, "holds nothing"),
+        ({"key": str(invalid_file)}, "is no certificate"),
+        ({"key": str(readable_key)}, "it must be 0600"),
+        (optional | {"authorities": str(invalid_file)}, "holds nothing"),
+        (optional | {"crl": str(invalid_file)}, "holds nothing"),
     ):
-        with pytest.raises(MalformedError, match=wrong):
+        with pytest.raises(MalformedError, match=message):
             server_tls(settings(authority, **changes))
 
 
@@ -206,21 +206,21 @@
         stream = connect()
         client.stream = stream
         client.open()
-        first = stream.peer_certificate()
-        certificates.write_all(tmp_path)  # also by another authority
+        first_certificate = stream.peer_certificate()
+        certificates.write_all(tmp_path)  # replaces the authority too
         proxy.popen.send_signal(signal.SIGHUP)
         while True:
             try:
-                later = connect()
+                later_stream = connect()
             except OSError:
-                scheduler.sleep(0.02)  # the old certificate is in use, which the new authority did not sign
+                scheduler.sleep(0.02)  # the old certificate, not signed by the new authority, is still in use
                 continue
-            assert later.peer_certificate() != first
-            later.close()
+            assert later_stream.peer_certificate() != first_certificate
+            later_stream.close()
             break
         assert client.exchange(b"hey") == b"hey"
         client.close()
-        # The plain listener still serves, but identifies no caller.
+        # The listener without TLS still accepts clients, but rejects those without a credential.
         with pytest.raises(NotServedError, match="ERR"):
             Client(scheduler, proxy.address).open()
 
@@ -228,8 +228,8 @@
         config = proxy_config(
             "p", ("127.0.0.1", free_port()), dependencies.discovery, 1024, platform_settings()
         )
-        more = [f"--settings={tmp_path / 'settings.xml'}"]
-        with ProxyProcess(write_config(tmp_path, config), tmp_path, options=more) as proxy:
+        command_options = [f"--settings={tmp_path / 'settings.xml'}"]
+        with ProxyProcess(write_config(tmp_path, config), tmp_path, options=command_options) as proxy:
             proxy.wait_ready()
             run_scenario(scheduler, lambda: scenario(proxy), 30.0)
             arguments = (f"127.0.0.1:{port}", "", "index-sync", str(tmp_path / "authority.pem"))
