--- a/ironmill/identity/callers.py
+++ b/ironmill/identity/callers.py
@@ -1,7 +1,7 @@
-"""Callers with open connections: authentication, authorization, and migration when a credential ends.
+"""Callers with open connections: authentication, authorization, and migration of connections.
 
 This module performs no I/O. The driver of each client connection calls its own ``CallerSession``, and is told
-to migrate the connection once its credential is no longer valid. The settings and the key ring are replaced
+to migrate the connection when its credential is no longer valid. The settings and the key ring are replaced
 together.
 """
 
--- a/ironmill/identity/rules.py
+++ b/ironmill/identity/rules.py
@@ -88,7 +88,7 @@
     denied_fingerprints: frozenset[str] = frozenset()  # of certificates
     anonymous: Caller | None = None  # the caller without a credential; None: a credential is required
     clock_skew_s: float = 30.0
-    migrate_within_s: float | None = None  # None: connections stay open when their credential ends
+    migrate_within_s: float | None = None  # None: connections stay open when a credential becomes invalid
     cache_size: int = 8192  # verified tokens
     suspect_checks_per_s: float = 50.0  # signature checks for all suspect addresses together
     distributed_denials: Denials = NO_DENIALS  # from the distributed configuration, not the settings file
--- a/ironmill/identity/sessions.py
+++ b/ironmill/identity/sessions.py
@@ -28,9 +28,8 @@
 class CallerSession:
     """The caller of one client connection.
 
-    The methods that decide about the client return None if it may continue. Otherwise the driver must reject
-    the client. The returned number is the seconds after which the client may retry, ``RETRY_NEVER`` if its
-    credential was rejected.
+    The methods that decide on the client return None if it may continue. Otherwise the driver must reject it,
+    and they return the seconds after which it may retry, or ``RETRY_NEVER`` if its credential was rejected.
     """
 
     __slots__ = ("_address", "_admitted", "_callers", "_driver", "_is_counted", "_settings_snapshot")
--- a/ironmill/protocol/request.py
+++ b/ironmill/protocol/request.py
@@ -63,7 +63,7 @@
     group: int | None = None
     load_hint: float = 0.0  # work per second on a standard core; 0 if unknown
     returning: bool = False  # the client reconnects after a disconnect, a migration or a failed attempt
-    rerouted: bool = False  # the request carries on a connection that is already open at a server
+    rerouted: bool = False  # the request continues a connection that is already open at a server
 
 
 def parse_request_line(line: bytes) -> RequestLine:
--- a/ironmill/protocol/server.py
+++ b/ironmill/protocol/server.py
@@ -1,7 +1,4 @@
-"""State machines for the connection to a server, of an attempt and of a health check.
-
-They turn the bytes that the server sends into typed events.
-"""
+"""State machines for connections to servers, for attempts and health checks: bytes in, typed events out."""
 
 from __future__ import annotations
 
--- a/tests/support/identity.py
+++ b/tests/support/identity.py
@@ -20,7 +20,7 @@
 HEADER = b'{"alg":"EdDSA","kid":"a"}'
 
 
-def part(data: bytes) -> bytes:
+def encode_part(data: bytes) -> bytes:
     return base64.urlsafe_b64encode(data).rstrip(b"=")
 
 
@@ -44,8 +44,8 @@
 
     def raw(self, header: bytes, claims: bytes, kid: str = "a") -> bytes:
         """Returns a token with an arbitrary header and claims and a valid signature."""
-        signing_input = part(header) + b"." + part(claims)
-        return signing_input + b"." + part(self._private_keys[kid].sign(signing_input))
+        signing_input = encode_part(header) + b"." + encode_part(claims)
+        return signing_input + b"." + encode_part(self._private_keys[kid].sign(signing_input))
 
 
 def forged(token: bytes) -> bytes:
@@ -68,7 +68,7 @@
     return Authenticator(identity(**changes), keys.ring(), time.time())
 
 
-def reason(verdict: object) -> RejectionReason:
+def rejection_reason(verdict: object) -> RejectionReason:
     assert isinstance(verdict, Rejected), verdict
     return verdict.reason
 
@@ -79,13 +79,13 @@
     pem = public.public_bytes(serialization.Encoding.PEM, serialization.PublicFormat.SubjectPublicKeyInfo)
     valid_token = keys.token()
     header, claims, signature = valid_token.split(b".")
-    hs256 = part(b'{"alg":"HS256","kid":"a"}') + b"." + claims
+    hs256 = encode_part(b'{"alg":"HS256","kid":"a"}') + b"." + claims
     return {
-        "none": part(b'{"alg":"none","kid":"a"}') + b"." + claims + b".",
-        "none, signed": part(b'{"alg":"none","kid":"a"}') + b"." + claims + b"." + signature,
+        "none": encode_part(b'{"alg":"none","kid":"a"}') + b"." + claims + b".",
+        "none, signed": encode_part(b'{"alg":"none","kid":"a"}') + b"." + claims + b"." + signature,
         "HS256 signed with the public key": hs256
         + b"."
-        + part(jwt.algorithms.HMACAlgorithm(jwt.algorithms.HMACAlgorithm.SHA256).sign(hs256, pem)),
+        + encode_part(jwt.algorithms.HMACAlgorithm(jwt.algorithms.HMACAlgorithm.SHA256).sign(hs256, pem)),
         "algorithm of another key": keys.raw(b'{"alg":"ES256","kid":"a"}', CLAIMS),
         "kid is a path": keys.raw(b'{"alg":"EdDSA","kid":"../../a"}', CLAIMS),
         "kid is long": keys.raw(b'{"alg":"EdDSA","kid":"' + b"a" * 1_000_000 + b'"}', CLAIMS),
@@ -119,7 +119,7 @@
         "empty": b"",
         "invalid signature": forged(valid_token),
         "signature of another token": header + b"." + claims + b"." + keys.token(sub="farm-2").split(b".")[2],
-        "short signature": header + b"." + claims + b"." + part(b"x"),
+        "short signature": header + b"." + claims + b"." + encode_part(b"x"),
     }
 
 
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -43,11 +43,11 @@
     return proxy
 
 
-def auth(token: bytes) -> bytes:
+def auth_line(token: bytes) -> bytes:
     return b"AUTH " + token + b"\r\n"
 
 
-def answer(proxy: ProxyUnderTest, *pieces: bytes) -> bytes:
+def first_answer_line(proxy: ProxyUnderTest, *pieces: bytes) -> bytes:
     client = proxy.client(*pieces)
     line = read_line(client)
     client.close()
@@ -55,7 +55,7 @@
 
 
 def establish(proxy: ProxyUnderTest, token: bytes) -> tuple[Stream, Stream]:
-    client = proxy.client(auth(token) + OPEN.replace(b"1a", b"%x" % random.getrandbits(60)))
+    client = proxy.client(auth_line(token) + OPEN.replace(b"1a", b"%x" % random.getrandbits(60)))
     attempt = proxy.next_attempt()
     request_line = read_line(attempt)
     assert request_line.startswith(b"OPEN ")  # the credential is not forwarded
@@ -68,7 +68,7 @@
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(b"PING\r\n")
         assert read_line(client) == b"PONG\r\n"
-        for index in range(len(data := auth(keys.token()) + OPEN)):
+        for index in range(len(data := auth_line(keys.token()) + OPEN)):
             client.send(data[index : index + 1])
         attempt = proxy.next_attempt()
         assert read_line(attempt).startswith(b"OPEN 1a 2b c=read,")
@@ -84,14 +84,16 @@
 def test_invalid_credential_gets_one_answer_and_no_attempt(keys: Keys) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         assert proxy.callers is not None
-        assert answer(proxy, OPEN) == b"ERR\r\n"
+        assert first_answer_line(proxy, OPEN) == b"ERR\r\n"
         for name, token in hostile_tokens(keys).items():
             if len(token) < 4000:
-                assert answer(proxy, auth(token) + OPEN) == b"ERR\r\n", name
-        assert answer(proxy, auth(keys.token(exp=1)), OPEN) == b"ERR\r\n"
-        assert answer(proxy, auth(keys.token()) + auth(keys.token()) + OPEN) == b"ERR\r\n"
-        assert answer(proxy, b"AUTH \r\n" + OPEN) == b"ERR\r\n"
-        assert answer(proxy, b"AUTH " + b"x" * 5000) == b"ERR\r\n"
+                assert first_answer_line(proxy, auth_line(token) + OPEN) == b"ERR\r\n", name
+        assert first_answer_line(proxy, auth_line(keys.token(exp=1)), OPEN) == b"ERR\r\n"
+        assert (
+            first_answer_line(proxy, auth_line(keys.token()) + auth_line(keys.token()) + OPEN) == b"ERR\r\n"
+        )
+        assert first_answer_line(proxy, b"AUTH \r\n" + OPEN) == b"ERR\r\n"
+        assert first_answer_line(proxy, b"AUTH " + b"x" * 5000) == b"ERR\r\n"
         assert proxy.arrived == []
         assert proxy.gateway.counts.get("attempts", 0) == 0
         counts = proxy.callers.counts()
@@ -117,7 +119,7 @@
         read_line(attempt)
         attempt.send(b"UP r1\r\n")
         assert read_line(first) == b"UP r1\r\n"
-        assert answer(proxy, OPEN.replace(b"1a", b"1b")).startswith(b"BUSY 1000")
+        assert first_answer_line(proxy, OPEN.replace(b"1a", b"1b")).startswith(b"BUSY 1000")
         first.close()
         assert attempt.receive(5.0) == b""
         proxy.wait_until(lambda: not proxy.gateway.request_count())
@@ -132,7 +134,7 @@
 def test_class_without_right_is_rejected(keys: Keys) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         assert proxy.callers is not None
-        assert answer(proxy, auth(keys.token()) + OPEN) == b"ERR\r\n"
+        assert first_answer_line(proxy, auth_line(keys.token()) + OPEN) == b"ERR\r\n"
         assert proxy.callers.counts()["rejected class not allowed"] == 1
 
     proxy_with_identity(identity(rule(classes=frozenset({"write"}))), keys.ring()).run(scenario)
@@ -146,7 +148,7 @@
         proxy.callers.reconfigure(
             identity(migrate_within_s=period_s), keys.ring().retired("a", time.time() - 1.0)
         )
-        assert answer(proxy, auth(keys.token("a")) + OPEN) == b"ERR\r\n"
+        assert first_answer_line(proxy, auth_line(keys.token("a")) + OPEN) == b"ERR\r\n"
         if period_s is not None:
             for index in (0, 1, 3):
                 assert read_line(connections[index][0]) == b"MOVE\r\n"
@@ -292,7 +294,7 @@
         def flood() -> None:
             for token in forged_tokens:
                 client = Stream.connect(proxy.scheduler, proxy.listener.address, 5.0, "127.0.0.9")
-                client.send(auth(token) + OPEN)
+                client.send(auth_line(token) + OPEN)
                 answers["forged", read_line(client)[:4].decode().strip()] += 1
                 client.close()
 
--- a/tests/unit/identity/test_authenticator.py
+++ b/tests/unit/identity/test_authenticator.py
@@ -19,7 +19,7 @@
     authenticator_of,
     forged,
     identity,
-    reason,
+    rejection_reason,
 )
 
 
@@ -64,18 +64,22 @@
 ) -> None:
     authenticator = authenticator_of(keys, denied_subjects=("*-bad",))
     assert (
-        reason(authenticator.authenticate_token(keys.token(**changes), "x", time.time())) is expected_reason
+        rejection_reason(authenticator.authenticate_token(keys.token(**changes), "x", time.time()))
+        is expected_reason
     )
 
 
 def test_token_times_tolerate_clock_skew(keys: Keys) -> None:
     authenticator, now = authenticator_of(keys, clock_skew_s=10.0), time.time()
     token = keys.token(exp=now + 100.0, nbf=now + 50.0)
-    assert reason(authenticator.authenticate_token(token, "x", now + 39.0)) is RejectionReason.NOT_YET_VALID
+    assert (
+        rejection_reason(authenticator.authenticate_token(token, "x", now + 39.0))
+        is RejectionReason.NOT_YET_VALID
+    )
     assert isinstance(authenticator.authenticate_token(token, "x", now + 41.0), Admitted)
     assert isinstance(authenticator.authenticate_token(token, "x", now + 109.0), Admitted)
     assert (
-        reason(authenticator.authenticate_token(token, "x", now + 110.0)) is RejectionReason.EXPIRED
+        rejection_reason(authenticator.authenticate_token(token, "x", now + 110.0)) is RejectionReason.EXPIRED
     )  # the token is rejected although it is cached
 
 
@@ -89,10 +93,11 @@
     assert isinstance(authenticator.authenticate_token(token, "x", now + 4.9), Admitted)
     for delay_s in (5.0, 6.0):
         assert (
-            reason(authenticator.authenticate_token(token, "x", now + delay_s)) is RejectionReason.KEY_RETIRED
+            rejection_reason(authenticator.authenticate_token(token, "x", now + delay_s))
+            is RejectionReason.KEY_RETIRED
         )
         assert (
-            reason(authenticator.authenticate_token(uncached_token, "x", now + delay_s))
+            rejection_reason(authenticator.authenticate_token(uncached_token, "x", now + delay_s))
             is RejectionReason.KEY_RETIRED
         )
     key = ring.get("a")
@@ -100,9 +105,9 @@
     authenticator.reconfigure(
         authenticator.settings, ring.with_key(replace(key, state=KeyState.RETIRED, valid_until=None)), now
     )
-    assert reason(authenticator.authenticate_token(token, "x", now)) is RejectionReason.KEY_RETIRED
+    assert rejection_reason(authenticator.authenticate_token(token, "x", now)) is RejectionReason.KEY_RETIRED
     authenticator.reconfigure(authenticator.settings, KeyRing(), now)
-    assert reason(authenticator.authenticate_token(token, "x", now)) is RejectionReason.UNKNOWN_KEY
+    assert rejection_reason(authenticator.authenticate_token(token, "x", now)) is RejectionReason.UNKNOWN_KEY
 
 
 def test_coming_key_is_valid_from_its_time(keys: Keys) -> None:
@@ -112,7 +117,7 @@
     ring = keys.ring().with_key(replace(key, valid_from=now + 100.0))
     authenticator = Authenticator(identity(clock_skew_s=10.0), ring, now)
     assert (
-        reason(authenticator.authenticate_token(keys.token("b"), "x", now + 89.0))
+        rejection_reason(authenticator.authenticate_token(keys.token("b"), "x", now + 89.0))
         is RejectionReason.KEY_NOT_YET_VALID
     )
     assert isinstance(authenticator.authenticate_token(keys.token("b"), "x", now + 91.0), Admitted)
@@ -123,7 +128,7 @@
     token = keys.token()
     assert isinstance(authenticator.authenticate_token(token, "x", now), Admitted)
     authenticator.reconfigure(authenticator.settings, Keys(tmp_path).ring(), now)
-    assert reason(authenticator.authenticate_token(token, "x", now)) is RejectionReason.SIGNATURE
+    assert rejection_reason(authenticator.authenticate_token(token, "x", now)) is RejectionReason.SIGNATURE
     assert len(authenticator) == 0
 
 
@@ -176,7 +181,7 @@
         verdict = authenticator.authenticate_token(keys.token(sub=f"farm-{index}"), "shared", now)
         assert isinstance(verdict, Admitted)
         if index % 2:
-            assert reason(
+            assert rejection_reason(
                 authenticator.authenticate_token(forged(keys.token(sub=f"farm-{index}-x")), "shared", now)
             )
     # Presenting one valid token repeatedly does not offset forged tokens.
--- a/tests/unit/identity/test_tokens.py
+++ b/tests/unit/identity/test_tokens.py
@@ -16,8 +16,8 @@
 from tests.support.identity import (
     Keys,
     authenticator_of,
+    encode_part,
     hostile_tokens,
-    part,
 )
 
 
@@ -48,7 +48,9 @@
     st.dictionaries(st.sampled_from(["iss", "aud", "sub", "exp", "nbf"]), _json_values),
 )
 def test_arbitrary_objects_are_parsed_or_rejected(header: dict[str, Any], claims: dict[str, Any]) -> None:
-    raw = part(json.dumps(header).encode()) + b"." + part(json.dumps(claims).encode()) + b".AAAA"
+    raw = (
+        encode_part(json.dumps(header).encode()) + b"." + encode_part(json.dumps(claims).encode()) + b".AAAA"
+    )
     try:
         token = parse_token(raw)
     except CredentialError:
