--- a/ironmill/identity/callers.py
+++ b/ironmill/identity/callers.py
@@ -213,4 +213,4 @@
     if admitted.certificate is not None:
         return admitted.certificate.fingerprint in denials.fingerprints
     subject = None if admitted.token is None else admitted.token.claims.get("sub")
-    return isinstance(subject, str) and denials.deny_subject(subject)
+    return isinstance(subject, str) and denials.denies_subject(subject)
--- a/ironmill/identity/rules.py
+++ b/ironmill/identity/rules.py
@@ -58,7 +58,7 @@
     patterns: tuple[str, ...] = ()  # patterns of denied subjects
     fingerprints: frozenset[str] = frozenset()  # of certificates
 
-    def deny_subject(self, subject: str) -> bool:
+    def denies_subject(self, subject: str) -> bool:
         """Returns True if the subject is denied."""
         return subject in self.subjects or any(matches_pattern(pattern, subject) for pattern in self.patterns)
 
@@ -159,7 +159,7 @@
     subject = claims.get("sub")
     if not isinstance(subject, str):
         return False
-    return settings.distributed_denials.deny_subject(subject) or any(
+    return settings.distributed_denials.denies_subject(subject) or any(
         matches_pattern(pattern, subject) for pattern in settings.denied_subjects
     )
 
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -361,8 +361,8 @@
 
     monkeypatch.setattr(rules, "matches_pattern", counted)
     denials = Denials(frozenset(f"farm-{at}" for at in range(5000)), ("a*",))
-    assert denials.deny_subject("farm-4999")
-    assert not denials.deny_subject("farm-5000")
+    assert denials.denies_subject("farm-4999")
+    assert not denials.denies_subject("farm-5000")
     assert calls == 1
     fresh = Denials(denials.subjects | {"b"}, ("a*", "c?"), frozenset({PRINT})) - denials
     assert fresh == Denials(frozenset({"b"}), ("c?",), frozenset({PRINT}))
