--- a/ironmill/identity/keyring.py
+++ b/ironmill/identity/keyring.py
@@ -165,10 +165,10 @@
 
 def _parse_key(item: object, index: int) -> Key:
     if not isinstance(item, dict):
-        raise KeyRingError(f"key at index {index} is not a JSON object")
+        raise KeyRingError(f"key {index} is not a JSON object")
     kid = item.get("kid")
     if not is_valid_kid(kid):
-        raise KeyRingError(f"key at index {index}: {KID_FORM}")
+        raise KeyRingError(f"key {index}: {KID_FORM}")
     kid = str(kid)
     if "d" in item or "k" in item:  # a private or shared key must not be distributed with the ring
         raise KeyRingError(
