--- a/ironmill/configuration/operator_files.py
+++ b/ironmill/configuration/operator_files.py
@@ -1,4 +1,4 @@
-"""Reads the operators' files together: the settings, and the key files that they name."""
+"""Reads the operators' files together: the settings, and the key and certificate files that they name."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFiles:
-    """One reading of all files, which belong together. A field is set if the settings ask for it."""
+    """The contents of all files, read at one time. An optional field is set if the settings need it."""
 
     settings: OperatorSettings
-    ring: KeyRing | None = None  # with an identity
-    tls: ServerTls | None = None  # with a listener for TLS
-    upstream: ssl.SSLContext | None = None  # with TLS to servers
-    member_keys: tuple[bytes, ...] = ()  # with membership
-    distribution_keys: tuple[bytes, ...] = ()  # with distribution
+    ring: KeyRing | None = None  # set with identity
+    tls: ServerTls | None = None  # set with a TLS listener; the context for clients
+    upstream: ssl.SSLContext | None = None  # set with TLS to servers
+    member_keys: tuple[bytes, ...] = ()  # set with membership
+    distribution_keys: tuple[bytes, ...] = ()  # set with distribution
 
 
 def read_operator_files(path: str, classes: Collection[str]) -> OperatorFiles:
-    """Reads the settings and all files that they name. ``classes`` are those that callers may be limited to.
+    """Reads the settings and all files that they name.
 
-    Raises ``MalformedError``, with one line, if one of them is not valid.
+    ``classes`` are the names of the request classes that the settings may refer to. Raises ``MalformedError``
+    with a one-line message if a file is not valid.
     """
     settings = _read_settings(path, classes)
     identity, membership, distribution = settings.identity, settings.membership, settings.distribution
@@ -47,10 +48,10 @@
 
 def _read_settings(path: str, classes: Collection[str]) -> OperatorSettings:
     try:
-        from ironmill.configuration.settings.load import load_settings  # what is off is not imported
+        from ironmill.configuration.settings.load import load_settings  # imported only if used
     except ImportError as error:
         raise MalformedError(
-            f"settings: {error.name} is not installed; the package group 'hosted' brings it"
+            f"settings: {error.name} is not installed; it is part of the optional dependencies 'hosted'"
         ) from None
     try:
         return load_settings(path, classes)
@@ -59,10 +60,10 @@
 
 
 def _read_tls(settings: OperatorSettings) -> tuple[ServerTls | None, ssl.SSLContext | None]:
-    """The contexts for clients and for servers."""
+    """Returns the context for clients and the context for servers; None without TLS."""
     if settings.tls is None and settings.upstream is None:
         return None, None
-    from ironmill.configuration.tls_context import server_tls, upstream_tls  # what is off is not imported
+    from ironmill.configuration.tls_context import server_tls, upstream_tls  # imported only if used
 
     tls = None if settings.tls is None else server_tls(settings.tls)
     upstream = None if settings.upstream is None else upstream_tls(settings.upstream)
@@ -70,25 +71,28 @@
 
 
 def read_keys(path: str, whose: str) -> tuple[bytes, ...]:
-    """Reads one or two keys, one per line in hexadecimal. Raises ``MalformedError``, with one line."""
+    """Reads one or two keys, one per line in hexadecimal.
+
+    ``whose`` names their owner in errors. Raises ``MalformedError`` with a one-line message.
+    """
     from ironmill.membership.envelope import check_keys
     from ironmill.membership.limits import MAX_KEY_BYTES, MIN_KEY_BYTES
 
     digits = f"{2 * MIN_KEY_BYTES} to {2 * MAX_KEY_BYTES}"
-    expected = f"one or two lines of {digits} hexadecimal digits, the signing one first"
+    expected = f"one or two lines of {digits} hexadecimal digits, the signing key first"
     try:
         return check_keys([bytes.fromhex(line) for line in Path(path).read_text("ascii").split()])
     except OSError as error:
         raise MalformedError(f"{path}: the {whose} keys cannot be read: {error.strerror}") from None
     except ValueError:
-        raise MalformedError(f"{path}: the {whose} keys are not {expected}") from None
+        raise MalformedError(f"{path}: the {whose} keys are not valid; expected {expected}") from None
 
 
 def read_ring(path: str) -> KeyRing:
-    """Reads a key ring. Raises ``MalformedError``, with one line."""
+    """Reads a key ring. Raises ``MalformedError`` with a one-line message."""
     try:
         return parse_ring(Path(path).read_bytes())
     except OSError as error:
         raise MalformedError(f"{path}: the key ring cannot be read: {error.strerror}") from None
     except KeyRingError as error:
-        raise MalformedError(f"{path}: the key ring is not fit for use: {error}") from None
+        raise MalformedError(f"{path}: the key ring is not valid: {error}") from None
--- a/ironmill/configuration/proxy_config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -1,4 +1,4 @@
-"""Configuration of a proxy: the JSON file and the environment, as typed values."""
+"""Reads the configuration of a proxy from its JSON file and the environment into typed values."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from msgspec import Struct, structs
 
 from ironmill.balancing.interface import Settings
-from ironmill.configuration.site_settings import settings_from
+from ironmill.configuration.site_settings import settings_from_json
 from ironmill.protocol.discovery import EndpointUpdate, parse_endpoint_update
 from ironmill.protocol.json_object import JsonObject, MalformedError, parse_json
 from ironmill.runtime.system_calls import TRANSIENT_START_ERRNOS, TransientError
 
 Address = tuple[str, int]
 
-MIN_SOCKETS, MAX_SOCKETS = 64, 1 << 20  # descriptors
+MIN_SOCKETS, MAX_SOCKETS = 64, 1 << 20  # file descriptors
 MAX_PORT = 65535
 
 
 class UnreadableNowError(MalformedError, TransientError):
-    """The file cannot be read for a transient reason."""
+    """Raised if the configuration file cannot be read for a transient reason."""
 
 
 class Config(Struct, frozen=True):
@@ -29,20 +29,20 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # descriptors that the process may open
-    known: EndpointUpdate  # the endpoint list as of the start
+    sockets: int  # file descriptors that the process may open
+    known: EndpointUpdate  # the endpoint list to start with, until discovery replaces it
     settings: Settings
     connect_timeout_s: float
     drain_grace_s: float
-    packets_pass_through: bool  # established connections go on through another proxy after the exit
-    default_deadlines_s: Mapping[str, float]  # by class, for requests that state none
-    shortest_latency_objective_s: float  # of messages on established connections
-    raw_values: Mapping[str, object]  # of the file, by full key
+    packets_pass_through: bool  # established connections continue through another proxy after the exit
+    default_deadlines_s: Mapping[str, float]  # by class, for requests without a deadline
+    shortest_latency_objective_s: float  # of messages on established connections, over all classes
+    raw_values: Mapping[str, object]  # values of the file by their full keys
     admin_address: Address | None = None  # None: there is no admin API
 
 
 def parse_address(text: str, key: str) -> Address:
-    """Parses HOST:PORT. Raises ``MalformedError``, which names the key."""
+    """Parses HOST:PORT. Raises ``MalformedError`` with a message that names the key."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise MalformedError(f"configuration: {key} is not HOST:PORT: {text!r}")
@@ -50,7 +50,7 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, object]:
-    """Returns the values of nested objects by their full keys, joined with dots."""
+    """Returns the values of nested objects by their full keys, whose parts are joined with dots."""
     if not isinstance(value, dict):
         return {path: value}
     flat: dict[str, object] = {}
@@ -60,7 +60,7 @@
 
 
 def load(environment: Mapping[str, str], path: str | None = None) -> Config:
-    """Loads the configuration from the file and the environment, whose variables take precedence.
+    """Loads the configuration from the file and from environment variables, which take precedence.
 
     ``path`` takes precedence over ``PROXY_CONFIG``. Raises ``MalformedError`` if the configuration is not
     valid, ``UnreadableNowError`` if the file cannot be read for a transient reason.
@@ -68,14 +68,14 @@
     path = path or environment.get("PROXY_CONFIG")
     if not path:
         raise MalformedError("configuration: PROXY_CONFIG is not set, and no --config is given")
-    value = _read_json(path)
-    root = JsonObject(value, "", "configuration")
+    document = _read_json(path)
+    root = JsonObject(document, "", "configuration")
     seed = _parse_seed(root.text("seed", "0"))
-    settings_tree = root.nested("settings")
-    # Lines on established connections return at once whatever the latency of their server's messages, so the
-    # balancer must not rely on them as reports of overload.
-    settings = structs.replace(settings_from(settings_tree), reports_delay=False)
-    objectives = (category.message_latency_objective for category in settings.classes)
+    settings_object = root.nested("settings")
+    # Servers answer lines on established connections at once even while their messages are slow, so the
+    # balancer must not rely on the delays of such answers to detect overload.
+    settings = structs.replace(settings_from_json(settings_object), reports_delay=False)
+    message_objectives = (cls.message_latency_objective for cls in settings.classes)
     sockets = _parse_sockets(root)
     admin_address = environment.get("PROXY_CONTROL") or root.text("control", "")
     return Config(
@@ -86,15 +86,15 @@
         sockets=sockets,
         known=parse_endpoint_update(root.nested("known", {"rev": 0, "all": True, "targets": []})),
         settings=settings,
-        connect_timeout_s=settings_tree.nested("ceilings").number("connectTimeoutS", 1.0),
-        drain_grace_s=settings_tree.nested("rules").number("drainGraceS", 0.25),
-        packets_pass_through=settings_tree.nested("familyInfo", {}).text("mode", "proxy") == "pass",
+        connect_timeout_s=settings_object.nested("ceilings").number("connectTimeoutS", 1.0),
+        drain_grace_s=settings_object.nested("rules").number("drainGraceS", 0.25),
+        packets_pass_through=settings_object.nested("familyInfo", {}).text("mode", "proxy") == "pass",
         default_deadlines_s={
             category.text("name"): category.number("hardLimitS", 10.0)
-            for category in settings_tree.nested_list("categories")
+            for category in settings_object.nested_list("categories")
         },
-        shortest_latency_objective_s=min(objectives, default=0.1),
-        raw_values=flatten(value),
+        shortest_latency_objective_s=min(message_objectives, default=0.1),
+        raw_values=flatten(document),
         admin_address=parse_address(admin_address, "control") if admin_address else None,
     )
 
@@ -119,5 +119,7 @@
 def _parse_sockets(root: JsonObject) -> int:
     sockets = root.nested("limits", {}).number("sockets", 1024)
     if not MIN_SOCKETS <= sockets <= MAX_SOCKETS:
-        raise MalformedError(f"configuration: limits.sockets is not from {MIN_SOCKETS} to {MAX_SOCKETS}")
+        raise MalformedError(
+            f"configuration: limits.sockets is out of range; expected {MIN_SOCKETS} to {MAX_SOCKETS}"
+        )
     return int(sockets)
--- a/ironmill/configuration/settings/errors.py
+++ b/ironmill/configuration/settings/errors.py
@@ -1,4 +1,4 @@
-"""The error of an operators' settings file."""
+"""The exception of the operators' settings."""
 
 from __future__ import annotations
 
@@ -6,8 +6,11 @@
 
 
 class SettingsError(IronmillError):
-    """An invalid settings file. The message is one line: file, line, what is wrong and what is expected."""
+    """Raised if a settings file is invalid.
 
-    def __init__(self, path: str, line: int, what: str) -> None:
-        """``line`` is 0 where none is to blame."""
-        super().__init__(f"{path}:{line}: {what}")
+    The message is one line with the file, the line number, the problem and the expected value.
+    """
+
+    def __init__(self, path: str, line: int, problem: str) -> None:
+        """Creates the error; ``line`` is 0 if the problem is not in a certain line."""
+        super().__init__(f"{path}:{line}: {problem}")
--- a/ironmill/configuration/settings/membership.py
+++ b/ironmill/configuration/settings/membership.py
@@ -4,22 +4,22 @@
 
 from lxml import etree
 
-from ironmill.configuration.settings.elements import SettingsFile, children, text
+from ironmill.configuration.settings.elements import SettingsFile, attribute, children
 from ironmill.configuration.settings.model import MembershipSettings
 from ironmill.configuration.units import duration
 
 
 def read_membership(file: SettingsFile, element: etree._Element) -> MembershipSettings:
     """Returns the settings of membership. Raises SettingsError."""
-    from ironmill.membership.timing import Timing  # not needed without membership
+    from ironmill.membership.timing import Timing  # not imported without membership
 
     timing = Timing(
-        ping_interval_s=duration(text(element, "ping-every")),
-        tolerated_pause_s=duration(text(element, "pause-borne")),
-        suspicion_timeout_s=duration(text(element, "suspect-after")),
-        max_detection_s=duration(text(element, "gone-within")),
-        isolation_timeout_s=duration(text(element, "alone-after")),
-        forget_delay_s=duration(text(element, "forget-after")),
+        ping_interval_s=duration(attribute(element, "ping-every")),
+        tolerated_pause_s=duration(attribute(element, "pause-borne")),
+        suspicion_timeout_s=duration(attribute(element, "suspect-after")),
+        max_detection_s=duration(attribute(element, "gone-within")),
+        isolation_timeout_s=duration(attribute(element, "alone-after")),
+        forget_delay_s=duration(attribute(element, "forget-after")),
     )
     if inconsistency := timing.inconsistency():
         raise file.error(element, inconsistency)
@@ -28,11 +28,11 @@
     peers = _peers(file, element)
     file.check_lengths(element, "cluster", "zone", "region")
     return MembershipSettings(
-        cluster=text(element, "cluster"),
+        cluster=attribute(element, "cluster"),
         listen=listen,
         keys=file.sibling_path(element, "keys"),
-        zone=text(element, "zone"),
-        region=text(element, "region"),
+        zone=attribute(element, "zone"),
+        region=attribute(element, "region"),
         seeds=seeds,
         peers=peers,
         timing=timing,
@@ -42,8 +42,8 @@
 def _peers(file: SettingsFile, element: etree._Element) -> tuple[tuple[str, tuple[str, int]], ...]:
     peers: dict[str, tuple[str, int]] = {}
     for item in children(element, "peer"):
-        name = text(item, "name")
+        name = attribute(item, "name")
         if name in peers:
-            raise file.error(item, f"peer {name!r} is named twice")
+            raise file.error(item, f"peer {name!r} is defined twice")
         peers[name] = file.address(item, "address")
     return tuple(peers.items())
--- a/ironmill/configuration/settings/model.py
+++ b/ironmill/configuration/settings/model.py
@@ -1,4 +1,4 @@
-"""Operators' settings as immutable values. Paths are absolute or relative to the working directory."""
+"""The operators' settings as immutable values. Paths are absolute or relative to the working directory."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 from ironmill.identity.rules import IdentitySettings
 from ironmill.runtime.logs import LogSettings
 
-if TYPE_CHECKING:  # not needed without membership
+if TYPE_CHECKING:  # not imported without membership
     from ironmill.membership.timing import Timing
 
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """A TLS listener for clients."""
+    """Settings of the TLS listener for clients. Files are named by their paths."""
 
     listen: tuple[str, int]
     certificate: str
     key: str
-    clients: str = "none"  # whether clients present a certificate: none, optional or required
-    authorities: str = ""
-    crl: str = ""
-    minimum: str = "1.2"
+    clients: str = "none"  # client certificates: none, optional or required
+    authorities: str = ""  # CA certificates that sign the client certificates; empty: no file
+    crl: str = ""  # empty: no file
+    minimum: str = "1.2"  # lowest TLS version
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamTls:
-    """TLS to servers."""
+    """Settings of TLS to servers. Files are named by their paths."""
 
-    authorities: str
-    name: str = ""  # of their certificates; empty: the address that discovery lists
-    certificate: str = ""  # of the proxy, if it presents one
+    authorities: str  # CA certificates that sign the server certificates
+    name: str = ""  # expected in server certificates; empty: the address in the endpoint list
+    certificate: str = ""  # the proxy's client certificate; empty: none
     key: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Membership of the fleet. ``keys`` is the path of a key file."""
+    """Settings of fleet membership. ``keys`` is the path of a key file."""
 
     cluster: str
     listen: tuple[str, int]
@@ -45,13 +45,13 @@
     zone: str
     region: str
     seeds: tuple[tuple[str, int], ...]
-    peers: tuple[tuple[str, tuple[str, int]], ...]  # addresses by name that replace announced ones
+    peers: tuple[tuple[str, tuple[str, int]], ...]  # names with addresses that replace the announced ones
     timing: Timing
 
 
 @dataclass(frozen=True, slots=True)
 class ControlMachine:
-    """A control machine, as it is reached from this process."""
+    """Name and location of a control machine, and the address at which this process reaches it."""
 
     name: str
     address: tuple[str, int]
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DistributionSettings:
-    """Distribution of configuration. Times are in seconds."""
+    """Settings of configuration distribution. Times are in seconds. ``keys`` is the path of a key file."""
 
     cluster: str
     listen: tuple[str, int]  # UDP
@@ -70,8 +70,8 @@
     controls: tuple[ControlMachine, ...]
     zone: str = "none"
     region: str = "none"
-    role: str = "subscriber"  # a proxy; of control machines: relay or origin
-    store: str = ""  # the origin's
+    role: str = "subscriber"  # subscriber for a proxy; relay or origin for a control machine
+    store: str = ""  # path of the revision store; only with role origin
     catch_up_rate: float = 128 * 1024.0  # bytes per second
     stale_after: float = 4.0
     forget_after: float = 3600.0
--- a/ironmill/configuration/site_settings.py
+++ b/ironmill/configuration/site_settings.py
@@ -1,7 +1,7 @@
-"""Reads the operators' settings of a site, a JSON object, into the settings of the decisions.
+"""Reads the operators' settings of a site, a JSON object, into the settings of the balancer.
 
-The proxy and the simulator's adapter share it. The keys of the JSON object are mapped to their terms here and
-nowhere else.
+The proxy and the simulator's adapter share this module. It is the only place that maps the keys of the JSON
+object to the names used in the code.
 """
 
 from __future__ import annotations
@@ -33,25 +33,25 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Returns the settings from JSON text. Raises MalformedError that names the key."""
-    return settings_from(JsonObject(parse_json(text, "settings:")))
+    """Returns the settings in a JSON text. Raises MalformedError with a message that names the key."""
+    return settings_from_json(JsonObject(parse_json(text, "settings:")))
 
 
-def settings_from(root: JsonObject) -> Settings:
-    """Returns the settings from the parsed object. Raises MalformedError that names the key."""
-    family = root.nested("familyInfo", {})
+def settings_from_json(root: JsonObject) -> Settings:
+    """Returns the settings in a parsed object. Raises MalformedError with a message that names the key."""
+    family_info = root.nested("familyInfo", {})
     ceilings = root.nested("ceilings")
     rules = root.nested("rules")
-    costs = root.nested("prices", {})
-    message_objectives = family.numbers("messageAimS")
-    quotas = family.numbers("tenantQuotaConnections")
+    prices = root.nested("prices", {})
+    message_objectives = family_info.numbers("messageAimS")
+    quotas = family_info.numbers("tenantQuotaConnections")
     classes = _request_classes(root, message_objectives)
     tenants = _tenants(root, quotas)
     return Settings(
         proxies=int(root.number("balancers")),
         classes=classes,
         tenants=tenants,
-        costs=Costs(handshake=costs.number("handshake", 0.0)),
+        costs=Costs(handshake=prices.number("handshake", 0.0)),
         subscribes_to_discovery=root.choice("discovery", {"push": False, "ask": True}),
         discovery_poll_interval=rules.number("askWithinS", 10.0),
         initial_capacity_fraction=rules.number("coldFrom"),
@@ -63,14 +63,14 @@
         keepalive_timeout=ceilings.number("keepaliveS", 0.0),
         min_round_interval=root.number("roundS", 0.001),
         health_checks=ceilings.flag("probes", default=False),
-        reports_delay=family.flag("tellsDelay", default=True),
+        reports_delay=family_info.flag("tellsDelay", default=True),
         live_weights=root.text("weightSource", "off") == "live",
     )
 
 
 def _request_classes(root: JsonObject, message_objectives: list[float]) -> tuple[RequestClass, ...]:
     classes = []
-    for at, item in enumerate(root.nested_list("categories")):
+    for index, item in enumerate(root.nested_list("categories")):
         objective = item.number("aimS")
         idempotency, scope = _idempotency_and_scope(item)
         classes.append(
@@ -78,7 +78,7 @@
                 name=item.text("name"),
                 latency_objective=objective,
                 priority_weight=item.number("points", 1.0),
-                message_latency_objective=_at(message_objectives, at, objective),
+                message_latency_objective=_value_at(message_objectives, index, objective),
                 idempotency=idempotency,
                 deduplication_scope=scope,
                 deduplication_window=item.number("windowS", 0.0),
@@ -88,9 +88,10 @@
 
 
 def _idempotency_and_scope(item: JsonObject) -> tuple[Idempotency, DeduplicationScope]:
-    """Returns whether a request of the class may run again, and where.
+    """Returns whether requests of a class are idempotent, and where servers deduplicate them.
 
-    A class whose values this version does not know is never repeated; the rest of the settings is used.
+    If this version does not know one of the class's values, its requests are never retried. The other
+    settings apply.
     """
     effect_name = item.text("effect")
     scope_name = item.text("group", "all")
@@ -102,7 +103,9 @@
     elif idempotency is Idempotency.BY_KEY and scope is None:
         unknown = f"group {scope_name!r}"
     if unknown is not None:
-        log.warning("class %s: unknown %s, so its requests are never repeated", item.text("name"), unknown)
+        log.warning(
+            "request class %s: unknown %s, so its requests are never retried", item.text("name"), unknown
+        )
         idempotency = Idempotency.NONE
     return idempotency or Idempotency.NONE, scope or DeduplicationScope.ALL
 
@@ -112,9 +115,9 @@
         Tenant(
             name=item.text("name"),
             quota_rate=item.number("quotaRps", 0.0),
-            quota_connections=_at(quotas, at, 0.0),
+            quota_connections=_value_at(quotas, index, 0.0),
         )
-        for at, item in enumerate(root.nested_list("projects", []))
+        for index, item in enumerate(root.nested_list("projects", []))
     )
 
 
@@ -124,6 +127,6 @@
     return ceilings.number("maxRetryAfterS", 0.0)
 
 
-def _at(values: list[float], index: int, default: float) -> float:
-    """Returns the value at an index of a list that may be shorter."""
+def _value_at(values: list[float], index: int, default: float) -> float:
+    """Returns the value at an index, or the default if the list is shorter."""
     return values[index] if index < len(values) else default
--- a/ironmill/configuration/tls_context.py
+++ b/ironmill/configuration/tls_context.py
@@ -1,4 +1,4 @@
-"""Creates the TLS contexts of the operators' settings from the files that they name."""
+"""Creates TLS contexts from the operators' settings and the files that these name."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerTls:
-    """A context for the TLS listener, and a digest of the settings and files that it was created from."""
+    """The context of the TLS listener and a digest of the settings and files that it was created from."""
 
     context: ssl.SSLContext
     digest: bytes
 
 
 def upstream_tls(settings: UpstreamTls) -> ssl.SSLContext:
-    """Returns the context for servers. Raises MalformedError, with one line, for an unusable file."""
+    """Returns the context for servers. Raises MalformedError with a one-line message for an unusable file."""
     _read(settings.authorities)
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -34,7 +34,7 @@
 
 
 def server_tls(settings: TlsSettings) -> ServerTls:
-    """Returns the context for clients. Raises MalformedError, with one line, for an unusable file."""
+    """Returns the context for clients. Raises MalformedError with a one-line message for an unusable file."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     digest = _digest(settings)
     context.minimum_version = _MINIMUM_VERSIONS[settings.minimum]
@@ -61,13 +61,15 @@
     _read(certificate)
     _read(key)
     mode = stat.S_IMODE(Path(key).stat().st_mode)
-    if mode & 0o077:  # others may have read the key, so it must not be used
-        raise MalformedError(f"{key}: its mode is {mode:04o}, so others may read the key; it must be 0600")
+    if mode & 0o077:  # other users may have read the key, so it must not be used
+        raise MalformedError(
+            f"{key}: its mode is {mode:04o}, so other users may read the key; it must be 0600"
+        )
     try:
         context.load_cert_chain(certificate, key)
     except ssl.SSLError as error:
         raise MalformedError(
-            f"{certificate}: is no certificate in PEM for the key in {key} ({error.reason})"
+            f"{certificate}: is not a PEM certificate for the key in {key} ({error.reason})"
         ) from None
 
 
@@ -75,11 +77,11 @@
     try:
         context.load_verify_locations(path)
     except ssl.SSLError as error:
-        raise MalformedError(f"{path}: holds nothing in PEM of use ({error.reason})") from None
+        raise MalformedError(f"{path}: contains no usable PEM certificate or CRL ({error.reason})") from None
 
 
 def _read(path: str) -> bytes:
-    """Reads a file, for an error that names it: the functions of ``ssl`` do not."""
+    """Reads a file. Raises MalformedError that names the file, which the errors of ``ssl`` do not."""
     try:
         return Path(path).read_bytes()
     except OSError as error:
--- a/ironmill/configuration/units.py
+++ b/ironmill/configuration/units.py
@@ -1,4 +1,4 @@
-"""Parses spans, rates and sizes with units, as operators write them. The caller has checked their form."""
+"""Parses durations, rates and byte rates with units. The caller must have checked the format of the text."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 def duration(text: str) -> float:
-    """Returns seconds from a number with ms, s, m, h or d."""
+    """Returns the seconds of a number with the unit ms, s, m, h or d."""
     unit = text.lstrip("0123456789.")
     return float(text.removesuffix(unit)) * _SECONDS_BY_UNIT[unit]
 
 
 def rate(text: str) -> float:
-    """Returns events per second from a number with /s, /m or /h."""
+    """Returns the events per second of a number with the unit /s, /m or /h."""
     number, _, unit = text.partition("/")
     return float(number) / _SECONDS_BY_UNIT[unit]
 
 
 def size_rate(text: str) -> float:
-    """Returns bytes per second from a number with B/s, KB/s, MB/s, KiB/s or MiB/s."""
+    """Returns the bytes per second of a number with the unit B/s, KB/s, MB/s, KiB/s or MiB/s."""
     size = text.removesuffix("/s")
     unit = size.lstrip("0123456789.")
     return float(size.removesuffix(unit)) * _BYTES_BY_UNIT[unit]
--- a/tests/system/test_membership_processes.py
+++ b/tests/system/test_membership_processes.py
@@ -175,13 +175,19 @@
     [
         ("", "127.0.0.1:7400", "", "0f" * 32, "are fit for use"),
         ('suspect-after="2s"', "127.0.0.1:7400", "", "0f" * 32, ":2: suspect-after is 2s"),
-        ('ping-every="600"', "127.0.0.1:7400", "", "0f" * 32, "a duration has a unit"),
-        ("", "localhost:7400", "", "0f" * 32, ":3: 'localhost' is no address"),
-        ("", "127.0.0.1:0", "", "0f" * 32, "there is no port 0"),
-        ("", "127.0.0.1:1", '<peer name="a" address="127.0.0.1:2"/>' * 2, "0f" * 32, "is named twice"),
-        ("", "127.0.0.1:7400", "", "0f", "the members' keys are not one or two lines"),
-        ("", "127.0.0.1:7400", "", "xy" * 32, "the members' keys are not one or two lines"),
-        ("", "127.0.0.1:7400", "", "", "the members' keys are not one or two lines"),
+        ('ping-every="600"', "127.0.0.1:7400", "", "0f" * 32, "expected a duration with a unit"),
+        ("", "localhost:7400", "", "0f" * 32, ":3: 'localhost' is not an IPv4 address"),
+        ("", "127.0.0.1:0", "", "0f" * 32, "port 0 is out of range; expected 1 to 65535"),
+        (
+            "",
+            "127.0.0.1:1",
+            '<peer name="a" address="127.0.0.1:2"/>' * 2,
+            "0f" * 32,
+            "peer 'a' is defined twice",
+        ),
+        ("", "127.0.0.1:7400", "", "0f", "the members' keys are not valid; expected one or two lines"),
+        ("", "127.0.0.1:7400", "", "xy" * 32, "the members' keys are not valid; expected one or two lines"),
+        ("", "127.0.0.1:7400", "", "", "the members' keys are not valid; expected one or two lines"),
     ],
 )
 def test_invalid_settings_are_reported_in_one_line(
--- a/tests/system/test_tls_certificates.py
+++ b/tests/system/test_tls_certificates.py
@@ -165,10 +165,10 @@
     optional = {"clients": "optional", "authorities": str(authority.path)}
     for changes, wrong in (
         ({"certificate": str(tmp_path / "none")}, "cannot be read"),
-        ({"key": str(rubbish)}, "is no certificate"),
+        ({"key": str(rubbish)}, "is not a PEM certificate"),
         ({"key": str(open_key)}, "it must be 0600"),
-        (optional | {"authorities": str(rubbish)}, "holds nothing"),
-        (optional | {"crl": str(rubbish)}, "holds nothing"),
+        (optional | {"authorities": str(rubbish)}, "contains no usable PEM certificate or CRL"),
+        (optional | {"crl": str(rubbish)}, "contains no usable PEM certificate or CRL"),
     ):
         with pytest.raises(MalformedError, match=wrong):
             server_tls(settings(authority, **changes))
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -1,4 +1,4 @@
-"""Distributed keys in a proxy: denials, the log level, and what is rejected."""
+"""Tests of the distributed keys in a proxy: denials, the log level, and rejected changes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from tests.support.identity import rule as rule_of
 from tests.support.requests import FakeTimers
 
-PRINT = "ab" * 32
+FINGERPRINT = "ab" * 32
 
 
 @pytest.fixture(scope="module")
@@ -44,14 +44,14 @@
 
 
 @pytest.fixture
-def level() -> Iterator[logging.Logger]:
-    """The root logger, restored afterwards."""
-    root = logging.getLogger()
-    before, handlers = root.level, root.handlers[:]
-    yield root
+def root_logger() -> Iterator[logging.Logger]:
+    """The root logger. Its level and handlers are restored afterwards."""
+    logger = logging.getLogger()
+    level, handlers = logger.level, logger.handlers[:]
+    yield logger
     logs.override_level("")
-    root.handlers[:] = handlers
-    root.setLevel(before)
+    logger.handlers[:] = handlers
+    logger.setLevel(level)
 
 
 def ignore_level(_: str) -> None:
@@ -68,27 +68,27 @@
         ("deny/subject/farm-17@*", b"leaked", ""),
         ("deny/subject/" + "x" * 187, b"", ""),
         ("deny/subject/a/b", b"\xff", ""),
-        ("deny/subject/", b"x", "a pattern is 1 to 255"),
-        ("deny/subject/a b", b"x", "a pattern is 1 to 255"),
-        ("deny/subject/ß", b"x", "a pattern is"),
-        (f"deny/fingerprint/{PRINT}", b"", ""),
-        (f"deny/fingerprint/{PRINT.upper()}", b"", "64 digits of 0"),
-        ("deny/fingerprint/ab", b"", "64 digits of 0"),
-        (f"deny/fingerprint/{PRINT}\n", b"", "64 digits"),
+        ("deny/subject/", b"x", "invalid subject pattern; expected 1 to 255 printable"),
+        ("deny/subject/a b", b"x", "invalid subject pattern; expected 1 to 255 printable"),
+        ("deny/subject/ß", b"x", "invalid subject pattern; expected"),
+        (f"deny/fingerprint/{FINGERPRINT}", b"", ""),
+        (f"deny/fingerprint/{FINGERPRINT.upper()}", b"", "expected 64 lowercase hexadecimal digits"),
+        ("deny/fingerprint/ab", b"", "expected 64 lowercase hexadecimal digits"),
+        (f"deny/fingerprint/{FINGERPRINT}\n", b"", "expected 64 lowercase hexadecimal digits"),
         ("log/level", b"debug", ""),
         ("log/level", b"error", ""),
-        ("log/level", b"DEBUG", "a level is"),
-        ("log/level", b"", "a level is one of"),
+        ("log/level", b"DEBUG", "invalid log level; expected one of"),
+        ("log/level", b"", "invalid log level; expected one of debug, info, warning, error"),
         ("log/level/x", b"info", "unknown key"),
         ("shard/registry-3", b"r17", ""),
         ("shard/a/b", "straße".encode(), ""),
         ("shard/x", b"u" * 64, ""),
         ("shard/x", "ß".encode() * 64, ""),
-        ("shard/x", b"u" * 65, "1 to 64 printable"),
-        ("shard/x", b"", "1 to 64 printable"),
-        ("shard/x", b"a\nb", "1 to 64 printable"),
-        ("shard/x", b"\xff", "is UTF-8"),
-        ("shard/", b"r", "a shard has a name"),
+        ("shard/x", b"u" * 65, "invalid server uid; expected 1 to 64 printable"),
+        ("shard/x", b"", "invalid server uid; expected 1 to 64 printable"),
+        ("shard/x", b"a\nb", "invalid server uid; expected 1 to 64 printable"),
+        ("shard/x", b"\xff", "is not valid UTF-8"),
+        ("shard/", b"r", "the shard name is empty"),
         ("deny/", b"", "unknown key"),
         ("deny", b"", "unknown key"),
         ("Shard/x", b"r", "unknown key"),
@@ -114,24 +114,26 @@
             assert consumer.applied.subjects == frozenset()
 
 
-def test_without_identity_denials_are_rejected_and_other_keys_applied(level: logging.Logger) -> None:
+def test_without_identity_denials_are_rejected_and_other_keys_applied(root_logger: logging.Logger) -> None:
     consumer = ConfigurationConsumer(None)
-    for key in ("deny/subject/x", f"deny/fingerprint/{PRINT}"):
+    for key in ("deny/subject/x", f"deny/fingerprint/{FINGERPRINT}"):
         rejection = consumer.check({"log/level": b"debug", key: b""})
-        assert rejection == Rejection(key, "this proxy's settings hold no identity, so nobody can be denied")
+        assert rejection == Rejection(
+            key, "this proxy's settings hold no identity element, so the proxy cannot deny callers"
+        )
         assert consumer.check({key: None, "log/level": b"debug", "shard/a": b"r"}) is None
     consumer.apply({"log/level": b"debug", "deny/subject/x": None, "shard/a": b"r"})
-    assert level.level == logging.DEBUG
+    assert root_logger.level == logging.DEBUG
 
 
 def test_check_changes_nothing(keys: Keys, monkeypatch: pytest.MonkeyPatch) -> None:
     callers = callers_of(keys, FakeTimers(monkeypatch))
     consumer = ConfigurationConsumer(callers, lambda level: pytest.fail(level))
-    before, gate = consumer.applied, callers.authenticator.settings
+    applied, identity_settings = consumer.applied, callers.authenticator.settings
     assert consumer.check({"deny/subject/a": b"", "log/level": b"debug"}) is None
     assert consumer.check({"deny/subject/a": b"", "other": b""}) == Rejection("other", "unknown key")
-    assert consumer.applied is before
-    assert callers.authenticator.settings is gate
+    assert consumer.applied is applied
+    assert callers.authenticator.settings is identity_settings
 
 
 def test_denials_over_a_limit_are_rejected_with_their_key(
@@ -140,31 +142,32 @@
     for name in ("MAX_SUBJECTS", "MAX_PATTERNS", "MAX_FINGERPRINTS"):
         monkeypatch.setattr(distributed_keys, name, 2)
     consumer = ConfigurationConsumer(callers_of(keys, FakeTimers(monkeypatch)), ignore_level)
-    for what, names in (
+    for description, names in (
         ("subjects", ["deny/subject/a", "deny/subject/b", "deny/subject/c"]),
         ("subjects with wildcards", ["deny/subject/*a", "deny/subject/b?", "deny/subject/*"]),
         ("fingerprints", [f"deny/fingerprint/{letter * 64}" for letter in "abc"]),
     ):
         consumer.apply(dict.fromkeys(names[:2], b""))
-        reason = f"3 {what} would be denied; a proxy takes 2 at most"
+        reason = f"3 {description} would be denied; at most 2 are allowed"
         assert consumer.check({"shard/x": b"r", names[2]: b""}) == Rejection(names[2], reason)
-        assert consumer.check({names[0]: None, names[2]: b""}) is None  # one is deleted, one is set
+        # A revision that deletes one key and sets another one stays within the limit.
+        assert consumer.check({names[0]: None, names[2]: b""}) is None
         assert consumer.check({names[1]: b"another note"}) is None
 
 
-def test_level_override_survives_a_reload_until_its_key_is_deleted(level: logging.Logger) -> None:
+def test_level_override_survives_a_reload_until_its_key_is_deleted(root_logger: logging.Logger) -> None:
     logs.set_up("p", LogSettings(level="warning"))
     consumer = ConfigurationConsumer(None)
     consumer.apply({"log/level": b"debug"})
-    assert level.level == logging.DEBUG
-    logs.set_up("p", LogSettings(level="error"))  # as at SIGHUP
-    assert level.level == logging.DEBUG
+    assert root_logger.level == logging.DEBUG
+    logs.set_up("p", LogSettings(level="error"))  # as on SIGHUP
+    assert root_logger.level == logging.DEBUG
     consumer.apply({"shard/x": b"r"})
-    assert level.level == logging.DEBUG
+    assert root_logger.level == logging.DEBUG
     consumer.apply({"log/level": None})
-    assert level.level == logging.ERROR
+    assert root_logger.level == logging.ERROR
     logs.set_up("p", None)
-    assert level.level == logging.INFO
+    assert root_logger.level == logging.INFO
 
 
 def test_denied_callers_with_established_connections_are_migrated(
@@ -174,35 +177,35 @@
     offset = time.time() - timers.now
     callers = callers_of(keys, timers, lambda: timers.now + offset, migrate_within_s=1.0)
     consumer = ConfigurationConsumer(callers, ignore_level)
-    drivers = [FakeConnection() for _ in range(4)]
-    for at, driver in enumerate(drivers):
-        verdict = callers.authenticate_token(keys.token(sub=f"farm-{at}"), "x")
+    connections = [FakeConnection() for _ in range(4)]
+    for index, connection in enumerate(connections):
+        verdict = callers.authenticate_token(keys.token(sub=f"farm-{index}"), "x")
         assert isinstance(verdict, Admitted)
         assert callers.open_connection(verdict) is None
-        callers.connection_established(verdict, driver)
+        callers.connection_established(verdict, connection)
 
-    def moved() -> list[int]:
+    def migration_counts() -> list[int]:
         timers.run(2.0)
-        return [len(driver.migrated_at) for driver in drivers]
+        return [len(connection.migrated_at) for connection in connections]
 
     consumer.apply({"deny/subject/farm-1": b"", "deny/subject/farm-9": b""})
-    assert moved() == [0, 1, 0, 0]
+    assert migration_counts() == [0, 1, 0, 0]
     consumer.apply({"deny/subject/?arm-3": b""})
-    assert moved() == [0, 1, 0, 1]
-    # Both survive a reload and another ring, and nobody is migrated twice.
+    assert migration_counts() == [0, 1, 0, 1]
+    # Both denials survive a reload and a new key ring, and no connection is migrated twice.
     callers.reconfigure(identity(migrate_within_s=1.0, denied_subjects=("farm-2",)), keys.ring())
-    assert moved() == [0, 1, 1, 1]
+    assert migration_counts() == [0, 1, 1, 1]
     callers.reconfigure(identity(migrate_within_s=1.0), keys.ring())
     callers.reconfigure(callers.authenticator.settings, keys.ring())  # as the key ring watcher does
-    assert moved() == [0, 1, 1, 1]
-    verdicts = [callers.authenticate_token(keys.token(sub=f"farm-{at}"), "x") for at in range(4)]
+    assert migration_counts() == [0, 1, 1, 1]
+    verdicts = [callers.authenticate_token(keys.token(sub=f"farm-{index}"), "x") for index in range(4)]
     assert [isinstance(verdict, Admitted) for verdict in verdicts] == [True, False, True, False]
     consumer.apply({"deny/subject/farm-1": None, "deny/subject/?arm-3": None, "deny/subject/farm-9": None})
     assert isinstance(callers.authenticate_token(keys.token(sub="farm-3"), "x"), Admitted)
-    # Where the settings keep established connections, a denial keeps them too.
+    # If the settings say that established connections are kept, a denial keeps them too.
     callers.reconfigure(identity(migrate_within_s=None), keys.ring())
     consumer.apply({"deny/subject/farm-0": b""})
-    assert moved() == [0, 1, 1, 1]
+    assert migration_counts() == [0, 1, 1, 1]
 
 
 def test_request_begun_before_a_denial_is_migrated_once_established(
@@ -211,14 +214,14 @@
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
     callers = callers_of(keys, timers, lambda: timers.now + offset, migrate_within_s=1.0)
-    driver = FakeConnection()
-    session = callers.new_session(driver, "x")
+    connection = FakeConnection()
+    session = callers.new_session(connection, "x")
     assert session.present_token(keys.token()) is None
     ConfigurationConsumer(callers, ignore_level).apply({"deny/subject/farm-1": b""})
-    assert session.request_connection("read") is None  # it is judged by the rules as of its beginning
+    assert session.request_connection("read") is None  # the rules at its start apply
     session.connection_established()
     timers.run(2.0)
-    assert len(driver.migrated_at) == 1
+    assert len(connection.migrated_at) == 1
 
 
 def test_denied_certificate_is_rejected_and_its_connections_migrated(
@@ -226,25 +229,27 @@
 ) -> None:
     timers = FakeTimers(monkeypatch)
     offset = time.time() - timers.now
-    who = CallerRule(rule_of().caller, (), 1, ("dns:*.farm.example",))
-    callers = Callers(identity(who, migrate_within_s=0.5), keys.ring(), timers, lambda: timers.now + offset)
-    shown, _ = Authority(tmp_path).certificate("x", "x.farm.example")
-    der = ssl.PEM_cert_to_DER_cert(Path(shown).read_text())
+    caller_rule = CallerRule(rule_of().caller, (), 1, ("dns:*.farm.example",))
+    callers = Callers(
+        identity(caller_rule, migrate_within_s=0.5), keys.ring(), timers, lambda: timers.now + offset
+    )
+    certificate_path, _ = Authority(tmp_path).certificate("x", "x.farm.example")
+    der = ssl.PEM_cert_to_DER_cert(Path(certificate_path).read_text())
     verdict = callers.authenticate_certificate(der, "x")
     assert isinstance(verdict, Admitted)
     assert verdict.certificate is not None
-    driver = FakeConnection()
+    connection = FakeConnection()
     callers.open_connection(verdict)
-    callers.connection_established(verdict, driver)
-    key = f"deny/fingerprint/{fingerprint(shown)}"
+    callers.connection_established(verdict, connection)
+    key = f"deny/fingerprint/{fingerprint(certificate_path)}"
     consumer = ConfigurationConsumer(callers, ignore_level)
     assert consumer.check({key: b"lost"}) is None
     consumer.apply({key: b"lost"})
-    refused = callers.authenticate_certificate(der, "x")
-    assert isinstance(refused, Rejected)
-    assert refused.reason is RejectionReason.DENIED
+    denied_verdict = callers.authenticate_certificate(der, "x")
+    assert isinstance(denied_verdict, Rejected)
+    assert denied_verdict.reason is RejectionReason.DENIED
     timers.run(1.0)
-    assert len(driver.migrated_at) == 1
+    assert len(connection.migrated_at) == 1
     consumer.apply({key: None})
     assert isinstance(callers.authenticate_certificate(der, "x"), Admitted)
 
@@ -254,7 +259,7 @@
 
 
 class DenialMachine(RuleBasedStateMachine):
-    """Revisions, reloads and other rings in any order: settings and keys both deny."""
+    """Applies revisions, reloads and new key rings in any order; both settings and distributed keys deny."""
 
     keys: Keys
     tokens: dict[str, bytes]  # by subject
@@ -264,17 +269,17 @@
         self.timers = TimerQueue(time.monotonic)
         self.callers = callers_of(self.keys, self.timers)
         self.consumer = ConfigurationConsumer(self.callers, self.record_level)
-        self.pushed: dict[str, bytes] = {}
-        self.own: tuple[str, ...] = ()
+        self.pushed_keys: dict[str, bytes] = {}
+        self.settings_patterns: tuple[str, ...] = ()
         self.level = ""
 
     def record_level(self, level: str) -> None:
-        assert level != self.level  # no level is set twice
+        assert level != self.level  # the same level is not set twice in a row
         self.level = level
 
     @rule(
         changes=st.dictionaries(
-            st.sampled_from([f"deny/subject/{it}" for it in PATTERNS])
+            st.sampled_from([f"deny/subject/{pattern}" for pattern in PATTERNS])
             | st.sampled_from(["log/level", "shard/a", "other"]),
             st.none() | st.sampled_from([b"info", b"debug", b""]),
             min_size=1,
@@ -282,41 +287,45 @@
         )
     )
     def revision(self, changes: Changes) -> None:
-        before, level = self.consumer.applied, self.level
+        applied, level = self.consumer.applied, self.level
         rejection = self.consumer.check(changes)
-        wrong = {
+        invalid_keys = {
             key
             for key, value in changes.items()
             if value is not None and (key == "other" or (value == b"" and key in ("log/level", "shard/a")))
         }
-        assert (rejection is not None) is bool(wrong)
-        assert (self.consumer.applied, self.level) == (before, level)
+        assert (rejection is not None) is bool(invalid_keys)
+        assert (self.consumer.applied, self.level) == (applied, level)
         if rejection is not None:
-            assert rejection.key in wrong
+            assert rejection.key in invalid_keys
             return
         self.consumer.apply(changes)
-        merged = self.pushed | changes
-        self.pushed = {key: value for key, value in merged.items() if value is not None}
+        merged = self.pushed_keys | changes
+        self.pushed_keys = {key: value for key, value in merged.items() if value is not None}
 
-    @rule(own=st.lists(st.sampled_from(PATTERNS[:6]), max_size=2))
-    def reload(self, own: list[str]) -> None:
-        self.own = tuple(own)
-        self.callers.reconfigure(identity(denied_subjects=self.own), self.keys.ring())
+    @rule(patterns=st.lists(st.sampled_from(PATTERNS[:6]), max_size=2))
+    def reload(self, patterns: list[str]) -> None:
+        self.settings_patterns = tuple(patterns)
+        self.callers.reconfigure(identity(denied_subjects=self.settings_patterns), self.keys.ring())
 
     @rule()
-    def another_ring(self) -> None:
+    def replace_key_ring(self) -> None:
         self.callers.reconfigure(self.callers.authenticator.settings, self.keys.ring())
 
     @invariant()
-    def denied_is_whom_either_denies(self) -> None:
-        denied = [key.removeprefix("deny/subject/") for key in self.pushed if key.startswith("deny/subject/")]
+    def callers_are_denied_by_settings_or_keys(self) -> None:
+        denied = [
+            key.removeprefix("deny/subject/") for key in self.pushed_keys if key.startswith("deny/subject/")
+        ]
         for subject, token in self.tokens.items():
             verdict = self.callers.authenticator.authenticate_token(token, "x", time.time())
-            expected = any(reference_match(pattern, subject) for pattern in (*self.own, *denied))
-            assert isinstance(verdict, Rejected) is expected, (subject, self.own, denied)
+            expected = any(
+                reference_match(pattern, subject) for pattern in (*self.settings_patterns, *denied)
+            )
+            assert isinstance(verdict, Rejected) is expected, (subject, self.settings_patterns, denied)
             if isinstance(verdict, Rejected):
                 assert verdict.reason is RejectionReason.DENIED
-        assert self.level == self.pushed.get("log/level", b"").decode()
+        assert self.level == self.pushed_keys.get("log/level", b"").decode()
 
 
 def test_denied_callers_are_those_of_settings_or_distributed_keys(keys: Keys) -> None:
@@ -329,7 +338,7 @@
 
 
 def reference_match(pattern: str, text: str) -> bool:
-    """Reference implementation of the match."""
+    """Matches a pattern recursively; the reference for ``matches_pattern``."""
     if not pattern:
         return not text
     if pattern[0] == "*":
@@ -343,41 +352,42 @@
 
 
 def test_pattern_with_many_wildcards_matches_in_bounded_time() -> None:
-    began = time.process_time()
+    started_at = time.process_time()
     for pattern in ("*a" * 90 + "*b", "a*" * 93, "*?" * 90 + "b"):
         assert not matches_pattern(pattern, "a" * 80 + "c")
     assert matches_pattern("*a" * 90 + "*", "a" * 255)
-    assert time.process_time() - began < 2.0
+    assert time.process_time() - started_at < 2.0
 
 
 def test_whole_subjects_are_looked_up_not_scanned(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Counts the matches: subjects without wildcards need none."""
+    """Counts the pattern matches; a subject without wildcards needs none."""
     calls = 0
 
-    def counted(pattern: str, text: str) -> bool:
+    def counting_match(pattern: str, text: str) -> bool:
         nonlocal calls
         calls += 1
         return matches_pattern(pattern, text)
 
-    monkeypatch.setattr(rules, "matches_pattern", counted)
-    denials = Denials(frozenset(f"farm-{at}" for at in range(5000)), ("a*",))
+    monkeypatch.setattr(rules, "matches_pattern", counting_match)
+    denials = Denials(frozenset(f"farm-{index}" for index in range(5000)), ("a*",))
     assert denials.deny_subject("farm-4999")
     assert not denials.deny_subject("farm-5000")
     assert calls == 1
-    fresh = Denials(denials.subjects | {"b"}, ("a*", "c?"), frozenset({PRINT})) - denials
-    assert fresh == Denials(frozenset({"b"}), ("c?",), frozenset({PRINT}))
+    new_denials = Denials(denials.subjects | {"b"}, ("a*", "c?"), frozenset({FINGERPRINT})) - denials
+    assert new_denials == Denials(frozenset({"b"}), ("c?",), frozenset({FINGERPRINT}))
     assert not denials - denials
 
 
 def test_unchanged_sets_are_not_copied() -> None:
     rng = random.Random(2)
-    one = AppliedKeys().with_changes({f"deny/subject/s{rng.random()}": b"" for _ in range(100)})
-    assert one.with_changes({"shard/a": b"r"}).subjects is one.subjects
-    assert one.with_changes({"deny/subject/*": b""}).subjects is one.subjects
+    applied_keys = AppliedKeys().with_changes({f"deny/subject/s{rng.random()}": b"" for _ in range(100)})
+    assert applied_keys.with_changes({"shard/a": b"r"}).subjects is applied_keys.subjects
+    assert applied_keys.with_changes({"deny/subject/*": b""}).subjects is applied_keys.subjects
 
 
 def test_consumer_does_not_import_identity() -> None:
-    consumer: Consumer = ConfigurationConsumer(None, ignore_level)  # checked by mypy
+    # The annotation lets mypy check that the class implements the protocol.
+    consumer: Consumer = ConfigurationConsumer(None, ignore_level)
     assert consumer.check({}) is None
     assert TokenMatch(ISSUER, AUDIENCE).subject == "*"
     code = (
@@ -385,5 +395,5 @@
         "print([name for name in ('ironmill.identity.callers', 'ironmill.identity', 'cryptography', 'lxml')"
         " if name in sys.modules])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert completed.stdout.strip() == "[]"
--- a/tests/unit/configuration/test_proxy_config.py
+++ b/tests/unit/configuration/test_proxy_config.py
@@ -1,4 +1,4 @@
-"""The command line and the configuration: errors are one line that names the key."""
+"""Tests of the command line and the configuration. An error is one line that names the key."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("text", ["[" * 100_000, '{"name": 1e999}', '{"name": "\\ud800"}', "{", ""])
 def test_malformed_json_raises_one_line(tmp_path: Path, text: str) -> None:
-    """Discovery's responses are parsed by the same function."""
+    """Discovery responses, which come from the network, are parsed by the same function."""
     file = tmp_path / "config.json"
     file.write_text(text)
     with pytest.raises(MalformedError, match="is not JSON"):
@@ -117,18 +117,22 @@
 
 
 def test_start_imports_no_optional_modules() -> None:
-    """Proxies that start at once share the cores, and clients wait for them."""
+    """Guards against slow starts: proxies that start at the same time share the cores while clients wait."""
     optional = ["dataclasses", "orjson", "docopt", "h11", "pathlib", "json"]
-    code = "import sys, ironmill.cli; print([n for n in sys.argv[1:] if n in sys.modules])"
-    found = subprocess.run(
+    code = "import sys, ironmill.cli; print([name for name in sys.argv[1:] if name in sys.modules])"
+    completed = subprocess.run(
         [sys.executable, "-S", "-c", f"import sys; sys.path[:] = {sys.path!r}; {code}", *optional],
         check=True,
         capture_output=True,
         text=True,
     )
-    assert found.stdout.strip() == "[]"
+    assert completed.stdout.strip() == "[]"
 
 
 def test_serve_without_arguments_equals_its_parsed_usage() -> None:
-    words = docopt(cli.__doc__, argv=["serve"])
-    assert (words["--config"], words["--settings"], words["--poller"]) == (None, None, cli.DEFAULT_POLLER)
+    arguments = docopt(cli.__doc__, argv=["serve"])
+    assert (arguments["--config"], arguments["--settings"], arguments["--poller"]) == (
+        None,
+        None,
+        cli.DEFAULT_POLLER,
+    )
