--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -67,8 +67,8 @@
 from typing import TYPE_CHECKING, Any
 
 from ironmill import __version__
-from ironmill.configuration.proxy_config import Config, load
-from ironmill.configuration.units import duration
+from ironmill.configuration.proxy_config import Config, load_config
+from ironmill.configuration.units import parse_duration
 from ironmill.net.proxy import Proxy, ProxyOptions
 from ironmill.net.signals import Signals
 from ironmill.protocol.json_object import MalformedError
@@ -141,7 +141,7 @@
     reload_environment = {name: value for name, value in os.environ.items() if name != "PROXY_DISCOVERY"}
     options = ProxyOptions(
         config,
-        lambda: load(reload_environment, path),
+        lambda: load_config(reload_environment, path),
         files,
         lambda new: read_proxy_files(new, settings),
         poller,
@@ -159,7 +159,7 @@
 ) -> tuple[Config, OperatorFiles | None] | None:
     """Reads the configuration and the settings; prints one line and returns None if one is not valid."""
     try:
-        config = retry_at_start(load, environment, path)
+        config = retry_at_start(load_config, environment, path)
         return config, read_proxy_files(config, settings)
     except MalformedError as error:
         _fail(error)
@@ -217,7 +217,7 @@
     try:
         distribution = read_operator_files(settings, ()).settings.distribution
         if distribution is None or distribution.role == "subscriber":
-            load(os.environ)  # raises: a proxy's settings are of no use without its configuration
+            load_config(os.environ)  # raises: a proxy's settings are of no use without its configuration
     except MalformedError as error:
         return _fail(error)
     print(f"ironmill: the settings in {settings} are fit for use")
@@ -381,7 +381,7 @@
 
     if re.fullmatch(r"[0-9]{1,9}(\.[0-9]{1,6})?(ms|s|m|h|d)", text) is None:
         raise CommandError(f"{text!r} is no span; it is a number and ms, s, m, h or d, as in 90s")
-    return duration(text)
+    return parse_duration(text)
 
 
 _COMMANDS: dict[str, Callable[[Arguments], int]] = {
--- a/ironmill/configuration/operator_files.py
+++ b/ironmill/configuration/operator_files.py
@@ -26,7 +26,7 @@
     settings: OperatorSettings
     ring: KeyRing | None = None  # set with identity
     tls: ServerTls | None = None  # set with a TLS listener; the context for clients
-    upstream: ssl.SSLContext | None = None  # set with TLS to servers
+    upstream_tls: ssl.SSLContext | None = None  # set with TLS to servers
     member_keys: tuple[bytes, ...] = ()  # set with membership
     distribution_keys: tuple[bytes, ...] = ()  # set with distribution
 
@@ -61,12 +61,12 @@
 
 def _read_tls(settings: OperatorSettings) -> tuple[ServerTls | None, ssl.SSLContext | None]:
     """Returns the context for clients and the context for servers; None without TLS."""
-    if settings.tls is None and settings.upstream is None:
+    if settings.tls is None and settings.upstream_tls is None:
         return None, None
     from ironmill.configuration.tls_context import server_tls, upstream_tls  # imported only if used
 
     tls = None if settings.tls is None else server_tls(settings.tls)
-    upstream = None if settings.upstream is None else upstream_tls(settings.upstream)
+    upstream = None if settings.upstream_tls is None else upstream_tls(settings.upstream_tls)
     return tls, upstream
 
 
--- a/ironmill/configuration/proxy_config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -30,7 +30,7 @@
     discovery: Address
     seed: int
     sockets: int  # file descriptors that the process may open
-    known: EndpointUpdate  # the endpoint list to start with, until discovery replaces it
+    initial_endpoints: EndpointUpdate  # the endpoint list to use until discovery replaces it
     settings: Settings
     connect_timeout_s: float
     drain_grace_s: float
@@ -59,7 +59,7 @@
     return flat
 
 
-def load(environment: Mapping[str, str], path: str | None = None) -> Config:
+def load_config(environment: Mapping[str, str], path: str | None = None) -> Config:
     """Loads the configuration from the file and from environment variables, which take precedence.
 
     ``path`` takes precedence over ``PROXY_CONFIG``. Raises ``MalformedError`` if the configuration is not
@@ -84,7 +84,7 @@
         discovery=parse_address(environment.get("PROXY_DISCOVERY") or root.text("discovery"), "discovery"),
         seed=seed,
         sockets=sockets,
-        known=parse_endpoint_update(root.nested("known", {"rev": 0, "all": True, "targets": []})),
+        initial_endpoints=parse_endpoint_update(root.nested("known", {"rev": 0, "all": True, "targets": []})),
         settings=settings,
         connect_timeout_s=settings_object.nested("ceilings").number("connectTimeoutS", 1.0),
         drain_grace_s=settings_object.nested("rules").number("drainGraceS", 0.25),
--- a/ironmill/configuration/settings/distribution.py
+++ b/ironmill/configuration/settings/distribution.py
@@ -6,7 +6,7 @@
 
 from ironmill.configuration.settings.elements import SettingsFile, attribute, children
 from ironmill.configuration.settings.model import ControlMachine, DistributionSettings
-from ironmill.configuration.units import duration, size_rate
+from ironmill.configuration.units import parse_byte_rate, parse_duration
 
 MIN_STALE_AFTER_S = 1.0
 MAX_STALE_AFTER_S = 5.0
@@ -54,8 +54,8 @@
 def _timeouts(file: SettingsFile, element: etree._Element) -> tuple[float, float]:
     """Returns the seconds after which a configuration is stale and a subscriber is forgotten."""
     stale_after, forget_after = (
-        duration(attribute(element, "stale-after")),
-        duration(attribute(element, "forget-after")),
+        parse_duration(attribute(element, "stale-after")),
+        parse_duration(attribute(element, "forget-after")),
     )
     if not MIN_STALE_AFTER_S <= stale_after <= MAX_STALE_AFTER_S:
         bounds = f"{MIN_STALE_AFTER_S:g}s to {MAX_STALE_AFTER_S:g}s"
@@ -70,7 +70,7 @@
 
 def _catch_up_rate(file: SettingsFile, element: etree._Element) -> float:
     value = attribute(element, "catch-up-rate")
-    rate = size_rate(value)
+    rate = parse_byte_rate(value)
     if not MIN_CATCH_UP_BYTES_PER_S <= rate <= MAX_CATCH_UP_BYTES_PER_S:
         raise file.error(element, f"catch-up-rate is {value}; expected 4KB/s to 1000MB/s")
     return rate
--- a/ironmill/configuration/settings/identity.py
+++ b/ironmill/configuration/settings/identity.py
@@ -6,7 +6,7 @@
 
 from ironmill.configuration.settings.elements import SettingsFile, attribute, child, children, line_of
 from ironmill.configuration.settings.errors import SettingsError
-from ironmill.configuration.units import duration, rate
+from ironmill.configuration.units import parse_duration, parse_rate
 from ironmill.identity.rules import Caller, CallerRule, IdentitySettings, Rights, TokenMatch
 
 ANONYMOUS_NAME = "stranger"  # of the caller without a credential
@@ -38,10 +38,10 @@
             anonymous=anonymous,
             clock_skew_s=self._clock_skew(element),
             migrate_within_s=(
-                None if established_policy == "keep" else duration(established_policy.partition("=")[2])
+                None if established_policy == "keep" else parse_duration(established_policy.partition("=")[2])
             ),
             cache_size=int(attribute(element, "cache")),
-            suspect_checks_per_s=rate(attribute(element, "suspect-checks")),
+            suspect_checks_per_s=parse_rate(attribute(element, "suspect-checks")),
         )
 
     def _anonymous(self, element: etree._Element) -> Caller | None:
@@ -87,7 +87,7 @@
         return Rights(
             self._rights_classes(rights),
             int(attribute(rights, "connections")) if "connections" in rights.attrib else None,
-            rate(attribute(rights, "openings")) if "openings" in rights.attrib else None,
+            parse_rate(attribute(rights, "openings")) if "openings" in rights.attrib else None,
         )
 
     def _rights_classes(self, rights: etree._Element) -> frozenset[str] | None:
@@ -112,7 +112,7 @@
         return tuple(attribute(item, attribute_name) for item in denials if attribute_name in item.attrib)
 
     def _clock_skew(self, element: etree._Element) -> float:
-        skew_s = duration(attribute(element, "skew"))
+        skew_s = parse_duration(attribute(element, "skew"))
         if skew_s > MAX_CLOCK_SKEW_S:
             problem = f"skew is {element.attrib['skew']}; expected at most 5m"
             raise self._file.error(element, problem)
--- a/ironmill/configuration/settings/load.py
+++ b/ironmill/configuration/settings/load.py
@@ -38,7 +38,7 @@
         log=None if log is None else LogSettings(attribute(log, "form"), attribute(log, "level")),
         identity=None if identity is None else identity_reader.read(identity),
         tls=None if tls is None else read_tls(file, tls),
-        upstream=None if upstream is None else read_upstream_tls(file, upstream),
+        upstream_tls=None if upstream is None else read_upstream_tls(file, upstream),
         membership=None if membership is None else read_membership(file, membership),
         distribution=None if distribution is None else read_distribution(file, distribution),
     )
--- a/ironmill/configuration/settings/membership.py
+++ b/ironmill/configuration/settings/membership.py
@@ -6,7 +6,7 @@
 
 from ironmill.configuration.settings.elements import SettingsFile, attribute, children
 from ironmill.configuration.settings.model import MembershipSettings
-from ironmill.configuration.units import duration
+from ironmill.configuration.units import parse_duration
 
 
 def read_membership(file: SettingsFile, element: etree._Element) -> MembershipSettings:
@@ -14,12 +14,12 @@
     from ironmill.membership.timing import Timing  # not imported without membership
 
     timing = Timing(
-        ping_interval_s=duration(attribute(element, "ping-every")),
-        tolerated_pause_s=duration(attribute(element, "pause-borne")),
-        suspicion_timeout_s=duration(attribute(element, "suspect-after")),
-        max_detection_s=duration(attribute(element, "gone-within")),
-        isolation_timeout_s=duration(attribute(element, "alone-after")),
-        forget_delay_s=duration(attribute(element, "forget-after")),
+        ping_interval_s=parse_duration(attribute(element, "ping-every")),
+        tolerated_pause_s=parse_duration(attribute(element, "pause-borne")),
+        suspicion_timeout_s=parse_duration(attribute(element, "suspect-after")),
+        max_detection_s=parse_duration(attribute(element, "gone-within")),
+        isolation_timeout_s=parse_duration(attribute(element, "alone-after")),
+        forget_delay_s=parse_duration(attribute(element, "forget-after")),
     )
     if inconsistency := timing.inconsistency():
         raise file.error(element, inconsistency)
--- a/ironmill/configuration/settings/model.py
+++ b/ironmill/configuration/settings/model.py
@@ -85,6 +85,6 @@
     log: LogSettings | None = None
     identity: IdentitySettings | None = None
     tls: TlsSettings | None = None
-    upstream: UpstreamTls | None = None
+    upstream_tls: UpstreamTls | None = None
     membership: MembershipSettings | None = None
     distribution: DistributionSettings | None = None
--- a/ironmill/net/operator_features.py
+++ b/ironmill/net/operator_features.py
@@ -117,12 +117,12 @@
 
     def secure(self, stream: Stream, address: Address) -> Stream:
         """Wraps a connection to the server at the address in TLS, if the current settings ask for it."""
-        settings = self._files.settings.upstream
-        if self._files.upstream is None or settings is None:
+        settings = self._files.settings.upstream_tls
+        if self._files.upstream_tls is None or settings is None:
             return stream
         from ironmill.net.tls import TlsStream
 
-        return TlsStream.wrap(self._scheduler, stream, self._files.upstream, settings.name or address[0])
+        return TlsStream.wrap(self._scheduler, stream, self._files.upstream_tls, settings.name or address[0])
 
     # Reload
 
--- a/ironmill/net/proxy.py
+++ b/ironmill/net/proxy.py
@@ -106,7 +106,7 @@
             config.discovery,
             DiscoveryListener(self.gateway.on_endpoints, self._start_accepting, self.gateway.known_servers),
             backoff,
-            config.known.revision if config.known.servers else None,
+            config.initial_endpoints.revision if config.initial_endpoints.servers else None,
         )
 
     def _build_features(self, options: ProxyOptions) -> OperatorFeatures | None:
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -88,7 +88,7 @@
         self.on_lines_sent = self._round_trips.lines_sent
         self.on_lines_answered = self._round_trips.lines_answered
         self.feed = self._decisions.feed
-        self.feed(self._servers.apply(config.known, self.now(), from_discovery=False))
+        self.feed(self._servers.apply(config.initial_endpoints, self.now(), from_discovery=False))
 
     # State
 
--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -49,7 +49,7 @@
         "discovery": ("127.0.0.1", 9),
         "seed": 1,
         "sockets": 1024,
-        "known": known,
+        "initial_endpoints": known,
         "settings": SETTINGS,
         "connect_timeout_s": 0.2,
         "drain_grace_s": 0.25,
--- a/tests/system/test_reload.py
+++ b/tests/system/test_reload.py
@@ -7,19 +7,19 @@
 
 import pytest
 
-from ironmill.configuration.proxy_config import Address, load
+from ironmill.configuration.proxy_config import Address, load_config
 from ironmill.net.reload import Reload
-from tests.unit.configuration.test_proxy_config import written
+from tests.unit.configuration.test_proxy_config import write_config_file
 
 
 def test_reload_applies_discovery_and_names_keys_that_require_a_restart(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    path = written(tmp_path)
+    path = write_config_file(tmp_path)
     watched: list[Address] = []
-    reload = Reload(load({}, path), lambda: load({}, path), watched.append)
+    reload = Reload(load_config({}, path), lambda: load_config({}, path), watched.append)
     caplog.set_level(logging.INFO)
-    written(tmp_path, ("discovery", "127.0.0.9:85"), ("limits.sockets", 900), ("seed", "1"))
+    write_config_file(tmp_path, ("discovery", "127.0.0.9:85"), ("limits.sockets", 900), ("seed", "1"))
     reload.run()
     assert watched == [("127.0.0.9", 85)]
     assert [record.getMessage() for record in caplog.records] == [
@@ -39,10 +39,10 @@
 def test_reload_of_an_invalid_file_changes_nothing(
     change: tuple[str, object], expected_key: str, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    path = written(tmp_path)
+    path = write_config_file(tmp_path)
     watched: list[Address] = []
-    reload = Reload(load({}, path), lambda: load({}, path), watched.append)
-    written(tmp_path, change)
+    reload = Reload(load_config({}, path), lambda: load_config({}, path), watched.append)
+    write_config_file(tmp_path, change)
     reload.run()
     (tmp_path / "config.json").write_text("{")
     reload.run()
--- a/tests/unit/configuration/test_distribution_settings.py
+++ b/tests/unit/configuration/test_distribution_settings.py
@@ -11,8 +11,8 @@
 from ironmill.configuration.settings.errors import SettingsError
 from ironmill.configuration.settings.load import load_settings
 from ironmill.configuration.settings.model import ControlMachine, DistributionSettings
-from ironmill.configuration.units import size_rate
-from tests.unit.configuration.test_proxy_config import written
+from ironmill.configuration.units import parse_byte_rate
+from tests.unit.configuration.test_proxy_config import write_config_file
 
 KEYS = "0f" * 32
 ORIGIN = '<control name="c1" address="10.0.0.1:7500" zone="hall-a" region="south" origin="true"/>'
@@ -73,7 +73,7 @@
     [("4096B/s", 4096), ("128KB/s", 128_000), ("128KiB/s", 131_072), ("1.5MB/s", 1.5e6), ("2MiB/s", 2 << 20)],
 )
 def test_byte_rates_are_parsed_with_their_units(text: str, bytes_per_second: float, tmp_path: Path) -> None:
-    assert size_rate(text) == bytes_per_second
+    assert parse_byte_rate(text) == bytes_per_second
     settings = load_settings(write_settings(tmp_path, f'catch-up-rate="{text}"'), ()).distribution
     assert settings is not None
     assert settings.catch_up_rate == bytes_per_second
@@ -208,7 +208,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("PROXY_CONFIG", raising=False)
-    config = written(tmp_path)
+    config = write_config_file(tmp_path)
     path = write_settings(tmp_path)
     assert main(["check-config", "--settings", path, "--config", config]) == 0
     assert f"the settings in {path} are fit for use" in capsys.readouterr().out
--- a/tests/unit/configuration/test_proxy_config.py
+++ b/tests/unit/configuration/test_proxy_config.py
@@ -13,7 +13,7 @@
 
 from ironmill import __version__, cli
 from ironmill.cli import main
-from ironmill.configuration.proxy_config import load
+from ironmill.configuration.proxy_config import load_config
 from ironmill.protocol.json_object import MalformedError
 from tests.unit.simulator.test_simulator import SETTINGS
 
@@ -28,7 +28,7 @@
 }
 
 
-def written(path: Path, *changes: tuple[str, object]) -> str:
+def write_config_file(path: Path, *changes: tuple[str, object]) -> str:
     value = orjson.loads(orjson.dumps(CONFIG))
     for key, new in changes:
         node = value
@@ -42,9 +42,11 @@
 
 
 def test_environment_takes_precedence_over_the_file(tmp_path: Path) -> None:
-    config = load({"PROXY_CONFIG": written(tmp_path), "PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.5:77"})
+    config = load_config(
+        {"PROXY_CONFIG": write_config_file(tmp_path), "PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.5:77"}
+    )
     assert (config.name, config.listen, config.discovery) == ("n9", ("127.0.0.5", 77), ("127.0.0.1", 8500))
-    assert (config.seed, config.sockets, config.known.revision) == (0x8C1F30D27A5BE964, 4096, 41)
+    assert (config.seed, config.sockets, config.initial_endpoints.revision) == (0x8C1F30D27A5BE964, 4096, 41)
     assert (config.shortest_latency_objective_s, config.drain_grace_s, config.packets_pass_through) == (
         0.1,
         1.0,
@@ -70,7 +72,7 @@
     change: tuple[str, object], expected_key: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     for command in ("serve", "check-config"):
-        assert main([command, "--config", written(tmp_path, change)]) == 2
+        assert main([command, "--config", write_config_file(tmp_path, change)]) == 2
         out, err = capsys.readouterr()
         assert (out, err.count("\n")) == ("", 1)
         assert f"configuration: {expected_key} " in err
@@ -88,16 +90,19 @@
 
 def test_version_and_check_config_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["version"]) == 0
-    assert main(["check-config", "--config", written(tmp_path)]) == 0
+    assert main(["check-config", "--config", write_config_file(tmp_path)]) == 0
     expected = f"ironmill {__version__}\nironmill: the configuration of n3 is fit for use\n"
     assert capsys.readouterr().out == expected
 
 
 def test_admin_address_is_read_from_file_or_environment(tmp_path: Path) -> None:
-    assert load({"PROXY_CONFIG": written(tmp_path)}).admin_address is None
-    path = written(tmp_path, ("control", "127.0.0.1:9000"))
-    assert load({"PROXY_CONFIG": path}).admin_address == ("127.0.0.1", 9000)
-    assert load({"PROXY_CONFIG": path, "PROXY_CONTROL": "127.0.0.2:1"}).admin_address == ("127.0.0.2", 1)
+    assert load_config({"PROXY_CONFIG": write_config_file(tmp_path)}).admin_address is None
+    path = write_config_file(tmp_path, ("control", "127.0.0.1:9000"))
+    assert load_config({"PROXY_CONFIG": path}).admin_address == ("127.0.0.1", 9000)
+    assert load_config({"PROXY_CONFIG": path, "PROXY_CONTROL": "127.0.0.2:1"}).admin_address == (
+        "127.0.0.2",
+        1,
+    )
 
 
 @pytest.mark.parametrize("text", ["[" * 100_000, '{"name": 1e999}', '{"name": "\\ud800"}', "{", ""])
@@ -106,14 +111,14 @@
     file = tmp_path / "config.json"
     file.write_text(text)
     with pytest.raises(MalformedError, match="is not JSON"):
-        load({"PROXY_CONFIG": str(file)})
+        load_config({"PROXY_CONFIG": str(file)})
 
 
 def test_number_out_of_range_is_rejected(tmp_path: Path) -> None:
-    text = Path(written(tmp_path)).read_text().replace('"sockets":4096', '"sockets":' + "9" * 400)
+    text = Path(write_config_file(tmp_path)).read_text().replace('"sockets":4096', '"sockets":' + "9" * 400)
     (tmp_path / "config.json").write_text(text)
     with pytest.raises(MalformedError, match="sockets is not a number within range"):
-        load({"PROXY_CONFIG": str(tmp_path / "config.json")})
+        load_config({"PROXY_CONFIG": str(tmp_path / "config.json")})
 
 
 def test_start_imports_no_optional_modules() -> None:
--- a/tests/unit/configuration/test_settings.py
+++ b/tests/unit/configuration/test_settings.py
@@ -13,7 +13,7 @@
 from ironmill.configuration.settings.load import load_settings
 from ironmill.configuration.settings.model import UpstreamTls
 from ironmill.runtime.logs import LogSettings
-from tests.unit.configuration.test_proxy_config import written
+from tests.unit.configuration.test_proxy_config import write_config_file
 
 EXAMPLE = Path(__file__).parents[3] / "deploy" / "settings.example.xml"
 CLASSES = ("index-sync", "archive-fetch")
@@ -142,7 +142,7 @@
 
 def test_upstream_tls_is_loaded(tmp_path: Path) -> None:
     text = '<issuer-hosts-tls authorities="ca.pem" name="hosts.example"{}/>'
-    upstream = load_settings(write_settings(tmp_path, text.format("")), CLASSES).upstream
+    upstream = load_settings(write_settings(tmp_path, text.format("")), CLASSES).upstream_tls
     assert upstream == UpstreamTls(str(tmp_path / "ca.pem"), "hosts.example")
     with pytest.raises(SettingsError, match="must be given together"):
         load_settings(write_settings(tmp_path, text.format(' certificate="a.crt"')), CLASSES)
@@ -204,7 +204,7 @@
     ]
     options = [
         "--config",
-        written(tmp_path, ("settings.categories", categories)),
+        write_config_file(tmp_path, ("settings.categories", categories)),
         "--settings",
         str(settings),
     ]
@@ -214,7 +214,7 @@
     assert main(["check-config", *options]) == 0
     assert f"the settings in {settings} are fit for use" in capsys.readouterr().out
     # The same file is invalid if the platform's settings do not define its classes.
-    assert main(["check-config", "--config", written(tmp_path), "--settings", str(settings)]) == 2
+    assert main(["check-config", "--config", write_config_file(tmp_path), "--settings", str(settings)]) == 2
     assert (
         f"{settings}:7: unknown request class 'index-sync'; the platform's settings define read"
         in capsys.readouterr().err
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -21,7 +21,7 @@
 from ironmill.administration.proxy_api import ProxyApi
 from ironmill.administration.routes import Routes
 from ironmill.balancing.interface import Outcome, Stage
-from ironmill.configuration.proxy_config import load
+from ironmill.configuration.proxy_config import load_config
 from ironmill.distribution.changes import pack_entry, unpack_entries
 from ironmill.distribution.keyspace import Keyspace
 from ironmill.distribution.revision import RevisionMetadata
@@ -301,7 +301,7 @@
 
 
 def test_the_configuration_is_read() -> None:
-    config = load({}, str(GOLDEN / "config.json"))
+    config = load_config({}, str(GOLDEN / "config.json"))
     assert (config.name, config.listen, config.discovery) == (
         "n3",
         ("127.0.0.4", 3000),
@@ -312,7 +312,7 @@
         4096,
         ("127.0.0.4", 3100),
     )
-    assert config.known.servers[0].uid == "s-5be2a07c"
+    assert config.initial_endpoints.servers[0].uid == "s-5be2a07c"
     assert config.default_deadlines_s == {"chat": 4.0, "sync": 10.0}
     assert (config.connect_timeout_s, config.drain_grace_s, config.packets_pass_through) == (0.75, 0.25, True)
 
