--- a/ironmill/administration/configuration_api.py
+++ b/ironmill/administration/configuration_api.py
@@ -1,6 +1,6 @@
 """The admin API of distributed configuration: status, history, push and revert. No I/O.
 
-Push and revert carry a ticket as idempotency key, so a client that lost the response may repeat the call.
+Push and revert requests carry a ticket as idempotency key, so a client that got no response may retry.
 """
 
 from __future__ import annotations
@@ -43,36 +43,36 @@
 
 MAX_HISTORY = 1000  # revisions in one response
 DEFAULT_HISTORY = 20
-# Bound on the keys and values in one response; the newest revision is included however large it is.
+# Limit on the keys and values in one response. The newest revision is always included, even if it is larger.
 MAX_HISTORY_BYTES = 1 << 20
 MAX_POSITION_LENGTH = 40
 
 
 class StatusSource(Protocol):
-    """A node of distribution."""
+    """A node of configuration distribution."""
 
     def status(self, now: float) -> object:
-        """Returns the node's own status; of a parent, also that of the nodes below it."""
+        """Returns the node's status; if the node is a parent, also that of its descendants."""
 
 
 class RevisionWriter(Protocol):
-    """The origin. An implementation also sends the datagrams that a push causes."""
+    """The origin, which stores revisions. An implementation also sends the datagrams that a push causes."""
 
     def push(
         self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
         """Stores the changes as the next revision and returns its position.
 
-        With a ticket that was used before it returns the position of that revision. Raises
-        ``RevisionError``, ``RevisionRejectedError``, ``PositionConflictError``, ``NotOriginError`` and
-        ``StoreError``; nothing was stored then.
+        If the ticket was used before, stores nothing and returns the position of that revision. Raises
+        ``RevisionError``, ``RevisionRejectedError``, ``PositionConflictError``, ``NotOriginError`` or
+        ``StoreError`` if nothing was stored.
         """
 
     def undo(self, number: int) -> Changes:
-        """Returns the changes that restore all values as of a revision. Raises ``StoreError``."""
+        """Returns the changes that restore all values as of revision ``number``. Raises ``StoreError``."""
 
     def history(self, max_count: int) -> list[StoredRevision]:
-        """Returns the last revisions, the newest first. Raises ``StoreError``."""
+        """Returns the latest revisions, newest first. Raises ``StoreError``."""
 
 
 _Author = Annotated[str, Meta(min_length=1, max_length=MAX_AUTHOR_LENGTH)]
@@ -82,17 +82,17 @@
 
 
 class PushBody(Struct, forbid_unknown_fields=True, kw_only=True):
-    """Body of a push. A key whose value is null is deleted."""
+    """Body of a push request. A key whose value is null is deleted."""
 
     changes: dict[str, str | None]
     author: _Author
     note: _Note = ""
     ticket: _Ticket
-    expect: _Expect = ""  # the required latest position; empty: any
+    expect: _Expect = ""  # the position that the latest revision must have; empty: any
 
 
 class RevertBody(Struct, forbid_unknown_fields=True, kw_only=True):
-    """Body of a revert, which restores the values as of a revision by a new one."""
+    """Body of a revert request, which stores a new revision that restores the values as of an earlier one."""
 
     number: Annotated[int, Meta(ge=0, lt=NUMBER_LIMIT)]
     author: _Author
@@ -102,33 +102,33 @@
 
 
 class PositionBody(Struct):
-    """Response to a push or revert that was stored."""
+    """Response to a successful push or revert."""
 
     position: str
 
 
 class RejectionBody(Struct):
-    """Response to a push that no proxy could apply."""
+    """Response to a push or revert whose changes no proxy could apply."""
 
     key: str
     reason: str
 
 
 class ReasonBody(Struct):
-    """Response to a call that failed."""
+    """Response to a request that failed."""
 
     reason: str
 
 
 class NotOriginBody(Struct):
-    """Response of a process that is not the origin."""
+    """Response of a process that is not the origin, with the names of the possible origins."""
 
     reason: str
     origins: list[str]
 
 
 class RevisionBody(Struct):
-    """One revision of a history."""
+    """One revision in a history response."""
 
     position: str
     at: float  # Unix time, seconds
@@ -138,7 +138,7 @@
 
     @classmethod
     def from_revision(cls, revision: StoredRevision) -> RevisionBody:
-        """Returns the revision with its values as text; bytes that are not UTF-8 are escaped."""
+        """Returns the body for a revision. Bytes of values that are not UTF-8 are escaped."""
         changes = {
             key: None if value is None else value.decode(errors="backslashreplace")
             for key, value in revision.changes.items()
@@ -147,7 +147,7 @@
 
 
 class HistoryBody(Struct):
-    """Response to a request of the history. ``cut``: older revisions did not fit."""
+    """Response with the history. ``cut`` is True if older revisions did not fit."""
 
     revisions: list[RevisionBody]
     cut: bool
@@ -157,19 +157,19 @@
 
 
 class InvalidCallError(IronmillError):
-    """A call whose query or body is not valid. The message has one line."""
+    """Raised if the query or body of a request is not valid. The message has one line."""
 
 
 def read_position(text: str) -> Position:
-    """Parses EPOCH.NUMBER. Raises ``ValueError``."""
+    """Parses a position of the form EPOCH.NUMBER. Raises ``ValueError``."""
     if re.fullmatch(r"[0-9]{1,19}\.[0-9]{1,19}", text, re.ASCII) is None:
-        raise ValueError(f"{text!r} is no position; it is EPOCH.NUMBER, as in 3.17")
+        raise ValueError(f"{text!r} is not a position; expected EPOCH.NUMBER, as in 3.17")
     epoch, _, number = text.partition(".")
     return Position(int(epoch), int(number))
 
 
 class ConfigurationApi:
-    """Handlers of the routes. Without a writer the writing calls are answered with the names of origins."""
+    """Handlers of the routes. Without a writer, push, revert and history return the names of the origins."""
 
     def __init__(
         self,
@@ -179,7 +179,12 @@
         clock: Callable[[], float] = time.time,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """``origins`` are the names of the control machines that may be the origin."""
+        """Creates the handlers.
+
+        ``writer`` is None if this process is not the origin. ``origins`` are the names of the control
+        machines that may be the origin. ``clock`` returns wall clock time and ``now`` monotonic time, in
+        seconds.
+        """
         self._source = source
         self._writer = writer
         self._origins = origins
@@ -187,15 +192,15 @@
         self._now = now
 
     def add_to(self, routes: Routes) -> None:
-        """Adds the routes."""
+        """Adds the routes of this API."""
         routes.add(STATUS_PATH, {"GET": self._status})
-        routes.add(REVISIONS_PATH, {"GET": self._history, "POST": self._push}, detailed=True)
-        routes.add(REVERT_PATH, {"POST": self._revert}, detailed=True)
+        routes.add(REVISIONS_PATH, {"GET": self._history, "POST": self._push}, with_content=True)
+        routes.add(REVERT_PATH, {"POST": self._revert}, with_content=True)
 
     def _status(self, _: ApiRequest) -> ApiResponse:
         return ApiResponse.from_json(HTTPStatus.OK, self._source.status(self._now()))
 
-    # Writing calls
+    # Push and revert
 
     def _push(self, request: ApiRequest) -> ApiResponse:
         def push(writer: RevisionWriter) -> Position:
@@ -217,7 +222,7 @@
             except RevisionError:
                 if changes:
                     raise
-                # A repeated ticket does not get here: its position was returned.
+                # A ticket that was used before does not get here, because the call returned its position.
                 raise InvalidCallError(
                     f"there is nothing to revert: all is as it was at {body.number}"
                 ) from None
@@ -226,18 +231,18 @@
 
     def _store(self, writer: RevisionWriter, changes: Changes, body: PushBody | RevertBody) -> Position:
         for name, text in (("author", body.author), ("note", body.note), ("ticket", body.ticket)):
-            # Control characters could change the terminal that shows the history.
+            # Control characters could alter the terminal that shows the history.
             if not text.isprintable():
-                raise InvalidCallError(f"{name} has printable characters only")
+                raise InvalidCallError(f"{name} must contain only printable characters")
         try:
-            expect = read_position(body.expect) if body.expect else None
+            expected_position = read_position(body.expect) if body.expect else None
         except ValueError as error:
             raise InvalidCallError(f"expect: {error}") from None
         metadata = RevisionMetadata(self._clock(), body.author, body.note, body.ticket)
-        return writer.push(changes, metadata, self._now(), expect)
+        return writer.push(changes, metadata, self._now(), expected_position)
 
     def _write(self, operation: Callable[[RevisionWriter], Position]) -> ApiResponse:
-        """Runs a writing operation, and maps its errors to responses."""
+        """Runs an operation of the writer and maps its errors to responses."""
         if self._writer is None:
             return self._not_origin()
         try:
@@ -251,9 +256,9 @@
             return ApiResponse.from_json(_status_of(error), ReasonBody(str(error)))
         return ApiResponse.from_json(HTTPStatus.CREATED, PositionBody(str(position)))
 
-    def _not_origin(self, why: str = "this process is no origin") -> ApiResponse:
+    def _not_origin(self, reason: str = "this process is no origin") -> ApiResponse:
         origins = " or ".join(self._origins) or "not known here"
-        body = NotOriginBody(f"{why}; the origin is {origins}", list(self._origins))
+        body = NotOriginBody(f"{reason}; the origin is {origins}", list(self._origins))
         return ApiResponse.from_json(HTTPStatus.SERVICE_UNAVAILABLE, body)
 
     # History
@@ -277,7 +282,7 @@
 
 
 def _max_count(request: ApiRequest) -> int:
-    """The number of revisions that the query asks for. Raises ``InvalidCallError``."""
+    """Returns the number of revisions that the query requests. Raises ``InvalidCallError``."""
     text = parse_qs(request.query, max_num_fields=8).get("most", [str(DEFAULT_HISTORY)])[-1]
     if re.fullmatch(r"[0-9]{1,6}", text, re.ASCII) is None:
         raise InvalidCallError(f"most is no number: {text[:20]!r}")
@@ -295,9 +300,9 @@
     return HistoryBody(bodies, len(bodies) < len(revisions))
 
 
-def _decode(request: ApiRequest, kind: type[_Body]) -> _Body:
-    """Decodes the body of a call. Raises ``InvalidCallError``."""
+def _decode(request: ApiRequest, body_type: type[_Body]) -> _Body:
+    """Decodes the body of a request. Raises ``InvalidCallError``."""
     try:
-        return msgspec.json.decode(request.body, type=kind)
+        return msgspec.json.decode(request.body, type=body_type)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidCallError(f"the body is not right: {str(error).splitlines()[0]}") from None
--- a/ironmill/administration/http.py
+++ b/ironmill/administration/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 of the admin API: one request and its response, as a state machine over h11. No I/O."""
+"""State machine of one HTTP/1.1 exchange of the admin API, built on h11. No I/O."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from ironmill.administration.messages import ApiRequest, ApiResponse
 
 MAX_HEAD_BYTES = 8 * 1024
-MAX_BODY_BYTES = 64 * 1024  # also of a body that is discarded
+MAX_BODY_BYTES = 64 * 1024  # also limits a body that is discarded
 
 
 class HttpExchange:
-    """One connection, which carries one call."""
+    """One connection, which carries one request and its response."""
 
-    def __init__(self, detailed: Collection[str] = ()) -> None:
-        """``detailed`` are the paths whose query and body are kept."""
-        self._detailed = detailed
+    def __init__(self, content_paths: Collection[str] = ()) -> None:
+        """Creates an exchange; the query and the body of a request are kept only for ``content_paths``."""
+        self._content_paths = content_paths
         self._connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
         self._body_size = 0
         self._body: list[bytes] = []
 
     def receive(self, data: bytes) -> ApiRequest | ApiResponse | None:
-        """Feeds received bytes, none at the end of the stream.
+        """Processes received bytes; ``data`` is empty at the end of the stream.
 
-        Returns the request once it is complete, a response if it is malformed or too large, else None.
+        Returns the request once it is complete, a response if it is malformed or too large, otherwise None.
         """
         try:
             self._connection.receive_data(data)
@@ -39,7 +39,7 @@
                     self._body_size += len(event.data)
                     if self._body_size > MAX_BODY_BYTES:
                         return ApiResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-                    self._keep(event.data)
+                    self._keep_body_data(event.data)
                 elif isinstance(event, h11.EndOfMessage) and self._request is not None:
                     return self._complete(self._request)
                 else:
@@ -47,19 +47,19 @@
         except h11.RemoteProtocolError as error:
             return ApiResponse(HTTPStatus(error.error_status_hint))
 
-    def _keep(self, data: bytes | bytearray) -> None:
-        if self._request is not None and _target(self._request)[0] in self._detailed:
+    def _keep_body_data(self, data: bytes | bytearray) -> None:
+        if self._request is not None and _path_and_query(self._request)[0] in self._content_paths:
             self._body.append(bytes(data))
 
     def _complete(self, request: h11.Request) -> ApiRequest:
-        path, query = _target(request)
+        path, query = _path_and_query(request)
         method = request.method.decode("ascii")
-        if path not in self._detailed:
+        if path not in self._content_paths:
             return ApiRequest(method, path)
         return ApiRequest(method, path, query, b"".join(self._body))
 
     def encode(self, response: ApiResponse) -> bytes:
-        """Returns the bytes of the response; none if the peer has closed already."""
+        """Returns the bytes of the response; empty if the peer has already closed the connection."""
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(response.body))),
@@ -70,15 +70,15 @@
             status_code=int(response.status), reason=response.status.phrase.encode(), headers=headers
         )
         try:
-            sent = [self._connection.send(head)]
+            parts = [self._connection.send(head)]
             if self._request is None or self._request.method != b"HEAD":
-                sent.append(self._connection.send(h11.Data(data=response.body)))
-        except h11.LocalProtocolError:  # the peer has closed
+                parts.append(self._connection.send(h11.Data(data=response.body)))
+        except h11.LocalProtocolError:  # the peer has closed the connection
             return b""
-        return b"".join(data for data in sent if data)
+        return b"".join(data for data in parts if data)
 
 
-def _target(request: h11.Request) -> tuple[str, str]:
-    """Path and query of the request."""
+def _path_and_query(request: h11.Request) -> tuple[str, str]:
+    """Returns the path and the query of a request."""
     path, _, query = request.target.decode("ascii", "replace").partition("?")
     return path, query
--- a/ironmill/administration/messages.py
+++ b/ironmill/administration/messages.py
@@ -1,4 +1,4 @@
-"""A call of the admin API and its response, independent of the protocol that carries them."""
+"""Requests and responses of the admin API, independent of the protocol that carries them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ApiRequest(Struct, frozen=True):
-    """A complete call. Query and body are empty unless the route asks for them."""
+    """A complete request. Query and body are empty unless the route needs them."""
 
     method: str
     path: str  # without the query
@@ -20,7 +20,7 @@
 
 
 class ApiResponse(Struct, frozen=True):
-    """The response to a call."""
+    """The response to a request."""
 
     status: HTTPStatus
     body: bytes = b""
@@ -28,5 +28,5 @@
 
     @classmethod
     def from_json(cls, status: HTTPStatus, content: object) -> ApiResponse:
-        """Returns a response whose body is the content as one line of JSON."""
+        """Returns a response whose body is the content encoded as one line of JSON."""
         return cls(status, msgspec.json.encode(content) + b"\n")
--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -13,32 +13,32 @@
 from ironmill.requests.metrics import RequestMetrics
 from ironmill.runtime.lifecycle import TERMINAL_STATES, Lifecycle, LifecycleEvent
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # not imported without distribution
     from ironmill.distribution.status import ConfigurationHealth
 
 
 class MetricsSource(Protocol):
-    """The requests and servers that the metrics describe."""
+    """The source of the request metrics and server counts."""
 
     lifecycle: Lifecycle
     metrics: RequestMetrics
 
     def known_servers(self) -> int:
-        """The number of servers in the endpoint list."""
+        """Returns the number of servers in the endpoint list."""
 
     def skipped_servers(self) -> int:
-        """How many of those get no new connections at the moment."""
+        """Returns the number of these servers that currently get no new connections."""
 
 
 class StateBody(Struct, kw_only=True):
-    """Body of the responses with the state. ``configuration`` is there if distribution is on."""
+    """Response with the state of the process. ``configuration`` is set if distribution is on."""
 
     state: str
     configuration: ConfigurationHealth | UnsetType = UNSET
 
 
 class StatsBody(Struct, kw_only=True):
-    """Body of ``/admin/stats``. Counters by class since the start, gauges of the moment."""
+    """Response of ``/admin/stats``: counters since the start, some by request class, and current gauges."""
 
     state: str
     taken: dict[str, int]
@@ -53,14 +53,15 @@
 
 
 class ProxyApi(Routes):
-    """Routes that every proxy answers."""
+    """The routes that every proxy has."""
 
     def __init__(self, source: MetricsSource) -> None:
-        """Adds the routes; ``source`` must outlive them."""
+        """Adds the routes. ``source`` must outlive this object."""
         super().__init__()
         self._source = source
         self._lifecycle = source.lifecycle
-        self.configuration_health: Callable[[], ConfigurationHealth] | None = None  # if distribution is on
+        # Set if distribution is on.
+        self.configuration_health: Callable[[], ConfigurationHealth] | None = None
         self.add("/admin/health", {"GET": self._health})
         self.add("/admin/stats", {"GET": self._stats})
         self.add("/admin/quiesce", {"POST": self._drain})
@@ -92,7 +93,7 @@
 
     def _drain(self, _: ApiRequest) -> ApiResponse:
         self._lifecycle.handle(LifecycleEvent.DRAIN_REQUESTED)
-        # OK also during a shutdown, which migrates the clients as well.
+        # The status is also OK during a shutdown, because a shutdown migrates the clients too.
         return ApiResponse.from_json(HTTPStatus.OK, self._state_body())
 
     def _resume(self, _: ApiRequest) -> ApiResponse:
--- a/ironmill/administration/routes.py
+++ b/ironmill/administration/routes.py
@@ -1,4 +1,4 @@
-"""The admin API as a table of routes. No I/O.
+"""The routing table of the admin API. No I/O.
 
 The routes of a proxy are in ``ironmill.administration.proxy_api``, those of distributed configuration in
 ``ironmill.administration.configuration_api``.
@@ -16,21 +16,22 @@
 
 
 class Routes:
-    """Dispatches calls to handlers by path and method."""
+    """Dispatches requests to handlers by path and method."""
 
     def __init__(self) -> None:
         """Creates an empty table."""
         self.handlers: dict[str, Mapping[str, Handler]] = {}
-        self.detailed: set[str] = set()  # paths whose handlers get query and body; others' are discarded
+        # Paths whose handlers get the query and the body. On other paths both are discarded.
+        self.content_paths: set[str] = set()
 
-    def add(self, path: str, handlers: Mapping[str, Handler], *, detailed: bool = False) -> None:
-        """Adds a path with its handlers by method. ``detailed``: they get query and body."""
+    def add(self, path: str, handlers: Mapping[str, Handler], *, with_content: bool = False) -> None:
+        """Adds a path with its handlers by method. They get query and body if ``with_content`` is True."""
         self.handlers[path] = handlers
-        if detailed:
-            self.detailed.add(path)
+        if with_content:
+            self.content_paths.add(path)
 
     def dispatch(self, request: ApiRequest) -> ApiResponse:
-        """Returns the handler's response; 404 for an unknown path, 405 for a method without a handler."""
+        """Returns the handler's response; 404 for an unknown path, 405 for an unsupported method."""
         methods = self.handlers.get(request.path)
         if methods is None:
             return ApiResponse(HTTPStatus.NOT_FOUND)
--- a/ironmill/net/admin_server.py
+++ b/ironmill/net/admin_server.py
@@ -59,7 +59,7 @@
         from ironmill.administration.http import HttpExchange
 
         try:
-            exchange = HttpExchange(self._routes.detailed)
+            exchange = HttpExchange(self._routes.content_paths)
             response = self._respond(stream, exchange)
             if response is not None:
                 stream.send(exchange.encode(response), RESPONSE_TIMEOUT_S)
--- a/tests/support/configuration_api.py
+++ b/tests/support/configuration_api.py
@@ -1,4 +1,4 @@
-"""A stub of the origin, and calls of the admin API of distributed configuration."""
+"""A stub of the origin and a client for the admin API of distributed configuration."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 class StubOrigin:
-    """An origin with a real store and a simulated status of the fleet."""
+    """An origin with a real store and a simulated fleet status."""
 
     def __init__(self, folder: Path) -> None:
         self.store = SqliteStore(str(folder / "store"))
         self.error: Exception | None = None
-        self.overrides: dict[str, Any] = {}
-        self.pushed: list[tuple[float, float]] = []
+        self.status_overrides: dict[str, Any] = {}
+        self.push_times: list[tuple[float, float]] = []  # wall clock and monotonic clock of each push
 
     def push(
         self, changes: Changes, metadata: RevisionMetadata, now: float, expect: Position | None = None
     ) -> Position:
-        self.pushed.append((metadata.at, now))
+        self.push_times.append((metadata.at, now))
         if self.error is not None:
             raise self.error
-        known = self.store.committed(metadata.ticket)
-        if known is not None:
-            return known
+        stored_position = self.store.committed(metadata.ticket)
+        if stored_position is not None:
+            return stored_position
         if expect is not None and expect != self.store.position:
             raise PositionConflictError(f"the newest revision is {self.store.position}, not {expect}")
         check_changes(changes)
@@ -56,42 +56,44 @@
     def undo(self, number: int) -> Changes:
         return self.store.undo(number)
 
-    def history(self, most: int) -> list[StoredRevision]:
-        return self.store.history(most)
+    def history(self, max_count: int) -> list[StoredRevision]:
+        return self.store.history(max_count)
 
     def status(self, now: float) -> dict[str, Any]:
-        head = str(self.store.position)
+        latest_position = str(self.store.position)
         return {
             "name": "c1",
             "role": "origin",
             "lineage": self.store.lineage,
-            "held": head,
-            "in_force": head,
+            "held": latest_position,
+            "in_force": latest_position,
             "stale": False,
             "age_s": 0.0,
             "parent": "",
             "everywhere": True,
-            "lowest": head,
+            "lowest": latest_position,
             "zones": [],
             "laggards": [],
             "more_laggards": 0,
             "entries": len(dict(self.store.entries())),
             "dropped": {},
-        } | self.overrides
+        } | self.status_overrides
 
 
-def routes_of(stub: StubOrigin, writes: bool = True) -> Routes:
+def create_routes(stub: StubOrigin, has_writer: bool = True) -> Routes:
     routes = Routes()
-    ConfigurationApi(stub, stub if writes else None, ["c1", "c9"], lambda: 50.0, lambda: 7.0).add_to(routes)
+    ConfigurationApi(stub, stub if has_writer else None, ["c1", "c9"], lambda: 50.0, lambda: 7.0).add_to(
+        routes
+    )
     return routes
 
 
 def call_api(routes: Routes, method: str, path: str, body: object = None, query: str = "") -> tuple[int, Any]:
     data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
-    answer = routes.dispatch(ApiRequest(method, path, query, data))
-    assert answer.body.endswith(b"\n")
-    return int(answer.status), json.loads(answer.body)
+    response = routes.dispatch(ApiRequest(method, path, query, data))
+    assert response.body.endswith(b"\n")
+    return int(response.status), json.loads(response.body)
 
 
-def body(changes: dict[str, str | None] | None = None, **more: object) -> dict[str, object]:
-    return {"changes": {"a": "1"} if changes is None else changes, "author": "ann", "ticket": "t1"} | more
+def push_body(changes: dict[str, str | None] | None = None, **fields: object) -> dict[str, object]:
+    return {"changes": {"a": "1"} if changes is None else changes, "author": "ann", "ticket": "t1"} | fields
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -1,4 +1,4 @@
-"""Reads the golden files."""
+"""Access to the golden files, which record encoded bytes and stored data."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 
 def recorded(name: str) -> Any:
-    """Returns what a golden file in JSON records."""
+    """Returns the contents of a golden file in JSON."""
     return msgspec.json.decode((GOLDEN / name).read_bytes())
--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The admin server of a proxy: incomplete and aborted calls, and drains."""
+"""Tests of a proxy's admin server: incomplete and aborted requests, and drains."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class ProxyWithAdminApi:
-    """A proxy whose admin API answers."""
+    """A proxy with its admin server."""
 
-    def __init__(self, keeps: bool = False) -> None:
+    def __init__(self, keeps_established: bool = False) -> None:
         self.proxy = ProxyUnderTest()
         self.server = AdminServer(self.proxy.scheduler, ("127.0.0.1", 0), ProxyApi(self.proxy.gateway))
         self.server.start()
-        Drain(self.proxy.scheduler, self.proxy.gateway, keeps_established=keeps)
+        Drain(self.proxy.scheduler, self.proxy.gateway, keeps_established=keeps_established)
 
     def connect(self, data: bytes) -> Stream:
         stream = Stream.connect(self.proxy.scheduler, self.server.address, 1.0)
@@ -42,37 +42,37 @@
         self.server.close()
 
 
-def test_incomplete_calls_neither_delay_others_nor_stay_open(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_requests_neither_delay_others_nor_stay_open(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_server_module, "REQUEST_TIMEOUT_S", 0.3)
-    it = ProxyWithAdminApi()
+    fixture = ProxyWithAdminApi()
 
     def scenario() -> None:
-        incomplete = [it.connect(GET[:20]) for _ in range(200)]
-        assert it.call_server("GET", "/admin/health")[0] == 200
-        answers = []
+        incomplete = [fixture.connect(GET[:20]) for _ in range(200)]
+        assert fixture.call_server("GET", "/admin/health")[0] == 200
+        responses = []
         for stream in incomplete:
             data = b""
             while piece := stream.receive(5.0):
                 data += piece
-            answers.append(data[:12])
+            responses.append(data[:12])
             stream.close()
-        # The oldest were closed; the others timed out.
-        assert answers.count(b"") >= 200 - MAX_CONNECTIONS
-        assert set(answers[-MAX_CONNECTIONS + 1 :]) == {b"HTTP/1.1 408"}
-        assert it.call_server("GET", "/admin/health")[0] == 200
+        # The server closed the oldest connections; the others timed out.
+        assert responses.count(b"") >= 200 - MAX_CONNECTIONS
+        assert set(responses[-MAX_CONNECTIONS + 1 :]) == {b"HTTP/1.1 408"}
+        assert fixture.call_server("GET", "/admin/health")[0] == 200
 
-    it.run(scenario)
+    fixture.run(scenario)
 
 
-def test_aborted_calls_leave_the_server_working() -> None:
-    it = ProxyWithAdminApi()
+def test_aborted_requests_leave_the_server_working() -> None:
+    fixture = ProxyWithAdminApi()
 
     def scenario() -> None:
         for data in (b"", GET[:7], GET):
-            it.connect(data).abort()
-        assert it.call_server("GET", "/admin/health")[0] == 200
+            fixture.connect(data).abort()
+        assert fixture.call_server("GET", "/admin/health")[0] == 200
 
-    it.run(scenario)
+    fixture.run(scenario)
 
 
 def test_drain_migrates_clients_and_resume_ends_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -83,48 +83,49 @@
         ("LATE_MIGRATION_S", 0.1),
     ):
         monkeypatch.setattr(drain_module, name, value)
-    it = ProxyWithAdminApi()
-    proxy = it.proxy
+    fixture = ProxyWithAdminApi()
+    proxy = fixture.proxy
 
     def scenario() -> None:
         client, attempt = proxy.established_pair()
         pinging = proxy.client(b"PING\r\n")
         assert read_line(pinging) == b"PONG\r\n"
-        assert it.call_server("POST", "/admin/quiesce")[0] == 200
+        assert fixture.call_server("POST", "/admin/quiesce")[0] == 200
         pinging.send(b"PING\r\n")
         assert read_line(pinging) == b"DRAINING\r\n"
-        # A client that the front still sends is served, and then migrated like the others.
-        late = proxy.client(OPEN.replace(b"1a", b"1b"))
+        # The front end sends new clients until it learns of the drain. They are served and then migrated like
+        # the others.
+        late_client = proxy.client(OPEN.replace(b"1a", b"1b"))
         late_attempt = proxy.next_attempt()
         read_line(late_attempt)
         late_attempt.send(b"UP r2\r\n")
-        assert read_line(late) == b"UP r2\r\n"
-        # No server answers this one; it gets its final answer at the end of the drain.
-        stuck = proxy.client(OPEN.replace(b"1a", b"1c"))
-        stuck_attempt = proxy.next_attempt()
-        assert [read_line(one) for one in (client, late)] == [b"MOVE\r\n"] * 2
-        assert read_line(stuck).startswith(b"BUSY ")
-        for stream in (client, late, stuck, attempt, late_attempt, stuck_attempt):
+        assert read_line(late_client) == b"UP r2\r\n"
+        # No server answers this request. It gets its final answer at the end of the drain.
+        pending_client = proxy.client(OPEN.replace(b"1a", b"1c"))
+        pending_attempt = proxy.next_attempt()
+        assert [read_line(stream) for stream in (client, late_client)] == [b"MOVE\r\n"] * 2
+        assert read_line(pending_client).startswith(b"BUSY ")
+        for stream in (client, late_client, pending_client, attempt, late_attempt, pending_attempt):
             stream.close()
         assert read_line(proxy.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
         proxy.wait_until(lambda: not proxy.gateway.request_count())
-        assert it.call_server("POST", "/admin/resume")[0] == 200
+        assert fixture.call_server("POST", "/admin/resume")[0] == 200
         pinging.send(b"PING\r\n")
         assert read_line(pinging) == b"PONG\r\n"
-        proxy.arrived.clear()  # the attempts of the stuck request
+        proxy.arrived.clear()  # the attempts of the pending request
         proxy.established_pair()
-        counted = proxy.gateway.metrics.classes["read"]
-        assert counted == ClassMetrics(5, established=3, rejected=2, attempts=counted.attempts)
-        assert counted.attempts >= 4
+        class_metrics = proxy.gateway.metrics.classes["read"]
+        assert class_metrics == ClassMetrics(5, established=3, rejected=2, attempts=class_metrics.attempts)
+        assert class_metrics.attempts >= 4
         assert proxy.gateway.metrics.in_progress == 1
 
-    it.run(scenario)
+    fixture.run(scenario)
 
 
 def test_drain_keeps_established_connections_where_packets_pass_through(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A migration costs the client a reconnect, which nothing needs here."""
+    """Guards against needless migrations, each of which makes a client reconnect."""
     for name, value in (
         ("FRONT_UPDATE_DELAY_S", 0.02),
         ("MIGRATION_DEADLINE_S", 0.1),
@@ -132,16 +133,16 @@
         ("LATE_MIGRATION_S", 0.1),
     ):
         monkeypatch.setattr(drain_module, name, value)
-    it = ProxyWithAdminApi(keeps=True)
-    proxy = it.proxy
+    fixture = ProxyWithAdminApi(keeps_established=True)
+    proxy = fixture.proxy
 
     def scenario() -> None:
         client, attempt = proxy.established_pair()
-        stuck = proxy.client(OPEN.replace(b"1a", b"1c"))
-        stuck_attempt = proxy.next_attempt()
-        it.call_server("POST", "/admin/quiesce")
-        assert read_line(stuck).startswith(b"BUSY ")  # a pending request still gets its final answer
-        proxy.scheduler.sleep(0.15)  # past the late migration
+        pending_client = proxy.client(OPEN.replace(b"1a", b"1c"))
+        pending_attempt = proxy.next_attempt()
+        fixture.call_server("POST", "/admin/quiesce")
+        assert read_line(pending_client).startswith(b"BUSY ")  # a pending request still gets its final answer
+        proxy.scheduler.sleep(0.15)  # longer than LATE_MIGRATION_S
         assert read_line(proxy.client(OPEN.replace(b"1a", b"1d"))) == b"BUSY 200\r\n"
         client.send(b"hey\r\n")
         assert read_line(attempt) == b"hey\r\n"
@@ -149,50 +150,50 @@
         assert read_line(client) == b"you\r\n"
         assert "migrated" not in proxy.gateway.counts
         assert len(proxy.gateway.established()) == 1
-        for stream in (client, attempt, stuck, stuck_attempt):
+        for stream in (client, attempt, pending_client, pending_attempt):
             stream.close()
 
-    it.run(scenario)
+    fixture.run(scenario)
 
 
 def test_resume_during_a_drain_keeps_connections_not_yet_migrated(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(drain_module, "FRONT_UPDATE_DELAY_S", 0.0)
-    it = ProxyWithAdminApi()
-    proxy = it.proxy
+    fixture = ProxyWithAdminApi()
+    proxy = fixture.proxy
 
     def scenario() -> None:
         pairs = []
-        for at in range(12):
-            client = proxy.client(OPEN.replace(b"1a", b"%x" % (at + 32)))
+        for index in range(12):
+            client = proxy.client(OPEN.replace(b"1a", b"%x" % (index + 32)))
             attempt = proxy.next_attempt()
             read_line(attempt)
             attempt.send(b"UP r\r\n")
             read_line(client)
             pairs.append((client, attempt))
-        it.call_server("POST", "/admin/quiesce")
+        fixture.call_server("POST", "/admin/quiesce")
         proxy.wait_until(lambda: len(proxy.gateway.established()) < 12)
-        it.call_server("POST", "/admin/resume")
-        left = len(proxy.gateway.established())
-        assert left > 0
+        fixture.call_server("POST", "/admin/resume")
+        remaining_count = len(proxy.gateway.established())
+        assert remaining_count > 0
         proxy.scheduler.sleep(0.3)
-        assert len(proxy.gateway.established()) == left
+        assert len(proxy.gateway.established()) == remaining_count
         for client, attempt in pairs:
             client.close()
             attempt.close()
 
-    it.run(scenario)
+    fixture.run(scenario)
 
 
-def test_closed_oldest_call_is_not_reset_by_unread_bytes() -> None:
-    it = ProxyWithAdminApi()
+def test_closed_oldest_connection_is_not_reset_by_unread_bytes() -> None:
+    fixture = ProxyWithAdminApi()
 
     def scenario() -> None:
-        incomplete = [it.connect(GET[:7]) for _ in range(MAX_CONNECTIONS)]
-        it.proxy.wait_until(lambda: len(it.server._connections) == MAX_CONNECTIONS)
-        incomplete[0].send_nowait(GET[7:20])  # unread when the next call arrives
-        ours, theirs = socket.socketpair()
-        it.server._accepted(Stream(it.proxy.scheduler, ours))
-        theirs.close()
+        incomplete = [fixture.connect(GET[:7]) for _ in range(MAX_CONNECTIONS)]
+        fixture.proxy.wait_until(lambda: len(fixture.server._connections) == MAX_CONNECTIONS)
+        incomplete[0].send_nowait(GET[7:20])  # still unread when the next connection is accepted
+        server_socket, client_socket = socket.socketpair()
+        fixture.server._accepted(Stream(fixture.proxy.scheduler, server_socket))
+        client_socket.close()
         assert incomplete[0].receive(5.0) == b""
 
-    it.run(scenario)
+    fixture.run(scenario)
--- a/tests/unit/administration/conftest.py
+++ b/tests/unit/administration/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the admin API."""
+"""Fixtures for tests of the admin API."""
 
 from __future__ import annotations
 
--- a/tests/unit/administration/test_config_command.py
+++ b/tests/unit/administration/test_config_command.py
@@ -1,4 +1,4 @@
-"""The commands that call the admin API of distributed configuration."""
+"""Tests of the ``ironmill config`` commands, which call the admin API of distributed configuration."""
 
 from __future__ import annotations
 
@@ -22,60 +22,60 @@
 from ironmill.net.admin_server import AdminServer
 from ironmill.runtime.scheduler import Scheduler
 from ironmill_testbed.fleet import run_scenario
-from tests.support.configuration_api import ZONE, StubOrigin, routes_of
+from tests.support.configuration_api import ZONE, StubOrigin, create_routes
 
 
 class CommandRunner:
-    """The admin API over a stub, and commands run as processes."""
+    """Serves the admin API of a stub origin and runs commands as processes."""
 
-    def __init__(self, stub: StubOrigin, writes: bool = True) -> None:
+    def __init__(self, stub: StubOrigin, has_writer: bool = True) -> None:
         self.scheduler = Scheduler()
         self.responses_to_lose = 0
-        self.calls: list[ApiRequest] = []
-        routes = routes_of(stub, writes)
-        answer = routes.dispatch
+        self.requests: list[ApiRequest] = []
+        routes = create_routes(stub, has_writer)
+        dispatch = routes.dispatch
 
-        def lose_responses(call: ApiRequest) -> ApiResponse:
-            self.calls.append(call)
-            content = answer(call)
+        def dispatch_and_lose_responses(request: ApiRequest) -> ApiResponse:
+            self.requests.append(request)
+            response = dispatch(request)
             if self.responses_to_lose:
                 self.responses_to_lose -= 1
                 raise ConnectionResetError
-            return content
+            return response
 
-        routes.dispatch = lose_responses  # type: ignore[method-assign]
+        routes.dispatch = dispatch_and_lose_responses  # type: ignore[method-assign]
         self.server = AdminServer(self.scheduler, ("127.0.0.1", 0), routes)
         self.server.start()
 
     def run(self, *arguments: str, during: Callable[[], object] | None = None) -> tuple[int, str, str]:
-        """The command's status, and what it wrote."""
+        """Runs a command; returns its exit status, standard output and standard error."""
         host, port = self.server.address
         arguments = tuple(f"{host}:{port}" if word == "CONTROL" else word for word in arguments)
-        done: list[subprocess.Popen[str]] = []
+        processes: list[subprocess.Popen[str]] = []
 
         def scenario() -> None:
-            popen = subprocess.Popen(
+            process = subprocess.Popen(
                 [sys.executable, "-m", "ironmill", "config", *arguments],
                 text=True,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.PIPE,
             )
-            done.append(popen)
+            processes.append(process)
             if during is not None:
                 during()
-            while popen.poll() is None:
+            while process.poll() is None:
                 self.scheduler.sleep(0.01)
 
         run_scenario(self.scheduler, scenario, 60.0)
-        out, err = done[0].communicate()
-        return done[0].returncode, out, err
+        out, err = processes[0].communicate()
+        return processes[0].returncode, out, err
 
 
 def test_push_history_revert_wait_and_status_commands(stub: StubOrigin) -> None:
     runner = CommandRunner(stub)
-    more = ["--author=ann", "--note=a day", "--wait"]
-    content = runner.run("push", "CONTROL", "shard/a=r1", "log/level=debug", *more)
-    assert content == (0, "1.1 is kept\n1.1 is in force everywhere\n", "")
+    options = ["--author=ann", "--note=a day", "--wait"]
+    pushed = runner.run("push", "CONTROL", "shard/a=r1", "log/level=debug", *options)
+    assert pushed == (0, "1.1 is kept\n1.1 is in force everywhere\n", "")
     assert runner.run("push", "CONTROL", "shard/a-", "--author=bob", "--expect=1.0")[::2] == (
         2,
         "ironmill: not taken: the newest revision is 1.1, not 1.0\n",
@@ -110,8 +110,8 @@
     runner = CommandRunner(stub)
     runner.responses_to_lose = 2
     assert runner.run("push", "CONTROL", "a=1")[:2] == (0, "1.1 is kept\n")
-    assert len({call.body for call in runner.calls}) == 1
-    assert len(runner.calls) == 3
+    assert len({request.body for request in runner.requests}) == 1
+    assert len(runner.requests) == 3
     runner.responses_to_lose = 2
     assert runner.run("revert", "CONTROL", "0")[:2] == (0, "1.2 is kept\n")
     runner.responses_to_lose = 99
@@ -130,8 +130,8 @@
         {"name": "p2", "zone": "y", "in_force": "1.0", "why": "unreachable", "key": "", "reason": ""},
         {"name": "p3", "zone": "z", "in_force": "0.0", "why": "behind", "key": "", "reason": ""},
     ]
-    stub.overrides = {"everywhere": False, "lowest": "1.0", "zones": zones}
-    stub.overrides |= {"laggards": laggards, "more_laggards": 4}
+    stub.status_overrides = {"everywhere": False, "lowest": "1.0", "zones": zones}
+    stub.status_overrides |= {"laggards": laggards, "more_laggards": 4}
     expected = (
         "1.1 is not in force everywhere after 0.5s; the lowest is 1.0\n"
         "p1 in zone y: refused, in force 1.0: a: un\\x1bknown\n"
@@ -142,21 +142,21 @@
     assert status == 0
     assert "1.1 is not everywhere in force; the lowest is 1.0\n" in out
     assert "y     3        1.0     1        1\n" in out
-    # It is applied while the command waits.
-    stub.overrides |= {"laggards": [], "zones": [ZONE]}
+    # The revision is applied everywhere while the command waits.
+    stub.status_overrides |= {"laggards": [], "zones": [ZONE]}
 
     def during() -> None:
-        while not runner.calls:
+        while not runner.requests:
             runner.scheduler.sleep(0.01)
         runner.scheduler.sleep(0.3)
-        stub.overrides |= {"zones": [ZONE | {"lowest": "1.1"}]}
-
-    stub.overrides["zones"] = [ZONE | {"lowest": "1.0"}]
-    runner.calls.clear()
-    content = runner.run("wait", "CONTROL", "1.1", "--within=30s", during=during)
-    assert content == (0, "1.1 is in force everywhere\n", "")
-    # Another store has taken over, and this revision is not in it.
-    stub.overrides = {"held": "5.1"}
+        stub.status_overrides |= {"zones": [ZONE | {"lowest": "1.1"}]}
+
+    stub.status_overrides["zones"] = [ZONE | {"lowest": "1.0"}]
+    runner.requests.clear()
+    waited = runner.run("wait", "CONTROL", "1.1", "--within=30s", during=during)
+    assert waited == (0, "1.1 is in force everywhere\n", "")
+    # Another store has taken over and does not contain this revision.
+    stub.status_overrides = {"held": "5.1"}
     assert runner.run("wait", "CONTROL", "1.2")[:2] == (
         1,
         "1.2 is not in the history of c1, which is at 5.1\n",
@@ -164,8 +164,8 @@
 
 
 def test_command_that_cannot_be_carried_out_exits_with_2(stub: StubOrigin) -> None:
-    runner = CommandRunner(stub, writes=False)
-    stub.overrides = {"role": "relay"}
+    runner = CommandRunner(stub, has_writer=False)
+    stub.status_overrides = {"role": "relay"}
     reason = "ironmill: not taken: this process is no origin; the origin is c1 or c9\n"
     assert runner.run("push", "CONTROL", "a=1") == (2, "", reason)
     assert runner.run("history", "CONTROL")[0] == 2
@@ -187,10 +187,10 @@
     status, out, err = runner.run("push", "CONTROL", "a=b")
     assert (status, out) == (2, "")
     assert "tried 5 times, and nothing was kept" in err
-    began = time.monotonic()
+    started_at = time.monotonic()
     assert runner.run("wait", "CONTROL", "1.1", "--within=300ms")[0] == 2
     assert runner.run("status", "CONTROL")[0] == 2
-    assert time.monotonic() - began < 30.0
+    assert time.monotonic() - started_at < 30.0
 
 
 def test_command_reports_missing_distribution_and_malformed_responses(
@@ -206,7 +206,7 @@
     assert "has no distribution in its settings" in runner.run("status", "CONTROL")[2]
     routes.add(STATUS_PATH, {"GET": lambda _: ApiResponse(HTTPStatus.OK, b"<html>")})
     assert "answers something else" in runner.run("status", "CONTROL")[2]
-    fails = ApiResponse(HTTPStatus.BAD_GATEWAY, msgspec.json.encode({"reason": "x"}))
-    routes.add(STATUS_PATH, {"GET": lambda _: fails})
+    error_response = ApiResponse(HTTPStatus.BAD_GATEWAY, msgspec.json.encode({"reason": "x"}))
+    routes.add(STATUS_PATH, {"GET": lambda _: error_response})
     assert "answers 502: x" in runner.run("status", "CONTROL")[2]
     runner.server.close()
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -1,4 +1,4 @@
-"""The admin API of distributed configuration over a stub of the origin."""
+"""Tests of the admin API of distributed configuration and its commands, with a stub of the origin."""
 
 from __future__ import annotations
 
@@ -38,70 +38,72 @@
     StoredRevision,
 )
 from ironmill.net import revision_store
-from tests.support.configuration_api import ZONE, StubOrigin, body, call_api, routes_of
+from tests.support.configuration_api import ZONE, StubOrigin, call_api, create_routes, push_body
 
 
 def test_push_is_idempotent_by_ticket_and_checks_the_expected_position(stub: StubOrigin) -> None:
-    routes = routes_of(stub)
-    assert call_api(routes, "POST", REVISIONS_PATH, body()) == (201, {"position": "1.1"})
-    assert call_api(routes, "POST", REVISIONS_PATH, body()) == (201, {"position": "1.1"})  # stored once
-    assert stub.pushed == [(50.0, 7.0)] * 2
-    status, content = call_api(routes, "POST", REVISIONS_PATH, body({"b": "2"}, ticket="t2", expect="1.0"))
+    routes = create_routes(stub)
+    assert call_api(routes, "POST", REVISIONS_PATH, push_body()) == (201, {"position": "1.1"})
+    assert call_api(routes, "POST", REVISIONS_PATH, push_body()) == (201, {"position": "1.1"})  # stored once
+    assert stub.push_times == [(50.0, 7.0)] * 2
+    status, content = call_api(
+        routes, "POST", REVISIONS_PATH, push_body({"b": "2"}, ticket="t2", expect="1.0")
+    )
     assert (status, content) == (412, {"reason": "the newest revision is 1.1, not 1.0"})
-    later = body({"ß": "straße", "a": None}, ticket="t2", expect="1.1")
+    later = push_body({"ß": "straße", "a": None}, ticket="t2", expect="1.1")
     assert call_api(routes, "POST", REVISIONS_PATH, later)[0] == 201
     assert dict(stub.store.entries()) == {"ß": "straße".encode()}
     assert call_api(routes, "GET", STATUS_PATH)[1]["held"] == "1.2"
 
 
 def test_rejected_push_names_key_and_reason_and_stores_nothing(stub: StubOrigin) -> None:
-    routes = routes_of(stub)
-    content = call_api(routes, "POST", REVISIONS_PATH, body({"a": "1", "bad/x": "1"}))
-    assert content == (409, {"key": "bad/x", "reason": "unknown key"})
-    for one, wrong in (
-        (body({}), "a revision has one change at least"),
-        (body({"": "x"}), "a key has 1 to 200 bytes"),
-        (body({"a": "x" * 641}), "a: a value has 640 bytes at most"),
-        (body({"a\n": "x"}), "a key has printable characters only"),
+    routes = create_routes(stub)
+    response = call_api(routes, "POST", REVISIONS_PATH, push_body({"a": "1", "bad/x": "1"}))
+    assert response == (409, {"key": "bad/x", "reason": "unknown key"})
+    for sent, expected_reason in (
+        (push_body({}), "a revision has one change at least"),
+        (push_body({"": "x"}), "a key has 1 to 200 bytes"),
+        (push_body({"a": "x" * 641}), "a: a value has 640 bytes at most"),
+        (push_body({"a\n": "x"}), "a key has printable characters only"),
     ):
-        status, answer = call_api(routes, "POST", REVISIONS_PATH, one)
+        status, response_body = call_api(routes, "POST", REVISIONS_PATH, sent)
         assert status == 400
-        assert wrong in answer["reason"]
+        assert expected_reason in response_body["reason"]
     assert stub.store.position == (0, 0)
 
 
 @pytest.mark.parametrize(
-    ("path", "sent", "wrong"),
+    ("path", "sent", "expected_reason"),
     [
         (REVISIONS_PATH, b"", "the body is not right"),
         (REVISIONS_PATH, b"[]", "the body is not right"),
         (REVISIONS_PATH, b"\xff", "the body is not right"),
         (REVISIONS_PATH, b"[" * 60_000, "the body is not right"),
         (REVISIONS_PATH, {"changes": {"a": "1"}, "author": "ann"}, "ticket"),
-        (REVISIONS_PATH, body({"a": 1}), "changes"),
-        (REVISIONS_PATH, body(more=1), "more"),  # type: ignore[dict-item]
-        (REVISIONS_PATH, body(author=""), "author"),
-        (REVISIONS_PATH, body(author="x" * (MAX_AUTHOR_LENGTH + 1)), "author"),
-        (REVISIONS_PATH, body(author="a\x1b[2J"), "author has printable characters only"),
-        (REVISIONS_PATH, body(note="x" * (MAX_NOTE_LENGTH + 1)), "note"),
-        (REVISIONS_PATH, body(note="a\nb"), "note has printable characters only"),
-        (REVISIONS_PATH, body(ticket=""), "ticket"),
-        (REVISIONS_PATH, body(ticket="x" * (MAX_TICKET_LENGTH + 1)), "ticket"),
-        (REVISIONS_PATH, body(expect="1" * 41), "expect"),
-        (REVISIONS_PATH, body(expect="now"), "'now' is no position"),
-        (REVISIONS_PATH, body(expect="1.\u0664"), "is no position"),
-        (REVERT_PATH, body(), "changes"),
+        (REVISIONS_PATH, push_body({"a": 1}), "changes"),
+        (REVISIONS_PATH, push_body(more=1), "more"),  # type: ignore[dict-item]
+        (REVISIONS_PATH, push_body(author=""), "author"),
+        (REVISIONS_PATH, push_body(author="x" * (MAX_AUTHOR_LENGTH + 1)), "author"),
+        (REVISIONS_PATH, push_body(author="a\x1b[2J"), "author must contain only printable characters"),
+        (REVISIONS_PATH, push_body(note="x" * (MAX_NOTE_LENGTH + 1)), "note"),
+        (REVISIONS_PATH, push_body(note="a\nb"), "note must contain only printable characters"),
+        (REVISIONS_PATH, push_body(ticket=""), "ticket"),
+        (REVISIONS_PATH, push_body(ticket="x" * (MAX_TICKET_LENGTH + 1)), "ticket"),
+        (REVISIONS_PATH, push_body(expect="1" * 41), "expect"),
+        (REVISIONS_PATH, push_body(expect="now"), "'now' is not a position; expected EPOCH.NUMBER"),
+        (REVISIONS_PATH, push_body(expect="1.\u0664"), "is not a position; expected EPOCH.NUMBER"),
+        (REVERT_PATH, push_body(), "changes"),
         (REVERT_PATH, {"number": -1, "author": "a", "ticket": "t"}, "number"),
         (REVERT_PATH, {"number": 1 << 62, "author": "a", "ticket": "t"}, "number"),
         (REVERT_PATH, {"number": "1", "author": "a", "ticket": "t"}, "number"),
     ],
 )
 def test_invalid_body_is_rejected_with_the_reason(
-    path: str, sent: object, wrong: str, stub: StubOrigin
+    path: str, sent: object, expected_reason: str, stub: StubOrigin
 ) -> None:
-    status, content = call_api(routes_of(stub), "POST", path, sent)
+    status, content = call_api(create_routes(stub), "POST", path, sent)
     assert status == 400
-    assert wrong in content["reason"]
+    assert expected_reason in content["reason"]
     assert "\n" not in content["reason"]
     assert stub.store.position == (0, 0)
 
@@ -118,7 +120,7 @@
         def undo(self, number: int) -> Changes:
             return {}
 
-        def history(self, most: int) -> list[StoredRevision]:
+        def history(self, max_count: int) -> list[StoredRevision]:
             return []
 
     routes = Routes()
@@ -134,34 +136,38 @@
         revision_store.MAX_NOTE_LENGTH,
         revision_store.MAX_TICKET_LENGTH,
     )
-    longest = body(author="ß" * MAX_AUTHOR_LENGTH, note="ß" * MAX_NOTE_LENGTH, ticket="ß" * MAX_TICKET_LENGTH)
-    assert call_api(routes_of(stub), "POST", REVISIONS_PATH, longest)[0] == 201
+    longest = push_body(
+        author="ß" * MAX_AUTHOR_LENGTH, note="ß" * MAX_NOTE_LENGTH, ticket="ß" * MAX_TICKET_LENGTH
+    )
+    assert call_api(create_routes(stub), "POST", REVISIONS_PATH, longest)[0] == 201
 
 
 def test_process_that_is_not_the_origin_names_the_origins(stub: StubOrigin) -> None:
-    relay = routes_of(stub, writes=False)
+    relay = create_routes(stub, has_writer=False)
     reason = "this process is no origin; the origin is c1 or c9"
-    content = (503, {"reason": reason, "origins": ["c1", "c9"]})
-    assert call_api(relay, "POST", REVISIONS_PATH, body()) == content
-    assert call_api(relay, "POST", REVERT_PATH, {}) == content
-    assert call_api(relay, "GET", REVISIONS_PATH) == content
+    not_origin_response = (503, {"reason": reason, "origins": ["c1", "c9"]})
+    assert call_api(relay, "POST", REVISIONS_PATH, push_body()) == not_origin_response
+    assert call_api(relay, "POST", REVERT_PATH, {}) == not_origin_response
+    assert call_api(relay, "GET", REVISIONS_PATH) == not_origin_response
     assert call_api(relay, "GET", STATUS_PATH)[0] == 200
-    routes = routes_of(stub)
+    routes = create_routes(stub)
     for error in (NotOriginError("c1 is no origin any more"), FencedError("another process has opened")):
         stub.error = error
-        status, answer = call_api(routes, "POST", REVISIONS_PATH, body())
-        assert (status, answer["reason"]) == (503, f"{error}; the origin is c1 or c9")
+        status, response_body = call_api(routes, "POST", REVISIONS_PATH, push_body())
+        assert (status, response_body["reason"]) == (503, f"{error}; the origin is c1 or c9")
     stub.error = StoreError("no room")
-    assert call_api(routes, "POST", REVISIONS_PATH, body()) == (503, {"reason": "no room"})
+    assert call_api(routes, "POST", REVISIONS_PATH, push_body()) == (503, {"reason": "no room"})
     stub.store.close()
     assert call_api(routes, "GET", REVISIONS_PATH)[0] == 503
     assert call_api(routes, "POST", REVERT_PATH, {"number": 0, "author": "a", "ticket": "t"})[0] == 503
 
 
 def test_history_is_limited_by_count_and_size(stub: StubOrigin, monkeypatch: pytest.MonkeyPatch) -> None:
-    routes = routes_of(stub)
-    for at in range(30):
-        stub.store.commit({"a": b"%d" % at, "b": None}, RevisionMetadata(float(at), "ann", "why", f"t{at}"))
+    routes = create_routes(stub)
+    for index in range(30):
+        stub.store.commit(
+            {"a": b"%d" % index, "b": None}, RevisionMetadata(float(index), "ann", "why", f"t{index}")
+        )
     stub.store.commit({"raw": b"\xff\x00"}, RevisionMetadata(99.5, "bob", "", "raw"))
     status, content = call_api(routes, "GET", REVISIONS_PATH)
     assert (status, len(content["revisions"]), content["cut"]) == (200, 20, False)
@@ -171,12 +177,12 @@
     ]
     assert len(call_api(routes, "GET", REVISIONS_PATH, query="most=3&x=y")[1]["revisions"]) == 3
     assert call_api(routes, "GET", REVISIONS_PATH, query="most=0")[1]["revisions"] == []
-    for arguments in ("most=all", "most=-1", "most=1e3", "most=9999999", "most=\u0663"):
-        assert call_api(routes, "GET", REVISIONS_PATH, query=arguments)[0] == 400
-    asked: list[int] = []
-    monkeypatch.setattr(stub, "history", lambda most: asked.append(most) or [])
+    for query in ("most=all", "most=-1", "most=1e3", "most=9999999", "most=\u0663"):
+        assert call_api(routes, "GET", REVISIONS_PATH, query=query)[0] == 400
+    requested_counts: list[int] = []
+    monkeypatch.setattr(stub, "history", lambda max_count: requested_counts.append(max_count) or [])
     call_api(routes, "GET", REVISIONS_PATH, query="most=999999")
-    assert asked == [MAX_HISTORY]
+    assert requested_counts == [MAX_HISTORY]
     monkeypatch.undo()
     monkeypatch.setattr(configuration_api, "MAX_HISTORY_BYTES", 10)
     content = call_api(routes, "GET", REVISIONS_PATH)[1]
@@ -184,23 +190,25 @@
 
 
 def test_revert_stores_a_new_revision_and_is_idempotent_by_ticket(stub: StubOrigin) -> None:
-    routes = routes_of(stub)
-    for at in range(4):
-        stub.store.commit({"a": b"%d" % at, f"k{at}": b""}, RevisionMetadata(1.0, "ann", "", f"t{at}"))
-    revert = {"number": 2, "author": "bob", "note": "wrong", "ticket": "r"}
-    assert call_api(routes, "POST", REVERT_PATH, revert) == (201, {"position": "1.5"})
-    assert call_api(routes, "POST", REVERT_PATH, revert) == (201, {"position": "1.5"})
+    routes = create_routes(stub)
+    for index in range(4):
+        stub.store.commit(
+            {"a": b"%d" % index, f"k{index}": b""}, RevisionMetadata(1.0, "ann", "", f"t{index}")
+        )
+    revert_body = {"number": 2, "author": "bob", "note": "wrong", "ticket": "r"}
+    assert call_api(routes, "POST", REVERT_PATH, revert_body) == (201, {"position": "1.5"})
+    assert call_api(routes, "POST", REVERT_PATH, revert_body) == (201, {"position": "1.5"})
     assert dict(stub.store.entries()) == {"a": b"1", "k0": b"", "k1": b""}
-    content = call_api(routes, "POST", REVERT_PATH, revert | {"ticket": "other"})
-    assert content == (400, {"reason": "there is nothing to revert: all is as it was at 2"})
+    response = call_api(routes, "POST", REVERT_PATH, revert_body | {"ticket": "other"})
+    assert response == (400, {"reason": "there is nothing to revert: all is as it was at 2"})
     assert (
-        call_api(routes, "POST", REVERT_PATH, revert | {"ticket": "x", "number": 1, "expect": "1.4"})[0]
+        call_api(routes, "POST", REVERT_PATH, revert_body | {"ticket": "x", "number": 1, "expect": "1.4"})[0]
         == 412
     )
-    status, answer = call_api(routes, "POST", REVERT_PATH, revert | {"ticket": "x", "number": 9})
-    assert (status, "there is no revision 9" in answer["reason"]) == (503, True)
-    entry = stub.store.history(1)[0]
-    assert (entry.author, entry.note, entry.position) == ("bob", "wrong", (1, 5))
+    status, response_body = call_api(routes, "POST", REVERT_PATH, revert_body | {"ticket": "x", "number": 9})
+    assert (status, "there is no revision 9" in response_body["reason"]) == (503, True)
+    revision = stub.store.history(1)[0]
+    assert (revision.author, revision.note, revision.position) == ("bob", "wrong", (1, 5))
 
 
 # The commands
@@ -218,9 +226,13 @@
         "y": "",
         "z-": "-",
     }
-    twice = "'b' is changed twice"
-    for arguments, wrong in ((["a"], "'a' is no change"), (["b=3"], twice), (["q-", "q=1"], "twice")):
-        with pytest.raises(ConfigError, match=wrong):
+    changed_twice = "'b' is changed twice"
+    for arguments, expected_message in (
+        (["a"], "'a' is no change"),
+        (["b=3"], changed_twice),
+        (["q-", "q=1"], "twice"),
+    ):
+        with pytest.raises(ConfigError, match=expected_message):
             config.read_changes(arguments, str(file))
     with pytest.raises(ConfigError, match="there is no change"):
         config.read_changes([], None)
@@ -248,19 +260,18 @@
         ({"zones": [ZONE | {"lowest": "3.9"}]}, True),
         ({"zones": [ZONE | {"refused": 1}]}, False),
         ({"zones": [ZONE | {"unreachable": 1}]}, False),
-        (
-            {"zones": [ZONE], "laggards": [LAGGING_NODE | {"why": "behind"}]},
-            True,
-        ),  # behind the head, not behind this one
-        ({"zones": [ZONE], "laggards": [LAGGING_NODE | {"why": "unreachable"}]}, False),  # a relay
+        # This node lags behind the latest position, but not behind the one that is checked.
+        ({"zones": [ZONE], "laggards": [LAGGING_NODE | {"why": "behind"}]}, True),
+        # The unreachable node is a relay.
+        ({"zones": [ZONE], "laggards": [LAGGING_NODE | {"why": "unreachable"}]}, False),
     ],
 )
 def test_position_is_applied_everywhere_only_if_no_node_may_lag(
     content: dict[str, Any], expected_verdict: bool
 ) -> None:
-    usual = {"name": "c1", "role": "origin", "in_force": "2.12", "stale": False, "entries": 1}
-    usual |= {"everywhere": False, "held": "2.12", "laggards": []}
-    assert NodeStatus.from_json(usual | content).is_applied_everywhere(Position(2, 9)) is expected_verdict
+    status = {"name": "c1", "role": "origin", "in_force": "2.12", "stale": False, "entries": 1}
+    status |= {"everywhere": False, "held": "2.12", "laggards": []}
+    assert NodeStatus.from_json(status | content).is_applied_everywhere(Position(2, 9)) is expected_verdict
 
 
 @given(st.text(alphabet="0123456789.-+ x\u0663", max_size=45))
@@ -268,6 +279,6 @@
     try:
         position = read_position(text)
     except ValueError as error:
-        assert "is no position" in str(error)
+        assert "is not a position; expected EPOCH.NUMBER" in str(error)
     else:
         assert tuple(map(int, text.split("."))) == position
--- a/tests/unit/administration/test_http.py
+++ b/tests/unit/administration/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP of the admin API: complete, split, malformed and oversized calls."""
+"""Tests of the admin API's HTTP: complete, split, malformed and oversized requests."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def parse(data: bytes, step: int = 1 << 20) -> ApiRequest | ApiResponse | None:
-    side, parsed = HttpExchange(), None
-    for at in range(0, len(data), step):
-        parsed = side.receive(data[at : at + step])
+    exchange, parsed = HttpExchange(), None
+    for offset in range(0, len(data), step):
+        parsed = exchange.receive(data[offset : offset + step])
         if parsed is not None:
             break
     return parsed
@@ -31,18 +31,18 @@
 
 @given(st.binary(max_size=200))
 def test_arbitrary_bytes_get_an_error_response_or_wait_for_more(data: bytes) -> None:
-    side = HttpExchange()
-    parsed = side.receive(data) if data else side.receive(b"")
+    exchange = HttpExchange()
+    parsed = exchange.receive(data) if data else exchange.receive(b"")
     if isinstance(parsed, ApiResponse):
         assert parsed.status >= 400
-        assert side.encode(parsed).startswith(b"HTTP/1.1 %d " % parsed.status)
+        assert exchange.encode(parsed).startswith(b"HTTP/1.1 %d " % parsed.status)
 
 
 @pytest.mark.parametrize(
     ("data", "status"),
     [
         (b"HELLO\r\n\r\n", 400),
-        (b"GET / HTTP/1.1\r\n\r\n", 400),  # no Host
+        (b"GET / HTTP/1.1\r\n\r\n", 400),  # without a Host header
         (b"GET / HTTP/1.1\r\nHost: x\r\nx: " + b"y" * (2 * MAX_HEAD_BYTES) + b"\r\n\r\n", 431),
         (
             b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n" + b"z" * (MAX_BODY_BYTES + 1),
--- a/tests/unit/administration/test_proxy_api.py
+++ b/tests/unit/administration/test_proxy_api.py
@@ -1,4 +1,4 @@
-"""The routes of a proxy's admin API."""
+"""Tests of the routes of a proxy's admin API."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ironmill.runtime.lifecycle import Lifecycle, LifecycleEvent, ProcessState
 
 
-class Served:
-    """The source of the metrics."""
+class StubMetricsSource:
+    """A metrics source with fixed numbers of servers."""
 
     def __init__(self, state: ProcessState = ProcessState.SERVING) -> None:
         self.lifecycle = Lifecycle(state)
@@ -27,12 +27,12 @@
 
 
 def test_routes_of_a_proxy() -> None:
-    served = Served()
-    api = ProxyApi(served)
+    source = StubMetricsSource()
+    api = ProxyApi(source)
 
     def dispatch(method: str, path: str) -> tuple[int, Any]:
-        answer = api.dispatch(ApiRequest(method, path))
-        return int(answer.status), orjson.loads(answer.body) if answer.body else dict(answer.headers)
+        response = api.dispatch(ApiRequest(method, path))
+        return int(response.status), orjson.loads(response.body) if response.body else dict(response.headers)
 
     assert dispatch("GET", "/admin/health") == (200, {"state": "serving"})
     assert dispatch("POST", "/admin/quiesce") == (200, {"state": "draining"})
@@ -43,8 +43,8 @@
     assert dispatch("GET", "/admin/nothing")[0] == 404
     assert dispatch("GET", "/admin/quiesce") == (405, {"Allow": "POST"})
     assert dispatch("DELETE", "/admin/stats") == (405, {"Allow": "GET"})
-    served.metrics.start("read").established()
-    served.metrics.start("read").rejected()
+    source.metrics.start("read").established()
+    source.metrics.start("read").rejected()
     status, stats = dispatch("GET", "/admin/stats")
     assert (status, stats["passed"], stats["dropped"], stats["bad_gateway"]) == (
         200,
@@ -53,8 +53,9 @@
         {"read": 0},
     )
     assert (stats["in_progress"], stats["known_servers"], stats["skipped_servers"]) == (1, 4, 1)
-    assert stats["upstream_tries"] == 0  # one number, as the platform reads it
-    served.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
+    # The platform expects a single number here, not one for each class.
+    assert stats["upstream_tries"] == 0
+    source.lifecycle.handle(LifecycleEvent.SHUTDOWN_REQUESTED)
     assert dispatch("GET", "/admin/health")[0] == 503
     assert dispatch("POST", "/admin/quiesce")[0] == 200
     assert dispatch("POST", "/admin/resume")[0] == 409
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -339,7 +339,7 @@
 
 
 def call(routes: Routes, request: bytes) -> bytes:
-    side = HttpExchange(routes.detailed)
+    side = HttpExchange(routes.content_paths)
     call = side.receive(request)
     assert call is not None
     return side.encode(routes.dispatch(call) if isinstance(call, ApiRequest) else call)
