--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -23,11 +23,11 @@
 class ProxyWithAdminApi:
     """A proxy with its admin server."""
 
-    def __init__(self, keeps_established: bool = False) -> None:
+    def __init__(self, keeps_connections: bool = False) -> None:
         self.proxy = ProxyUnderTest()
         self.server = AdminServer(self.proxy.scheduler, ("127.0.0.1", 0), ProxyApi(self.proxy.gateway))
         self.server.start()
-        Drain(self.proxy.scheduler, self.proxy.gateway, keeps_established=keeps_established)
+        Drain(self.proxy.scheduler, self.proxy.gateway, keeps_established=keeps_connections)
 
     def connect(self, data: bytes) -> Stream:
         stream = Stream.connect(self.proxy.scheduler, self.server.address, 1.0)
@@ -103,7 +103,7 @@
         # No server answers this request. It gets its final answer at the end of the drain.
         pending_client = proxy.client(OPEN.replace(b"1a", b"1c"))
         pending_attempt = proxy.next_attempt()
-        assert [read_line(stream) for stream in (client, late_client)] == [b"MOVE\r\n"] * 2
+        assert [read_line(migrated) for migrated in (client, late_client)] == [b"MOVE\r\n"] * 2
         assert read_line(pending_client).startswith(b"BUSY ")
         for stream in (client, late_client, pending_client, attempt, late_attempt, pending_attempt):
             stream.close()
@@ -133,7 +133,7 @@
         ("LATE_MIGRATION_S", 0.1),
     ):
         monkeypatch.setattr(drain_module, name, value)
-    fixture = ProxyWithAdminApi(keeps_established=True)
+    fixture = ProxyWithAdminApi(keeps_connections=True)
     proxy = fixture.proxy
 
     def scenario() -> None:
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -177,8 +177,8 @@
     ]
     assert len(call_api(routes, "GET", REVISIONS_PATH, query="most=3&x=y")[1]["revisions"]) == 3
     assert call_api(routes, "GET", REVISIONS_PATH, query="most=0")[1]["revisions"] == []
-    for query in ("most=all", "most=-1", "most=1e3", "most=9999999", "most=\u0663"):
-        assert call_api(routes, "GET", REVISIONS_PATH, query=query)[0] == 400
+    for invalid_query in ("most=all", "most=-1", "most=1e3", "most=9999999", "most=\u0663"):
+        assert call_api(routes, "GET", REVISIONS_PATH, query=invalid_query)[0] == 400
     requested_counts: list[int] = []
     monkeypatch.setattr(stub, "history", lambda max_count: requested_counts.append(max_count) or [])
     call_api(routes, "GET", REVISIONS_PATH, query="most=999999")
