--- a/tests/system/test_tls_certificates.py
+++ b/tests/system/test_tls_certificates.py
@@ -165,10 +165,10 @@
     optional = {"clients": "optional", "authorities": str(authority.path)}
     for changes, message in (
         ({"certificate": str(tmp_path / "none")}, "cannot be read"),
-        ({"key": str(invalid_file)}, "is no certificate"),
+        ({"key": str(invalid_file)}, "is not a PEM certificate"),
         ({"key": str(readable_key)}, "it must be 0600"),
-        (optional | {"authorities": str(invalid_file)}, "holds nothing"),
-        (optional | {"crl": str(invalid_file)}, "holds nothing"),
+        (optional | {"authorities": str(invalid_file)}, "contains no usable PEM certificate or CRL"),
+        (optional | {"crl": str(invalid_file)}, "contains no usable PEM certificate or CRL"),
     ):
         with pytest.raises(MalformedError, match=message):
             server_tls(settings(authority, **changes))
