--- a/ironmill/__main__.py
+++ b/ironmill/__main__.py
@@ -3,8 +3,8 @@
 import gc
 import sys
 
-# The objects of modules are permanent, and collections during the import are a tenth of the start.
-# ``GcSchedule`` enables the collector.
+# Garbage collection is off during the imports: their objects stay for the life of the process, and collecting
+# takes a tenth of the start time. ``GcSchedule`` enables the collector.
 gc.disable()
 
 from ironmill.cli import main  # noqa: E402
--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -81,7 +81,7 @@
     from ironmill.configuration.operator_files import OperatorFiles
     from ironmill.distribution.revision import Position
 
-# Modules that only some commands need are imported by these: a proxy starts without them.
+# Modules that only some commands need are imported in those commands, so a proxy starts without loading them.
 
 DEFAULT_POLLER = "epoll"
 EXIT_OK, EXIT_INVALID = 0, 2
@@ -92,15 +92,15 @@
 def main(argv: Sequence[str] | None = None) -> int:
     """Runs the sub-command and returns the exit status."""
     argv = list(sys.argv[1:] if argv is None else argv)
-    if argv == ["serve"]:  # as the platform starts it; parsing the usage would take a tenth of the start
-        return _serve(None, None, DEFAULT_POLLER)
+    if argv == ["serve"]:  # the platform's command; parsing the usage would take a tenth of the start time
+        return _serve_with_signals(None, None, DEFAULT_POLLER)
     from docopt import docopt
 
     arguments = docopt(__doc__, argv=argv)
     for name, command in _COMMANDS.items():
         if arguments[name]:
             return command(arguments)
-    raise AssertionError("docopt has accepted an unknown command")
+    raise AssertionError("docopt accepted a command without a handler")
 
 
 def _fail(error: object) -> int:
@@ -108,7 +108,7 @@
     return EXIT_INVALID
 
 
-def _version(_: Arguments) -> int:
+def _version_command(_: Arguments) -> int:
     print(f"ironmill {__version__}")
     return EXIT_OK
 
@@ -117,33 +117,34 @@
 
 
 def _serve_command(arguments: Arguments) -> int:
-    return _serve(arguments["--config"], arguments["--settings"], arguments["--poller"])
+    return _serve_with_signals(arguments["--config"], arguments["--settings"], arguments["--poller"])
 
 
-def _serve(path: str | None, settings: str | None, poller: str) -> int:
-    signals = Signals()  # before the file is read: by default SIGHUP would end the process
+def _serve_with_signals(config_path: str | None, settings_path: str | None, poller: str) -> int:
+    # Created before the files are read, since SIGHUP ends a process that has no handler for it.
+    signals = Signals()
     try:
-        return serve(path, settings, signals, poller)
+        return serve(config_path, settings_path, signals, poller)
     finally:
         signals.close()
 
 
-def serve(path: str | None, settings: str | None, signals: Signals, poller: str) -> int:
+def serve(config_path: str | None, settings_path: str | None, signals: Signals, poller: str) -> int:
     """Runs one proxy until shutdown and returns the exit status."""
     if poller not in POLLERS:
-        return _fail(f"--poller is one of {', '.join(POLLERS)}, not {poller!r}")
-    read_all = read(os.environ, path, settings)
-    if read_all is None:
+        return _fail(f"--poller must be one of {', '.join(POLLERS)}, not {poller!r}")
+    config_and_files = read_proxy_input(os.environ, config_path, settings_path)
+    if config_and_files is None:
         return EXIT_INVALID
-    config, files = read_all
+    config, files = config_and_files
     logs.set_up(config.name, None if files is None else files.settings.log)
-    # A reload takes discovery's address from the file: the variable is of the start.
+    # PROXY_DISCOVERY applies only to the start: a reload takes the address of discovery from the file.
     reload_environment = {name: value for name, value in os.environ.items() if name != "PROXY_DISCOVERY"}
     options = ProxyOptions(
         config,
-        lambda: load(reload_environment, path),
+        lambda: load(reload_environment, config_path),
         files,
-        lambda new: read_proxy_files(new, settings),
+        lambda new_config: read_proxy_files(new_config, settings_path),
         poller,
     )
     try:
@@ -154,35 +155,38 @@
     return EXIT_OK
 
 
-def read(
-    environment: Mapping[str, str], path: str | None, settings: str | None
+def read_proxy_input(
+    environment: Mapping[str, str], config_path: str | None, settings_path: str | None
 ) -> tuple[Config, OperatorFiles | None] | None:
-    """Reads the configuration and the settings; prints one line and returns None if one is not valid."""
+    """Reads the configuration and the settings; prints one line and returns None if either is invalid."""
     try:
-        config = retry_at_start(load, environment, path)
-        return config, read_proxy_files(config, settings)
+        config = retry_at_start(load, environment, config_path)
+        return config, read_proxy_files(config, settings_path)
     except MalformedError as error:
         _fail(error)
         return None
 
 
-def read_proxy_files(config: Config, settings: str | None) -> OperatorFiles | None:
-    """Reads a proxy's settings and what they name; None if none are named. Raises ``MalformedError``."""
-    if settings is None:
+def read_proxy_files(config: Config, settings_path: str | None) -> OperatorFiles | None:
+    """Reads a proxy's settings and the files that they name; returns None without a path of settings.
+
+    Raises ``MalformedError``.
+    """
+    if settings_path is None:
         return None
     from ironmill.configuration.operator_files import read_operator_files
 
-    files = read_operator_files(settings, config.default_deadlines_s)
+    files = read_operator_files(settings_path, config.default_deadlines_s)
     distribution = files.settings.distribution
     if distribution is not None and distribution.role != "subscriber":
         raise MalformedError(
-            f"{settings}: distribution's role is {distribution.role!r}, which is a control machine's; "
-            "a proxy is a subscriber"
+            f"{settings_path}: the role of distribution is {distribution.role!r}, which is for control "
+            "machines; a proxy must have the role 'subscriber'"
         )
     return files
 
 
-def _control(arguments: Arguments) -> int:
+def _control_command(arguments: Arguments) -> int:
     from ironmill.configuration.operator_files import read_operator_files
     from ironmill.configuration.proxy_config import parse_address
 
@@ -196,38 +200,38 @@
     return control_machine.serve(arguments["NAME"], files, admin_address)
 
 
-def _check_config(arguments: Arguments) -> int:
-    settings = arguments["--settings"]
-    if settings and not arguments["--config"] and not os.environ.get("PROXY_CONFIG"):
-        return _check_settings_alone(settings)
-    read_all = read(os.environ, arguments["--config"], settings)
-    if read_all is None:
+def _check_config_command(arguments: Arguments) -> int:
+    settings_path = arguments["--settings"]
+    if settings_path and not arguments["--config"] and not os.environ.get("PROXY_CONFIG"):
+        return _check_control_machine_settings(settings_path)
+    config_and_files = read_proxy_input(os.environ, arguments["--config"], settings_path)
+    if config_and_files is None:
         return EXIT_INVALID
-    config, files = read_all
-    print(f"ironmill: the configuration of {config.name} is fit for use")
+    config, files = config_and_files
+    print(f"ironmill: the configuration of {config.name} is valid")
     if files is not None:
-        print(f"ironmill: the settings in {files.settings.path} are fit for use")
+        print(f"ironmill: the settings in {files.settings.path} are valid")
     return EXIT_OK
 
 
-def _check_settings_alone(settings: str) -> int:
+def _check_control_machine_settings(settings_path: str) -> int:
     """Checks the settings of a control machine, which has no configuration."""
     from ironmill.configuration.operator_files import read_operator_files
 
     try:
-        distribution = read_operator_files(settings, ()).settings.distribution
+        distribution = read_operator_files(settings_path, ()).settings.distribution
         if distribution is None or distribution.role == "subscriber":
-            load(os.environ)  # raises: a proxy's settings are of no use without its configuration
+            load(os.environ)  # raises MalformedError: a proxy's settings are valid only with a configuration
     except MalformedError as error:
         return _fail(error)
-    print(f"ironmill: the settings in {settings} are fit for use")
+    print(f"ironmill: the settings in {settings_path} are valid")
     return EXIT_OK
 
 
 # Keys, tokens and callers
 
 
-def _keys_or_token(arguments: Arguments) -> int:
+def _key_store_command(arguments: Arguments) -> int:
     from pathlib import Path
 
     from ironmill.commands.errors import CommandError
@@ -249,14 +253,14 @@
 
     if arguments["new"]:
         key = store.new(arguments["KID"], arguments["--algorithm"])
-        print(f"{key.kid}: coming; private part in {store.private_path(key.kid)}")
+        print(f"{key.kid}: created in state coming; private key in {store.private_path(key.kid)}")
     elif arguments["list"]:
         for key in store.ring():
             print(keys.describe(key, time.time()))
     elif arguments["promote"]:
-        keys.promote(store, arguments["KID"], _span(arguments["--overlap"]))
+        keys.promote(store, arguments["KID"], _parse_duration(arguments["--overlap"]))
     else:
-        keys.retire(store, arguments["KID"], _span(arguments["--after"]))
+        keys.retire(store, arguments["KID"], _parse_duration(arguments["--after"]))
 
 
 def _token_command(store: KeyStore, arguments: Arguments) -> None:
@@ -269,27 +273,27 @@
             subject=arguments["SUBJECT"],
             audience=arguments["--audience"],
             issuer=arguments["--issuer"],
-            lifetime_s=_span(arguments["--lifetime"]),
+            lifetime_s=_parse_duration(arguments["--lifetime"]),
         )
         print(tokens.issue(store, request, arguments["--kid"]).decode())
     else:
-        print(orjson.dumps(tokens.inspect(_token(arguments)), option=orjson.OPT_INDENT_2).decode())
+        print(orjson.dumps(tokens.inspect(_read_token(arguments)), option=orjson.OPT_INDENT_2).decode())
 
 
-def _caller(arguments: Arguments) -> int:
-    read_all = read(os.environ, arguments["--config"], arguments["--settings"])
-    if read_all is None:
+def _caller_command(arguments: Arguments) -> int:
+    config_and_files = read_proxy_input(os.environ, arguments["--config"], arguments["--settings"])
+    if config_and_files is None:
         return EXIT_INVALID
     from ironmill.commands.caller import explain
 
-    _, files = read_all
-    assert files is not None  # the usage requires settings
-    for line in explain(files, _token(arguments), time.time()):
+    _, files = config_and_files
+    assert files is not None  # docopt requires --settings for this command
+    for line in explain(files, _read_token(arguments), time.time()):
         print(line)
     return EXIT_OK
 
 
-def _token(arguments: Arguments) -> bytes:
+def _read_token(arguments: Arguments) -> bytes:
     text: str = arguments["TOKEN"]
     return (sys.stdin.readline() if text == "-" else text).strip().encode()
 
@@ -297,7 +301,7 @@
 # Clients of the admin API
 
 
-def _members(arguments: Arguments) -> int:
+def _members_command(arguments: Arguments) -> int:
     from ironmill.commands import members
     from ironmill.configuration.proxy_config import parse_address
 
@@ -316,34 +320,34 @@
     return EXIT_OK
 
 
-def _config(arguments: Arguments) -> int:
+def _config_command(arguments: Arguments) -> int:
     from ironmill.commands.config import ConfigError
     from ironmill.commands.errors import CommandError
 
     try:
-        return _config_command(arguments)
+        return _run_config_command(arguments)
     except (ConfigError, CommandError, MalformedError) as error:
         return _fail(error)
     except KeyboardInterrupt:
         return EXIT_INVALID
 
 
-def _config_command(arguments: Arguments) -> int:
+def _run_config_command(arguments: Arguments) -> int:
     from ironmill.commands import config
     from ironmill.commands.config_status import status_table
     from ironmill.configuration.proxy_config import parse_address
 
     control = parse_address(arguments["CONTROL"], "CONTROL")
-    within_s = _span(arguments["--within"])
+    within_s = _parse_duration(arguments["--within"])
     if arguments["status"]:
-        return _print_all(status_table(config.status(control)))
+        return _print_lines(status_table(config.status(control)))
     if arguments["history"]:
-        return _print_all(config.history(control, arguments["--most"]))
+        return _print_lines(config.history(control, arguments["--most"]))
     if arguments["wait"]:
         position = config.to_position(arguments["POSITION"])
     else:
         position = _write_config(control, arguments)
-        print(f"{position} is kept", flush=True)
+        print(f"{position} is stored", flush=True)
         if not arguments["--wait"]:
             return EXIT_OK
     lines = config.wait(control, position, within_s)
@@ -369,29 +373,31 @@
     return config.revert(control, arguments["REVISION"], authorship)
 
 
-def _print_all(lines: Iterable[str]) -> int:
+def _print_lines(lines: Iterable[str]) -> int:
     for line in lines:
         print(line)
     return EXIT_OK
 
 
-def _span(text: str) -> float:
-    """Parses a span of the command line into seconds. Raises ``CommandError``."""
+def _parse_duration(text: str) -> float:
+    """Parses a duration of the command line into seconds. Raises ``CommandError``."""
     from ironmill.commands.errors import CommandError
 
     if re.fullmatch(r"[0-9]{1,9}(\.[0-9]{1,6})?(ms|s|m|h|d)", text) is None:
-        raise CommandError(f"{text!r} is no span; it is a number and ms, s, m, h or d, as in 90s")
+        raise CommandError(
+            f"{text!r} is not a duration; expected a number and a unit (ms, s, m, h or d), for example 90s"
+        )
     return duration(text)
 
 
 _COMMANDS: dict[str, Callable[[Arguments], int]] = {
-    "version": _version,
+    "version": _version_command,
     "serve": _serve_command,
-    "keys": _keys_or_token,
-    "token": _keys_or_token,
-    "members": _members,
-    "control": _control,
-    "config": _config,
-    "check-config": _check_config,
-    "caller": _caller,
+    "keys": _key_store_command,
+    "token": _key_store_command,
+    "members": _members_command,
+    "control": _control_command,
+    "config": _config_command,
+    "check-config": _check_config_command,
+    "caller": _caller_command,
 }
--- a/ironmill/commands/__init__.py
+++ b/ironmill/commands/__init__.py
@@ -1,5 +1,5 @@
-"""Sub-commands for operators, besides those that run a process.
+"""Sub-commands for operators, except those that run a proxy or a control machine.
 
-Owns the management of keys and tokens, the explanation of a caller's rights, and the clients of the admin
+Contains the management of keys and tokens, the explanation of a caller's rights, and the clients of the admin
 API. May import every package of ``ironmill`` except ``net`` and ``simulator``.
 """
--- a/ironmill/commands/caller.py
+++ b/ironmill/commands/caller.py
@@ -1,4 +1,4 @@
-"""``ironmill caller explain``: shows step by step which rule a credential matches, and why."""
+"""``ironmill caller explain``: shows which rules a credential matches, and why it is admitted or refused."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ironmill.identity.tokens import parse_token
 
 
-def explain(operator: OperatorFiles, token: bytes, now: float) -> Iterator[str]:
-    """Yields lines of text; the last one is the verdict on the token at this Unix time."""
-    settings, ring = operator.settings.identity, operator.ring
+def explain(files: OperatorFiles, token: bytes, now: float) -> Iterator[str]:
+    """Yields lines of text; the last one says whether the token is accepted at this Unix time."""
+    settings, ring = files.settings.identity, files.ring
     if settings is None or ring is None:
-        yield "the settings hold no identity: everybody is served, and AUTH is no line of the protocol"
+        yield "the settings have no identity element: every client is served, and AUTH lines are not accepted"
         return
     try:
         claims = parse_token(token).claims
@@ -40,5 +40,5 @@
     classes = "all classes" if rights.classes is None else f"classes {' '.join(sorted(rights.classes))}"
     connections = "any number of" if rights.max_connections is None else f"{rights.max_connections}"
     rate = rights.max_openings_per_s
-    openings = "" if rate is None else f", {rate:g} openings a second"
+    openings = "" if rate is None else f", {rate:g} new connections per second"
     return f"{classes}, {connections} connections{openings}"
--- a/ironmill/commands/config.py
+++ b/ironmill/commands/config.py
@@ -1,7 +1,7 @@
 """``ironmill config``: pushes changes, waits until they are applied everywhere, shows status and history.
 
-A control machine is called at the address of its admin API. A push whose response is lost is repeated with
-its ticket, which the origin stores once.
+The commands call the admin API of a control machine. A push whose response is lost is repeated with the same
+ticket, and the origin stores a ticket only once.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 from ironmill.distribution.revision import Position
 from ironmill.errors import IronmillError
 
-CALL_TIMEOUT_S = 2.0  # the process answers within one second
-MAX_ATTEMPTS = 5  # of a push whose response is lost
+CALL_TIMEOUT_S = 2.0  # the admin API responds within one second
+MAX_ATTEMPTS = 5  # calls of one push or revert, which is repeated if its response is lost
 RETRY_INTERVAL_S = 0.3
-POLL_INTERVAL_S = 0.2  # of the status, while waiting
+POLL_INTERVAL_S = 0.2  # between two requests of the status while waiting
 MAX_RESPONSE_BYTES = 16 << 20
 
 Address = tuple[str, int]
@@ -39,31 +39,34 @@
 
 
 class ConfigError(IronmillError):
-    """A command that cannot be carried out, or was rejected. The message has one line."""
+    """Raised if a command cannot be carried out or was rejected. The message is one line."""
 
 
 class LostResponseError(ConfigError):
-    """A call without a response. If it was ``sent`` it may have had its effect."""
+    """Raised if a call gets no response. If ``sent`` is true the call may have taken effect."""
 
-    def __init__(self, text: str, *, sent: bool) -> None:
-        """``sent``: the connection was established, so the call may have been received."""
-        super().__init__(text)
+    def __init__(self, message: str, *, sent: bool) -> None:
+        """``sent`` says that the connection was established, so the call may have been received."""
+        super().__init__(message)
         self.sent = sent
 
 
 class ApiResult(Struct, frozen=True):
-    """Status and JSON of one response."""
+    """The HTTP status and the JSON object of one response."""
 
     status: int
     content: dict[str, Any]
 
     def reason(self, default: str) -> str:
-        """Returns the reason that the response gives."""
+        """Returns the reason in the response, or the default if there is none."""
         return str(self.content.get("reason", default))
 
 
 class Authorship(Struct, frozen=True):
-    """Who changes the configuration, and why. ``expect``: the required latest position; empty: any."""
+    """Who changes the configuration, and why.
+
+    ``expect`` is the latest position that the origin must have for the change to be stored; empty means any.
+    """
 
     author: str
     note: str = ""
@@ -76,7 +79,11 @@
 
 
 def call(address: Address, method: str, path: str, body: Mapping[str, object] | None = None) -> ApiResult:
-    """Calls the admin API. Raises ``LostResponseError`` without a response, ``ConfigError`` if it is none."""
+    """Calls the admin API and returns its response.
+
+    Raises ``LostResponseError`` if there is no response, ``ConfigError`` if it is not a JSON object or if the
+    process has no distribution.
+    """
     host, port = address
     connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_S)
     sent = False
@@ -95,24 +102,24 @@
     try:
         content = msgspec.json.decode(data, type=dict[str, Any]) if data else {}
     except msgspec.DecodeError as error:
-        raise ConfigError(f"{host}:{port} answers something else: {error}") from None
+        raise ConfigError(f"unexpected response from {host}:{port}: {error}") from None
     return ApiResult(response.status, content)
 
 
-def read_changes(words: Sequence[str], file: str | None) -> dict[str, str | None]:
-    """Reads KEY=VALUE and KEY- of the command line, and a file's JSON object. Raises ``ConfigError``."""
+def read_changes(arguments: Sequence[str], file: str | None) -> dict[str, str | None]:
+    """Returns the changes of KEY=VALUE and KEY- arguments and of a JSON file. Raises ``ConfigError``."""
     changes = {} if file is None else _read_changes_file(file)
-    for word in words:
-        key, equals, value = word.partition("=")
+    for argument in arguments:
+        key, equals, value = argument.partition("=")
         if not equals and key.endswith("-"):
             key = key[:-1]
         elif not equals:
-            raise ConfigError(f"{word!r} is no change; it is KEY=VALUE, or KEY- to delete the key")
+            raise ConfigError(f"{argument!r} is not a change; expected KEY=VALUE, or KEY- to delete the key")
         if key in changes:
             raise ConfigError(f"{key!r} is changed twice")
         changes[key] = value if equals else None
     if not changes:
-        raise ConfigError("there is no change; it is KEY=VALUE, KEY- or --file=JSON")
+        raise ConfigError("there is no change; expected KEY=VALUE, KEY- or --file=JSON")
     return changes
 
 
@@ -122,7 +129,9 @@
     except OSError as error:
         raise ConfigError(f"{file}: {error.strerror}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{file}: is no JSON object of keys and texts, or null: {error}") from None
+        raise ConfigError(
+            f"{file}: expected a JSON object whose values are strings or null: {error}"
+        ) from None
 
 
 def push(
@@ -130,25 +139,27 @@
 ) -> Position:
     """Pushes the changes and returns their position.
 
-    Raises ``ConfigError``, whose message says if it is unknown whether the revision was stored.
+    Raises ``ConfigError``; its message says so if it is unknown whether the revision was stored.
     """
     authorship.check()
     return _write(address, REVISIONS_PATH, {"changes": changes}, authorship, sleep)
 
 
 def revert(address: Address, revision: str, authorship: Authorship, sleep: Sleep = time.sleep) -> Position:
-    """Restores the values as of a revision, given as number or position. Raises as ``push`` does."""
+    """Restores the values of a revision, given by number or position. Raises like ``push``."""
     authorship.check()
     number = revision.rpartition(".")[2]
     if not (number.isascii() and number.isdigit() and len(number) <= 19):
-        raise ConfigError(f"{revision!r} is no revision; it is its number, as in 17 or 3.17")
+        raise ConfigError(
+            f"{revision!r} is not a revision; expected a number or a position, for example 17 or 3.17"
+        )
     return _write(address, REVERT_PATH, {"number": int(number)}, authorship, sleep)
 
 
 def _write(
     address: Address, path: str, content: Mapping[str, object], authorship: Authorship, sleep: Sleep
 ) -> Position:
-    """Calls with one ticket until there is a response, at most ``MAX_ATTEMPTS`` times."""
+    """Repeats a call with the same ticket until there is a response, at most ``MAX_ATTEMPTS`` times."""
     body = {
         **content,
         "author": authorship.author,
@@ -156,28 +167,28 @@
         "expect": authorship.expect,
         "ticket": secrets.token_hex(16),
     }
-    lost: LostResponseError | None = None
+    last_error: LostResponseError | None = None
     sent = False
     for _ in range(MAX_ATTEMPTS):
-        if lost is not None:
+        if last_error is not None:
             sleep(RETRY_INTERVAL_S)
         try:
             return _position_of(call(address, "POST", path, body))
         except LostResponseError as error:
-            lost = error
+            last_error = error
             sent = sent or error.sent
-    outcome = "it is not known whether it was kept" if sent else "nothing was kept"
-    raise ConfigError(f"{lost}; tried {MAX_ATTEMPTS} times, and {outcome}")
+    outcome = "it is unknown whether the revision was stored" if sent else "no revision was stored"
+    raise ConfigError(f"{last_error}; tried {MAX_ATTEMPTS} times, and {outcome}")
 
 
 def _position_of(result: ApiResult) -> Position:
-    """The position of a revision that was stored. Raises ``ConfigError`` if it was not."""
+    """Returns the position of the stored revision. Raises ``ConfigError`` if none was stored."""
     if result.status == 201:
         return to_position(result.content.get("position"))
-    reason = result.reason(f"the answer is {result.status}")
+    reason = result.reason(f"the HTTP status is {result.status}")
     if result.status == 409:
         raise ConfigError(f"refused: {result.content.get('key', '')}: {reason}")
-    raise ConfigError(f"not taken: {reason}")
+    raise ConfigError(f"not accepted: {reason}")
 
 
 def fetch_status(address: Address) -> dict[str, Any]:
@@ -193,28 +204,28 @@
     try:
         return NodeStatus.from_json(fetch_status(address))
     except msgspec.ValidationError as error:
-        raise ConfigError(f"{address[0]}:{address[1]} answers something else: {error}") from None
+        raise ConfigError(f"unexpected response from {address[0]}:{address[1]}: {error}") from None
 
 
 def history(address: Address, max_count: str) -> Iterator[str]:
     """Yields the last revisions as lines of text, the newest first. Raises ``ConfigError``."""
     if not (max_count.isascii() and max_count.isdigit() and len(max_count) <= 6):
-        raise ConfigError(f"{max_count!r} is no number of revisions")
+        raise ConfigError(f"{max_count!r} is not a number of revisions; expected 1 to 6 digits")
     result = call(address, "GET", f"{REVISIONS_PATH}?most={int(max_count)}")
     if result.status != 200:
-        raise ConfigError(result.reason(f"the answer is {result.status}"))
+        raise ConfigError(result.reason(f"the HTTP status is {result.status}"))
     try:
         page = msgspec.convert(result.content, HistoryBody)
     except msgspec.ValidationError as error:
-        raise ConfigError(f"{address[0]}:{address[1]} answers something else: {error}") from None
+        raise ConfigError(f"unexpected response from {address[0]}:{address[1]}: {error}") from None
     for revision in page.revisions:
-        when = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(revision.at))
+        time_text = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(revision.at))
         author, note = printable(revision.author), printable(revision.note)
-        yield f"{revision.position}  {when}  {author}  {note}".rstrip()
+        yield f"{revision.position}  {time_text}  {author}  {note}".rstrip()
         for key, value in revision.changes.items():
             yield f"  {printable(key)}-" if value is None else f"  {printable(key)}={printable(value)}"
     if page.cut:
-        yield "and older ones, which are too large for one answer"
+        yield "older revisions are left out: one response has no room for them"
 
 
 def wait(
@@ -226,42 +237,48 @@
 ) -> Generator[str, None, int]:
     """Polls until the position is applied everywhere. Yields lines of text and returns the exit status.
 
-    0: it is applied everywhere. 1: not in time, and the lines name the lagging nodes. Raises ``ConfigError``
-    if no process answered.
+    The status is 0 if the position is applied everywhere, and 1 if it is not applied in time or is not in
+    the history of the origin. If the time has run out, the lines name the lagging nodes. Raises
+    ``ConfigError`` if there was no response or the process is not the origin.
     """
     deadline = clock() + within_s
-    last: NodeStatus | None = None
+    last_status: NodeStatus | None = None
     while True:
         try:
-            last = status(address)
+            last_status = status(address)
         except LostResponseError:
-            if last is None and clock() >= deadline:
+            if last_status is None and clock() >= deadline:
                 raise
         else:
-            verdict = _verdict(last, position)
+            verdict = _verdict(last_status, position)
             if verdict is not None:
                 yield verdict.line
                 return verdict.exit_status
         if clock() >= deadline:
             break
         sleep(POLL_INTERVAL_S)
-    assert last is not None
-    yield f"{position} is not in force everywhere after {within_s:g}s; the lowest is {last.lowest_position}"
-    yield from lagging_lines(last)
+    assert last_status is not None
+    yield (
+        f"{position} is not in force everywhere after {within_s:g}s; "
+        f"the lowest is {last_status.lowest_position}"
+    )
+    yield from lagging_lines(last_status)
     return 1
 
 
 class Verdict(Struct, frozen=True):
-    """The end of a wait."""
+    """The result of a wait: the exit status and the line to print."""
 
     exit_status: int
     line: str
 
 
 def _verdict(current: NodeStatus, position: Position) -> Verdict | None:
-    """The end of a wait for the position, None if it goes on. Raises ``ConfigError``."""
+    """Returns the result of a wait for the position, None if the wait goes on. Raises ``ConfigError``."""
     if current.role != "origin":
-        raise ConfigError(f"{current.name} is a {current.role}; only the origin knows of all proxies")
+        raise ConfigError(
+            f"{current.name} is a {current.role}; only the origin has the status of all proxies"
+        )
     received = to_position(current.received_position)
     if received > position and received.number < position.number:
         line = f"{position} is not in the history of {current.name}, which is at {received}"
@@ -277,7 +294,7 @@
     """Returns the name of the user who runs the command."""
     try:
         return getpass.getuser()
-    except (KeyError, OSError):  # a user without a name
+    except (KeyError, OSError):  # the user id has no name
         return "unknown"
 
 
--- a/ironmill/commands/config_status.py
+++ b/ironmill/commands/config_status.py
@@ -1,6 +1,6 @@
-"""Status of distribution as the admin API reports it, and its rendering as text.
+"""The status of distribution that the admin API reports, and its rendering as text.
 
-The JSON names of the admin API are mapped to the terms of the project here.
+``NodeStatus`` names its attributes in the terms of the source and maps the names of the admin API to them.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from ironmill.distribution.revision import Position
 from ironmill.distribution.status import LaggingNodeStatus, ZoneStatus
 
-MAX_NAMED_NODES = 50  # lagging nodes that are named in a text
+MAX_NAMED_NODES = 50  # lagging nodes that the output of a command names
 
 
 class NodeStatus(Struct, kw_only=True):
-    """The common view of the statuses of all roles; of a parent, also that of the nodes below it."""
+    """The fields that the statuses of all roles share; a parent also reports the nodes below it."""
 
     name: str
     role: str
@@ -31,7 +31,7 @@
     parent: str = ""
     is_fully_applied: bool = field(name="everywhere", default=False)
     converged: bool = field(name="settled", default=True)
-    lowest_position: str | None = field(name="lowest", default=None)  # None where no proxy is known
+    lowest_position: str | None = field(name="lowest", default=None)  # None if no proxy is known
     zones: Sequence[ZoneStatus] = ()
     lagging_nodes: Sequence[LaggingNodeStatus] = field(name="laggards", default=())
     omitted_lagging_nodes: int = field(name="more_laggards", default=0)
@@ -39,11 +39,11 @@
 
     @classmethod
     def from_json(cls, content: dict[str, Any]) -> NodeStatus:
-        """Returns the status of a response of the admin API. Raises ``msgspec.ValidationError``."""
+        """Returns the status in the JSON of a response. Raises ``msgspec.ValidationError``."""
         return msgspec.convert(content, cls)
 
     def is_applied_everywhere(self, position: Position) -> bool:
-        """Returns True if every proxy below this node has applied the position, or a later one.
+        """Returns whether every proxy below this node has applied the position, or a later one.
 
         Raises ``ValueError`` if a position in the status is malformed.
         """
@@ -53,7 +53,7 @@
             return False
         if any(zone.rejecting or zone.unreachable for zone in self.zones):
             return False
-        # An unreachable relay is in no zone's count, and the state of the proxies behind it is unknown.
+        # The zones do not count unreachable relays, and the state of the proxies below these is unknown.
         if any(node.state != "behind" for node in self.lagging_nodes):
             return False
         return all(read_position(zone.lowest_position) >= position for zone in self.zones)
@@ -61,21 +61,25 @@
 
 def status_table(status: NodeStatus) -> Iterator[str]:
     """Yields the status as lines of text."""
-    heard = "" if status.origin_age_s is None else f", heard of the origin {status.origin_age_s:.1f}s ago"
+    contact = (
+        ""
+        if status.origin_age_s is None
+        else f", last contact with the origin {status.origin_age_s:.1f}s ago"
+    )
     yield (
         f"{status.name} is {status.role}, holds {status.received_position}, "
-        f"in force {status.applied_position}{', STALE' if status.is_stale else ''}{heard}, "
+        f"in force {status.applied_position}{', STALE' if status.is_stale else ''}{contact}, "
         f"{status.entries} keys"
     )
     if status.parent:
         yield f"parent: {status.parent}"
     if status.zones:
-        everywhere = "everywhere" if status.is_fully_applied else "not everywhere"
-        yield f"{status.received_position} is {everywhere} in force; the lowest is {status.lowest_position}"
+        scope = "in force everywhere" if status.is_fully_applied else "not in force everywhere"
+        yield f"{status.received_position} is {scope}; the lowest is {status.lowest_position}"
         yield from _zone_table(status.zones)
     yield from lagging_lines(status)
     if status.dropped:
-        yield "dropped: " + ", ".join(f"{count} {why}" for why, count in sorted(status.dropped.items()))
+        yield "dropped: " + ", ".join(f"{count} {reason}" for reason, count in sorted(status.dropped.items()))
 
 
 def _zone_table(zones: Sequence[ZoneStatus]) -> Iterator[str]:
@@ -90,7 +94,7 @@
 
 
 def lagging_lines(status: NodeStatus) -> Iterator[str]:
-    """Yields a line for each lagging node, up to ``MAX_NAMED_NODES``, and the number of further ones."""
+    """Yields a line for each of the first ``MAX_NAMED_NODES`` lagging nodes, and the number of the others."""
     for node in status.lagging_nodes[:MAX_NAMED_NODES]:
         reason = ": ".join(printable(text) for text in (node.key, node.reason) if text)
         suffix = f": {reason}" if reason else ""
@@ -101,5 +105,5 @@
 
 
 def printable(text: str) -> str:
-    """Returns the text with control characters escaped, which could change the terminal."""
+    """Returns the text with non-printable characters escaped, since they could control the terminal."""
     return text if text.isprintable() else ascii(text)[1:-1]
--- a/ironmill/commands/errors.py
+++ b/ironmill/commands/errors.py
@@ -1,4 +1,4 @@
-"""The error of a command."""
+"""The error that a command reports to the operator."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class CommandError(IronmillError):
-    """A command that cannot be carried out. The message is the one line that says why."""
+    """Raised if a command cannot be carried out. The message is one line that says why."""
--- a/ironmill/commands/keys.py
+++ b/ironmill/commands/keys.py
@@ -39,15 +39,15 @@
 
 
 class KeyStore:
-    """A folder with the key ring and, where tokens are issued, private keys."""
+    """A folder with the key ring and, on the machine that issues tokens, the private keys."""
 
     def __init__(self, folder: Path) -> None:
-        """The folder is created with the first key."""
+        """Creates a store in a folder, which is itself created with the first key."""
         self.folder = folder
         self.path = folder / RING_FILE
 
     def ring(self) -> KeyRing:
-        """Reads the ring, which is empty before the first key. Raises CommandError."""
+        """Reads the ring; returns an empty one before the first key is created. Raises CommandError."""
         try:
             return parse_ring(self.path.read_bytes())
         except FileNotFoundError:
@@ -64,16 +64,16 @@
     def new(self, kid: str, algorithm: str) -> Key:
         """Creates a key pair and adds the public key to the ring, in state coming. Raises CommandError."""
         if not is_valid_kid(kid):
-            raise CommandError(f"{kid!r} will not do: {KID_FORM}")
+            raise CommandError(f"{kid!r} is not a valid key id: {KID_FORM}")
         if algorithm not in ALGORITHMS:
-            raise CommandError(f"there is no algorithm {algorithm!r}; it is one of {', '.join(ALGORITHMS)}")
+            raise CommandError(f"unknown algorithm {algorithm!r}; expected one of {', '.join(ALGORITHMS)}")
         ring = self.ring()
         if ring.get(kid) is not None:
             raise CommandError(f"there is a key {kid!r} already")
         if self.private_path(kid).exists():
             raise CommandError(
-                f"there is a private key {kid!r} that the ring does not have, as after a command that was"
-                f" killed: remove {self.private_path(kid)}, or choose another id"
+                f"there is a private key {kid!r} that the ring does not have, perhaps because a command was"
+                f" killed: remove {self.private_path(kid)} or choose another key id"
             )
         pem, jwk = _generate(algorithm)
         item = {"kid": kid, "alg": algorithm, "state": "coming", "from": time.time(), **jwk}
@@ -106,30 +106,32 @@
         return self.folder / f"{kid}.pem"
 
     def private(self, kid: str) -> PrivateKey:
-        """Reads a private key. Raises CommandError if it is missing, or readable by others."""
+        """Reads a private key. Raises CommandError if it is missing, malformed or readable by others."""
         from cryptography.hazmat.primitives.serialization import load_pem_private_key
 
         path = self.private_path(kid)
         try:
             mode = stat.S_IMODE(path.stat().st_mode)
-            if mode & 0o077:  # others may have read the key, so it must not be used
-                raise CommandError(f"{path}: its mode is {mode:04o}, so others may read it; it must be 0600")
+            if mode & 0o077:  # other users may have read the key, so it must not be used
+                raise CommandError(
+                    f"{path}: the file mode is {mode:04o}, so others may read it; it must be 0600"
+                )
             return cast("PrivateKey", load_pem_private_key(path.read_bytes(), None))
         except OSError as error:
             raise CommandError(f"{path}: {error.strerror}") from None
         except ValueError:
-            raise CommandError(f"{path}: is no private key in PEM") from None
+            raise CommandError(f"{path}: expected a private key in PEM format") from None
 
 
 def describe(key: Key, now: float) -> str:
-    """Returns the line of ``keys list`` for a key."""
+    """Returns the line that ``keys list`` prints for a key."""
     state = "retired" if key.is_retired(now) else key.state.value
     until = "" if key.valid_until is None else f"  until {_format_time(key.valid_until)}"
     return f"{key.kid:<20} {key.algorithm:<6} {state:<9} from {_format_time(key.valid_from)}{until}"
 
 
 def promote(store: KeyStore, kid: str, overlap_s: float) -> None:
-    """Has the key sign; the previous signing key is accepted for the overlap. Raises CommandError."""
+    """Makes a key the signing key; the previous one stays accepted for ``overlap_s``. Raises CommandError."""
     try:
         store.write(store.ring().promoted(kid, time.time(), overlap_s))
     except KeyRingError as error:
@@ -137,27 +139,30 @@
 
 
 def retire(store: KeyStore, kid: str, delay_s: float) -> None:
-    """Ends the validity of the key's signatures after the delay. Raises CommandError for the signing key."""
+    """Makes the key's signatures invalid after the delay. Raises CommandError for the signing key."""
     ring = store.ring()
     key = ring.get(kid)
     if key is not None and key.state is KeyState.SIGNING:
-        raise CommandError(f"{kid!r} is signing; let another key sign first, or no new token would be good")
+        raise CommandError(
+            f"{kid!r} is the signing key; promote another key first, or new tokens would be invalid"
+        )
     try:
         store.write(ring.retired(kid, time.time() + delay_s))
     except KeyRingError as error:
         raise CommandError(str(error)) from None
 
 
-def _format_time(moment: float) -> str:
-    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(moment)) if moment else "ever"
+def _format_time(unix_time: float) -> str:
+    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(unix_time)) if unix_time else "ever"
 
 
 def _write_atomically(path: Path, data: bytes, mode: int) -> None:
-    """Replaces a file. The data are never readable by more than the mode allows.
+    """Replaces a file atomically. The data are never accessible to more users than the mode allows.
 
-    Raises CommandError. The file is the old one then, or it is replaced and may be lost with a loss of power.
+    Raises CommandError. The file is then unchanged, or replaced by data that a power failure may destroy.
     """
-    # Not named by the process: in a container the next one may have the number of one that was killed.
+    # The name does not contain the process id: in a container a process may get the id of a killed one, whose
+    # temporary file is still there.
     temporary = path.with_name(f".{path.name}.{secrets.token_hex(8)}")
     try:
         descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode)
@@ -172,10 +177,10 @@
             raise
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}") from None
-    _sync_folder(path)
+    _sync_folder_of(path)
 
 
-def _sync_folder(path: Path) -> None:
+def _sync_folder_of(path: Path) -> None:
     """Makes the replacement of a file durable. Raises CommandError."""
     try:
         descriptor = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
@@ -184,27 +189,27 @@
         finally:
             os.close(descriptor)
     except OSError as error:
-        raise CommandError(f"{path}: replaced, but perhaps not for good: {error.strerror}") from None
+        raise CommandError(f"{path}: replaced, but a power failure may undo this: {error.strerror}") from None
 
 
 def _generate(algorithm: str) -> tuple[bytes, dict[str, str]]:
-    """Returns a new private key in PEM, and the members of the public one's JSON Web Key."""
+    """Returns a new private key in PEM, and the members of the JSON Web Key for its public key."""
     from cryptography.hazmat.primitives import serialization
     from cryptography.hazmat.primitives.asymmetric import ec, ed25519
 
     jwk: dict[str, str]
-    private: ed25519.Ed25519PrivateKey | ec.EllipticCurvePrivateKey
+    private_key: ed25519.Ed25519PrivateKey | ec.EllipticCurvePrivateKey
     if algorithm == "EdDSA":
-        private = ed25519.Ed25519PrivateKey.generate()
-        x = private.public_key().public_bytes_raw()
+        private_key = ed25519.Ed25519PrivateKey.generate()
+        x = private_key.public_key().public_bytes_raw()
         jwk = {"kty": "OKP", "crv": "Ed25519", "x": _base64url(x)}
     else:
-        private = ec.generate_private_key(ec.SECP256R1())
-        numbers = private.public_key().public_numbers()
+        private_key = ec.generate_private_key(ec.SECP256R1())
+        numbers = private_key.public_key().public_numbers()
         x = numbers.x.to_bytes(ES256_COORDINATE_BYTES)
         y = numbers.y.to_bytes(ES256_COORDINATE_BYTES)
         jwk = {"kty": "EC", "crv": "P-256", "x": _base64url(x), "y": _base64url(y)}
-    pem = private.private_bytes(
+    pem = private_key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
     return pem, jwk
--- a/ironmill/commands/members.py
+++ b/ironmill/commands/members.py
@@ -22,7 +22,7 @@
 
 
 class MemberEntry(Struct):
-    """One member; a member that is out of the view has only a name and a state."""
+    """One member. A member that was removed from the view has only a name and a state."""
 
     name: str
     state: str
@@ -33,13 +33,13 @@
 
     @property
     def cells(self) -> list[str]:
-        """The texts of the table's columns."""
+        """The texts of the columns in ``COLUMNS``."""
         incarnation = "" if self.incarnation is None else str(self.incarnation)
         return [self.name, self.address, self.zone, self.region, incarnation, self.state]
 
 
 class ViewReport(Struct):
-    """The answer of ``GET /admin/members``."""
+    """The response to ``GET /admin/members``."""
 
     name: str
     cluster: str
@@ -54,16 +54,16 @@
 
     @property
     def state(self) -> str:
-        """The state of the process that answered."""
+        """The state of the process that sent the report, in words that ``format_view`` puts before \"of\"."""
         if self.superseded:
             return "superseded"
         if self.is_isolated:
-            return "cut off"
+            return "an isolated member"
         return "a member" if self.joined else "joining"
 
 
 def fetch_view(host: str, port: int) -> ViewReport:
-    """Returns the view of a process; raises ``MembersError`` if it cannot be fetched."""
+    """Returns the membership view of a process. Raises ``MembersError`` if it cannot be fetched."""
     connection = http.client.HTTPConnection(host, port, timeout=RESPONSE_TIMEOUT_S)
     try:
         connection.request("GET", "/admin/members")
@@ -80,24 +80,24 @@
     try:
         return msgspec.json.decode(body, type=ViewReport)
     except msgspec.DecodeError as error:
-        raise MembersError(f"{host}:{port} answers something else: {error}") from None
+        raise MembersError(f"unexpected response from {host}:{port}: {error}") from None
 
 
 def format_view(report: ViewReport) -> Iterator[str]:
     """Yields the view as lines of text."""
     count = len(report.members)
-    yield f"{report.name} is {report.state} of {report.cluster}, view {report.view}, {count} in it"
+    yield f"{report.name} is {report.state} of {report.cluster}, view {report.view}, {count} members"
     yield from _format_table([*report.members, *report.removed])
     if report.differing_s:
-        others = (f"{name} for {since_s:.0f} s" for name, since_s in sorted(report.differing_s.items()))
-        yield "another view: " + ", ".join(others)
+        differing = (f"{name} for {age_s:.0f} s" for name, age_s in sorted(report.differing_s.items()))
+        yield "different views: " + ", ".join(differing)
     if report.dropped:
         counts = (f"{count} {reason}" for reason, count in sorted(report.dropped.items()))
         yield "dropped: " + ", ".join(counts)
 
 
 def watch_view(host: str, port: int) -> Iterator[str]:
-    """Yields the view as lines, and again whenever it has changed; raises like ``fetch_view``."""
+    """Yields the view as lines of text, and again after each change. Raises like ``fetch_view``."""
     last_view = ""
     while True:
         report = fetch_view(host, port)
@@ -109,6 +109,6 @@
 
 def _format_table(entries: Sequence[MemberEntry]) -> Iterator[str]:
     rows = [[name.upper() for name in COLUMNS], *(entry.cells for entry in entries)]
-    widths = [max(len(row[at]) for row in rows) for at in range(len(COLUMNS))]
+    widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     for row in rows:
         yield "  ".join(text.ljust(width) for text, width in zip(row, widths, strict=True)).rstrip()
--- a/ironmill/commands/tokens.py
+++ b/ironmill/commands/tokens.py
@@ -1,4 +1,4 @@
-"""``ironmill token``: issues and inspects tokens."""
+"""``ironmill token``: issues tokens and shows their content."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TokenRequest(Struct, frozen=True):
-    """The content of a token to issue."""
+    """The claims of a token to issue."""
 
     subject: str
     audience: str
@@ -22,19 +22,19 @@
 
 
 def issue(store: KeyStore, request: TokenRequest, kid: str | None = None) -> bytes:
-    """Returns a token signed by the given key, or else by the signing key. Raises CommandError."""
+    """Returns a token signed with the given key, or with the ring's signing key. Raises CommandError."""
     import jwt
 
     ring = store.ring()
     key = ring.signing() if kid is None else ring.get(kid)
     if key is None:
         raise CommandError(
-            "no key is signing; 'ironmill keys promote KID' lets one sign"
+            "there is no signing key; 'ironmill keys promote KID' makes a key the signing key"
             if kid is None
             else f"there is no key {kid!r}"
         )
     if not 0 < len(request.subject) <= MAX_SUBJECT_LENGTH:
-        raise CommandError(f"a subject has 1 to {MAX_SUBJECT_LENGTH} characters")
+        raise CommandError(f"the subject must have 1 to {MAX_SUBJECT_LENGTH} characters")
     now = time.time()
     claims = {
         "iss": request.issuer,
@@ -47,12 +47,12 @@
         claims, store.private(key.kid), algorithm=key.algorithm, headers={"kid": key.kid}
     ).encode()
     if len(token) > MAX_TOKEN_BYTES:
-        raise CommandError(f"the token would have {len(token)} bytes, more than {MAX_TOKEN_BYTES}")
+        raise CommandError(f"the token would have {len(token)} bytes; the maximum is {MAX_TOKEN_BYTES}")
     return token
 
 
 def inspect(raw: bytes) -> dict[str, object]:
-    """Returns the content of a token, without verifying its signature. Raises CommandError."""
+    """Returns the header and claims of a token without verifying its signature. Raises CommandError."""
     try:
         token = parse_token(raw)
     except CredentialError as error:
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -358,7 +358,7 @@
     assert run("keys", "new", "k1", *store, "--algorithm=HS256")[0] == 2
     assert run("keys", "new", "k1", *store)[0] == 0
     assert "there is a key 'k1' already" in run("keys", "new", "k1", *store)[2]
-    assert "no key is signing" in run(*issue)[2]
+    assert "there is no signing key" in run(*issue)[2]
     assert run("keys", "promote", "k1", *store, "--overlap=soon")[0] == 2
     assert run("keys", "promote", "k1", *store)[0] == 0
     token = run(*issue)[1].strip()
@@ -374,7 +374,7 @@
     (tmp_path / "k1.pem").chmod(0o640)
     assert "others may read it; it must be 0600" in run(*issue)[2]
     (tmp_path / "k1.pem").chmod(0o600)
-    assert "let another key sign first" in run("keys", "retire", "k1", *store)[2]
+    assert "promote another key first" in run("keys", "retire", "k1", *store)[2]
     assert run("keys", "new", "k2", *store, "--algorithm=ES256")[0] == 0
     assert run("keys", "promote", "k2", *store, "--overlap=1h")[0] == 0
     assert run("keys", "retire", "k1", *store, "--after=0s")[0] == 0
--- a/tests/system/test_membership_processes.py
+++ b/tests/system/test_membership_processes.py
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize(
     ("more", "seed", "peers", "keys", "message"),
     [
-        ("", "127.0.0.1:7400", "", "0f" * 32, "are fit for use"),
+        ("", "127.0.0.1:7400", "", "0f" * 32, "are valid"),
         ('suspect-after="2s"', "127.0.0.1:7400", "", "0f" * 32, ":2: suspect-after is 2s"),
         ('ping-every="600"', "127.0.0.1:7400", "", "0f" * 32, "a duration has a unit"),
         ("", "localhost:7400", "", "0f" * 32, ":3: 'localhost' is no address"),
@@ -196,8 +196,8 @@
     (tmp_path / "k").write_text(keys)
     checked = run("check-config", f"--config={config}", f"--settings={path}")
     assert message in checked.stdout + checked.stderr
-    assert checked.returncode == (0 if "fit for use" in message else 2)
-    assert len(checked.stderr.splitlines()) == (0 if "fit for use" in message else 1)
+    assert checked.returncode == (0 if "are valid" in message else 2)
+    assert len(checked.stderr.splitlines()) == (0 if "are valid" in message else 1)
 
 
 def test_start_fails_if_the_membership_address_is_in_use(tmp_path: Path) -> None:
--- a/tests/unit/administration/test_config_command.py
+++ b/tests/unit/administration/test_config_command.py
@@ -75,15 +75,15 @@
     runner = CommandRunner(stub)
     more = ["--author=ann", "--note=a day", "--wait"]
     content = runner.run("push", "CONTROL", "shard/a=r1", "log/level=debug", *more)
-    assert content == (0, "1.1 is kept\n1.1 is in force everywhere\n", "")
+    assert content == (0, "1.1 is stored\n1.1 is in force everywhere\n", "")
     assert runner.run("push", "CONTROL", "shard/a-", "--author=bob", "--expect=1.0")[::2] == (
         2,
-        "ironmill: not taken: the newest revision is 1.1, not 1.0\n",
+        "ironmill: not accepted: the newest revision is 1.1, not 1.0\n",
     )
     assert runner.run("push", "CONTROL", "bad/x=1")[::2] == (2, "ironmill: refused: bad/x: unknown key\n")
     assert runner.run("push", "CONTROL", "shard/a-", "--author=bob", "--expect=1.1")[:2] == (
         0,
-        "1.2 is kept\n",
+        "1.2 is stored\n",
     )
     status, out, _ = runner.run("history", "CONTROL")
     lines = out.splitlines()
@@ -97,27 +97,27 @@
     ]
     assert runner.run("history", "CONTROL", "--most=1")[1].count("\n") == 2
     reverted = runner.run("revert", "CONTROL", "1.1", "--wait")
-    assert reverted == (0, "1.3 is kept\n1.3 is in force everywhere\n", "")
+    assert reverted == (0, "1.3 is stored\n1.3 is in force everywhere\n", "")
     assert dict(stub.store.entries()) == {"shard/a": b"r1", "log/level": b"debug"}
     assert runner.run("wait", "CONTROL", "1.3")[0] == 0
     assert (
-        runner.run("status", "CONTROL")[1] == "c1 is origin, holds 1.3, in force 1.3, heard of the origin "
-        "0.0s ago, 2 keys\n"
+        runner.run("status", "CONTROL")[1] == "c1 is origin, holds 1.3, in force 1.3, last contact with "
+        "the origin 0.0s ago, 2 keys\n"
     )
 
 
 def test_lost_response_is_retried_and_stored_once(stub: StubOrigin) -> None:
     runner = CommandRunner(stub)
     runner.responses_to_lose = 2
-    assert runner.run("push", "CONTROL", "a=1")[:2] == (0, "1.1 is kept\n")
+    assert runner.run("push", "CONTROL", "a=1")[:2] == (0, "1.1 is stored\n")
     assert len({call.body for call in runner.calls}) == 1
     assert len(runner.calls) == 3
     runner.responses_to_lose = 2
-    assert runner.run("revert", "CONTROL", "0")[:2] == (0, "1.2 is kept\n")
+    assert runner.run("revert", "CONTROL", "0")[:2] == (0, "1.2 is stored\n")
     runner.responses_to_lose = 99
     status, out, err = runner.run("push", "CONTROL", "a=2")
     assert (status, out) == (2, "")
-    assert "tried 5 times, and it is not known whether it was kept" in err
+    assert "tried 5 times, and it is unknown whether the revision was stored" in err
     assert stub.store.position == (1, 3)
 
 
@@ -140,7 +140,7 @@
     assert runner.run("wait", "CONTROL", "1.1", "--within=500ms") == (1, expected, "")
     status, out, _ = runner.run("status", "CONTROL")
     assert status == 0
-    assert "1.1 is not everywhere in force; the lowest is 1.0\n" in out
+    assert "1.1 is not in force everywhere; the lowest is 1.0\n" in out
     assert "y     3        1.0     1        1\n" in out
     # It is applied while the command waits.
     stub.overrides |= {"laggards": [], "zones": [ZONE]}
@@ -166,12 +166,12 @@
 def test_command_that_cannot_be_carried_out_exits_with_2(stub: StubOrigin) -> None:
     runner = CommandRunner(stub, writes=False)
     stub.overrides = {"role": "relay"}
-    reason = "ironmill: not taken: this process is no origin; the origin is c1 or c9\n"
+    reason = "ironmill: not accepted: this process is no origin; the origin is c1 or c9\n"
     assert runner.run("push", "CONTROL", "a=1") == (2, "", reason)
     assert runner.run("history", "CONTROL")[0] == 2
     assert runner.run("wait", "CONTROL", "1.1")[::2] == (
         2,
-        "ironmill: c1 is a relay; only the origin knows of all proxies\n",
+        "ironmill: c1 is a relay; only the origin has the status of all proxies\n",
     )
     for arguments in (
         ("wait", "CONTROL", "now"),
@@ -186,7 +186,7 @@
     runner.server.close()
     status, out, err = runner.run("push", "CONTROL", "a=b")
     assert (status, out) == (2, "")
-    assert "tried 5 times, and nothing was kept" in err
+    assert "tried 5 times, and no revision was stored" in err
     began = time.monotonic()
     assert runner.run("wait", "CONTROL", "1.1", "--within=300ms")[0] == 2
     assert runner.run("status", "CONTROL")[0] == 2
@@ -205,7 +205,7 @@
     runner.server.start()
     assert "has no distribution in its settings" in runner.run("status", "CONTROL")[2]
     routes.add(STATUS_PATH, {"GET": lambda _: ApiResponse(HTTPStatus.OK, b"<html>")})
-    assert "answers something else" in runner.run("status", "CONTROL")[2]
+    assert "unexpected response from 127.0.0.1:" in runner.run("status", "CONTROL")[2]
     fails = ApiResponse(HTTPStatus.BAD_GATEWAY, msgspec.json.encode({"reason": "x"}))
     routes.add(STATUS_PATH, {"GET": lambda _: fails})
     assert "answers 502: x" in runner.run("status", "CONTROL")[2]
--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -219,7 +219,7 @@
         "z-": "-",
     }
     twice = "'b' is changed twice"
-    for arguments, wrong in ((["a"], "'a' is no change"), (["b=3"], twice), (["q-", "q=1"], "twice")):
+    for arguments, wrong in ((["a"], "'a' is not a change"), (["b=3"], twice), (["q-", "q=1"], "twice")):
         with pytest.raises(ConfigError, match=wrong):
             config.read_changes(arguments, str(file))
     with pytest.raises(ConfigError, match="there is no change"):
@@ -228,7 +228,7 @@
         config.read_changes([], str(tmp_path / "none"))
     for text in ("", "[]", '{"a": 1}'):
         file.write_text(text)
-        with pytest.raises(ConfigError, match="is no JSON object of keys and texts"):
+        with pytest.raises(ConfigError, match="expected a JSON object whose values are strings or null"):
             config.read_changes([], str(file))
 
 
--- a/tests/unit/configuration/test_distribution_settings.py
+++ b/tests/unit/configuration/test_distribution_settings.py
@@ -180,17 +180,20 @@
     config = written(tmp_path)
     path = file(tmp_path)
     assert main(["check-config", "--settings", path, "--config", config]) == 0
-    assert f"the settings in {path} are fit for use" in capsys.readouterr().out
+    assert f"the settings in {path} are valid" in capsys.readouterr().out
     # A proxy needs its configuration; a control machine has none.
     assert main(["check-config", "--settings", path]) == 2
     assert "PROXY_CONFIG is not set" in capsys.readouterr().err
     for attributes in ('role="relay"', 'role="origin" store="s"'):
         path = file(tmp_path, attributes)
         assert main(["check-config", "--settings", path]) == 0
-        assert capsys.readouterr().out == f"ironmill: the settings in {path} are fit for use\n"
+        assert capsys.readouterr().out == f"ironmill: the settings in {path} are valid\n"
     for words in (["check-config"], ["serve"]):
         assert main([*words, "--settings", path, "--config", config]) == 2
         message = capsys.readouterr().err
-        assert "role is 'origin', which is a control machine's; a proxy is a subscriber" in message
+        assert (
+            "the role of distribution is 'origin', which is for control machines; "
+            "a proxy must have the role 'subscriber'"
+        ) in message
         assert len(message.splitlines()) == 1
     assert not (tmp_path / "s").exists()  # the check creates no store
--- a/tests/unit/configuration/test_proxy_config.py
+++ b/tests/unit/configuration/test_proxy_config.py
@@ -89,7 +89,7 @@
 def test_version_and_check_config_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["version"]) == 0
     assert main(["check-config", "--config", written(tmp_path)]) == 0
-    expected = f"ironmill {__version__}\nironmill: the configuration of n3 is fit for use\n"
+    expected = f"ironmill {__version__}\nironmill: the configuration of n3 is valid\n"
     assert capsys.readouterr().out == expected
 
 
--- a/tests/unit/configuration/test_settings.py
+++ b/tests/unit/configuration/test_settings.py
@@ -191,7 +191,7 @@
     assert "ring.json: the key ring cannot be read" in capsys.readouterr().err
     assert main(["keys", "new", "first", "--store", str(tmp_path / "keys")]) == 0
     assert main(["check-config", *words]) == 0
-    assert f"the settings in {settings} are fit for use" in capsys.readouterr().out
+    assert f"the settings in {settings} are valid" in capsys.readouterr().out
     # Where the platform has no such class the same file is wrong.
     assert main(["check-config", "--config", written(tmp_path), "--settings", str(settings)]) == 2
     assert f"{settings}:7: there is no class 'index-sync'; the platform's are read" in capsys.readouterr().err
