--- a/ironmill/commands/config.py
+++ b/ironmill/commands/config.py
@@ -102,7 +102,7 @@
     try:
         content = msgspec.json.decode(data, type=dict[str, Any]) if data else {}
     except msgspec.DecodeError as error:
-        raise ConfigError(f"unexpected response from {host}:{port}: {error}") from None
+        raise ConfigError(f"{host}:{port} sent an unexpected response: {error}") from None
     return ApiResult(response.status, content)
 
 
@@ -204,7 +204,7 @@
     try:
         return NodeStatus.from_json(fetch_status(address))
     except msgspec.ValidationError as error:
-        raise ConfigError(f"unexpected response from {address[0]}:{address[1]}: {error}") from None
+        raise ConfigError(f"{address[0]}:{address[1]} sent an unexpected response: {error}") from None
 
 
 def history(address: Address, max_count: str) -> Iterator[str]:
@@ -217,7 +217,7 @@
     try:
         page = msgspec.convert(result.content, HistoryBody)
     except msgspec.ValidationError as error:
-        raise ConfigError(f"unexpected response from {address[0]}:{address[1]}: {error}") from None
+        raise ConfigError(f"{address[0]}:{address[1]} sent an unexpected response: {error}") from None
     for revision in page.revisions:
         time_text = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(revision.at))
         author, note = printable(revision.author), printable(revision.note)
--- a/ironmill/commands/members.py
+++ b/ironmill/commands/members.py
@@ -80,7 +80,7 @@
     try:
         return msgspec.json.decode(body, type=ViewReport)
     except msgspec.DecodeError as error:
-        raise MembersError(f"unexpected response from {host}:{port}: {error}") from None
+        raise MembersError(f"{host}:{port} sent an unexpected response: {error}") from None
 
 
 def format_view(report: ViewReport) -> Iterator[str]:
