--- a/tests/support/proxy_under_test.py
+++ b/tests/support/proxy_under_test.py
@@ -1,4 +1,4 @@
-"""A proxy's gateway and drivers on loopback sockets, against clients and servers that the test plays."""
+"""The gateway and drivers of a proxy on loopback sockets; the test emulates clients and servers."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from tests.support.requests import config
 
 OPEN = b"OPEN 1a 2b c=read,d=1500,g=3c\r\n"
-TIMEOUT_S = 60.0  # of a scenario
+TIMEOUT_S = 60.0  # limit for a scenario
 
 
 class ProxyUnderTest:
-    """Gateway and drivers of a proxy on loopback sockets; the test plays clients and servers."""
+    """The gateway and drivers of a proxy, with its listener and the listeners of emulated servers."""
 
     def __init__(self, server_count: int = 1, **changes: Any) -> None:
         self.scheduler = Scheduler()
@@ -33,19 +33,19 @@
             Listener(self.scheduler, ("127.0.0.1", 0), self.arrived.append) for _ in range(server_count)
         ]
         listed = tuple(
-            ListedServer(f"s-{at}", *listener.address, Stage.READY, "a", 0, 1.0, 0.0)
-            for at, listener in enumerate(self.listeners)
+            ListedServer(f"s-{index}", *listener.address, Stage.READY, "a", 0, 1.0, 0.0)
+            for index, listener in enumerate(self.listeners)
         )
         self.config = config(EndpointUpdate(1, True, listed), **changes)
         self.gateway = Gateway(self.config, self.scheduler)
         self.connection_limiter = ConnectionLimiter(self.config.sockets)
         self.callers: Callers | None = None
         self.dial: Dial | None = None
-        self.listener = Listener(self.scheduler, ("127.0.0.1", 0), self._take)
+        self.listener = Listener(self.scheduler, ("127.0.0.1", 0), self._serve_client)
         for listener in [*self.listeners, self.listener]:
             listener.start()
 
-    def _take(self, stream: Stream) -> None:
+    def _serve_client(self, stream: Stream) -> None:
         ClientService(
             ClientDependencies(
                 self.scheduler, self.gateway, self.config, self.connection_limiter, self.callers, self.dial
@@ -53,18 +53,18 @@
         ).serve(stream)
 
     def run(self, scenario: Callable[[ProxyUnderTest], None]) -> None:
-        """Runs a scenario in a new task; raises what it raises."""
-        failed: list[BaseException] = []
+        """Runs a scenario in a new task. Raises the exception that the scenario raises."""
+        errors: list[BaseException] = []
 
         def run_scenario() -> None:
             try:
                 scenario(self)
             except Exception as error:
-                failed.append(error)
+                errors.append(error)
             self.scheduler.stop()
 
         def time_out() -> None:
-            failed.append(AssertionError("the scenario did not end in time"))
+            errors.append(AssertionError("the scenario did not end in time"))
             self.scheduler.stop()
 
         self.scheduler.spawn(run_scenario)
@@ -72,11 +72,11 @@
         self.scheduler.run()
         for listener in [*self.listeners, self.listener]:
             listener.close()
-        if failed:
-            raise failed[0]
+        if errors:
+            raise errors[0]
 
     def client(self, *pieces: bytes) -> Stream:
-        """Connects a client and sends the pieces, with time between them."""
+        """Connects a client and sends the pieces with a pause after each."""
         stream = Stream.connect(self.scheduler, self.listener.address, 1.0)
         for piece in pieces:
             stream.send(piece)
@@ -84,12 +84,12 @@
         return stream
 
     def next_attempt(self) -> Stream:
-        """Returns the next connection that a server accepts."""
+        """Returns the next connection that an emulated server accepts."""
         self.wait_until(lambda: bool(self.arrived))
         return self.arrived.pop(0)
 
     def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Lets other tasks run until the condition is true; fails after some seconds."""
+        """Runs other tasks until the condition is true. Raises AssertionError after about 6 s."""
         for _ in range(3000):
             if condition():
                 return
@@ -97,7 +97,7 @@
         raise AssertionError("the condition did not become true in time")
 
     def established_pair(self) -> tuple[Stream, Stream]:
-        """Returns a client whose connection is established, and the server's side of it."""
+        """Returns the client's and the server's side of an established connection."""
         client = self.client(OPEN)
         attempt = self.next_attempt()
         read_line(attempt)
@@ -106,13 +106,13 @@
         return client, attempt
 
 
-def pace() -> DiscoveryBackoff:
-    """Returns the backoff of one proxy of four."""
+def create_backoff() -> DiscoveryBackoff:
+    """Returns the backoff of one proxy in a fleet of four."""
     return DiscoveryBackoff(4, random.Random(1))
 
 
 def read_line(stream: Stream) -> bytes:
-    """Reads to the end of a line, or of the stream."""
+    """Returns the bytes up to the end of a line, or of the stream."""
     data = b""
     while not data.endswith(b"\r\n"):
         piece = stream.receive(5.0)
@@ -123,9 +123,9 @@
 
 
 def answer_discovery(agent: Stream, revision: int, targets: bytes = b"") -> None:
-    """Answers a call to discovery with a complete endpoint list."""
+    """Answers a poll of discovery with a complete endpoint list."""
     body = b'{"rev":%d,"all":true,"targets":[%b]}' % (revision, targets)
     agent.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-ONE = b'{"uid":"s-0","endpoint":"127.0.0.1:9","state":"up"}'
+ENDPOINT = b'{"uid":"s-0","endpoint":"127.0.0.1:9","state":"up"}'
--- a/tests/system/test_discovery_watch.py
+++ b/tests/system/test_discovery_watch.py
@@ -11,10 +11,10 @@
 from ironmill.requests import discovery_backoff
 from tests.support.clients import requested_path
 from tests.support.proxy_under_test import (
-    ONE,
+    ENDPOINT,
     ProxyUnderTest,
     answer_discovery,
-    pace,
+    create_backoff,
     read_line,
 )
 
@@ -28,7 +28,7 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
-            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), create_backoff
         ).start()
         agent = proxy.next_attempt()
         paths = []
@@ -57,7 +57,7 @@
             proxy.scheduler,
             proxy.listeners[0].address,
             DiscoveryListener(received.append, server_count=proxy.gateway.known_servers),
-            pace,
+            create_backoff,
             15,
         ).start()
         agent = proxy.next_attempt()
@@ -66,7 +66,7 @@
         paths.append(read_line(agent).split(b" ")[1])
         assert not received
         if again == "named":
-            answer_discovery(agent, 17, ONE)
+            answer_discovery(agent, 17, ENDPOINT)
         elif again == "empty":
             answer_discovery(agent, 17)
         elif again == "partly":
@@ -90,7 +90,11 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
-            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace, 15
+            proxy.scheduler,
+            proxy.listeners[0].address,
+            DiscoveryListener(received.append),
+            create_backoff,
+            15,
         ).start()
         answer_discovery(proxy.next_attempt(), 16)
         proxy.wait_until(lambda: bool(received))
@@ -122,7 +126,7 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         address = proxy.listeners[0].address
-        Discovery(proxy.scheduler, address, DiscoveryListener(take, called), pace).start()
+        Discovery(proxy.scheduler, address, DiscoveryListener(take, called), create_backoff).start()
         agent = proxy.next_attempt()
         read_line(agent)
         for revision in (41, 42):
@@ -146,7 +150,11 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
-            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace, 15
+            proxy.scheduler,
+            proxy.listeners[0].address,
+            DiscoveryListener(received.append),
+            create_backoff,
+            15,
         ).start()
         for answer in (
             b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
@@ -180,7 +188,7 @@
             proxy.scheduler,
             proxy.listeners[0].address,
             DiscoveryListener(lambda update: received.append(update.revision)),
-            pace,
+            create_backoff,
         )
         discovery.start()
         old = proxy.next_attempt()
@@ -214,7 +222,7 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
-            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), create_backoff
         ).start()
         agent = proxy.next_attempt()
         agent.send(b"HTTP/1.1 200 OK\r\n" + (b"Content-Length: 9999\r\n\r\n" if part == "body" else b""))
@@ -238,22 +246,22 @@
 
     def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
-            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), pace
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(received.append), create_backoff
         ).start()
         agent = proxy.next_attempt()
         requested_path(agent)
         if late:
             answer_discovery(agent, 41)
             assert requested_path(agent) == b"/api/targets?after=41&wait_ms=1000"
-            answer_discovery(agent, 40, ONE)
+            answer_discovery(agent, 40, ENDPOINT)
         else:
-            old = b'{"rev":40,"all":true,"targets":[%b]}' % ONE
+            old = b'{"rev":40,"all":true,"targets":[%b]}' % ENDPOINT
             new = b'{"rev":41,"all":true,"targets":[]}'
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
             agent.send(head % len(new) + new + head % len(old) + old)
         agent = proxy.next_attempt()  # polled again, on a connection without old answers
         assert requested_path(agent) == b"/api/targets?after=41&wait_ms=%d" % (0 if late else 1000)
-        answer_discovery(agent, 7, ONE)  # a restarted discovery is accepted on a new connection
+        answer_discovery(agent, 7, ENDPOINT)  # a restarted discovery is accepted on a new connection
         proxy.wait_until(lambda: received[-1].revision == 7)
 
     ProxyUnderTest().run(scenario)
@@ -270,11 +278,13 @@
             raise ZeroDivisionError
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        Discovery(proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(take), pace).start()
+        Discovery(
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(take), create_backoff
+        ).start()
         for _ in range(2):
             agent = proxy.next_attempt()
             assert requested_path(agent) == b"/api/targets"
-            answer_discovery(agent, 41, ONE)
+            answer_discovery(agent, 41, ENDPOINT)
         proxy.wait_until(lambda: len(received) == 2)
 
     ProxyUnderTest().run(scenario)
@@ -286,7 +296,7 @@
 ) -> None:
     def scenario(proxy: ProxyUnderTest) -> None:
         Discovery(
-            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), create_backoff
         ).start()
         agent = proxy.next_attempt()
         requested_path(agent)
--- a/tests/system/test_health_checks.py
+++ b/tests/system/test_health_checks.py
@@ -14,7 +14,7 @@
 from ironmill.net.health_check import MAX_CONNECTIONS, HealthCheckDriver
 from ironmill.net.sockets import Stream, TimedOutError
 from tests.support.clients import requested_path
-from tests.support.proxy_under_test import ProxyUnderTest, pace, read_line
+from tests.support.proxy_under_test import ProxyUnderTest, create_backoff, read_line
 
 
 def health_check_driver(proxy: ProxyUnderTest, received: list[tuple[Outcome, object]]) -> HealthCheckDriver:
@@ -89,7 +89,7 @@
         health_check_driver(proxy, received).check(server)
         proxy.wait_until(lambda: bool(received))
         Discovery(
-            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), pace
+            proxy.scheduler, proxy.listeners[0].address, DiscoveryListener(lambda _: None), create_backoff
         ).start()
         assert requested_path(proxy.next_attempt()) == b"/api/targets"
 
