--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""The same verdict every time: hypothesis draws the same examples and watches no clock.
+"""Configures pytest: Hypothesis draws the same examples in each run and sets no time limit on an example.
 
-Tests that ``KNOWN-RED.txt`` names are run and expected to fail as it says; one that passes or fails otherwise
-fails the run, and so does a name that no test has. What each did is printed.
+Tests that ``KNOWN-RED.txt`` lists are run and must fail as listed. The run fails if one of them fails in
+another way, if one passes that is not listed as passing at times, and if a listed test does not exist. The
+summary of the run prints the outcome of each.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 if TYPE_CHECKING:
     from tests.support.requests import FakeTimers
 
-settings.register_profile("same", derandomize=True, deadline=None, database=None)
-settings.load_profile("same")
+settings.register_profile("deterministic", derandomize=True, deadline=None, database=None)
+settings.load_profile("deterministic")
 
 KNOWN_RED = pytest.StashKey[dict[str, KnownFailure]]()
 OUTCOMES = pytest.StashKey[dict[str, str]]()
@@ -33,19 +34,19 @@
     config.stash[OUTCOMES] = {}
     config.pluginmanager.register(OutcomeRecorder(config))
     if config.pluginmanager.hasplugin("xdist"):
-        config.pluginmanager.register(CollectedByWorkers())
+        config.pluginmanager.register(WorkerCollectionCheck())
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    if not hasattr(config, "workerinput"):  # else the run that started this worker checks the names
-        check_names(config, (item.nodeid for item in items))
+    if not hasattr(config, "workerinput"):  # for a worker, the run that started it checks the names
+        check_listed_tests_exist(config, (item.nodeid for item in items))
 
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Judges the result of a listed test: it must fail as listed, or pass if it is listed as doing so."""
+    """Sets the outcome of a listed test: it must fail as listed, or pass if the list allows it."""
     report = yield
     known = item.config.stash[KNOWN_RED].get(item.nodeid)
     if known is None or report.when != "call" or report.outcome == "skipped":
@@ -60,7 +61,7 @@
 
 
 class OutcomeRecorder:
-    """Notes what the listed tests did, also where workers ran them."""
+    """Records the outcomes of listed tests, including those that workers ran."""
 
     def __init__(self, config: pytest.Config) -> None:
         self._known = config.stash[KNOWN_RED]
@@ -72,8 +73,8 @@
             self._outcomes[report.nodeid] = "failed as listed" if failed_as_listed else report.outcome
 
 
-def check_names(config: pytest.Config, collected: Iterable[str]) -> None:
-    """Fails the run if ``KNOWN-RED.txt`` names a test that is not there, unless a part is selected."""
+def check_listed_tests_exist(config: pytest.Config, collected: Iterable[str]) -> None:
+    """Fails the run if a listed test does not exist, unless the run selects only some tests."""
     if is_selection(config):
         return
     if absent := missing(config.stash[KNOWN_RED].values(), collected):
@@ -81,15 +82,15 @@
 
 
 def is_selection(config: pytest.Config) -> bool:
-    """Tells whether the command line asks for a part of the tests."""
+    """Returns whether the command line selects some of the tests."""
     return config.args_source is pytest.Config.ArgsSource.ARGS or bool(config.option.keyword)
 
 
-class CollectedByWorkers:
-    """Checks the names of ``KNOWN-RED.txt`` against what a worker of pytest-xdist has collected."""
+class WorkerCollectionCheck:
+    """Checks that a worker of pytest-xdist has collected the tests that ``KNOWN-RED.txt`` lists."""
 
     def pytest_xdist_node_collection_finished(self, node: Any, ids: list[str]) -> None:
-        check_names(node.config, ids)
+        check_listed_tests_exist(node.config, ids)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
@@ -100,7 +101,7 @@
 
 @pytest.fixture
 def timers(monkeypatch: pytest.MonkeyPatch) -> FakeTimers:
-    """Timers on a clock that only the test advances, in place of the monotonic clock."""
+    """Returns timers on a clock that only the test advances; it replaces the monotonic clock."""
     from tests.support.requests import FakeTimers
 
     return FakeTimers(monkeypatch)
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,7 +1,7 @@
-"""Runs ``ironmill`` with system calls and clocks that fail as Linux documents, seeded.
+"""Runs ``ironmill`` with random faults of system calls and clocks, as Linux documents them, drawn by a seed.
 
-``python -m tests.faults PLAN serve --config=FILE``, where PLAN is a ``FaultPlan`` as JSON. Functions of the
-standard library are replaced before the program is imported, which needs no change for it.
+The command is ``python -m tests.faults PLAN serve --config=FILE``, where PLAN is a ``FaultPlan`` as JSON. It
+replaces functions of the standard library before it imports the program, which therefore runs unchanged.
 """
 
 from __future__ import annotations
@@ -28,19 +28,23 @@
 
 @dataclass(frozen=True)
 class FaultPlan:
-    """Which calls fail, and how the clock and the input and output of a process deviate."""
+    """Defines which calls of a process fail, and how its clock and its input and output deviate."""
 
     seed: int = 1
-    initial_failures: dict[str, int] = field(default_factory=dict)  # the first calls, by name
-    failing_fraction: dict[str, float] = field(default_factory=dict)  # of later calls, by name
-    delay_s: float = 0.0  # from the start to ``failing_fraction`` and the step of the clock
-    clock_step_s: float = 0.0  # of the wall clock
-    stall_s: float = 0.0  # for which the process is suspended before it sends a request line
-    has_short_io: bool = False  # reads and writes transfer a random part
-    has_read_only_files: bool = False  # a file can be written in the folder for temporary files alone
+    initial_failures: dict[str, int] = field(
+        default_factory=dict
+    )  # how many of the first calls fail, by name of the call
+    failing_fraction: dict[str, float] = field(
+        default_factory=dict
+    )  # of the later calls, by name of the call
+    delay_s: float = 0.0  # until ``failing_fraction`` applies and the clock is stepped
+    clock_step_s: float = 0.0  # by which the wall clock is stepped
+    stall_s: float = 0.0  # pause of the process before it sends a request line
+    has_short_io: bool = False  # each read and write transfers a random part of the data
+    has_read_only_files: bool = False  # only the folder for temporary files is writable
 
     def launcher(self) -> list[str]:
-        """Returns the interpreter's arguments for a process with these faults."""
+        """Returns the arguments of the Python interpreter that start a process with these faults."""
         return ["-m", "tests.faults", json.dumps(asdict(self))]
 
 
@@ -54,25 +58,25 @@
         self._starts_at = time.monotonic() + plan.delay_s
 
     def error_of(self, call: str, errors: tuple[str, ...]) -> int:
-        """Returns the error number of this call, 0 if it does not fail."""
+        """Returns the error number with which this call fails, or 0 if it succeeds."""
         if self._initial_failures.get(call, 0) > 0:
             self._initial_failures[call] -= 1
         elif time.monotonic() < self._starts_at or self.rng.random() >= self.plan.failing_fraction.get(
             call, 0.0
         ):
             return 0
-        code: int = getattr(errno, self.rng.choice(errors))
-        return code
+        error_number: int = getattr(errno, self.rng.choice(errors))
+        return error_number
 
     def check(self, call: str, errors: tuple[str, ...]) -> None:
         """Raises ``OSError`` if this call fails."""
-        code = self.error_of(call, errors)
-        if code:
-            raise OSError(code, os.strerror(code))
+        error_number = self.error_of(call, errors)
+        if error_number:
+            raise OSError(error_number, os.strerror(error_number))
 
 
 def faulty_socket(faults: Faults) -> type[socket.socket]:
-    """Returns the class that replaces ``socket.socket``."""
+    """Returns the class that replaces ``socket.socket`` and whose calls fail at random."""
     plan = faults.plan
 
     class FaultySocket(socket.socket):
@@ -113,7 +117,7 @@
 
 
 def failing(faults: Faults, call: str, errors: tuple[str, ...], real: Callable[..., Any]) -> Any:
-    """Returns the function wrapped so that it may fail before it does anything."""
+    """Returns a wrapper of the function that may fail before it calls the function."""
 
     def function(*args: Any, **named: Any) -> Any:
         faults.check(call, errors)
@@ -122,21 +126,21 @@
     return function
 
 
-# Audit events of the interpreter at which files are changed; that of open depends on its flags.
+# Audit events of the interpreter that report a change of a file. The event "open" does so with certain flags.
 CHANGING_EVENTS = frozenset(
     {"os.mkdir", "os.rename", "os.remove", "os.rmdir", "os.truncate", "os.link", "os.symlink", "os.chmod"}
 )
 
 
-def refuse_writes(writable: str) -> None:
-    """Makes all changes of files outside of a folder fail with EROFS."""
+def refuse_writes(writable_folder: str) -> None:
+    """Makes every change of a file outside the folder fail with EROFS."""
 
     def check(event: str, arguments: tuple[Any, ...]) -> None:
         changes = event in CHANGING_EVENTS
         if event == "open":
             flags = arguments[2] or 0
             changes = bool(flags & (os.O_WRONLY | os.O_RDWR | os.O_CREAT)) and isinstance(arguments[0], str)
-        if changes and not str(arguments[0]).startswith(writable):
+        if changes and not str(arguments[0]).startswith(writable_folder):
             print(f"write refused: {arguments[0]}", file=sys.stderr)
             raise OSError(errno.EROFS, os.strerror(errno.EROFS), str(arguments[0]))
 
@@ -144,26 +148,26 @@
 
 
 def install(plan: FaultPlan) -> None:
-    """Replaces the functions and classes that may fail."""
+    """Replaces the functions and classes of the standard library that the plan affects."""
     if plan.has_read_only_files:
         refuse_writes(tempfile.gettempdir())
     faults = Faults(plan)
-    replaced: Any = socket
-    replaced.socketpair = failing(faults, "socketpair", SOCKET_ERRORS, socket.socketpair)
-    replaced.socket = faulty_socket(faults)
-    replaced = select
-    replaced.epoll = failing(faults, "epoll", ("EMFILE", "ENFILE", "ENOMEM"), select.epoll)
+    module: Any = socket
+    module.socketpair = failing(faults, "socketpair", SOCKET_ERRORS, socket.socketpair)
+    module.socket = faulty_socket(faults)
+    module = select
+    module.epoll = failing(faults, "epoll", ("EMFILE", "ENFILE", "ENOMEM"), select.epoll)
     real_open, real_time = builtins.open, time.time
     faulty_open = failing(faults, "open", ("ENFILE", "EMFILE", "ENOMEM"), real_open)
 
     def open_(file: Any, *args: Any, **named: Any) -> Any:
         return (faulty_open if str(file).endswith(".json") else real_open)(file, *args, **named)
 
-    replaced = builtins
-    replaced.open = open_
+    module = builtins
+    module.open = open_
     stepped_at = time.monotonic() + plan.delay_s
-    replaced = time
-    replaced.time = lambda: real_time() + (plan.clock_step_s if time.monotonic() >= stepped_at else 0.0)
+    module = time
+    module.time = lambda: real_time() + (plan.clock_step_s if time.monotonic() >= stepped_at else 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,6 +1,6 @@
-"""A soak: real proxies under faults drawn by seed, checked by the records of clients and servers.
+"""A soak test: runs real proxies under random faults and checks the records of clients and servers.
 
-``python -m tests.soak FIRST LAST [PARALLEL]`` runs these seeds and prints a line for each.
+``python -m tests.soak FIRST LAST [PARALLEL]`` runs the seeds from FIRST to LAST and prints a line for each.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 IDLE_CONNECTIONS = 400
 MAX_RUN_S = 90.0
 READY_TIMEOUT_S = 10.0
-KILL_GRACE_S = 0.7  # from the longest deadline (3 s or less) to the earliest SIGKILL
-FRONT_DELAY_S = 0.3  # the front sends new clients for so long after SIGTERM
-CROWD_CLIENTS = 120  # that come at once
-MAX_EXTRA_SIGNALS = 8  # after SIGTERM
+KILL_GRACE_S = 0.7  # from the longest deadline, at most 3 s, to the earliest permitted SIGKILL
+FRONT_DELAY_S = 0.3  # for which the load balancer in front sends new clients after SIGTERM
+CROWD_CLIENTS = 120  # clients that connect at once
+MAX_EXTRA_SIGNALS = 8  # signals sent after SIGTERM
 
 
 class Soak:
-    """One seed: its processes, the clients and the faults."""
+    """The run of one seed: its processes, clients and faults."""
 
     def __init__(self, seed: int, folder: Path, stack: ExitStack) -> None:
         self.rng = random.Random(seed)
@@ -53,19 +53,19 @@
         self.longest_deadline_s = self.rng.choice((0.3, 1.0, 2.0, 4.0))
         self.clients = SoakClients(self.scheduler, self.rng, self.longest_deadline_s)
         self.violations: list[str] = []
-        self.used_servers: set[str] = set()  # servers that drain or have crashed
-        self.crashed: dict[str, float] = {}  # servers, and when
+        self.used_servers: set[str] = set()  # ids of the servers that drain or have crashed
+        self.crashed: dict[str, float] = {}  # times of the crashes, by server id
         self.idle_connections: list[socket.socket] = []
         self.running_tasks = 0
         self.running_clients = 0
-        self.has_crowds = self.rng.random() < 0.5  # a crowd before each end of a proxy
-        self.proxies = [self._proxy(at) for at in range(PROXY_COUNT)]
+        self.has_crowds = self.rng.random() < 0.5  # many clients connect just before a proxy is shut down
+        self.proxies = [self._create_proxy(index) for index in range(PROXY_COUNT)]
 
-    def _proxy(self, at: int) -> SoakProxy:
+    def _create_proxy(self, index: int) -> SoakProxy:
         settings = platform_settings(PROXY_COUNT)
-        first = settings["categories"][0]
+        template = settings["categories"][0]
         settings["categories"] = [
-            first
+            template
             | {
                 "name": name,
                 "effect": effect,
@@ -76,7 +76,9 @@
         ]
         settings["familyInfo"]["messageAimS"] = [0.25] * len(CLASSES)
         control = ("127.0.0.1", free_port())
-        value = proxy_config(f"p{at}", ("127.0.0.1", free_port()), self.dependencies.discovery, 512, settings)
+        value = proxy_config(
+            f"p{index}", ("127.0.0.1", free_port()), self.dependencies.discovery, 512, settings
+        )
         value["control"] = f"{control[0]}:{control[1]}"
         rng = self.rng
         fractions = {name: rng.choice((0.0, 0.1, 0.3)) for name in ("accept", "connect", "socket")}
@@ -95,30 +97,30 @@
     def scenario(self) -> None:
         for proxy in self.proxies:
             self.spawn(self._start, proxy)
-        self._wait()
+        self._wait_for_tasks()
         end = time.monotonic() + REQUEST_SPAN_S
         for _ in range(FAULT_COUNT):
-            kind = self.rng.choice(self.faults())
-            self.scheduler.call_later(self.rng.uniform(0.3, REQUEST_SPAN_S - 3.0), self.spawn, kind)
+            cause_fault = self.rng.choice(self.faults())
+            self.scheduler.call_later(self.rng.uniform(0.3, REQUEST_SPAN_S - 3.0), self.spawn, cause_fault)
         while time.monotonic() < end:
             self.scheduler.sleep(self.rng.expovariate(REQUESTS_PER_S))
             self._spawn_client()
-        self._wait()
+        self._wait_for_tasks()
         for proxy in self.proxies:
-            self.spawn(self._end, proxy)
-        self._wait()
+            self.spawn(self._shut_down, proxy)
+        self._wait_for_tasks()
         while self.running_clients:
             self.scheduler.sleep(0.01)
 
     def faults(self) -> list[Callable[[], None]]:
-        """Returns the kinds of faults, which are equally likely."""
+        """Returns the functions that cause a fault, which are drawn with equal probability."""
         return [
             self._drain_server, self._crash_server, self._change_mode, self._add_server, self._restart,
             self._kill, self._reload, self._open_idle_connections, self._drain_proxy, self._crowd,
         ]  # fmt: skip
 
     def spawn(self, function: Callable[..., object], *args: object) -> None:
-        """Runs the function in a task; the scenario waits for it before it ends the proxies."""
+        """Runs the function in a task; the scenario waits for it before it shuts down the proxies."""
         self.running_tasks += 1
 
         def run() -> None:
@@ -128,7 +130,7 @@
         self.scheduler.spawn(run)
 
     def _spawn_client(self, proxy: SoakProxy | None = None) -> None:
-        """Runs a client in a task, which may last until all proxies have ended."""
+        """Runs a client in a task, which may run until all proxies have exited."""
         self.running_clients += 1
 
         def run() -> None:
@@ -143,7 +145,7 @@
         except Exception as error:
             self.violations.append(f"{getattr(function, '__name__', function)}: {error!r}")
 
-    def _wait(self) -> None:
+    def _wait_for_tasks(self) -> None:
         while self.running_tasks:
             self.scheduler.sleep(0.01)
 
@@ -173,27 +175,27 @@
         finally:
             stream.close()
 
-    def _take_proxy(self) -> SoakProxy | None:
-        """Reserves a proxy for one fault. Returns None unless all serve and none is reserved."""
+    def _reserve_proxy(self) -> SoakProxy | None:
+        """Reserves a proxy for one fault. Returns None unless all proxies serve and none is reserved."""
         if any(proxy.is_reserved or not proxy.accepts_clients for proxy in self.proxies):
             return None
         proxy = self.rng.choice(self.proxies)
         proxy.is_reserved = True
         return proxy
 
-    def _end(self, proxy: SoakProxy) -> None:
-        """Sends SIGTERM, further signals at once or in series, and SIGKILL at the earliest permitted time."""
+    def _shut_down(self, proxy: SoakProxy) -> None:
+        """Sends SIGTERM, further signals, and SIGKILL at the earliest time at which it is permitted."""
         process = proxy.process
         assert process is not None
         if self.has_crowds:
             self._crowd(proxy)
-        began = time.monotonic()
+        started_at = time.monotonic()
         process.popen.send_signal(signal.SIGTERM)
         self.spawn(self._send_signals, process, self.rng.choice((0.0, 0.02, 0.2)))
         self.scheduler.sleep(FRONT_DELAY_S)
         proxy.accepts_clients = False
-        earliest = began + min(3.0, self.longest_deadline_s) + KILL_GRACE_S
-        while process.popen.poll() is None and time.monotonic() < earliest:
+        earliest_kill_at = started_at + min(3.0, self.longest_deadline_s) + KILL_GRACE_S
+        while process.popen.poll() is None and time.monotonic() < earliest_kill_at:
             self.scheduler.sleep(0.01)
         if process.popen.poll() is None:
             self.violations.append(f"{proxy.value['name']} still runs at the earliest SIGKILL")
@@ -202,7 +204,7 @@
             self.violations.append(f"{proxy.value['name']} ended with status {process.popen.returncode}")
 
     def _send_signals(self, process: ProxyProcess, interval_s: float) -> None:
-        """Sends a series of the signals that a proxy handles, while it runs."""
+        """Sends a random series of the signals that a proxy handles while it runs."""
         for _ in range(self.rng.randrange(1, MAX_EXTRA_SIGNALS + 1)):
             if process.popen.poll() is None:
                 process.popen.send_signal(self.rng.choice((signal.SIGTERM, signal.SIGHUP, signal.SIGINT)))
@@ -210,13 +212,13 @@
                 self.scheduler.sleep(interval_s)
 
     def _restart(self) -> None:
-        if (proxy := self._take_proxy()) is not None:
-            self._end(proxy)
+        if (proxy := self._reserve_proxy()) is not None:
+            self._shut_down(proxy)
             self._start(proxy)
             proxy.is_reserved = False
 
     def _kill(self) -> None:
-        if (proxy := self._take_proxy()) is not None:
+        if (proxy := self._reserve_proxy()) is not None:
             assert proxy.process is not None
             proxy.accepts_clients = False
             proxy.killed[proxy.process] = time.monotonic()
@@ -227,20 +229,20 @@
             proxy.is_reserved = False
 
     def _reload(self) -> None:
-        """Reloads configurations in quick succession; the last one names the discovery that is up."""
+        """Reloads configurations in quick succession; the last one names the discovery that is running."""
         for proxy in self.proxies:
             if not proxy.accepts_clients or proxy.process is None:
                 continue
-            here = proxy.value["discovery"]
-            for address in (f"127.0.0.1:{free_port()}", here):
+            running_discovery = proxy.value["discovery"]
+            for address in (f"127.0.0.1:{free_port()}", running_discovery):
                 write_config(self.folder, proxy.value | {"discovery": address})
                 if proxy.process.popen.poll() is None:
                     proxy.process.popen.send_signal(signal.SIGHUP)
                 self.scheduler.sleep(0.05)
 
     def _drain_proxy(self) -> None:
-        if (proxy := self._take_proxy()) is not None:
-            proxy.accepts_clients = False  # no other task reserves a proxy meanwhile
+        if (proxy := self._reserve_proxy()) is not None:
+            proxy.accepts_clients = False  # keeps other tasks from reserving a proxy meanwhile
             try:
                 call(self.scheduler, proxy.control, "POST", "/admin/quiesce")
                 self.scheduler.sleep(self.rng.uniform(0.2, 3.5))
@@ -252,7 +254,7 @@
             proxy.is_reserved = False
 
     def _open_idle_connections(self) -> None:
-        """Opens idle connections, about as many as one proxy has descriptors."""
+        """Opens about as many idle connections as a proxy has descriptors."""
         proxy = self.rng.choice(self.proxies)
         host, _, port = str(proxy.value["listen"]).rpartition(":")
         for _ in range(IDLE_CONNECTIONS):
@@ -266,8 +268,8 @@
     # Servers
 
     def _unused_server(self) -> str | None:
-        """Returns a server without a fault so far, while more than two of them are left."""
-        names = [f"s-{at}" for at in range(SERVER_COUNT) if f"s-{at}" not in self.used_servers]
+        """Returns a server that had no fault so far, or None if at most two such servers are left."""
+        names = [f"s-{index}" for index in range(SERVER_COUNT) if f"s-{index}" not in self.used_servers]
         return self.rng.choice(names) if len(names) > 2 else None
 
     def _drain_server(self) -> None:
@@ -293,16 +295,16 @@
     # Clients
 
     def _crowd(self, proxy: SoakProxy | None = None) -> None:
-        """Sends many clients at once to one proxy."""
+        """Connects many clients to one proxy at once."""
         proxy = proxy or self.rng.choice(self.proxies)
         for _ in range(CROWD_CLIENTS):
             self._spawn_client(proxy)
 
 
-def run(seed: int, keep: Path | None = None) -> tuple[list[str], Counter[str]]:
-    """Runs a seed; returns the violations, and the number of requests by outcome."""
-    with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
-        soak = Soak(seed, keep or Path(name), stack)
+def run(seed: int, folder: Path | None = None) -> tuple[list[str], Counter[str]]:
+    """Runs a seed and returns the violations and the number of requests by outcome."""
+    with tempfile.TemporaryDirectory() as temporary_folder, ExitStack() as stack:
+        soak = Soak(seed, folder or Path(temporary_folder), stack)
         run_scenario(soak.scheduler, soak.scenario, MAX_RUN_S)
         for sock in soak.idle_connections:
             sock.close()
@@ -311,7 +313,7 @@
 
 
 def main(first: int, last: int, parallelism: int) -> int:
-    """Runs all seeds, each in a process of its own; returns 1 if there was a violation, otherwise 0."""
+    """Runs each seed in a process of its own. Returns 1 if there was a violation, otherwise 0."""
     waiting = list(range(first, last + 1))
     running: dict[int, subprocess.Popen[str]] = {}
     status = 0
@@ -334,7 +336,7 @@
     numbers = [int(word) for word in sys.argv[1:]]
     if len(numbers) > 1:
         sys.exit(main(numbers[0], numbers[1], numbers[2] if len(numbers) > 2 else 4))
-    found, outcomes = run(numbers[0])
-    verdict = f"broken: {'; '.join(found)}" if found else "kept"
+    violations, outcomes = run(numbers[0])
+    verdict = f"broken: {'; '.join(violations)}" if violations else "kept"
     print(f"seed {numbers[0]}: {json.dumps(dict(outcomes))} {verdict}")
-    sys.exit(1 if found else 0)
+    sys.exit(1 if violations else 0)
--- a/tests/support/soak_records.py
+++ b/tests/support/soak_records.py
@@ -1,4 +1,4 @@
-"""The records of a soak, and the rules that they are checked by."""
+"""The records of a soak test, and the rules that they are checked against."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from tests.faults import FaultPlan
 
 MAX_ATTEMPTS = 3
-MAX_ATTEMPT_AFTER_CLOSE_S = 0.1  # an attempt may begin so long after its client has left
-CLOCK_TOLERANCE_S = 0.15  # by which a reading of the clock may be late here
+MAX_ATTEMPT_AFTER_CLOSE_S = 0.1  # latest begin of an attempt after its client has closed
+CLOCK_TOLERANCE_S = 0.15  # by which the test may read the clock too late
 CLASSES = {"index-sync": "pure", "archive-fetch": "pure", "order": "side_effect"}
 
 
 @dataclass
 class SoakRequest:
-    """One client's connection and its outcome."""
+    """The connection of one client, and its outcome."""
 
     name: str
     class_name: str
@@ -34,12 +34,12 @@
     is_established: bool = False
     server_id: str = ""
     ended_at: float = 0.0
-    received: list[bytes] = field(default_factory=list)  # lines that were not processed yet
+    received: list[bytes] = field(default_factory=list)  # lines that are not processed yet
 
 
 @dataclass
 class SoakProxy:
-    """One address, and the process that serves there."""
+    """The address of a proxy, and the process that serves there."""
 
     value: dict[str, Any]
     folder: Path
@@ -47,8 +47,10 @@
     control: tuple[str, int]
     process: ProxyProcess | None = None
     accepts_clients: bool = False
-    is_reserved: bool = False  # for one fault at a time
-    killed: dict[ProxyProcess, float] = field(default_factory=dict)  # the time from which they owe nothing
+    is_reserved: bool = False  # by a fault, which no other may overlap
+    killed: dict[ProxyProcess, float] = field(
+        default_factory=dict
+    )  # time of the SIGKILL, after which nothing is checked
 
     def start(self, stack: ExitStack) -> None:
         config = write_config(self.folder, self.value)
@@ -57,16 +59,16 @@
 
 @dataclass(frozen=True)
 class SoakRecords:
-    """What clients and servers have recorded by the end of a soak."""
+    """What clients and servers have recorded by the end of a soak test."""
 
     requests: list[SoakRequest]
-    violations: list[str]  # found during the soak
-    crashed: dict[str, float]  # servers, and when
+    violations: list[str]  # found while the soak ran
+    crashed: dict[str, float]  # times of the crashes, by server id
     dependencies: Dependencies
 
 
 def check(records: SoakRecords) -> list[str]:
-    """Returns the violations of the rules, a line each."""
+    """Returns the violations of the rules, one line for each."""
     violations = list(records.violations)
     for request in records.requests:
         if request.ended_at >= request.proxy.killed.get(request.process, math.inf):
--- a/tests/system/conftest.py
+++ b/tests/system/conftest.py
@@ -1,4 +1,7 @@
-"""Fixtures of several system tests; Hypothesis draws the same examples whichever tests are selected."""
+"""Fixtures that several system tests use.
+
+All modules are loaded, so that Hypothesis draws the same examples whichever tests are selected.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def authority(tmp_path_factory: pytest.TempPathFactory) -> Authority:
-    """Returns an authority that has issued the server's certificate."""
+    """Returns a certificate authority that has issued the server's certificate."""
     authority = Authority(tmp_path_factory.mktemp("tls"))
     authority.certificate("server", "localhost")
     return authority
@@ -21,5 +24,5 @@
 
 @pytest.fixture
 def short_half_close(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shortens the wait for servers that the tests play, for they do not end with their client."""
+    """Shortens the wait after a half-close: servers that a test emulates do not close with their client."""
     monkeypatch.setattr(reading_module, "HALF_CLOSED_TIMEOUT_S", 0.2)
