--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -1,4 +1,4 @@
-"""The wire and stored data stay as recorded: these bytes are decoded, encoded, read and written exactly."""
+"""Checks that recorded bytes of wire formats and stored data are decoded, encoded, read and written exactly."""
 
 from __future__ import annotations
 
@@ -75,16 +75,16 @@
 
 @pytest.fixture
 def store_path(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> str:
-    monkeypatch.chdir(tmp_path)  # errors name the path
+    monkeypatch.chdir(tmp_path)  # error messages contain the path, which must be the same in each run
     return str(shutil.copy(GOLDEN / "revisions.sqlite3", "revisions.sqlite3"))
 
 
 def test_the_recorded_store_is_read(store_path: str) -> None:
-    found = recorded("revisions.json")
+    expected = recorded("revisions.json")
     store = SqliteStore(store_path)
-    assert store.lineage == found["lineage"]
-    assert (store.epoch, str(store.position)) == (found["epoch"] + 1, found["position"])
-    assert {key: value.decode() for key, value in store.entries()} == found["entries"]
+    assert store.lineage == expected["lineage"]
+    assert (store.epoch, str(store.position)) == (expected["epoch"] + 1, expected["position"])
+    assert {key: value.decode() for key, value in store.entries()} == expected["entries"]
     history = [
         {
             "position": str(entry.position),
@@ -97,22 +97,22 @@
         }
         for entry in store.history(100)
     ]
-    assert history == found["history"]
-    for ticket, position in found["tickets"].items():
+    assert history == expected["history"]
+    for ticket, position in expected["tickets"].items():
         assert store.committed(ticket) == read_position(position)
-    for number, changes in found["undo"].items():
-        undone = {
+    for number, changes in expected["undo"].items():
+        undo_changes = {
             key: None if value is None else value.decode() for key, value in store.undo(int(number)).items()
         }
-        assert undone == changes
+        assert undo_changes == changes
     store.close()
 
 
 def test_the_recorded_store_takes_the_next_revision(store_path: str) -> None:
-    found = recorded("revisions.json")
+    expected = recorded("revisions.json")
     store = SqliteStore(store_path)
     position = store.commit({"log.level": b"info"}, RevisionMetadata(1764700100.0, "ann", "", "t9"))
-    assert position == (found["epoch"] + 1, read_position(found["position"]).number + 1)
+    assert position == (expected["epoch"] + 1, read_position(expected["position"]).number + 1)
     assert dict(store.entries())["log.level"] == b"info"
     store.close()
 
@@ -121,7 +121,7 @@
     path = tmp_path / "new.sqlite3"
     SqliteStore(str(path)).close()
 
-    def form(file: Path) -> dict[str, Any]:
+    def schema(file: Path) -> dict[str, Any]:
         connection = sqlite3.connect(file)
         tables = connection.execute("SELECT name, sql FROM sqlite_master ORDER BY name").fetchall()
         pragmas = [
@@ -133,11 +133,11 @@
         return {"tables": tables, "pragmas": pragmas, "numbers": numbers}
 
     shutil.copy(GOLDEN / "revisions.sqlite3", tmp_path / "old.sqlite3")
-    assert form(path) == form(tmp_path / "old.sqlite3")
+    assert schema(path) == schema(tmp_path / "old.sqlite3")
 
 
-def test_the_recorded_store_is_itself() -> None:
-    # Guards the file against being written by a test that forgot to copy it.
+def test_the_recorded_store_file_is_unchanged() -> None:
+    # A test that does not copy the file first would change it.
     data = (GOLDEN / "revisions.sqlite3").read_bytes()
     assert hashlib.sha256(data).hexdigest() == recorded("revisions.json")["sha256"]
 
@@ -164,15 +164,19 @@
 
 
 def test_what_a_client_sends() -> None:
-    side = ClientProtocol(accepts_credential=True)
-    events = side.receive(b"PING\r\nAUTH abc.def.ghi\r\n" + OPEN)
+    protocol = ClientProtocol(accepts_credential=True)
+    events = protocol.receive(b"PING\r\nAUTH abc.def.ghi\r\n" + OPEN)
     assert [type(event) for event in events] == [PingReceived, CredentialPresented, RequestReceived]
     assert isinstance(events[1], CredentialPresented) and events[1].token == b"abc.def.ghi"
-    opened = events[2]
-    assert isinstance(opened, RequestReceived)
-    first = opened.line
-    assert (first.raw, first.id, first.key) == (OPEN, "9b1f03aa5c7e2d41", "7f3a9c21e0b4d655")
-    assert first.fields == {
+    request_event = events[2]
+    assert isinstance(request_event, RequestReceived)
+    request_line = request_event.line
+    assert (request_line.raw, request_line.id, request_line.key) == (
+        OPEN,
+        "9b1f03aa5c7e2d41",
+        "7f3a9c21e0b4d655",
+    )
+    assert request_line.fields == {
         "c": "chat",
         "d": "2000",
         "g": "5c0f6e1a2b3d4c59",
@@ -180,8 +184,8 @@
         "h": "0.5",
         "r": "1",
     }
-    assert first.with_deadline(1234) == OPEN.replace(b"d=2000", b"d=1234")
-    assert msgspec.structs.asdict(request_attributes(first)) == {
+    assert request_line.with_deadline(1234) == OPEN.replace(b"d=2000", b"d=1234")
+    assert msgspec.structs.asdict(request_attributes(request_line)) == {
         "tenant": "acme",
         "key": 0x7F3A9C21E0B4D655,
         "group": 0x5C0F6E1A2B3D4C59,
@@ -192,19 +196,19 @@
 
 
 def test_what_a_client_sends_on_an_established_connection() -> None:
-    side = ClientProtocol()
+    protocol = ClientProtocol()
     line = OPEN.replace(b"r=1", b"mid=1")
-    opened = side.receive(line + b"early\r\n")[0]
-    assert isinstance(opened, RequestReceived) and request_attributes(opened.line).rerouted
-    assert side.establish() == DataReceived(b"early\r\n", 1)
-    assert side.receive(b"one\r\ntw") == [DataReceived(b"one\r\ntw", 1)]
-    assert side.end_of_stream() == [ClientHalfClosed()]
+    request_event = protocol.receive(line + b"early\r\n")[0]
+    assert isinstance(request_event, RequestReceived) and request_attributes(request_event.line).rerouted
+    assert protocol.establish() == DataReceived(b"early\r\n", 1)
+    assert protocol.receive(b"one\r\ntw") == [DataReceived(b"one\r\ntw", 1)]
+    assert protocol.end_of_stream() == [ClientHalfClosed()]
 
 
 def test_a_client_that_goes_while_it_waits() -> None:
-    side = ClientProtocol()
-    side.receive(OPEN)
-    assert side.end_of_stream() == [ClientClosed()]
+    protocol = ClientProtocol()
+    protocol.receive(OPEN)
+    assert protocol.end_of_stream() == [ClientClosed()]
 
 
 @pytest.mark.parametrize(
@@ -241,23 +245,23 @@
         b"MOVE": Outcome.CANCELLED,
         b"NO": Outcome.ERROR,
     }.items():
-        side = AttemptProtocol(OPEN)
-        assert side.connected() == OPEN
-        assert side.wrote(len(OPEN)) == b""
-        assert side.receive(line + b"\r\n") == [AttemptRejected(outcome, line + b"\r\n")]
-    assert side.report == ()
+        protocol = AttemptProtocol(OPEN)
+        assert protocol.connected() == OPEN
+        assert protocol.wrote(len(OPEN)) == b""
+        assert protocol.receive(line + b"\r\n") == [AttemptRejected(outcome, line + b"\r\n")]
+    assert protocol.report == ()
 
 
 def test_what_a_server_sends_on_an_established_connection() -> None:
-    side = AttemptProtocol(OPEN)
-    side.connected()
-    side.wrote(len(OPEN))
-    assert side.receive(b"UP 17\r\nLOAD 0.5\r\n") == [AttemptEstablished(b"UP 17\r\n", b"LOAD 0.5\r\n")]
-    assert side.receive(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n") == [
+    protocol = AttemptProtocol(OPEN)
+    protocol.connected()
+    protocol.wrote(len(OPEN))
+    assert protocol.receive(b"UP 17\r\nLOAD 0.5\r\n") == [AttemptEstablished(b"UP 17\r\n", b"LOAD 0.5\r\n")]
+    assert protocol.receive(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n") == [
         ServerDataReceived(b"LOAD 0.5\r\nBYE inflight=7,queue=2\r\n", 0, (0.5,))
     ]
-    assert side.report == (("inflight", 7.0), ("queue", 2.0))
-    assert side.end_of_stream() is Outcome.OK
+    assert protocol.report == (("inflight", 7.0), ("queue", 2.0))
+    assert protocol.end_of_stream() is Outcome.OK
 
 
 def test_what_a_probe_asks_and_is_answered() -> None:
@@ -269,7 +273,7 @@
     assert HealthCheckProtocol().receive(b"NO\r\n") == (Outcome.ERROR, ())
 
 
-# The simulator's wire, and with it every decision on a recorded day
+# The simulator's protocol, with every decision of a recorded day
 
 
 def test_the_simulator_is_answered_as_recorded() -> None:
@@ -285,16 +289,16 @@
 
 def test_discovery_answers() -> None:
     data = (GOLDEN / "discovery.http").read_bytes()
-    whole, changes = ResponseParser().feed(data)
-    routing = parse_endpoint_update(JsonObject(msgspec.json.decode(whole.body), "", "routing table"))
-    assert (routing.revision, routing.full) == (41, True)
-    assert routing.servers == (
+    full_response, changes = ResponseParser().feed(data)
+    update = parse_endpoint_update(JsonObject(msgspec.json.decode(full_response.body), "", "routing table"))
+    assert (update.revision, update.full) == (41, True)
+    assert update.servers == (
         ListedServer("s-5be2a07c", "10.1.0.18", 3000, Stage.READY, "a", 3, 1.0, 0.0),
         ListedServer("s-6be2a07c", "10.1.0.19", 3001, Stage.DRAINING, "b", 0, 0.5, 1764700000.5),
     )
-    routing = parse_endpoint_update(JsonObject(msgspec.json.decode(changes.body), "", "routing table"))
-    assert (routing.revision, routing.full) == (43, False)
-    assert routing.servers == (ListedServer("s-5be2a07c", "10.1.0.18", 3000, Stage.GONE, "", 0, 1.0, 0.0),)
+    update = parse_endpoint_update(JsonObject(msgspec.json.decode(changes.body), "", "routing table"))
+    assert (update.revision, update.full) == (43, False)
+    assert update.servers == (ListedServer("s-5be2a07c", "10.1.0.18", 3000, Stage.GONE, "", 0, 1.0, 0.0),)
 
 
 # The configuration
@@ -320,16 +324,16 @@
 # The admin API
 
 
-class Observed:
-    """A proxy whose metrics are fixed."""
+class FixedMetricsProxy:
+    """A proxy with fixed metrics."""
 
     def __init__(self) -> None:
         self.lifecycle = Lifecycle()
         self.metrics = RequestMetrics(["chat"])
-        for end in ("established", "rejected", "failed", "abandoned"):
-            getattr(self.metrics.start("chat"), end)()
-        count = self.metrics.start("sync")
-        count.attempt_sent()
+        for outcome in ("established", "rejected", "failed", "abandoned"):
+            getattr(self.metrics.start("chat"), outcome)()
+        request_metrics = self.metrics.start("sync")
+        request_metrics.attempt_sent()
 
     def known_servers(self) -> int:
         return 3
@@ -339,10 +343,10 @@
 
 
 def call(routes: Routes, request: bytes) -> bytes:
-    side = HttpExchange(routes.detailed)
-    call = side.receive(request)
-    assert call is not None
-    return side.encode(routes.dispatch(call) if isinstance(call, ApiRequest) else call)
+    exchange = HttpExchange(routes.detailed)
+    received = exchange.receive(request)
+    assert received is not None
+    return exchange.encode(routes.dispatch(received) if isinstance(received, ApiRequest) else received)
 
 
 def request(method: str, path: str, body: bytes = b"") -> bytes:
@@ -350,9 +354,9 @@
 
 
 def test_the_calls_of_a_proxy() -> None:
-    observed = Observed()
-    staff = ProxyApi(observed)
-    answers = []
+    fixed_proxy = FixedMetricsProxy()
+    api = ProxyApi(fixed_proxy)
+    responses = []
     for step in (
         ("GET", "/admin/health"),
         LifecycleEvent.STARTED,
@@ -371,10 +375,10 @@
         ("GET", "/admin/health"),
     ):
         if isinstance(step, LifecycleEvent):
-            observed.lifecycle.handle(step)
+            fixed_proxy.lifecycle.handle(step)
         else:
-            answers.append([*step, call(staff, request(*step)).decode()])
-    assert answers == recorded("admin.json")["proxy"]
+            responses.append([*step, call(api, request(*step)).decode()])
+    assert responses == recorded("admin.json")["proxy"]
 
 
 def test_the_states_of_a_process() -> None:
@@ -398,8 +402,8 @@
     assert found == recorded("admin.json")["states"]
 
 
-class Reader:
-    """A process of the distribution whose status is fixed."""
+class FixedStatusNode:
+    """A distribution node with a fixed status."""
 
     def status(self, now: float) -> dict[str, Any]:
         return {"role": "origin", "head": "4.300"}
@@ -408,29 +412,31 @@
 def test_the_calls_on_configuration(store_path: str) -> None:
     store = SqliteStore(store_path)
 
-    class Writer:
-        """An origin that keeps what it is given and asks no consumer."""
+    class StoreWriter:
+        """An origin that stores every change without validating it."""
 
         def push(self, changes, metadata, now, expect=None):  # type: ignore[no-untyped-def]
             return store.commit(changes, metadata)
 
         undo, history = store.undo, store.history
 
-    answers = []
-    for calls in (
-        ConfigurationApi(Reader(), None, ["c1", "c2"], clock=lambda: 1764700200.0, now=lambda: 1.0),
-        ConfigurationApi(Reader(), Writer(), ["c1"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+    responses = []
+    for api in (
+        ConfigurationApi(FixedStatusNode(), None, ["c1", "c2"], clock=lambda: 1764700200.0, now=lambda: 1.0),
+        ConfigurationApi(
+            FixedStatusNode(), StoreWriter(), ["c1"], clock=lambda: 1764700200.0, now=lambda: 1.0
+        ),
     ):
         routes = Routes()
-        calls.add_to(routes)
+        api.add_to(routes)
         for method, path, body in recorded("admin.json")["configuration calls"]:
             data = call(routes, request(method, path, body.encode()))
-            answers.append([method, path, data.decode()])
+            responses.append([method, path, data.decode()])
     store.close()
-    assert answers == recorded("admin.json")["configuration"]
+    assert responses == recorded("admin.json")["configuration"]
 
 
 def test_a_call_that_is_too_large() -> None:
-    side = HttpExchange(["/x"])
-    answer = side.receive(request("POST", "/x", b"x" * 65537))
-    assert isinstance(answer, ApiResponse) and answer.status is HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+    exchange = HttpExchange(["/x"])
+    response = exchange.receive(request("POST", "/x", b"x" * 65537))
+    assert isinstance(response, ApiResponse) and response.status is HTTPStatus.REQUEST_ENTITY_TOO_LARGE
--- a/tests/unit/test_import_directions.py
+++ b/tests/unit/test_import_directions.py
@@ -1,4 +1,4 @@
-"""Imports go downwards: from a package to those below it, in no circle, and never to the testbed."""
+"""Checks the imports: each package imports only packages below it, without cycles, and never the testbed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parents[2]
 
-# From the bottom up. A package may import those before it. ``errors`` is a module that all may import.
+# Packages from the lowest to the highest. Each may import those before it. ``errors`` is a module for all.
 LAYERS = (
     "errors",
     "runtime",
@@ -38,83 +38,88 @@
     return {module_name(path): path for path in sorted((ROOT / package).rglob("*.py"))}
 
 
-def is_for_types(node: ast.AST) -> bool:
+def is_type_checking_block(node: ast.AST) -> bool:
     return isinstance(node, ast.If) and isinstance(node.test, ast.Name) and node.test.id == "TYPE_CHECKING"
 
 
-def walk(node: ast.AST, *, with_types: bool) -> Iterator[ast.AST]:
+def walk_nodes(node: ast.AST, *, with_types: bool) -> Iterator[ast.AST]:
     yield node
     for child in ast.iter_child_nodes(node):
-        if with_types or not is_for_types(child):
-            yield from walk(child, with_types=with_types)
+        if with_types or not is_type_checking_block(child):
+            yield from walk_nodes(child, with_types=with_types)
 
 
 def imports(path: Path, *, with_types: bool = True) -> Iterator[str]:
-    """Every module that is imported, also within functions; ``with_types``: also for types alone."""
-    for node in walk(ast.parse(path.read_text()), with_types=with_types):
+    """Yields every module that a file imports, also inside functions.
+
+    ``with_types`` includes imports that are made only for type checking.
+    """
+    for node in walk_nodes(ast.parse(path.read_text()), with_types=with_types):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            assert node.module is not None and node.level == 0, f"{path}: a relative import"
+            assert node.module is not None and node.level == 0, f"{path} has a relative import"
             yield node.module
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
 
 def own_imports(package: str, *, with_types: bool = True) -> dict[str, set[str]]:
-    """The modules of the project that each module of the package imports."""
-    known = {**modules("ironmill"), **modules("ironmill_testbed")}
+    """Returns the modules of the project that each module of the package imports."""
+    project_modules = {**modules("ironmill"), **modules("ironmill_testbed")}
     return {
         name: {
-            target for target in imports(path, with_types=with_types) if target in known and target != name
+            target
+            for target in imports(path, with_types=with_types)
+            if target in project_modules and target != name
         }
         for name, path in modules(package).items()
     }
 
 
-def layer(module: str) -> str:
-    return [*module.split("."), "errors"][1]  # the top package itself holds the version alone
+def layer_of(module: str) -> str:
+    return [*module.split("."), "errors"][1]  # the top-level package contains only the version
 
 
 def test_imports_go_downwards() -> None:
-    upward = [
+    violations = [
         f"{module} imports {target}"
         for module, targets in own_imports("ironmill").items()
-        if layer(module) != "simulator"
+        if layer_of(module) != "simulator"
         for target in targets
-        if target != "ironmill" and LAYERS.index(layer(target)) > LAYERS.index(layer(module))
+        if target != "ironmill" and LAYERS.index(layer_of(target)) > LAYERS.index(layer_of(module))
     ]
-    assert sorted(upward) == []
+    assert sorted(violations) == []
 
 
 def test_the_simulator_adapter_imports_decisions_and_settings_alone() -> None:
-    others = [
+    violations = [
         f"{module} imports {target}"
         for module, targets in own_imports("ironmill").items()
-        if layer(module) == "simulator"
+        if layer_of(module) == "simulator"
         for target in targets
-        if layer(target) not in SIMULATOR_MAY_IMPORT | {"simulator"}
+        if layer_of(target) not in SIMULATOR_MAY_IMPORT | {"simulator"}
     ]
-    assert others == []
+    assert violations == []
 
 
 def test_the_product_never_imports_the_testbed_nor_tests() -> None:
-    found = [
+    violations = [
         f"{name} imports {target}"
         for name, path in modules("ironmill").items()
         for target in imports(path)
         if target.split(".")[0] in ("ironmill_testbed", "tests")
     ]
-    assert found == []
+    assert violations == []
 
 
 def test_the_testbed_never_imports_tests() -> None:
-    found = [
+    violations = [
         f"{name} imports {target}"
         for name, path in modules("ironmill_testbed").items()
         for target in imports(path)
         if target.split(".")[0] == "tests"
     ]
-    assert found == []
+    assert violations == []
 
 
 def test_no_modules_import_each_other_in_a_circle() -> None:
--- a/tests/unit/test_readme.py
+++ b/tests/unit/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs and prints what it says."""
+"""Checks that the example in the README runs and prints the output given there."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def test_example_runs_as_printed() -> None:
-    code = re.search(r"```python\n(.*?)```", README.read_text(encoding="utf-8"), re.DOTALL)
-    assert code
-    expected = re.search(r"# (\{.*\})", code[1])
+    example = re.search(r"```python\n(.*?)```", README.read_text(encoding="utf-8"), re.DOTALL)
+    assert example
+    expected = re.search(r"# (\{.*\})", example[1])
     assert expected
-    done = subprocess.run([sys.executable, "-c", code[1]], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == expected[1]
+    completed = subprocess.run([sys.executable, "-c", example[1]], capture_output=True, text=True, check=True)
+    assert completed.stdout.strip() == expected[1]
--- a/tests/unit/test_terms_audit.py
+++ b/tests/unit/test_terms_audit.py
@@ -1,4 +1,4 @@
-"""``docs/terms-audit.md``: each test that it names is there, and each row has one status."""
+"""Checks ``docs/terms-audit.md``: each test that it names exists, and each row has one status."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 
 
 def clauses() -> list[list[str]]:
-    """The rows of clauses, without those of the fixes."""
+    """Returns the rows for clauses, without the rows for fixes, whose ids begin with F."""
     return [row for row in rows() if row[0][:1] != "F"]
 
 
 def test_every_row_has_a_name_of_its_own_and_one_status() -> None:
-    found = clauses()
-    assert len(found) > 100
-    assert [row for row in found if len(row) != COLUMNS or row[-1] not in STATUSES] == []
-    assert [name for name, count in Counter(row[0] for row in found).items() if count > 1] == []
+    clause_rows = clauses()
+    assert len(clause_rows) > 100
+    assert [row for row in clause_rows if len(row) != COLUMNS or row[-1] not in STATUSES] == []
+    assert [name for name, count in Counter(row[0] for row in clause_rows).items() if count > 1] == []
 
 
 def test_every_test_that_is_named_is_there() -> None:
-    there = {
+    existing = {
         name
         for file in (ROOT / "tests").rglob("test_*.py")
         for name in re.findall(r"^def (test_\w+)", file.read_text(), re.MULTILINE)
     }
     named = set(re.findall(r"`(test_\w+)`", (ROOT / "docs" / "terms-audit.md").read_text()))
-    assert sorted(named - there) == []
+    assert sorted(named - existing) == []
 
 
 def test_what_holds_or_is_fixed_names_its_test() -> None:
-    bare = [row[0] for row in clauses() if row[-1] in ("holds", "fixed") and "`test_" not in row[-2]]
-    assert bare == ["BE3", "S33"]  # a limit that was withdrawn, and what the bench alone can show
+    without_test = [row[0] for row in clauses() if row[-1] in ("holds", "fixed") and "`test_" not in row[-2]]
+    assert without_test == ["BE3", "S33"]  # a withdrawn limit, and a clause that only the benchmark can check
