--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A process with just the configured number of descriptors, while idle clients take all they can."""
+"""A proxy process with a limited number of descriptors, of which idle clients take as many as they can."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
 def test_idle_clients_do_not_starve_discovery_admin_api_or_requests_of_descriptors(
     tmp_path: Path,
 ) -> None:
-    """Discovery is down meanwhile; the watch, the admin API, health checks and attempts have a reserve."""
+    """Descriptors are reserved for the watch, the admin API, health checks and attempts.
+
+    Discovery is down while the idle clients connect.
+    """
     with ExitStack() as stack:
         dependencies = stack.enter_context(Dependencies(tmp_path, 3))
         address, admin_address, unused_address = (("127.0.0.1", free_port()) for _ in range(3))
@@ -37,22 +40,22 @@
         process = stack.enter_context(ProxyProcess(config, tmp_path))
         process.wait_ready()
         resource.prlimit(process.popen.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
-        idle = [stack.enter_context(socket.create_connection(address)) for _ in range(3 * SOCKETS)]
+        idle_clients = [stack.enter_context(socket.create_connection(address)) for _ in range(3 * SOCKETS)]
         scheduler = Scheduler()
 
-        def known_servers() -> int:
+        def count_known_servers() -> int:
             status, body = call(scheduler, admin_address, "GET", "/admin/stats")
             assert status == 200
             count: int = orjson.loads(body)["known_servers"]
             return count
 
         def scenario() -> None:
-            assert known_servers() == 0
+            assert count_known_servers() == 0
             value["discovery"] = f"{dependencies.discovery[0]}:{dependencies.discovery[1]}"
             write_config(tmp_path, value)
-            process.popen.send_signal(signal.SIGHUP)  # the file, and a second watch, take descriptors as well
+            process.popen.send_signal(signal.SIGHUP)  # the file and a second watch need descriptors too
             deadline = time.monotonic() + TIMEOUT_S / 2.0
-            while known_servers() != 3:
+            while count_known_servers() != 3:
                 assert time.monotonic() < deadline
                 scheduler.sleep(0.02)
             for _ in range(10):
@@ -64,20 +67,20 @@
         run_scenario(scheduler, scenario, TIMEOUT_S)
         assert process.popen.poll() is None
         assert "Too many open files" not in process.log.read_text()
-        assert len(idle) == 3 * SOCKETS
+        assert len(idle_clients) == 3 * SOCKETS
 
 
 def test_attempt_without_a_descriptor_affects_only_itself() -> None:
-    """The next one is made, and served."""
+    """The next attempt is made and becomes established."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        failed: list[bool] = []
+        failures: list[bool] = []
 
-        def dial(to: tuple[str, int], timeout: float) -> Stream:
-            if not failed:
-                failed.append(True)
+        def dial(address: tuple[str, int], timeout_s: float) -> Stream:
+            if not failures:
+                failures.append(True)
                 raise OSError(errno.EMFILE, "too many")
-            return Stream.connect(proxy.scheduler, to, timeout)
+            return Stream.connect(proxy.scheduler, address, timeout_s)
 
         proxy.dial = dial
         client = proxy.client(OPEN)
@@ -85,6 +88,6 @@
         read_line(server)
         server.send(b"UP r1\r\n")
         assert read_line(client) == b"UP r1\r\n"
-        assert failed
+        assert failures
 
     ProxyUnderTest(2).run(scenario)
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -1,4 +1,4 @@
-"""The start of a whole proxy."""
+"""The start of a complete proxy."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from tests.support.requests import config
 
 
-class Quiet:
-    """Signals and a garbage collection schedule that do nothing."""
+class NoOperation:
+    """Replaces the signals and the garbage collection schedule, and does nothing."""
 
     def __init__(self, *_: Any) -> None:
         """Accepts any arguments."""
 
     def on(self, *_: Any) -> None:
-        """No signal arrives."""
+        """Registers nothing, so no signal is handled."""
 
     def start(self, *_: Any) -> None:
         """Starts nothing."""
 
 
-def play(config_: Config, scenario: Callable[[Proxy], None]) -> None:
-    """Serve until the scenario, a task of the proxy's scheduler, is over."""
-    proxy = Proxy(ProxyOptions(config_, lambda: config_), Quiet())  # type: ignore[arg-type]
+def serve_during(config_: Config, scenario: Callable[[Proxy], None]) -> None:
+    """Runs a proxy until the scenario, a task of its scheduler, returns or fails."""
+    proxy = Proxy(ProxyOptions(config_, lambda: config_), NoOperation())  # type: ignore[arg-type]
 
     def run_scenario() -> None:
         try:
@@ -51,13 +51,15 @@
 def test_clients_are_accepted_once_discovery_has_answered_or_failed(
     monkeypatch: pytest.MonkeyPatch, answered: bool
 ) -> None:
-    """Until then the known list may lack the draining of a server."""
+    """Before the first poll the known endpoint list may not show yet that a server is draining."""
     monkeypatch.setattr(proxy_module, "FIRST_POLL_TIMEOUT_S", 60.0)
-    monkeypatch.setattr(proxy_module, "GcSchedule", Quiet)
-    known = EndpointUpdate(15, True, (ListedServer("s-0", "127.0.0.1", 1, Stage.READY, "a", 0, 1.0, 0.0),))
+    monkeypatch.setattr(proxy_module, "GcSchedule", NoOperation)
+    known_list = EndpointUpdate(
+        15, True, (ListedServer("s-0", "127.0.0.1", 1, Stage.READY, "a", 0, 1.0, 0.0),)
+    )
     received: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as agent:
-        config_ = structs.replace(config(known), listen=("127.0.0.1", 0), discovery=agent.getsockname())
+        config_ = structs.replace(config(known_list), listen=("127.0.0.1", 0), discovery=agent.getsockname())
 
         def scenario(proxy: Proxy) -> None:
             client = Stream.connect(proxy.scheduler, proxy.listener.address, 5.0)
@@ -76,23 +78,23 @@
                 poll.close()
             received.append(client.receive(5.0))
 
-        play(config_, scenario)
+        serve_during(config_, scenario)
     assert received == [b"GET /api/targets?after=15&wait_ms=0", b"nothing", b"PONG\r\n"]
 
 
-@pytest.mark.parametrize("asks", [False, True])
+@pytest.mark.parametrize("subscribes", [False, True])
 def test_clients_are_accepted_after_a_timeout_of_discovery(
-    monkeypatch: pytest.MonkeyPatch, asks: bool
+    monkeypatch: pytest.MonkeyPatch, subscribes: bool
 ) -> None:
-    """At once where discovery is polled, since the first polls are spread over seconds there."""
-    monkeypatch.setattr(proxy_module, "FIRST_POLL_TIMEOUT_S", 60.0 if asks else 0.02)
-    monkeypatch.setattr(proxy_module, "GcSchedule", Quiet)
+    """A proxy that polls discovery accepts clients at once: a fleet spreads its first polls over seconds."""
+    monkeypatch.setattr(proxy_module, "FIRST_POLL_TIMEOUT_S", 60.0 if subscribes else 0.02)
+    monkeypatch.setattr(proxy_module, "GcSchedule", NoOperation)
     received: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as agent:
-        known = config(EndpointUpdate(15, True, ()))
-        settings = structs.replace(known.settings, subscribes_to_discovery=asks, proxies=1000)
+        base_config = config(EndpointUpdate(15, True, ()))
+        settings = structs.replace(base_config.settings, subscribes_to_discovery=subscribes, proxies=1000)
         config_ = structs.replace(
-            known, listen=("127.0.0.1", 0), discovery=agent.getsockname(), settings=settings
+            base_config, listen=("127.0.0.1", 0), discovery=agent.getsockname(), settings=settings
         )
 
         def scenario(proxy: Proxy) -> None:
@@ -100,5 +102,5 @@
             client.send(b"PING\r\n")
             received.append(client.receive(5.0))
 
-        play(config_, scenario)
+        serve_during(config_, scenario)
     assert received == [b"PONG\r\n"]
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak; the long one is started by hand (``tests/soak.py``)."""
+"""A short soak test. Longer ones are started by hand with ``python -m tests.soak``."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def test_soak_of_ends_kills_and_faults() -> None:
-    broken = {seed: found for seed in SEEDS if (found := run(seed)[0])}
-    assert not broken
+    violations = {seed: seed_violations for seed in SEEDS if (seed_violations := run(seed)[0])}
+    assert not violations
--- a/tests/system/test_system_calls.py
+++ b/tests/system/test_system_calls.py
@@ -1,4 +1,4 @@
-"""Transient errors of system calls in a real process, as Linux documents them."""
+"""Transient errors of system calls in a real proxy process, as Linux documents them."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 from tests.faults import FaultPlan, Faults, faulty_socket
 
-LIMIT = 60.0
-SERVERS = 3
-MORE: Mapping[str, Any] = MappingProxyType({})
+TIMEOUT_S = 60.0
+SERVER_COUNT = 3
+NOTHING: Mapping[str, Any] = MappingProxyType({})
 
 
 @dataclass
 class Site:
-    """One proxy with faults, its dependencies, and the outcome of each request."""
+    """A proxy process with faults, its dependencies, and the outcome of each request."""
 
     scheduler: Scheduler
     dependencies: Dependencies
@@ -45,11 +45,11 @@
     value: dict[str, Any]
     answers: list[str] = field(default_factory=list)
 
-    def ask(self, wait: float = 2.0, fields: Mapping[str, object] = MORE) -> None:
-        """Sends one request and records the first word of its answer, or what happened instead."""
+    def send_request(self, deadline_s: float = 2.0, fields: Mapping[str, object] = NOTHING) -> None:
+        """Sends one request and records the first word of its answer, or a word for the failure."""
         client = Client(self.scheduler, self.proxy.address)
         try:
-            client.open(wait, fields)
+            client.open(deadline_s, fields)
             self.answers.append("UP" if client.exchange(b"line") in (b"line", b"MOVE") else "cut off")
         except NotServedError as error:
             self.answers.append(str(error).partition(" ")[0] or "closed")
@@ -59,98 +59,98 @@
             self.answers.append("unreached" if client.stream is None else f"reset ({error.strerror})")
         client.close()
 
-    def crowd(self, count: int, over: float, seed: int = 1) -> None:
-        """Sends ``count`` requests at random moments within ``over`` seconds and waits for all outcomes."""
+    def send_requests(self, count: int, span_s: float, seed: int = 1) -> None:
+        """Sends ``count`` requests at random times within ``span_s`` seconds and waits for all outcomes."""
         rng, before = random.Random(seed), len(self.answers)
         for _ in range(count):
-            self.scheduler.call_later(over * rng.random(), self.scheduler.spawn, self.ask)
+            self.scheduler.call_later(span_s * rng.random(), self.scheduler.spawn, self.send_request)
         while len(self.answers) < before + count:
             self.scheduler.sleep(0.01)
 
     def reload(self, discovery: tuple[str, int]) -> None:
-        """Writes another address of discovery to the file and sends SIGHUP."""
+        """Writes a new address of discovery to the configuration and sends SIGHUP."""
         self.value["discovery"] = f"{discovery[0]}:{discovery[1]}"
         write_config(self.config.parent, self.value)
         self.proxy.popen.send_signal(signal.SIGHUP)
 
     def stats(self) -> dict[str, Any]:
-        """Returns the metrics of the admin API."""
+        """Returns the metrics that the admin API reports."""
         found: dict[str, Any] = orjson.loads(call(self.scheduler, self.control, "GET", "/admin/stats")[1])
         return found
 
-    def kinds(self) -> set[str]:
-        """Returns the distinct outcomes."""
+    def outcomes(self) -> set[str]:
+        """Returns the distinct outcomes of the requests."""
         return set(self.answers)
 
 
 @contextmanager
-def site(
-    folder: Path, plan: FaultPlan, settings: Mapping[str, Any] = MORE, wait: bool = True
+def create_site(
+    folder: Path, plan: FaultPlan, settings: Mapping[str, Any] = NOTHING, wait_ready: bool = True
 ) -> Iterator[Site]:
-    with Dependencies(folder, SERVERS) as dependencies:
+    with Dependencies(folder, SERVER_COUNT) as dependencies:
         address, control = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
         value = proxy_config("p1", address, dependencies.discovery, 1024, platform_settings() | settings)
         value["control"] = f"{control[0]}:{control[1]}"
         config = write_config(folder, value)
         with ProxyProcess(config, folder, launcher=plan.launcher()) as proxy:
-            if wait:
+            if wait_ready:
                 proxy.wait_ready()
             yield Site(Scheduler(), dependencies, proxy, control, config, value)
 
 
-def run(it: Site, scenario: Callable[[], None]) -> None:
-    run_scenario(it.scheduler, scenario, LIMIT)
+def run(site: Site, scenario: Callable[[], None]) -> None:
+    run_scenario(site.scheduler, scenario, TIMEOUT_S)
 
 
 def test_shutdown_answers_queued_connections_although_accept_fails(tmp_path: Path) -> None:
-    """PROTOCOL: new connections go on coming for 0.2 to 0.4 s after SIGTERM."""
+    """The load balancer in front sends new connections for another 0.2 to 0.4 s after SIGTERM."""
     answers: list[str] = []
     for seed in range(4):
         folder = tmp_path / str(seed)
         folder.mkdir()
-        with site(folder, FaultPlan(seed, failing_fraction={"accept": 0.5})) as it:
+        with create_site(folder, FaultPlan(seed, failing_fraction={"accept": 0.5})) as site:
 
-            def scenario(it: Site = it) -> None:
-                it.scheduler.call_later(0.2, it.proxy.popen.send_signal, signal.SIGTERM)
-                it.crowd(300, 0.6)
+            def scenario(site: Site = site) -> None:
+                site.scheduler.call_later(0.2, site.proxy.popen.send_signal, signal.SIGTERM)
+                site.send_requests(300, 0.6)
 
-            run(it, scenario)
-            assert it.proxy.popen.wait(10.0) == 0
-            answers += it.answers
+            run(site, scenario)
+            assert site.proxy.popen.wait(10.0) == 0
+            answers += site.answers
     assert set(answers) <= {"UP", "BUSY"}, answers
 
 
 def test_start_retries_transient_errors_of_system_calls(tmp_path: Path) -> None:
-    """STANDING: a refusal to start fails the day."""
-    refused = []
-    for failing in ("socket", "bind", "listen", "epoll", "open", "socketpair"):
-        folder = tmp_path / failing
+    """A transient error must not make the start fail, since no client is served until the next start."""
+    failed_starts = []
+    for call_name in ("socket", "bind", "listen", "epoll", "open", "socketpair"):
+        folder = tmp_path / call_name
         folder.mkdir()
-        with site(folder, FaultPlan(initial_failures={failing: 2}), wait=False) as it:
+        with create_site(folder, FaultPlan(initial_failures={call_name: 2}), wait_ready=False) as site:
             try:
-                it.proxy.wait_ready()
+                site.proxy.wait_ready()
             except RuntimeError:
-                refused.append(failing)
-    assert not refused
+                failed_starts.append(call_name)
+    assert not failed_starts
 
 
 def test_queued_connections_are_accepted_although_accept_fails(tmp_path: Path) -> None:
-    with site(tmp_path, FaultPlan(failing_fraction={"accept": 0.5}, delay_s=1.0)) as it:
+    with create_site(tmp_path, FaultPlan(failing_fraction={"accept": 0.5}, delay_s=1.0)) as site:
 
         def scenario() -> None:
-            it.scheduler.sleep(1.0)
-            it.crowd(400, 0.1)
+            site.scheduler.sleep(1.0)
+            site.send_requests(400, 0.1)
 
-        run(it, scenario)
-        assert it.kinds() == {"UP"}, it.answers
+        run(site, scenario)
+        assert site.outcomes() == {"UP"}, site.answers
 
 
 def test_admin_server_answers_connections_accepted_at_its_close(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """DAYS: answers are due within 1 s, under any load; also for calls that wait when the process ends.
+    """Calls of the admin API must be answered within 1 s under any load, also while the process exits.
 
-    Those that wait before the close; one that comes in its very instant is the kernel's to reset.
+    This holds for calls that are queued before the close. The kernel may reset one that arrives during it.
     """
     monkeypatch.setattr(
         socket,
@@ -171,143 +171,151 @@
             answers.append(caller.recv(12))
             caller.close()
 
-    run_scenario(scheduler, scenario, LIMIT)
+    run_scenario(scheduler, scenario, TIMEOUT_S)
     assert answers == [b"HTTP/1.1 404"] * 8
 
 
 SLOW_START = MappingProxyType(platform_settings()["rules"] | {"coldFrom": 0.05, "rampTimeS": 60.0})
 
 
-@pytest.mark.parametrize("ahead", [0.0, 3600.0, -3600.0])
-def test_slow_start_budget_holds_whatever_the_wall_clock(tmp_path: Path, ahead: float) -> None:
-    """The operators' notes: a machine's wall clock may be stepped by seconds or by an hour.
+@pytest.mark.parametrize("clock_step_s", [0.0, 3600.0, -3600.0])
+def test_slow_start_budget_holds_whatever_the_wall_clock(tmp_path: Path, clock_step_s: float) -> None:
+    """The wall clock of a machine may be stepped by seconds or by an hour.
 
-    Of four servers alike the new one would get a fourth of 400 without a budget. The budget of a window is
-    0.4 x 3 x 0.05 of what an old one gets in it, and there are two windows.
+    Without a budget the new one of four equal servers would get a fourth of the 400 requests. The budget of a
+    window is 0.4 x 3 x 0.05 of what an old server gets in it, and there are two windows.
     """
-    with site(tmp_path, FaultPlan(clock_step_s=ahead), {"rules": dict(SLOW_START)}) as it:
+    with create_site(tmp_path, FaultPlan(clock_step_s=clock_step_s), {"rules": dict(SLOW_START)}) as site:
 
         def scenario() -> None:
-            it.crowd(800, 4.0, seed=1)  # the ordinary rate
-            it.dependencies.add("s-new", time.time())
-            it.scheduler.sleep(0.5)
-            it.answers.clear()
-            it.crowd(400, 2.0, seed=2)
+            site.send_requests(800, 4.0, seed=1)  # the usual rate of requests
+            site.dependencies.add("s-new", time.time())
+            site.scheduler.sleep(0.5)
+            site.answers.clear()
+            site.send_requests(400, 2.0, seed=2)
 
-        run(it, scenario)
-        assert it.kinds() == {"UP"}
-        taken = {server.server_id: server.counts.opened for server in it.dependencies.status().servers}
-        assert taken["s-new"] <= 40
+        run(site, scenario)
+        assert site.outcomes() == {"UP"}
+        requests_by_server = {
+            server.server_id: server.counts.opened for server in site.dependencies.status().servers
+        }
+        assert requests_by_server["s-new"] <= 40
 
 
 def test_local_connect_errors_are_not_attributed_to_servers(tmp_path: Path) -> None:
-    """The operators' notes: socket and connect may fail for a moment, and all rules hold."""
-    with site(tmp_path, FaultPlan(failing_fraction={"connect": 0.5, "socket": 0.3}, delay_s=1.0)) as it:
+    """socket(2) and connect(2) may fail for a moment, which says nothing about a server."""
+    with create_site(
+        tmp_path, FaultPlan(failing_fraction={"connect": 0.5, "socket": 0.3}, delay_s=1.0)
+    ) as site:
 
         def scenario() -> None:
-            it.scheduler.sleep(1.0)
-            it.crowd(600, 3.0)
-            assert it.stats()["skipped_servers"] == 0
+            site.scheduler.sleep(1.0)
+            site.send_requests(600, 3.0)
+            assert site.stats()["skipped_servers"] == 0
 
-        run(it, scenario)
-        assert it.kinds() == {"UP"}
-        servers = it.dependencies.status().servers
+        run(site, scenario)
+        assert site.outcomes() == {"UP"}
+        servers = site.dependencies.status().servers
         assert sum(server.counts.opened for server in servers) == 600
 
 
 def test_step_of_the_wall_clock_while_serving_changes_nothing(tmp_path: Path) -> None:
-    """The operators' notes: deadlines, windows, waits and graces are spans of real time."""
-    for step in (-3600.0, 3600.0):
-        folder = tmp_path / str(step)
+    """Deadlines, windows, waits and grace periods must not depend on the wall clock."""
+    for step_s in (-3600.0, 3600.0):
+        folder = tmp_path / str(step_s)
         folder.mkdir()
-        with site(folder, FaultPlan(clock_step_s=step, delay_s=1.5)) as it:
+        with create_site(folder, FaultPlan(clock_step_s=step_s, delay_s=1.5)) as site:
 
-            def scenario(it: Site = it) -> None:
-                it.crowd(300, 3.0)  # before, during and after the step
+            def scenario(site: Site = site) -> None:
+                site.send_requests(300, 3.0)  # before, during and after the step
 
-            run(it, scenario)
-            assert it.kinds() == {"UP"}, it.answers
-            assert it.proxy.end() == 0
+            run(site, scenario)
+            assert site.outcomes() == {"UP"}, site.answers
+            assert site.proxy.end() == 0
 
 
 def test_short_reads_and_writes_change_no_answer(tmp_path: Path) -> None:
-    """The operators' notes: reads and writes may be short. Clients, servers, discovery, staff."""
-    with site(tmp_path, FaultPlan(has_short_io=True)) as it:
+    """Reads and writes may be short on connections to clients, servers, discovery and the admin API."""
+    with create_site(tmp_path, FaultPlan(has_short_io=True)) as site:
 
         def scenario() -> None:
-            it.crowd(150, 2.0)
-            assert it.stats()["known_servers"] == SERVERS
+            site.send_requests(150, 2.0)
+            assert site.stats()["known_servers"] == SERVER_COUNT
 
-        run(it, scenario)
-        assert it.kinds() == {"UP"}, it.answers
+        run(site, scenario)
+        assert site.outcomes() == {"UP"}, site.answers
 
 
 def test_transient_read_and_write_errors_change_no_answer(tmp_path: Path) -> None:
-    """recv(2) and send(2): ENOMEM, ENOBUFS. The connection is sound."""
-    with site(tmp_path, FaultPlan(failing_fraction={"recv": 0.1, "send": 0.1}, delay_s=1.0)) as it:
+    """recv(2) and send(2) may fail with ENOMEM or ENOBUFS while the connection stays intact."""
+    with create_site(tmp_path, FaultPlan(failing_fraction={"recv": 0.1, "send": 0.1}, delay_s=1.0)) as site:
 
         def scenario() -> None:
-            it.scheduler.sleep(1.0)
-            it.crowd(200, 2.0)
+            site.scheduler.sleep(1.0)
+            site.send_requests(200, 2.0)
 
-        run(it, scenario)
-        assert it.kinds() == {"UP"}, it.answers
+        run(site, scenario)
+        assert site.outcomes() == {"UP"}, site.answers
 
 
 def test_successive_reloads_end_at_the_last_configuration(tmp_path: Path) -> None:
-    """STANDING: new configurations in quick succession. The file cannot be read at times."""
-    other = tmp_path / "other"
-    other.mkdir()
+    """New configurations may come in quick succession, and reading the file may fail at times."""
+    other_folder = tmp_path / "other"
+    other_folder.mkdir()
     with (
-        site(tmp_path, FaultPlan(failing_fraction={"open": 0.5}, delay_s=1.0)) as it,
-        Dependencies(other, 5) as last,
+        create_site(tmp_path, FaultPlan(failing_fraction={"open": 0.5}, delay_s=1.0)) as site,
+        Dependencies(other_folder, 5) as last_dependencies,
     ):
 
         def scenario() -> None:
-            it.scheduler.sleep(1.0)
-            for address in (("127.0.0.1", free_port()), last.discovery, ("127.0.0.1", free_port())) * 2:
-                it.reload(address)
-                it.scheduler.sleep(0.03)
-            it.crowd(50, 0.3)  # served with the old list
-            it.reload(last.discovery)
-            while it.stats()["known_servers"] != 5:
-                it.scheduler.sleep(0.02)
-            it.crowd(50, 0.3)
-
-        run(it, scenario)
-        assert it.kinds() == {"UP"}, it.answers
-        assert sum(server.counts.opened for server in last.status().servers) >= 50
+            site.scheduler.sleep(1.0)
+            for address in (
+                ("127.0.0.1", free_port()),
+                last_dependencies.discovery,
+                ("127.0.0.1", free_port()),
+            ) * 2:
+                site.reload(address)
+                site.scheduler.sleep(0.03)
+            site.send_requests(50, 0.3)  # served with the old endpoint list
+            site.reload(last_dependencies.discovery)
+            while site.stats()["known_servers"] != 5:
+                site.scheduler.sleep(0.02)
+            site.send_requests(50, 0.3)
+
+        run(site, scenario)
+        assert site.outcomes() == {"UP"}, site.answers
+        assert sum(server.counts.opened for server in last_dependencies.status().servers) >= 50
 
 
 def test_series_of_signals_shuts_down_once_without_lost_requests(tmp_path: Path) -> None:
-    """The operators' notes: signals come in series."""
-    with site(tmp_path, FaultPlan()) as it:
+    """Signals may come in quick succession."""
+    with create_site(tmp_path, FaultPlan()) as site:
 
         def scenario() -> None:
-            series = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
-            for at, number in enumerate(series):
-                it.scheduler.call_later(0.2 + 0.02 * at, it.proxy.popen.send_signal, number)
-            it.crowd(150, 0.5)
+            signals = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+            for index, signal_number in enumerate(signals):
+                site.scheduler.call_later(0.2 + 0.02 * index, site.proxy.popen.send_signal, signal_number)
+            site.send_requests(150, 0.5)
 
-        run(it, scenario)
-        assert it.proxy.popen.wait(10.0) == 0
-        assert it.kinds() <= {"UP", "BUSY"}, it.answers
+        run(site, scenario)
+        assert site.proxy.popen.wait(10.0) == 0
+        assert site.outcomes() <= {"UP", "BUSY"}, site.answers
 
 
 def short_deadlines() -> dict[str, Any]:
-    """Returns settings by which a shutdown ends before a request line is late."""
+    """Returns settings with which a shutdown ends before the time limit of a request line."""
     categories = platform_settings()["categories"]
     return {"categories": [category | {"hardLimitS": 0.3, "aimS": 0.1} for category in categories]}
 
 
-def send_slowly(address: tuple[str, int], interval_s: float, until: float) -> bytes:
-    """Sends the begin of a request line, a byte each interval, and returns what was received by the end."""
+def send_slowly(address: tuple[str, int], interval_s: float, sending_until: float) -> bytes:
+    """Sends the start of a request line, one byte per interval, and returns all bytes received."""
     received = b""
     with socket.create_connection(address) as client:
         client.settimeout(interval_s)
         for byte in b"OPEN " + b"x" * 10_000:
             try:
-                if time.monotonic() < until:
+                if time.monotonic() < sending_until:
                     client.send(bytes([byte]))
                 received += (data := client.recv(100))
             except TimeoutError:
@@ -324,37 +332,42 @@
 def test_shutdown_answers_clients_that_are_writing_their_request_line(
     tmp_path: Path, interval_s: float, recv_failing: float
 ) -> None:
-    """A check for unread bytes at one moment left out those with some, or whose check had failed."""
+    """The proxy once checked for unread bytes only at one moment of the shutdown.
+
+    Clients that had sent bytes by then, or whose check had failed, got no answer.
+    """
     with (
-        site(tmp_path, FaultPlan(5, failing_fraction={"recv": recv_failing}), short_deadlines()) as it,
+        create_site(
+            tmp_path, FaultPlan(5, failing_fraction={"recv": recv_failing}), short_deadlines()
+        ) as site,
         ThreadPoolExecutor(60) as pool,
     ):
-        until = time.monotonic() + 8.0
-        clients = [pool.submit(send_slowly, it.proxy.address, interval_s, until) for _ in range(60)]
+        sending_until = time.monotonic() + 8.0
+        clients = [pool.submit(send_slowly, site.proxy.address, interval_s, sending_until) for _ in range(60)]
         time.sleep(0.3)
-        it.proxy.popen.send_signal(signal.SIGTERM)
+        site.proxy.popen.send_signal(signal.SIGTERM)
         answers = Counter(client.result().partition(b" ")[0] for client in clients)
-        assert it.proxy.popen.wait(10.0) == 0
+        assert site.proxy.popen.wait(10.0) == 0
     assert set(answers) <= {b"BUSY", b"ERR\r\n"}, answers
 
 
 def test_proxy_runs_on_a_read_only_file_system(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """DEPLOY: the file system is read-only but for the folder for temporary files."""
+    """In a deployment only the folder for temporary files is writable."""
     temporary = tmp_path / "tmp"
     temporary.mkdir()
     monkeypatch.setenv("TMPDIR", str(temporary))
     monkeypatch.setenv("PYTHONDONTWRITEBYTECODE", "1")
-    with site(tmp_path, FaultPlan(has_read_only_files=True)) as it:
+    with create_site(tmp_path, FaultPlan(has_read_only_files=True)) as site:
 
         def scenario() -> None:
-            it.crowd(50, 0.5)
-            it.reload(it.dependencies.discovery)
-            it.crowd(50, 0.5)
-            it.proxy.popen.send_signal(signal.SIGTERM)
-
-        run(it, scenario)
-        assert it.proxy.popen.wait(10.0) == 0
-        assert it.kinds() == {"UP"}, it.answers
-        log = it.proxy.log.read_text()
+            site.send_requests(50, 0.5)
+            site.reload(site.dependencies.discovery)
+            site.send_requests(50, 0.5)
+            site.proxy.popen.send_signal(signal.SIGTERM)
+
+        run(site, scenario)
+        assert site.proxy.popen.wait(10.0) == 0
+        assert site.outcomes() == {"UP"}, site.answers
+        log = site.proxy.log.read_text()
     assert "write refused" not in log
     assert list(temporary.iterdir()) == []
--- a/tests/system/test_upgrade.py
+++ b/tests/system/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes at one address: an upgrade under load."""
+"""Two listeners that share an address, as the old and the new process do in an upgrade."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from ironmill_testbed.fleet import run_scenario
 
 
-class Pair:
-    """Two shared listeners at one address, and the connections that each accepted."""
+class ListenerPair:
+    """Two listeners that share an address, and the connections that each has accepted."""
 
     def __init__(self) -> None:
         self.scheduler = Scheduler()
@@ -40,7 +40,7 @@
                 stream.close()
 
     def counts(self) -> tuple[int, int]:
-        """What old and new have accepted, once every connection was accepted."""
+        """Waits until every connection is accepted; returns the counts of the old and the new listener."""
         for _ in range(3000):
             if len(self.accepted["old"]) + len(self.accepted["new"]) == len(self.clients):
                 break
@@ -49,7 +49,7 @@
 
 
 def test_successor_gets_no_connections_until_it_starts() -> None:
-    pair = Pair()
+    pair = ListenerPair()
 
     def scenario() -> None:
         assert (pair.old.has_predecessor, pair.new.has_predecessor) == (False, True)
@@ -66,34 +66,34 @@
 
 
 def test_no_connection_is_reset_when_the_first_listener_gives_way_and_closes() -> None:
-    pair = Pair()
+    pair = ListenerPair()
 
     def scenario() -> None:
         pair.old.start()
         pair.new.start()
-        pair.connect(50)  # some are queued at the old one when it gives way
+        pair.connect(50)  # some are queued at the old listener when it yields
         pair.old.yield_to_successor()
-        before = pair.counts()
+        counts_before = pair.counts()
         pair.connect(100)
-        assert pair.counts() == (before[0], before[1] + 100)
+        assert pair.counts() == (counts_before[0], counts_before[1] + 100)
         pair.connect(20)
         pair.old.close()
         pair.connect(20)
-        assert pair.counts() == (before[0], before[1] + 140)
-        # The steering of the closed listener does not outlive it: a third one shares with the second.
+        assert pair.counts() == (counts_before[0], counts_before[1] + 140)
+        # A closed listener no longer redirects connections: a third one shares them with the second.
         third = Listener(pair.scheduler, pair.address, pair.accepted["old"].append, shared=True)
         third.start()
         pair.connect(200)
         old, new = pair.counts()
-        assert old > before[0]
-        assert new > before[1] + 140
+        assert old > counts_before[0]
+        assert new > counts_before[1] + 140
         third.close()
 
     pair.run(scenario)
 
 
 def test_listener_without_successor_goes_on_accepting_after_giving_way() -> None:
-    pair = Pair()
+    pair = ListenerPair()
 
     def scenario() -> None:
         pair.old.start()
@@ -105,7 +105,7 @@
 
 
 def test_listener_that_never_started_closes() -> None:
-    pair = Pair()
+    pair = ListenerPair()
 
     def scenario() -> None:
         pair.old.start()
@@ -117,5 +117,5 @@
 
 
 def test_unshared_address_is_not_available() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as other, pytest.raises(OSError, match="in use"):
-        Listener(Scheduler(), other.getsockname(), lambda _: None, shared=True)
+    with socket.create_server(("127.0.0.1", 0)) as unshared_socket, pytest.raises(OSError, match="in use"):
+        Listener(Scheduler(), unshared_socket.getsockname(), lambda _: None, shared=True)
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -1,4 +1,4 @@
-"""Checks that recorded bytes of wire formats and stored data are decoded, encoded, read and written exactly."""
+"""Checks that recorded wire formats and stored data are decoded, encoded, read and written byte for byte."""
 
 from __future__ import annotations
 
