--- a/tests/system/test_operation.py
+++ b/tests/system/test_operation.py
@@ -47,7 +47,7 @@
         return RunningProxy(self, self.stack.enter_context(process), control)
 
     def churn(self) -> None:
-        """Repeatedly opens a connection, sends a line and closes. No answer fails the scenario."""
+        """Repeatedly opens a connection, sends a line and closes. A missing answer fails the scenario."""
         while not self.ending:
             client = Client(self.scheduler, self.address)
             try:
--- a/tests/system/test_system_calls.py
+++ b/tests/system/test_system_calls.py
@@ -178,14 +178,14 @@
 SLOW_START = MappingProxyType(platform_settings()["rules"] | {"coldFrom": 0.05, "rampTimeS": 60.0})
 
 
-@pytest.mark.parametrize("clock_step_s", [0.0, 3600.0, -3600.0])
-def test_slow_start_budget_holds_whatever_the_wall_clock(tmp_path: Path, clock_step_s: float) -> None:
+@pytest.mark.parametrize("step_s", [0.0, 3600.0, -3600.0])
+def test_slow_start_budget_holds_whatever_the_wall_clock(tmp_path: Path, step_s: float) -> None:
     """The wall clock of a machine may be stepped by seconds or by an hour.
 
     Without a budget the new one of four equal servers would get a fourth of the 400 requests. The budget of a
     window is 0.4 x 3 x 0.05 of what an old server gets in it, and there are two windows.
     """
-    with create_site(tmp_path, FaultPlan(clock_step_s=clock_step_s), {"rules": dict(SLOW_START)}) as site:
+    with create_site(tmp_path, FaultPlan(clock_step_s=step_s), {"rules": dict(SLOW_START)}) as site:
 
         def scenario() -> None:
             site.send_requests(800, 4.0, seed=1)  # the usual rate of requests
