--- a/tests/unit/administration/test_configuration_api.py
+++ b/tests/unit/administration/test_configuration_api.py
@@ -228,7 +228,7 @@
     }
     changed_twice = "'b' is changed twice"
     for arguments, expected_message in (
-        (["a"], "'a' is no change"),
+        (["a"], "'a' is not a change"),
         (["b=3"], changed_twice),
         (["q-", "q=1"], "twice"),
     ):
@@ -240,7 +240,7 @@
         config.read_changes([], str(tmp_path / "none"))
     for text in ("", "[]", '{"a": 1}'):
         file.write_text(text)
-        with pytest.raises(ConfigError, match="is no JSON object of keys and texts"):
+        with pytest.raises(ConfigError, match="expected a JSON object whose values are strings or null"):
             config.read_changes([], str(file))
 
 
--- a/tests/unit/configuration/test_settings.py
+++ b/tests/unit/configuration/test_settings.py
@@ -212,7 +212,7 @@
     assert "ring.json: the key ring cannot be read" in capsys.readouterr().err
     assert main(["keys", "new", "first", "--store", str(tmp_path / "keys")]) == 0
     assert main(["check-config", *options]) == 0
-    assert f"the settings in {settings} are fit for use" in capsys.readouterr().out
+    assert f"the settings in {settings} are valid" in capsys.readouterr().out
     # The same file is invalid if the platform's settings do not define its classes.
     assert main(["check-config", "--config", write_config_file(tmp_path), "--settings", str(settings)]) == 2
     assert (
