--- a/ironmill_testbed/faults/__init__.py
+++ b/ironmill_testbed/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults between members: one schedule for real processes behind a switch and for a simulated network."""
+"""Fault injection: the same schedules of faults apply to real processes and to a simulated network."""
--- a/ironmill_testbed/faults/checker.py
+++ b/ironmill_testbed/faults/checker.py
@@ -1,4 +1,4 @@
-"""Evaluates a run by the logs of its processes alone."""
+"""Evaluation of a run from the logs of its processes."""
 
 from __future__ import annotations
 
@@ -13,16 +13,19 @@
 
 
 class LoggedEvent(Struct, frozen=True):
-    """One event of one process."""
+    """One event that a process has logged."""
 
-    at: float  # by the monotonic clock, which all processes of a machine share
+    at: float  # seconds of the monotonic clock, which all processes of a machine share
     name: str  # of the process
-    what: str
+    what: str  # name of the event without its subject, such as "removed"
     fields: dict[str, Any]
 
 
-def read_logs(folder: Path, names: Sequence[str], about: str = "member") -> list[LoggedEvent]:
-    """Returns the events of some processes in order of time. A line that a kill truncated is ignored."""
+def read_logs(folder: Path, names: Sequence[str], subject: str = "member") -> list[LoggedEvent]:
+    """Returns the events about a subject that the named processes have logged, ordered by time.
+
+    Lines that are not valid JSON are ignored, as the last line of a killed process may be truncated.
+    """
     events: list[LoggedEvent] = []
     for name in names:
         path = folder / f"{name}.log"
@@ -32,15 +35,18 @@
             except orjson.JSONDecodeError:
                 continue
             text = str(fields.get("event", ""))
-            if text.startswith(f"{about} ") and "at" in fields:
-                what = text.removeprefix(f"{about} ")
+            if text.startswith(f"{subject} ") and "at" in fields:
+                what = text.removeprefix(f"{subject} ")
                 events.append(LoggedEvent(float(fields["at"]), name, what, fields))
     events.sort(key=lambda event: event.at)
     return events
 
 
 def removals(events: Iterable[LoggedEvent], since: float, until: float = float("inf")) -> list[LoggedEvent]:
-    """Returns the removals of members from the views of others; a graceful shutdown is none."""
+    """Returns the events in which a process removed another member from its view.
+
+    A graceful shutdown is logged as ``left`` and is not among them.
+    """
     return [
         event
         for event in events
@@ -51,16 +57,16 @@
 def detection_delays(
     events: Iterable[LoggedEvent], names: Sequence[str], dead: str, since: float
 ) -> list[float]:
-    """Returns, for each of the members, after how many seconds it removed the dead one first."""
-    first: dict[str, float] = {}
+    """Returns for each member the seconds until it first removed the dead one; infinite if it did not."""
+    first_delays: dict[str, float] = {}
     for event in removals(events, since):
         if event.fields["member"] == dead and event.name in names:
-            first.setdefault(event.name, event.at - since)
-    return [first.get(name, float("inf")) for name in names]
+            first_delays.setdefault(event.name, event.at - since)
+    return [first_delays.get(name, float("inf")) for name in names]
 
 
 def count_flaps(events: Iterable[LoggedEvent], since: float, until: float) -> int:
-    """Returns how many removals within the span were repeated ones of the same member from the same view."""
+    """Returns how many removals in the interval repeat one of the same member from the same view."""
     counts: dict[tuple[str, str], int] = {}
     for event in removals(events, since, until):
         key = (event.name, event.fields["member"])
@@ -69,7 +75,7 @@
 
 
 def count_view_sequences(events: Iterable[LoggedEvent], names: Sequence[str], since: float) -> int:
-    """Returns the number of different sequences of views; 1 if all members had the same one."""
+    """Returns the number of different sequences of views; 1 if all members went through the same one."""
     views: dict[str, list[str]] = {name: [] for name in names}
     for event in events:
         if event.what in VIEW_CHANGES and event.at >= since and event.name in views:
--- a/ironmill_testbed/faults/fleet_observer.py
+++ b/ironmill_testbed/faults/fleet_observer.py
@@ -1,8 +1,8 @@
-"""Checks the guarantees of distribution while a simulated fleet runs.
+"""Checks of the guarantees of distribution while a simulated fleet runs.
 
-A proxy is reachable if it runs, is not paused, and has links both ways to a relay that has links both ways to
-a running origin. Otherwise it has to be stale ``MAX_STALENESS_DETECTION_S`` after the last time at which a
-relay that reaches it has heard from an origin.
+A proxy is reachable if it runs, is not paused, and has links in both directions to a relay that has links in
+both directions to a running origin. Any other running proxy must report itself as stale no later than
+``MAX_STALENESS_DETECTION_S`` after the last time at which a relay with links to it heard from an origin.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 from ironmill_testbed.faults.fleet_traffic import TrafficMeter
 from ironmill_testbed.faults.memory_store import Disk
 
-MAX_STALENESS_DETECTION_S = 5.0  # without contact, until a proxy reports itself as stale
-MAX_CATCH_UP_S = 3.0  # of contact, until a proxy has applied the latest position
-MAX_EXAMPLES = 20  # of broken guarantees
+MAX_STALENESS_DETECTION_S = 5.0  # time without contact until a proxy must report itself as stale
+MAX_CATCH_UP_S = 3.0  # time of contact until a proxy must have applied the latest position
+MAX_EXAMPLES = 20  # of violated guarantees that are described
 
 
 class ObservedFleet(Protocol):
-    """What an observer needs of a fleet."""
+    """The interface that an observer needs of a fleet."""
 
     now: float
     processes: dict[str, FleetProcess]
@@ -50,33 +50,34 @@
     disk: Disk
 
     def schedule(self, at_s: float, action: Callable[..., None], *args: object) -> None:
-        """Schedules an action."""
+        """Calls an action at a time of the virtual clock."""
 
     def is_running(self, process: FleetProcess) -> bool:
         """Returns True if the process exists and is not paused."""
 
 
 class ObservedProcess(Struct):
-    """What is known of one process of the fleet."""
+    """The observer's state of one process of the fleet."""
 
-    applied_position: Position = START  # of this incarnation
-    highest_position: Position = START  # of all its incarnations
+    applied_position: Position = START  # by the current incarnation
+    highest_position: Position = START  # by any incarnation
     reachable_since: float = math.inf  # infinite while it is unreachable
-    origin_heard_until: float = math.inf  # infinite while it is reachable; of a relay while it has an origin
-    target: Position | None = None  # to be applied within MAX_CATCH_UP_S of contact
-    orphan_since: float = math.inf
+    # Last contact with an origin; infinite for a reachable proxy, and for a relay with links to an origin.
+    origin_heard_until: float = math.inf
+    target: Position | None = None  # position to be applied within MAX_CATCH_UP_S of contact
+    orphan_since: float = math.inf  # when its relay ended; infinite once it has another parent
     is_rejecting: bool = False
 
 
 class FleetObserver:
-    """Listens to the events of a fleet, and counts broken guarantees."""
+    """An observer that receives the events of a fleet and counts violated guarantees."""
 
     def __init__(self, fleet: ObservedFleet) -> None:
-        """The fleet's processes must exist, and none has been started yet."""
+        """Creates an observer for a fleet whose processes have all been created and none started."""
         self._fleet = fleet
         self.traffic = TrafficMeter(fleet.processes)
         self.processes = {name: ObservedProcess() for name in fleet.processes}
-        self.pushed_at: dict[int, tuple[float, Position]] = {}  # by number
+        self.pushed_at: dict[int, tuple[float, Position]] = {}  # by the number of the revision
         self.digests: dict[Position, int] = {}
         self.latest_position = START
         self.latencies = array("d")
@@ -89,14 +90,14 @@
         self.false_fully_applied = 0
         self.rejected = 0
         self.superseded = 0
-        self.fully_applied: dict[Position, float] = {}  # seconds since the push
-        self.counts: dict[str, int] = {}  # of events, by their name in the log
+        self.fully_applied: dict[Position, float] = {}  # seconds from the push
+        self.counts: dict[str, int] = {}  # number of events, by their name in the log
         self.broken: list[str] = []
 
-    # What the fleet reports
+    # Reports of the fleet
 
     def on_started(self, process: FleetProcess) -> None:
-        """Takes the start of a process, which has no configuration yet."""
+        """Records the start of a process, which has no configuration yet."""
         highest_position = self.processes[process.name].highest_position
         observed = ObservedProcess(highest_position=highest_position)
         if process.role == "relay":
@@ -105,7 +106,7 @@
         self.traffic.reset(process.name)
 
     def on_state_set(self, position: Position) -> None:
-        """Takes that all running processes begin with this position."""
+        """Records that all running processes have been initialized at this position."""
         for name, process in self._fleet.processes.items():
             if process.node is not None:
                 observed = self.processes[name]
@@ -114,7 +115,7 @@
                 observed.target = None
 
     def on_ended(self, process: FleetProcess) -> None:
-        """Takes the end of a process."""
+        """Records the end of a process."""
         observed = self.processes[process.name]
         observed.reachable_since = math.inf
         observed.origin_heard_until = math.inf
@@ -128,20 +129,20 @@
             self.update_reachability()
 
     def on_origin_opened(self, replica: Replica) -> None:
-        """Takes what an origin begins with."""
+        """Records the position and digest at which an origin has opened its store."""
         self.latest_position = replica.received_position
         self.digests[replica.received_position] = replica.digest
 
     def on_pushed(self, position: Position, digest: int) -> None:
-        """Takes a position that an origin has returned for a push."""
+        """Records a position that an origin has returned for a push."""
         if position in self.digests:
-            return  # a repeated ticket
+            return  # the ticket was repeated, so the origin returned the position of the first push
         self.latest_position = position
         self.digests[position] = digest
         self.pushed_at[position.number] = self._fleet.now, position
 
     def update_reachability(self, only: FleetProcess | None = None) -> None:
-        """Determines which proxies are reachable: one, or all."""
+        """Determines which proxies are reachable. If ``only`` is a proxy, the others are not updated."""
         relays = self._connected_relays()
         self._update_relays(relays)
         proxies = self._fleet.proxies if only is None or only.role != "subscriber" else [only]
@@ -171,7 +172,7 @@
         ]
 
     def _update_relays(self, connected: Sequence[FleetProcess]) -> None:
-        """Notes until when each relay has heard from an origin."""
+        """Records until when each relay has heard from an origin."""
         for relay in self._fleet.relays:
             observed = self.processes[relay.name]
             if relay in connected:
@@ -192,7 +193,9 @@
         observed.reachable_since = math.inf
         observed.target = None
         if not is_running:
-            observed.origin_heard_until = math.inf  # it cannot report anything
+            observed.origin_heard_until = (
+                math.inf
+            )  # a process that does not run cannot report that it is stale
             return
         heard_until = now if observed.origin_heard_until == math.inf else observed.origin_heard_until
         heard_until = max(heard_until, self._heard_by_linked_relays(proxy))
@@ -202,7 +205,7 @@
             self._fleet.schedule(deadline, self._check_staleness, proxy, node, heard_until)
 
     def _heard_by_linked_relays(self, proxy: FleetProcess) -> float:
-        """Returns until when the relays that tell a proxy of the origin have heard from it themselves."""
+        """Returns the last time at which a relay with links to the proxy heard from an origin."""
         heard = (
             self.processes[relay.name].origin_heard_until
             for relay in self._fleet.relays
@@ -219,12 +222,12 @@
             assert isinstance(node, ProxyNode)
             if not node.subscriber.freshness.is_stale:
                 self.stale_unnoticed += 1
-                self._record_broken(f"{process.name} has not reported itself as stale")
+                self._record_violation(f"{process.name} did not report itself as stale in time")
 
     # Events of nodes
 
     def on_event(self, process: FleetProcess, event: Event) -> None:
-        """Takes an event of a process."""
+        """Records an event of a process."""
         name = log_line(event).name
         self.counts[name] = self.counts.get(name, 0) + 1
         match event:
@@ -256,7 +259,7 @@
         observed.is_rejecting = False
         if position <= previous:
             self.older_after_newer += 1
-            self._record_broken(f"{process.name}: {position} after {previous}")
+            self._record_violation(f"{process.name} applied position {position} after {previous}")
         if position < observed.highest_position and process.role != "origin":
             self.older_after_restart += 1
         observed.highest_position = max(observed.highest_position, position)
@@ -267,12 +270,14 @@
             self._record_latencies(observed, previous)
 
     def _check_state(self, process: FleetProcess, event: RevisionApplied) -> None:
-        """Checks that the keyspace is the one that the origin had at the position."""
+        """Checks that the keyspace is equal to the one that the origin had at this position."""
         node = process.node
         assert isinstance(node, ProxyNode | Relay)
         if not self.digests.get(event.position) == event.digest == node.replica.keyspace.digest:
             self.partially_applied += 1
-            self._record_broken(f"{process.name}: at {event.position} it is not what the origin has there")
+            self._record_violation(
+                f"{process.name} at position {event.position} differs from the origin at this position"
+            )
 
     def _record_latencies(self, observed: ObservedProcess, previous: Position) -> None:
         now, position = self._fleet.now, observed.applied_position
@@ -291,34 +296,36 @@
             applied_position = self.processes[proxy.name].applied_position
             if proxy.node is not None and START < applied_position < position:
                 self.false_fully_applied += 1
-                self._record_broken(
-                    f"{position} is not applied at {proxy.name}, which has {applied_position}"
+                self._record_violation(
+                    f"{position} was reported as fully applied, but {proxy.name} is at {applied_position}"
                 )
 
-    def _record_broken(self, text: str) -> None:
+    def _record_violation(self, text: str) -> None:
         if len(self.broken) < MAX_EXAMPLES:
             self.broken.append(f"{self._fleet.now:.3f} s: {text}")
 
-    # At the end
+    # Checks at the end of a run
 
     def lost(self) -> int:
-        """Counts changes that reachable proxies have not applied within ``MAX_CATCH_UP_S``."""
-        due_by, count = self._fleet.now - MAX_CATCH_UP_S, 0
+        """Returns the number of changes that reachable proxies have not applied within ``MAX_CATCH_UP_S``."""
+        cutoff, count = self._fleet.now - MAX_CATCH_UP_S, 0
         for proxy in self._fleet.proxies:
             observed = self.processes[proxy.name]
-            if proxy.node is None or observed.reachable_since > due_by or observed.is_rejecting:
+            if proxy.node is None or observed.reachable_since > cutoff or observed.is_rejecting:
                 continue
             numbers = range(observed.applied_position.number + 1, self.latest_position.number + 1)
             overdue = [
-                number for number in numbers if self.pushed_at.get(number, (-math.inf, START))[0] <= due_by
+                number for number in numbers if self.pushed_at.get(number, (-math.inf, START))[0] <= cutoff
             ]
             if overdue:
                 count += len(overdue)
-                self._record_broken(f"{proxy.name}: {observed.applied_position} of {self.latest_position}")
+                self._record_violation(
+                    f"{proxy.name} is at {observed.applied_position}; the latest is {self.latest_position}"
+                )
         return count
 
     def differing(self) -> int:
-        """Counts proxies at the latest position whose keys and values are not those of the store."""
+        """Returns how many proxies at the latest position have keys or values that differ from the store."""
         disk, count = self._fleet.disk, 0
         for proxy in self._fleet.proxies:
             node = proxy.node
@@ -328,13 +335,13 @@
                 continue
             if dict(node.replica.keyspace.entries()) != disk.values:
                 count += 1
-                self._record_broken(f"{proxy.name}: its keys are not those of the store")
+                self._record_violation(f"the keys and values of {proxy.name} differ from the store")
         return count
 
     # Traffic
 
     def measure_traffic(self) -> None:
-        """Measures the traffic of each second from now on."""
+        """Starts to measure the traffic of each second."""
         self.traffic.begin()
         self._fleet.schedule(self._fleet.now + 1.0, self._measure_second)
 
--- a/ironmill_testbed/faults/fleet_process.py
+++ b/ironmill_testbed/faults/fleet_process.py
@@ -1,4 +1,4 @@
-"""One process of a simulated fleet, and the consumer of a simulated proxy."""
+"""A process of a simulated fleet, and the consumer of a simulated proxy."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 
 
 class SimulatedConsumer:
-    """Accepts all changes but values of keys with certain prefixes, and keeps nothing."""
+    """A consumer that rejects values for keys with certain prefixes, accepts all else and stores nothing."""
 
     lookup_prefixes: tuple[str, ...] = ("shard/",)
 
     def __init__(self, rejected_prefixes: tuple[str, ...] = ()) -> None:
-        """Rejects changes that set a key with one of these prefixes."""
+        """Creates a consumer that rejects changes that set a key with one of these prefixes."""
         self.rejected_prefixes = rejected_prefixes
 
     def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
-        """Rejects the first key with one of the prefixes."""
+        """Returns a rejection of the first key that is set and has one of the prefixes, otherwise None."""
         for key, value in changes.items():
             if self.rejected_prefixes and value is not None and key.startswith(self.rejected_prefixes):
                 return Rejection(key, "this proxy does not take it")
         return None
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
-        """Does nothing."""
+        """Ignores the changes."""
 
 
 _ACCEPTS_ALL = SimulatedConsumer()
 
 
 class FleetProcess(NetworkProcess):
-    """One process of the fleet, running or not."""
+    """A process of the fleet, which may or may not be running."""
 
     def __init__(self, name: str, role: str, zone: str, region: str, address: Address) -> None:
-        """``role`` is that of its node; it does not run yet."""
+        """Creates a process without a node. ``role`` is the role of the node that it runs later."""
         super().__init__(name, zone, address)
         self.role = role
         self.region = region
-        self.node: Node | None = None  # None while it does not exist
+        self.node: Node | None = None  # None while the process does not run
         self.consumer: Consumer = _ACCEPTS_ALL
 
     def state_machine(self) -> Node | None:
-        """Returns the node."""
+        """Returns the node, or None while the process does not run."""
         return self.node
--- a/ironmill_testbed/faults/fleet_traffic.py
+++ b/ironmill_testbed/faults/fleet_traffic.py
@@ -1,4 +1,4 @@
-"""Measures what the processes of a simulated fleet send and receive in each second."""
+"""Traffic of a simulated fleet in each second, by role."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class TrafficSecond(Struct):
-    """Bytes and datagrams of one second, by role. The highest values are those of single processes."""
+    """Bytes and datagrams of one second, by role. ``highest`` fields are the maximum of a single process."""
 
-    proxies: int = 0  # running
+    proxies: int = 0  # number of running proxies
     proxy_sent: int = 0
     proxy_received: int = 0
-    proxy_highest: int = 0  # sent and received
-    relays: int = 0
+    proxy_highest: int = 0  # sent and received bytes
+    relays: int = 0  # number of running relays
     relay_sent: int = 0
     relay_highest: int = 0
     relay_datagrams_highest: int = 0
@@ -34,34 +34,34 @@
 
 
 class TrafficMeter:
-    """Takes the differences of the processes' counters."""
+    """Measures the traffic of each second by the differences of the processes' counters."""
 
     def __init__(self, processes: Mapping[str, FleetProcess]) -> None:
-        """``processes`` are all of the fleet, by name."""
+        """Creates a meter for all processes of the fleet, which are given by name."""
         self._processes = processes
         self._counters = {name: _Counters() for name in processes}
         self.seconds: list[TrafficSecond] = []
 
     def reset(self, name: str) -> None:
-        """Begins at zero for a process that starts."""
+        """Resets the counters of a process that starts."""
         self._counters[name] = _Counters()
 
     def begin(self) -> None:
-        """Ignores what was counted so far."""
+        """Discards the traffic so far."""
         for name in self._processes:
-            self._take(name)
+            self._measure_process(name)
 
     def measure(self) -> None:
-        """Records what was counted since the last call, as one second."""
+        """Records the traffic since the last call as one second."""
         second = TrafficSecond()
         for name, process in self._processes.items():
-            taken = self._take(name)
-            if taken is not None:
-                _add(second, process.role, taken)
+            traffic = self._measure_process(name)
+            if traffic is not None:
+                _add_to_second(second, process.role, traffic)
         self.seconds.append(second)
 
-    def _take(self, name: str) -> _Counters | None:
-        """Returns what a process has counted since the last call; None if it does not run."""
+    def _measure_process(self, name: str) -> _Counters | None:
+        """Returns the traffic of a process since the last call; None if the process does not run."""
         process = self._processes[name]
         node = process.node
         if node is None:
@@ -76,18 +76,18 @@
         )
 
 
-def _add(second: TrafficSecond, role: str, taken: _Counters) -> None:
+def _add_to_second(second: TrafficSecond, role: str, traffic: _Counters) -> None:
     if role == "subscriber":
         second.proxies += 1
-        second.proxy_sent += taken.sent
-        second.proxy_received += taken.received
-        second.proxy_highest = max(second.proxy_highest, taken.sent + taken.received)
+        second.proxy_sent += traffic.sent
+        second.proxy_received += traffic.received
+        second.proxy_highest = max(second.proxy_highest, traffic.sent + traffic.received)
     elif role == "relay":
         second.relays += 1
-        second.relay_sent += taken.sent
-        second.relay_highest = max(second.relay_highest, taken.sent)
-        second.relay_datagrams_highest = max(second.relay_datagrams_highest, taken.sent_datagrams)
+        second.relay_sent += traffic.sent
+        second.relay_highest = max(second.relay_highest, traffic.sent)
+        second.relay_datagrams_highest = max(second.relay_datagrams_highest, traffic.sent_datagrams)
     else:
-        second.origin_sent += taken.sent
-        second.origin_received += taken.received
-        second.origin_datagrams += taken.sent_datagrams
+        second.origin_sent += traffic.sent
+        second.origin_received += traffic.received
+        second.origin_datagrams += traffic.sent_datagrams
--- a/ironmill_testbed/faults/interning.py
+++ b/ironmill_testbed/faults/interning.py
@@ -1,7 +1,7 @@
-"""Members of one simulated cluster that share equal values, for clusters of a thousand members and more.
+"""Members of a simulated cluster that share equal values, for clusters of a thousand members and more.
 
-Each member has a view of all others, so a record exists as often as there are members. Here equal records,
-opinions and ring positions are one object. The members are the program's own and behave as they do alone.
+Each member has a view of all others, so every record would exist once per member. Here, equal records,
+opinions and ring positions are one shared object. The behavior of the members is that of ironmill's own.
 """
 
 from __future__ import annotations
@@ -21,18 +21,19 @@
 
 
 class InternedPositions(Struct, frozen=True):
-    """The ring positions of one name, and the entries of the rings for it."""
+    """The ring positions of one name, and its entries in the rings."""
 
     positions: list[int]
     entries: list[tuple[int, str]]
 
 
 class MemberInterner:
-    """Creates members of one simulated cluster and interns their values; a ``MemberFactory``."""
+    """A ``MemberFactory`` whose members, all of one simulated cluster, share equal values."""
 
     def __init__(self) -> None:
-        # The newest of each name, and of each observer on each subject; members that lag have older ones.
-        """Starts without values."""
+        """Creates an interner without values."""
+        # Newest record of each name, and newest opinion of each observer on each subject. Members that have
+        # not received these yet keep older ones, which are not interned.
         self._records: dict[str, MemberRecord] = {}
         self._opinions: dict[tuple[str, str], Opinion] = {}
         self._positions: dict[str, InternedPositions] = {}
@@ -40,7 +41,7 @@
     def __call__(
         self, config: MemberConfig, codec: Codec, rng: random.Random, now: float, on_event: EventListener
     ) -> Member:
-        """Creates a member."""
+        """Creates a member whose values are interned."""
         return _InterningMember(self, config, codec, rng, now, on_event)
 
     def intern_record(self, record: MemberRecord) -> MemberRecord:
@@ -60,11 +61,11 @@
         return interned if interned == opinion else opinion
 
     def intern_update(self, update: GossipUpdate) -> GossipUpdate:
-        """Interns a record or an opinion."""
+        """Returns the interned record or opinion if it is equal, and otherwise the update itself."""
         return self.intern_record(update) if isinstance(update, MemberRecord) else self.intern_opinion(update)
 
     def intern_positions(self, name: str) -> InternedPositions:
-        """Returns the ring positions of a name; callers must not change them."""
+        """Returns the shared ring positions of a name, which callers must not modify."""
         interned = self._positions.get(name)
         if interned is None:
             positions = ring_positions(name)
@@ -74,7 +75,7 @@
 
 
 class _InterningRings(Rings):
-    """Rings with interned positions."""
+    """Rings whose positions are interned."""
 
     def __init__(self, interner: MemberInterner) -> None:
         super().__init__()
@@ -89,7 +90,7 @@
 
 
 class _InterningView(View):
-    """A view of interned records and opinions."""
+    """A view whose records and opinions are interned."""
 
     def __init__(self, interner: MemberInterner) -> None:
         super().__init__()
@@ -104,7 +105,7 @@
 
 
 class _InterningMember(Member):
-    """A member with such a view."""
+    """A member whose view and received updates are interned."""
 
     def __init__(
         self,
@@ -115,7 +116,7 @@
         now: float,
         on_event: EventListener,
     ) -> None:
-        self._interner = interner  # the base class creates the view
+        self._interner = interner  # set first, as the constructor of the base class creates the view
         super().__init__(config, codec, rng, now, on_event)
 
     def _create_view(self) -> View:
--- a/ironmill_testbed/faults/memory_store.py
+++ b/ironmill_testbed/faults/memory_store.py
@@ -1,4 +1,4 @@
-"""A store of revisions in memory, with simulated failures of the disk."""
+"""A revision store in memory, with simulated disk failures."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 
 
 class Disk:
-    """The durable state. Each opening makes a store and fences the previous one."""
+    """The durable state of a revision store. Each ``open`` fences the store that was opened before."""
 
     def __init__(self, lineage: int = 77, max_kept: int = 4096) -> None:
-        """``max_kept`` of the last revisions can be undone."""
+        """Creates an empty disk. The last ``max_kept`` revisions are kept and can be undone."""
         self.lineage = lineage
         self.epoch = 0
-        self.observed = 0
+        self.observed = 0  # highest epoch that ``observe`` was given
         self.position = START
         self.values: dict[str, bytes] = {}
-        self.kept: list[tuple[StoredRevision, Changes]] = []  # with the previous values of its keys
+        self.kept: list[tuple[StoredRevision, Changes]] = []  # each with the previous values of its keys
         self.tickets: dict[str, Position] = {}
         self.failure: Literal["", "fails", "full"] = ""
         self._max_kept = max_kept
 
     def fill(self, values: dict[str, bytes]) -> None:
-        """Adds entries as one revision without a history."""
+        """Adds entries as one revision that is not kept in the history."""
         self.values.update(values)
         self.position = Position(max(1, self.epoch), self.position.number + 1)
 
     def open(self) -> RevisionStore:
-        """Opens the store for a writer, with the next epoch."""
+        """Opens the store for a writer and begins the next epoch."""
         self.epoch = max(self.epoch, self.observed) + 1
         return MemoryStore(self)
 
     def commit(self, entry: StoredRevision, ticket: str) -> None:
         """Stores a revision."""
-        before = {key: self.values.get(key) for key in entry.changes}
+        previous_values = {key: self.values.get(key) for key in entry.changes}
         for key, value in entry.changes.items():
             if value is None:
                 self.values.pop(key, None)
             else:
                 self.values[key] = value
-        self.kept.append((entry, before))
+        self.kept.append((entry, previous_values))
         del self.kept[: -self._max_kept]
         self.tickets[ticket] = entry.position
         self.position = entry.position
 
 
 class MemoryStore:
-    """One writer's store; once another writer opens it, it is fenced."""
+    """The store of one writer, which is fenced once another writer has opened the disk."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
@@ -60,7 +60,7 @@
 
     @property
     def position(self) -> Position:
-        """Position of the last revision."""
+        """The position of the last revision."""
         return self._disk.position
 
     @position.setter
@@ -72,44 +72,48 @@
         return iter(list(self._disk.values.items()))
 
     def commit(self, changes: Changes, metadata: RevisionMetadata) -> Position:
-        """Stores the changes as the next revision. Raises ``FencedError`` and ``StoreError``."""
+        """Stores the changes as the next revision and returns its position.
+
+        Returns the earlier position if the ticket was stored before. Raises ``FencedError`` if another writer
+        has opened the store, and ``StoreError`` if the disk fails.
+        """
         if self._disk.failure:
-            raise StoreError(f"the store cannot be written: the disk {self._disk.failure}")
+            raise StoreError(f"the store cannot be written; simulated disk failure: {self._disk.failure}")
         if self.fenced():
-            raise FencedError(f"epoch {self.epoch} is over")
-        before = self.committed(metadata.ticket)
-        if before is not None:
-            return before
+            raise FencedError(f"another writer has opened the store since epoch {self.epoch}")
+        committed_before = self.committed(metadata.ticket)
+        if committed_before is not None:
+            return committed_before
         position = Position(self.epoch, self._disk.position.number + 1)
         revision = StoredRevision(position, metadata.at, metadata.author, metadata.note, dict(changes))
         self._disk.commit(revision, metadata.ticket)
         return position
 
     def committed(self, ticket: str) -> Position | None:
-        """Returns the position of the revision with this ticket, or None."""
+        """Returns the position of the revision with this ticket, or None if there is none."""
         return self._disk.tickets.get(ticket)
 
     def history(self, max_count: int) -> list[StoredRevision]:
-        """Returns the last revisions, the newest first."""
+        """Returns at most ``max_count`` of the last revisions, the newest first."""
         return [entry for entry, _ in reversed(self._disk.kept[-max_count:])]
 
     def undo(self, number: int) -> Changes:
-        """Returns the changes that restore a revision's values. Raises ``StoreError``."""
+        """Returns the changes that restore a revision's values. Raises ``StoreError`` if it is not kept."""
         last = self._disk.position.number
         if number > last or number < last - len(self._disk.kept):
-            raise StoreError(f"revision {number} is not kept")
+            raise StoreError(f"revision {number} is no longer kept, or does not exist")
         changes: Changes = {}
-        for entry, before in reversed(self._disk.kept):
+        for entry, previous_values in reversed(self._disk.kept):
             if entry.position.number > number:
-                changes.update(before)
+                changes.update(previous_values)
         return {key: value for key, value in changes.items() if self._disk.values.get(key) != value}
 
     def fenced(self) -> bool:
-        """Returns True once another writer has opened the store."""
+        """Returns True if another writer has opened the store since."""
         return self.epoch != self._disk.epoch
 
     def observe(self, epoch: int) -> None:
-        """Makes the next opening take a higher epoch. Raises ``StoreError``."""
+        """Makes the next epoch higher than this one. Raises ``StoreError`` if the disk fails."""
         if self._disk.failure:
-            raise StoreError(f"the store cannot be written: the disk {self._disk.failure}")
+            raise StoreError(f"the store cannot be written; simulated disk failure: {self._disk.failure}")
         self._disk.observed = max(self._disk.observed, epoch)
--- a/ironmill_testbed/faults/process_cluster.py
+++ b/ironmill_testbed/faults/process_cluster.py
@@ -1,4 +1,4 @@
-"""Several processes of ``ironmill serve`` that are members of one cluster, behind a switch."""
+"""Proxies as real processes that are members of one cluster, connected by a switch."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ProcessCluster:
-    """The processes by name; they are evaluated by their logs."""
+    """A cluster of processes with names, which tests evaluate by their logs."""
 
     def __init__(
         self,
@@ -39,9 +39,12 @@
         membership: bool = True,
         names: Sequence[str] | None = None,
     ) -> None:
-        """``names`` replaces the names that ``count`` gives; the files of the cluster go to ``folder``."""
+        """Creates the cluster without starting it; its files are written to ``folder``.
+
+        The processes are ``m00`` and so on, ``count`` of them, unless ``names`` lists them.
+        """
         self.folder = folder
-        self.names = [f"m{at:02d}" for at in range(count)] if names is None else list(names)
+        self.names = [f"m{index:02d}" for index in range(count)] if names is None else list(names)
         self.switch = Switch(self.names)
         self.processes: dict[str, Process] = {}
         self.admin_addresses: dict[str, Address] = {}
@@ -54,7 +57,7 @@
         (folder / "members.keys").write_text(KEY + "\n")
 
     def __enter__(self) -> Self:
-        """Starts the processes' dependencies and the switch, and writes the settings."""
+        """Starts the emulated dependencies and the switch, and writes the settings of all processes."""
         self.dependencies = self._stack.enter_context(Dependencies(self.folder, self._hosts))
         for name in self.names:
             self.switch.set_address(name, self.member_addresses[name])
@@ -67,7 +70,7 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Ends all processes."""
+        """Ends all processes, paused ones included."""
         for name in list(self._paused):
             self.resume(name)
         self._stack.close()
@@ -76,9 +79,9 @@
     def _write_config(self, name: str, proxies: int) -> None:
         settings = platform_settings(proxies)
         address = self.client_addresses[name]
-        value = proxy_config(name, address, self.dependencies.discovery, 1024, settings)
-        value["control"] = format_address(self.admin_addresses[name])
-        write_config(self.folder, value)
+        config = proxy_config(name, address, self.dependencies.discovery, 1024, settings)
+        config["control"] = format_address(self.admin_addresses[name])
+        write_config(self.folder, config)
 
     def _write(self, name: str) -> None:
         self._write_config(name, len(self.names))
@@ -109,54 +112,54 @@
     # Processes
 
     def proxy(self, name: str) -> ProxyProcess:
-        """Returns a process that serves clients."""
+        """Returns the process of a proxy."""
         process = self.processes[name]
         assert isinstance(process, ProxyProcess)
         return process
 
     def start(self, *names: str) -> None:
-        """Starts some processes, by default all."""
+        """Starts the named processes, by default all."""
         for name in names or self.names:
             self.processes[name] = self._stack.enter_context(self._process(name))
 
     def _process(self, name: str) -> Process:
-        more = [f"--settings={self.folder / f'{name}.xml'}"]
-        return ProxyProcess(self.folder / f"{name}.json", self.folder, options=more)
+        options = [f"--settings={self.folder / f'{name}.xml'}"]
+        return ProxyProcess(self.folder / f"{name}.json", self.folder, options=options)
 
     def kill(self, *names: str) -> float:
-        """Ends processes by SIGKILL; returns the time before."""
-        at = time.monotonic()
+        """Kills processes with SIGKILL; returns the monotonic time before that."""
+        killed_at = time.monotonic()
         for name in names:
             self.processes[name].popen.kill()
             self.processes.pop(name).popen.wait()
-        return at
+        return killed_at
 
     def shut_down(self, name: str) -> int:
         """Shuts a process down gracefully; returns its exit status."""
         return self.processes.pop(name).end()
 
     def pause(self, name: str) -> float:
-        """Sends SIGSTOP; returns the time after it."""
+        """Sends SIGSTOP to a process; returns the monotonic time after that."""
         self._paused.add(name)
         os.kill(self.processes[name].popen.pid, signal.SIGSTOP)
         return time.monotonic()
 
     def resume(self, name: str) -> float:
-        """Sends SIGCONT; returns the time after it."""
+        """Sends SIGCONT to a process, if it runs; returns the monotonic time after that."""
         self._paused.discard(name)
         if name in self.processes:
             os.kill(self.processes[name].popen.pid, signal.SIGCONT)
         return time.monotonic()
 
     def inject(self, faults: Sequence[Fault], seed: int = 1) -> float:
-        """Replaces the faults of links; returns the time from which they count."""
+        """Replaces the faults of links; returns the monotonic time at which their schedule starts."""
         self.switch.inject(Links(list(faults), seed))
         return self.switch.schedule_start
 
     # Observations
 
     def fetch_view(self, name: str) -> members.ViewReport | None:
-        """Returns the view of a process; None if it cannot be fetched."""
+        """Returns the view of a process, or None if it cannot be fetched."""
         try:
             return members.fetch_view(*self.admin_addresses[name])
         except members.MembersError:
@@ -168,12 +171,12 @@
         return () if report is None else tuple(member.name for member in report.members)
 
     def agree(self, names: Sequence[str], on: Sequence[str] | None = None) -> bool:
-        """Returns whether the views of some processes are exactly ``on``, by default themselves."""
+        """Returns True if the views of these processes are exactly ``on``, by default these processes."""
         expected = tuple(sorted(names if on is None else on))
         return all(self.member_names(name) == expected for name in names)
 
     def wait_until(self, condition: Callable[[], bool], limit_s: float = DEFAULT_WAIT_LIMIT_S) -> float:
-        """Waits for a condition; returns the seconds that took. Raises ``RuntimeError`` after ``limit_s``."""
+        """Waits until a condition is true; returns the seconds. Raises ``RuntimeError`` after ``limit_s``."""
         start = time.monotonic()
         while not condition():
             if time.monotonic() - start > limit_s:
@@ -183,5 +186,5 @@
         return time.monotonic() - start
 
     def logged_events(self) -> list[LoggedEvent]:
-        """Returns the events that the processes have logged so far."""
+        """Returns the membership events that the processes have logged so far."""
         return read_logs(self.folder, self.names)
--- a/ironmill_testbed/faults/schedule.py
+++ b/ironmill_testbed/faults/schedule.py
@@ -1,7 +1,8 @@
-"""Schedules of faults: what goes wrong, when, and between whom. A schedule and a seed reproduce a run.
+"""Schedules of faults of links and processes. A schedule and a seed reproduce a run.
 
-A schedule file is JSON: a list of faults, each with its ``kind``, its ``start`` and ``end`` in seconds, and
-the links (``sources`` and ``targets``: names, or none for all) or processes (``names``) that it concerns.
+A schedule file is a JSON list of faults. Each has a ``kind``, a ``start`` and ``end`` in seconds, and either
+the links (names of ``sources`` and ``targets``; an empty list means all) or the processes (``names``) that it
+affects.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from msgspec import Struct, field
 
 LINK_FAULTS = ("loss", "delay", "duplicate", "corrupt", "cut")
-MIN_LINK_DELAY_S, MAX_LINK_DELAY_S = 0.0002, 0.001  # without a fault
+MIN_LINK_DELAY_S, MAX_LINK_DELAY_S = 0.0002, 0.001  # seconds, without a fault
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
@@ -25,15 +26,15 @@
     kind: Literal["loss", "delay", "duplicate", "corrupt", "cut", "pause", "kill", "start"]
     start: float
     end: float = math.inf
-    sources: tuple[str, ...] = ()  # of links; empty for all
-    targets: tuple[str, ...] = ()  # of links; empty for all
-    fraction: float = field(default=1.0, name="share")  # of the datagrams
+    sources: tuple[str, ...] = ()  # of links; empty means all processes
+    targets: tuple[str, ...] = ()  # of links; empty means all processes
+    fraction: float = field(default=1.0, name="share")  # of the datagrams that it affects
     min_delay_s: float = field(default=0.0, name="least")  # delays are uniformly distributed
     max_delay_s: float = field(default=0.0, name="most")
-    names: tuple[str, ...] = ()  # of processes
+    names: tuple[str, ...] = ()  # of the processes that it affects
 
     def is_active(self, now: float, source: str, target: str) -> bool:
-        """Returns whether the fault concerns a link at a time."""
+        """Returns True if the fault affects a link at a time."""
         return (
             self.start <= now < self.end
             and (not self.sources or source in self.sources)
@@ -42,20 +43,20 @@
 
 
 def load(path: Path) -> list[Fault]:
-    """Returns the schedule in a file; raises ``msgspec.ValidationError`` if it is invalid."""
+    """Reads a schedule from a file. Raises ``msgspec.ValidationError`` if it is invalid."""
     return msgspec.json.decode(path.read_bytes(), type=list[Fault])
 
 
 def both_ways(start: float, end: float, one: tuple[str, ...], other: tuple[str, ...]) -> list[Fault]:
-    """Returns a partition: two sets of processes that cannot reach each other."""
+    """Returns the faults of a partition: two sets of processes that cannot reach each other."""
     return [Fault("cut", start, end, one, other), Fault("cut", start, end, other, one)]
 
 
 class Links:
-    """Delivers datagrams between processes, subject to the faults of a schedule."""
+    """Links between processes, which the faults of a schedule affect."""
 
     def __init__(self, faults: list[Fault], seed: int) -> None:
-        """Faults of processes in the schedule are ignored."""
+        """Creates links. Faults of processes in ``faults`` are ignored; ``seed`` determines random values."""
         self._faults = [fault for fault in faults if fault.kind in LINK_FAULTS]
         self._rng = random.Random(seed)
 
@@ -88,14 +89,14 @@
         return MIN_LINK_DELAY_S + (MAX_LINK_DELAY_S - MIN_LINK_DELAY_S) * self._rng.random()
 
     def is_active(self, fault: Fault, now: float, source: str, target: str) -> bool:
-        """Returns whether a fault concerns a link at a time."""
+        """Returns True if a fault affects a link at a time."""
         return fault.is_active(now, source, target)
 
     def is_cut(self, now: float, source: str, target: str) -> bool:
-        """Returns whether no datagram passes from one process to the other at a time."""
+        """Returns True if no datagram passes from the source to the target at a time."""
         cuts = (fault for fault in self._faults if fault.kind == "cut")
         return any(self.is_active(fault, now, source, target) for fault in cuts)
 
     def _flip_bit(self, data: bytes) -> bytes:
-        at = int(self._rng.random() * len(data))
-        return data[:at] + bytes([data[at] ^ (1 << int(self._rng.random() * 8))]) + data[at + 1 :]
+        index = int(self._rng.random() * len(data))
+        return data[:index] + bytes([data[index] ^ (1 << int(self._rng.random() * 8))]) + data[index + 1 :]
--- a/ironmill_testbed/faults/simulated_cluster.py
+++ b/ironmill_testbed/faults/simulated_cluster.py
@@ -1,4 +1,4 @@
-"""A network of members on a virtual clock: the state machines of the program, unchanged, and nothing else."""
+"""A simulated cluster on a virtual clock. Its members are the unchanged state machines of ironmill."""
 
 from __future__ import annotations
 
@@ -32,38 +32,38 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of all datagrams so far."""
+        """The bytes of all datagrams that it has sent."""
 
     def members(self) -> list[MemberRecord]:
         """Returns the records of the members in the view, by name."""
 
     def restore(self, records: Sequence[MemberRecord], now: float, /) -> None:
-        """Starts from a view that is known to be true."""
+        """Replaces the view by records that are known to be correct."""
 
     def tick(self, now: float, /) -> list[Datagram]:
-        """Runs everything that is due."""
+        """Runs everything that is due; returns the datagrams to send."""
 
     def receive(self, data: bytes, source: Address, now: float, /) -> list[Datagram]:
-        """Handles a datagram."""
+        """Handles a datagram; returns the datagrams to send."""
 
     def leave(self, now: float, /) -> list[Datagram]:
-        """Announces a graceful shutdown."""
+        """Announces a graceful shutdown; returns the datagrams to send."""
 
 
 MemberFactory = Callable[[MemberConfig, Codec, random.Random, float, EventListener], SimulatedMember]
 
 
 class ClusterOptions(Struct, frozen=True):
-    """What differs between simulated clusters beside their size, faults and seed."""
+    """Options of a simulated cluster besides its size, faults and seed."""
 
     timing: Timing = Timing()
     seed_members: int = 2
     zones: int = 3
-    make_member: MemberFactory = Member  # those of the program, or of a baseline
+    make_member: MemberFactory = Member  # ironmill's members, or those of a baseline
 
 
 class ClusterEvent(Struct, frozen=True):
-    """An event of one member."""
+    """An event that one member has reported."""
 
     at_s: float
     observer: str
@@ -74,17 +74,17 @@
     """The process of one member."""
 
     def __init__(self, name: str, zone: str, address: Address) -> None:
-        """Starts without a running member."""
+        """Creates a process that does not run yet."""
         super().__init__(name, zone, address)
         self.member: SimulatedMember | None = None
 
     def state_machine(self) -> SimulatedMember | None:
-        """Returns the member."""
+        """Returns the member, or None while the process does not run."""
         return self.member
 
 
 class SimulatedCluster(SimulatedNetwork[SimulatedProcess]):
-    """The processes of a cluster of members."""
+    """A cluster of simulated processes, each with one member."""
 
     def __init__(
         self,
@@ -99,9 +99,9 @@
         self._options = options or ClusterOptions()
         self.events: list[ClusterEvent] = []
         self._rng = random.Random(seed)
-        for at in range(count):
-            address = (f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}", 7000)
-            self.add_process(SimulatedProcess(f"p{at:05d}", f"z{at % self._options.zones}", address))
+        for number in range(count):
+            address = (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 7000)
+            self.add_process(SimulatedProcess(f"p{number:05d}", f"z{number % self._options.zones}", address))
         self._seeds = list(self._by_address)[: self._options.seed_members]
         for fault in faults:
             self.schedule_fault(fault, fault.names)
@@ -109,7 +109,7 @@
     # Time
 
     def run_until(self, condition: Callable[[], bool], limit_s: float) -> float | None:
-        """Runs until a condition is true; returns the seconds that took, or None after ``limit_s``."""
+        """Runs until a condition is true. Returns the seconds until then, or None after ``limit_s``."""
         start = self.now
         while self.now < start + limit_s:
             if condition():
@@ -120,7 +120,7 @@
     # Processes
 
     def start(self, name: str, clock_offset_s: float = 0.0) -> None:
-        """Starts a process, or starts it again, with a wall clock that is ahead by ``clock_offset_s``."""
+        """Starts or restarts a process, whose wall clock is ahead by ``clock_offset_s``."""
         process = self.processes[name]
         process.reset()
         unix_time_ms = int((START_UNIX_TIME_S + clock_offset_s + self.now) * 1000.0)
@@ -136,21 +136,21 @@
         self.schedule(first_tick_at, self._tick, process, process.member)
 
     def start_all(self, within_s: float = 0.2) -> None:
-        """Starts all processes at random times within some seconds."""
+        """Starts all processes at random times within ``within_s`` seconds."""
         for name in self.processes:
             self.schedule(self.now + within_s * self._rng.random(), self.start, name)
 
     def start_converged(self) -> None:
-        """Starts all processes with the complete view, as after a long time."""
+        """Starts all processes with the complete view, as in a cluster that has run for a long time."""
         for name in self.processes:
             self.start(name)
         records = [MemberRecord(member.identity, 2) for member in self.running_members()]
         for member in self.running_members():
             member.restore(records, self.now)
-            self.events.clear()  # of this member alone there are as many as members
+            self.events.clear()  # discards the events of this restore, one for each member of the cluster
 
     def kill(self, name: str) -> None:
-        """Ends a process without notice."""
+        """Ends a process without a graceful shutdown."""
         self.processes[name].member = None
 
     def leave(self, name: str) -> None:
@@ -161,17 +161,17 @@
             process.member = None
 
     def pause(self, name: str, until: float) -> None:
-        """Stops a process until a time, as SIGSTOP does."""
+        """Pauses a process until a time, as SIGSTOP and SIGCONT do."""
         self.processes[name].paused_until = until
 
     # Observations
 
     def running_members(self) -> list[SimulatedMember]:
-        """Returns the members of the processes that have not ended."""
+        """Returns the members of all running processes, paused ones included."""
         return [process.member for process in self.processes.values() if process.member is not None]
 
     def views(self, names: Sequence[str] | None = None) -> set[tuple[str, ...]]:
-        """Returns the different views of some members, by default of all that run."""
+        """Returns the distinct views of these members, by default of all running ones."""
         processes = self.processes.values() if names is None else [self.processes[name] for name in names]
         return {
             tuple(record.identity.name for record in process.member.members())
@@ -180,16 +180,18 @@
         }
 
     def agree(self, names: Sequence[str] | None = None, on: Sequence[str] | None = None) -> bool:
-        """Returns whether the views of some members are exactly ``on``, by default themselves."""
+        """Returns True if the views of these members are exactly ``on``, by default these members."""
         if on is None:
             running = [process.name for process in self.processes.values() if process.member is not None]
             on = running if names is None else names
         return self.views(names) == {tuple(sorted(on))}
 
     def removals(self, since: float = 0.0) -> list[ClusterEvent]:
-        """Returns the removals of members from the views of others."""
+        """Returns the events in which a member removed another one from its view."""
         return [
-            one
-            for one in self.events
-            if isinstance(one.event, MemberRemoved) and one.at_s >= since and one.event.member != one.observer
+            entry
+            for entry in self.events
+            if isinstance(entry.event, MemberRemoved)
+            and entry.at_s >= since
+            and entry.event.member != entry.observer
         ]
--- a/ironmill_testbed/faults/simulated_fleet.py
+++ b/ironmill_testbed/faults/simulated_fleet.py
@@ -1,8 +1,9 @@
-"""A fleet of distribution on a virtual clock: origin, relays and simulated proxies in zones and regions.
+"""A simulated fleet on a virtual clock: origin, relays and proxies in several zones and regions.
 
-It runs the program's state machines without sockets and without clients. Faults are those of ``schedule``;
-beside names of processes they take groups: ``zone:Z``, ``region:R``, ``control``, ``relays``, ``proxies``.
-``fleet_observer`` checks the guarantees of distribution while the fleet runs.
+It runs the state machines of configuration distribution without sockets and without clients. Faults are those
+of ``schedule``; in place of the name of a process they accept the groups ``zone:Z``, ``region:R``,
+``control``, ``relays`` and ``proxies``. ``fleet_observer`` checks the guarantees of distribution while the
+fleet runs.
 """
 
 from __future__ import annotations
@@ -38,29 +39,29 @@
 START_TIME = 1_700_000_000.0  # Unix time at the start of a scenario
 ORIGIN, STANDBY_ORIGIN = "origin", "origin-b"
 PORT = 7100
-START_WINDOW_S = 0.2  # over which all processes start
+START_WINDOW_S = 0.2  # window in which all processes start
 RESUME_DELAY_S = 0.001  # from the end of a pause to the next tick
 
 
 class Plan(Struct, frozen=True):
-    """Size of a fleet, and of the configuration that it begins with."""
+    """The size of a fleet and of its initial configuration."""
 
     proxies: int = 60
-    control: int = 6  # the origin among them
+    control: int = 6  # control machines, the origin included
     regions: int = 5
     zones: int = 11
-    entries: int = 300  # keys of the keyspace
-    standby: bool = True  # relays know a second control machine that may become the origin
+    entries: int = 300  # number of keys in the initial configuration
+    standby: bool = True  # whether relays know a second control machine that may become the origin
     seed: int = 1
 
 
 class SimulatedFleet(SimulatedNetwork[FleetProcess]):
-    """The processes of a fleet of distribution."""
+    """A fleet of simulated processes, each with one node."""
 
     def __init__(
         self, plan: Plan, faults: Sequence[Fault] = (), timing: Timing | None = None, disk: Disk | None = None
     ) -> None:
-        """Makes processes that do not run yet: ``converge`` or ``start_all`` starts them."""
+        """Creates processes that do not run yet; ``converge`` and ``start_all`` start them."""
         self.links = FleetLinks(faults, plan.seed)
         super().__init__(self.links, TICK_INTERVAL_S)
         self.plan = plan
@@ -107,7 +108,7 @@
                     self.schedule(fault.end, self.observer.update_reachability)
 
     def names(self, groups: Sequence[str]) -> list[str]:
-        """Returns the processes of these names and groups. The standby origin must be named itself."""
+        """Returns the processes in these groups. The standby origin is only matched by its own name."""
         wanted = set(groups)
         return [
             name
@@ -118,7 +119,10 @@
     # The scenario
 
     def start(self, name: str, clock_offset_s: float = 0.0) -> None:
-        """Starts or restarts a process, with its wall clock off by so much. An origin opens its store."""
+        """Starts or restarts a process, whose wall clock is ahead by ``clock_offset_s``.
+
+        An origin opens the store, which fences the previous origin.
+        """
         process = self.processes[name]
         process.reset()
         incarnation = int((START_TIME + clock_offset_s + self.now) * 1000.0) + process.starts
@@ -151,14 +155,14 @@
         self.observer.on_event(process, event)
 
     def start_all(self, window_s: float = START_WINDOW_S) -> None:
-        """Starts all but the standby origin, without configuration, at random times within the window."""
+        """Starts all but the standby origin at random times in the window, without a configuration."""
         self.disk.fill(_shard_entries(self.plan.entries))
         for name in self.processes:
             if name != STANDBY_ORIGIN:
                 self.schedule(self.now + window_s * self._rng.random(), self.start, name)
 
     def converge(self, seconds: float = 6.0) -> None:
-        """Starts all but the standby origin, with the latest configuration, and runs for some time."""
+        """Starts all but the standby origin with the latest configuration, then runs for some seconds."""
         self.disk.fill(_shard_entries(self.plan.entries))
         for name in self.processes:
             if name != STANDBY_ORIGIN:
@@ -171,7 +175,7 @@
         self.run(self.now + seconds)
 
     def kill(self, name: str) -> None:
-        """Ends a process without its last messages."""
+        """Ends a process without a graceful shutdown."""
         process = self.processes[name]
         if process.node is not None:
             process.node = None
@@ -186,14 +190,14 @@
             self.observer.on_ended(process)
 
     def pause(self, name: str, until: float) -> None:
-        """Stops a process from running, as SIGSTOP does."""
+        """Pauses a process until a time, as SIGSTOP and SIGCONT do."""
         process = self.processes[name]
         process.paused_until = until
         self.observer.update_reachability(process)
         self.schedule(until, self.observer.update_reachability, process)
 
     def push(self, changes: Changes, ticket: str = "", origin: str = ORIGIN) -> Position:
-        """Pushes changes to an origin. Raises what ``Origin.push`` raises."""
+        """Pushes changes to an origin and returns the position. Raises what ``Origin.push`` raises."""
         process = self.processes[origin]
         node = process.node
         assert isinstance(node, Origin)
@@ -207,7 +211,7 @@
 
     @property
     def origin(self) -> Origin:
-        """The first origin, which must be running."""
+        """The first origin's node; the process must be running."""
         node = self.processes[ORIGIN].node
         assert isinstance(node, Origin)
         return node
@@ -222,7 +226,7 @@
 
 
 def _set_state(node: Node, keyspace: Keyspace, position: Position, lineage: int) -> None:
-    """Makes a node begin with a copy of the keyspace, as if it had received it."""
+    """Gives a node a copy of the keyspace, as if it had received and applied it."""
     assert isinstance(node, ProxyNode | Relay)
     replica = node.replica
     replica.keyspace = keyspace.copy()
--- a/ironmill_testbed/faults/simulated_proxies.py
+++ b/ironmill_testbed/faults/simulated_proxies.py
@@ -1,8 +1,9 @@
-"""Simulated proxies: many nodes of the program's proxies in one process, each on a socket of its own.
+"""Simulated proxies: the distribution nodes of many proxies in one process, each with its own socket.
 
-State machine, driver, settings and scheduler are the program's. A simulated proxy has no clients, and its
-consumer accepts every change. What the nodes report is summed in memory and requested on standard input.
-Times are those of ``time.monotonic``, which all processes of a machine share.
+State machine, driver, settings and scheduler are those of ``ironmill serve``. A simulated proxy has no
+clients, and its consumer accepts every change. The events of the nodes are aggregated in memory; commands on
+standard input return the results. Times are those of ``time.monotonic``, which all processes of a machine
+share.
 """
 
 from __future__ import annotations
@@ -37,43 +38,46 @@
 from ironmill_testbed.emulate import answer_commands
 
 REGIONS, ZONES = 5, 11
-PAIRED_KEYS = ("shard/twin-a", "shard/twin-b")  # always changed together, to the same value
-MAX_KEPT_NUMBERS = 4096  # revisions of which times are kept
-MAX_KEPT_MOVES = 1 << 16
-START_WINDOW_S = 1.0  # over which a process's proxies start, as proxies of a fleet do not tick together
+PAIRED_KEYS = ("shard/twin-a", "shard/twin-b")  # always changed together and to the same value
+MAX_KEPT_NUMBERS = 4096  # number of revisions whose times are kept
+MAX_KEPT_MOVES = 1 << 16  # changes of parent
+# Window in which the proxies of a process start, as the proxies of a real fleet do not tick at the same time.
+START_WINDOW_S = 1.0
 
 
 def zone(index: int) -> str:
-    """Returns the zone of a process by its number."""
+    """Returns the zone of the process with this number."""
     return f"z{index % ZONES}"
 
 
 def region(index: int) -> str:
-    """Returns the region of that zone."""
+    """Returns the region of the process with this number."""
     return f"r{index % ZONES % REGIONS}"
 
 
 class ProxyReports:
-    """What the proxies of one process have reported."""
+    """Aggregated events of all simulated proxies of one process."""
 
     def __init__(self) -> None:
-        """Begins without reports."""
-        self.applied_positions: dict[str, Position] = {}  # by proxy
-        # By number of the revision: when it, or a later one, was applied at each proxy.
+        """Creates reports without events."""
+        self.applied_positions: dict[str, Position] = {}  # by the name of the proxy
+        # By the number of the revision: the times at which a proxy applied it or a later one.
         self.applied_at: dict[int, array[float]] = {}
         self.digests: dict[Position, Counter[str]] = {}
         self.parents: dict[str, str] = {}
         self.stale: set[str] = set()
-        self.stale_at: dict[str, float] = {}  # when each has last become stale
+        self.stale_at: dict[str, float] = {}  # when each proxy last became stale
         self.events: Counter[str] = Counter()
-        self.out_of_order = 0
-        self.torn = 0  # changes of one of the paired keys alone
+        self.out_of_order = 0  # positions applied that are not newer than the previous one
+        self.torn = 0  # changes that set only one of the paired keys, or set them to different values
         self.received_bytes = 0
-        self._moves: deque[tuple[float, str]] = deque(maxlen=MAX_KEPT_MOVES)  # time and previous parent
+        self._moves: deque[tuple[float, str]] = deque(
+            maxlen=MAX_KEPT_MOVES
+        )  # time and previous parent of each move
         self._lost_parents: dict[str, str] = {}
 
     def on_event(self, name: str, event: Event, now: float) -> None:
-        """Takes an event of a proxy."""
+        """Records an event of a proxy."""
         self.events[log_line(event).name] += 1
         match event:
             case RevisionApplied():
@@ -92,12 +96,12 @@
                 self.parents[name] = event.parent
 
     def moved(self, parent: str, since: float) -> dict[str, Any]:
-        """Returns how many proxies have left a parent for another since then, and when the last one did."""
+        """Returns how many proxies have left a parent for another since a time, and when the last one did."""
         times = [at for at, previous in self._moves if previous == parent and at >= since]
         return {"count": len(times), "last": max(times, default=None)}
 
     def moments(self, first: int, last: int) -> dict[str, Any]:
-        """Returns when each of the revisions was applied at each proxy, and when proxies became stale."""
+        """Returns when proxies applied each of these revisions, and when each last became stale."""
         numbers = range(first, last + 1)
         return {
             "reached": {
@@ -109,7 +113,7 @@
         }
 
     def state(self) -> dict[str, Any]:
-        """Returns how many proxies have which position, have which parent, and are stale."""
+        """Returns the number of proxies by applied position and by parent, and the number of stale ones."""
         return {
             "in_force": Counter(str(position) for position in self.applied_positions.values()),
             "parents": Counter(self.parents.values()),
@@ -117,7 +121,7 @@
         }
 
     def summary(self) -> dict[str, Any]:
-        """Returns everything but the single times."""
+        """Returns all results, with the number, minimum and maximum in place of the single times."""
         return self.state() | {
             "reached": {
                 str(number): [len(times), min(times), max(times)] for number, times in self.applied_at.items()
@@ -146,12 +150,12 @@
 
 
 class PairCheckingConsumer:
-    """Accepts all changes, and counts those of one of the paired keys alone."""
+    """A consumer that accepts all changes, and counts those that break the pair of ``PAIRED_KEYS``."""
 
     lookup_prefixes: tuple[str, ...] = ()
 
     def __init__(self, reports: ProxyReports) -> None:
-        """``reports`` has the count."""
+        """Creates a consumer that counts in ``reports.torn``."""
         self._reports = reports
 
     def check(self, changes: Mapping[str, bytes | None]) -> Rejection | None:
@@ -159,31 +163,31 @@
         return None
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
-        """Compares the paired keys."""
+        """Counts the changes if they do not set both paired keys to the same value, or neither key."""
         one, other = PAIRED_KEYS
         if (one in changes) is not (other in changes) or changes.get(one) != changes.get(other):
             self._reports.torn += 1
 
 
 class _CountingMachine:
-    """A node that counts the bytes of received datagrams."""
+    """A wrapper of a node that counts the bytes of received datagrams."""
 
     def __init__(self, machine: DatagramMachine, reports: ProxyReports) -> None:
         self._machine = machine
         self._reports = reports
 
     def tick(self, now: float) -> Sequence[Datagram]:
-        """As the node's."""
+        """Runs everything that is due; returns the datagrams to send."""
         return self._machine.tick(now)
 
     def receive(self, data: bytes, source: Address, now: float) -> Sequence[Datagram]:
-        """As the node's."""
+        """Counts the bytes of a datagram and passes it to the node."""
         self._reports.received_bytes += len(data)
         return self._machine.receive(data, source, now)
 
 
 class SimulatedProxy(Distribution):
-    """One proxy's part in distribution, as in ``ironmill serve``, without the rest of the proxy."""
+    """The distribution of configuration of one proxy, as in ``ironmill serve``, without its other parts."""
 
     def __init__(
         self,
@@ -193,15 +197,15 @@
         keys: Sequence[bytes],
         reports: ProxyReports,
     ) -> None:
-        """Binds a socket of its own, whatever the settings name."""
+        """Binds a socket on a free port of 127.0.0.1 instead of the address in the settings."""
         self.name = f"h{index:04d}"
         self._reports = reports
-        own = replace(settings, listen=("127.0.0.1", 0), zone=zone(index), region=region(index))
-        super().__init__(scheduler, self.name, own, keys)
+        own_settings = replace(settings, listen=("127.0.0.1", 0), zone=zone(index), region=region(index))
+        super().__init__(scheduler, self.name, own_settings, keys)
         self.use_proxy_node(PairCheckingConsumer(reports))
 
     def start(self) -> None:
-        """Begins to exchange datagrams."""
+        """Starts to exchange datagrams."""
         assert self.node is not None
         self._datagrams.start(_CountingMachine(self.node, self._reports), TICK_INTERVAL_S)
 
@@ -210,16 +214,16 @@
 
 
 def run(settings: str, first: int, count: int) -> int:
-    """Serves until standard input ends and returns the exit status.
+    """Runs ``count`` simulated proxies until standard input ends; returns the exit status.
 
-    Raises ``MalformedError`` if the settings are not usable.
+    ``first`` is the number of the first one. Raises ``MalformedError`` if the settings are invalid.
     """
-    operator = read_operator_files(settings, ())
-    distribution = operator.settings.distribution
+    operator_files = read_operator_files(settings, ())
+    distribution = operator_files.settings.distribution
     assert distribution is not None
     scheduler, reports, process = Scheduler(), ProxyReports(), psutil.Process()
     proxies = [
-        SimulatedProxy(scheduler, index, distribution, operator.distribution_keys, reports)
+        SimulatedProxy(scheduler, index, distribution, operator_files.distribution_keys, reports)
         for index in range(first, first + count)
     ]
 
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -1,4 +1,4 @@
-"""Control machines, simulated proxies and real proxies as processes on loopback."""
+"""A fleet of real processes on loopback: control machines, simulated proxies and real proxies."""
 
 from __future__ import annotations
 
@@ -34,26 +34,35 @@
 KEY = "0f" * 32
 CHECK_INTERVAL_S = 0.1
 MEMORY_CHECK_INTERVAL_S = 0.2
-MEMORY_CHECK_INTERVAL_PER_PROCESS_S = 0.005  # added for each process
+MEMORY_CHECK_INTERVAL_PER_PROCESS_S = 0.005  # added for each process that is checked
 
 
 class SocketFleet:
-    """``c00`` is the origin, other ``c`` are relays, ``p`` real proxies, ``q`` those without distribution.
+    """A fleet of control machines, simulated proxies and real proxies.
 
-    Simulated proxies are ``h0000`` and on, in the processes ``hollow00`` and on.
+    ``c00`` is the origin, ``c01`` and so on are relays, ``p00`` and so on are real proxies, and ``q00`` and
+    so on are real proxies without distribution. Simulated proxies are ``h0000`` and so on, in the processes
+    ``hollow00`` and so on.
     """
 
     def __init__(self, folder: Path, proxies: int, control: int, simulated_processes: int, real: int) -> None:
-        """``real`` is the number of proxies with, and of those without distribution."""
+        """Creates the fleet without starting it.
+
+        ``proxies`` is the number of simulated proxies, and ``control`` that of control machines. ``real`` is
+        the number of real proxies with distribution, and also of those without it.
+        """
         self.folder = folder
         self.proxies = proxies
-        self.controls = [f"c{at:02d}" for at in range(control)]
-        self.real = [f"p{at:02d}" for at in range(real)]
-        self.plain = [f"q{at:02d}" for at in range(real)]
+        self.controls = [f"c{index:02d}" for index in range(control)]
+        self.real = [f"p{index:02d}" for index in range(real)]
+        self.plain = [f"q{index:02d}" for index in range(real)]
         self.processes: dict[str, Process] = {}
         self.simulated: list[CommandedProcess] = []
-        self.peak = 0  # bytes resident, all processes together and this one
-        self._shares = [proxies * at // simulated_processes for at in range(simulated_processes + 1)]
+        self.peak = 0  # highest resident bytes of all processes and this one together
+        # Number of the first simulated proxy of each process, and at the end the number of all.
+        self._boundaries = [
+            proxies * index // simulated_processes for index in range(simulated_processes + 1)
+        ]
         names = [*self.controls, *self.real, *self.plain]
         self._addresses = {name: ("127.0.0.1", free_port()) for name in names}
         self.admin_addresses = {name: ("127.0.0.1", free_port()) for name in names}
@@ -87,7 +96,7 @@
             self._memory_thread.join()
         for name in list(self._paused):
             self.resume(name)
-        for process in self.all():  # all at once, as each takes some time to end
+        for process in self.all():  # all before any is waited for, as each takes some time to end
             if process.popen.poll() is None:
                 process.popen.kill()
         self._stack.close()
@@ -97,24 +106,24 @@
     def _write(self, name: str, role: str) -> None:
         lines = ['<ironmill xmlns="urn:ironmill:settings:1">', '<log form="json"/>']
         if role:
-            at = int(name[1:]) if name in self._addresses else 0
-            listen = self._addresses.get(name, ("127.0.0.1", 9))  # each simulated proxy binds its own
+            number = int(name[1:]) if name in self._addresses else 0
+            listen = self._addresses.get(name, ("127.0.0.1", 9))  # simulated proxies bind free ports
             store = ' store="store"' if role == "origin" else ""
             lines += [
                 f'<distribution cluster="fleet" listen="{format_address(listen)}" keys="members.keys" '
-                f'zone="{zone(at)}" region="{region(at)}" role="{role}"{store}>',
+                f'zone="{zone(number)}" region="{region(number)}" role="{role}"{store}>',
                 *(
-                    f'<control name="{one}" address="{format_address(self._addresses[one])}" '
-                    f'zone="{zone(place)}" region="{region(place)}"{self._origin(one)}/>'
-                    for place, one in enumerate(self.controls)
-                    if one != name
+                    f'<control name="{other}" address="{format_address(self._addresses[other])}" '
+                    f'zone="{zone(index)}" region="{region(index)}"{self._origin_attribute(other)}/>'
+                    for index, other in enumerate(self.controls)
+                    if other != name
                 ),
                 "</distribution>",
             ]
         (self.folder / f"{name}.xml").write_text("\n".join([*lines, "</ironmill>"]))
 
     @staticmethod
-    def _origin(name: str) -> str:
+    def _origin_attribute(name: str) -> str:
         return ' origin="true"' if name == ORIGIN else ""
 
     # Processes
@@ -125,54 +134,54 @@
             self.processes[name] = self._stack.enter_context(self._process(name))
 
     def start_simulated(self) -> None:
-        """Starts all simulated proxies."""
+        """Starts the processes of all simulated proxies."""
         settings = f"--settings={self.folder / 'simulated.xml'}"
-        for at, (first, after) in enumerate(zip(self._shares, self._shares[1:], strict=False)):
-            numbers = [f"--first={first}", f"--proxies={after - first}"]
-            words = ["-m", "ironmill_testbed", "hollow", settings, *numbers]
-            process = CommandedProcess(words, self.folder, f"hollow{at:02d}")
+        for index, (first, end) in enumerate(zip(self._boundaries, self._boundaries[1:], strict=False)):
+            numbers = [f"--first={first}", f"--proxies={end - first}"]
+            arguments = ["-m", "ironmill_testbed", "hollow", settings, *numbers]
+            process = CommandedProcess(arguments, self.folder, f"hollow{index:02d}")
             self.simulated.append(self._stack.enter_context(process))
 
     def _process(self, name: str) -> Process:
         if name in self.controls:
             return start_control_machine(name, self.folder, self.admin_addresses[name])
         settings = f"--settings={self.folder / ('plain.xml' if name in self.plain else f'{name}.xml')}"
-        value = proxy_config(
+        config_object = proxy_config(
             name, self.clients[name], self.dependencies.discovery, 1024, platform_settings(len(self.real))
         )
-        value["control"] = format_address(self.admin_addresses[name])
-        return ProxyProcess(write_config(self.folder, value), self.folder, options=[settings])
+        config_object["control"] = format_address(self.admin_addresses[name])
+        return ProxyProcess(write_config(self.folder, config_object), self.folder, options=[settings])
 
     def all(self) -> list[Process]:
-        """Returns all processes."""
+        """Returns all running processes."""
         return [*list(self.processes.values()), *self.simulated]
 
     def wait_ready(self, *names: str) -> None:
-        """Waits until these real proxies answer."""
+        """Waits until these real proxies are ready."""
         for name in names:
             process = self.processes[name]
             assert isinstance(process, ProxyProcess)
             process.wait_ready()
 
     def kill(self, name: str) -> float:
-        """Kills a process; returns when."""
+        """Kills a process with SIGKILL; returns the monotonic time before that."""
         process = self.processes.pop(name)
-        at = time.monotonic()
+        killed_at = time.monotonic()
         process.end(signal.SIGKILL)
-        return at
+        return killed_at
 
     def end(self, name: str) -> int:
         """Shuts a process down gracefully; returns its exit status."""
         return self.processes.pop(name).end()
 
     def pause(self, name: str) -> float:
-        """Sends SIGSTOP; returns when."""
+        """Sends SIGSTOP to a process; returns the monotonic time after that."""
         self._paused.add(name)
         self.processes[name].popen.send_signal(signal.SIGSTOP)
         return time.monotonic()
 
     def resume(self, name: str) -> float:
-        """Sends SIGCONT; returns when."""
+        """Sends SIGCONT to a process, if it runs; returns the monotonic time after that."""
         self._paused.discard(name)
         if name in self.processes:
             self.processes[name].popen.send_signal(signal.SIGCONT)
@@ -181,69 +190,71 @@
     # Observation
 
     def status(self, name: str) -> dict[str, Any]:
-        """Returns a node's status; empty if it does not answer."""
+        """Returns a node's distribution status; empty if the node does not respond."""
         try:
             return config.fetch_status(self.admin_addresses[name])
         except config.ConfigError:
             return {}
 
     def push(self, changes: dict[str, str | None]) -> Position:
-        """Pushes a revision by the origin's admin API. Raises ``ConfigError`` if it is not accepted."""
+        """Pushes a revision to the origin's admin API. Raises ``ConfigError`` if it is not accepted."""
         return config.push(self.admin_addresses[ORIGIN], changes, config.Authorship("fleet"))
 
     def counted(self) -> int:
-        """Returns how many proxies the origin knows; 0 while it does not know all of its relays."""
-        reports = self.status(ORIGIN)
-        return sum(one["proxies"] for one in reports["zones"]) if reports.get("settled") else 0
+        """Returns the number of proxies that the origin knows; 0 until it knows all of its relays."""
+        status = self.status(ORIGIN)
+        return sum(zone_status["proxies"] for zone_status in status["zones"]) if status.get("settled") else 0
 
     def state(self) -> dict[str, Any]:
-        """Returns the counts of positions, parents and stale ones of all simulated proxies."""
+        """Returns the number of simulated proxies by applied position and by parent, and of stale ones."""
         reports = [process.execute("state") for process in self.simulated]
         return {
-            "in_force": summed(one["in_force"] for one in reports),
-            "parents": summed(one["parents"] for one in reports),
-            "stale": sum(one["stale"] for one in reports),
+            "in_force": summed(report["in_force"] for report in reports),
+            "parents": summed(report["parents"] for report in reports),
+            "stale": sum(report["stale"] for report in reports),
         }
 
     def all_at(self, position: Position) -> bool:
-        """Returns True if every proxy has applied that position or a later one."""
+        """Returns True if every simulated and real proxy has applied this position or a later one."""
         in_force = self.state()["in_force"]
         if sum(in_force.values()) < self.proxies:
             return False
-        whole = [self.status(name).get("in_force", "0.0") for name in self.real]
-        return all(config.to_position(one) >= position for one in [*in_force, *whole])
+        at_real_proxies = [self.status(name).get("in_force", "0.0") for name in self.real]
+        return all(config.to_position(text) >= position for text in [*in_force, *at_real_proxies])
 
     def moved(self, parent: str, since: float) -> tuple[int, float | None]:
-        """Returns how many simulated proxies have left a parent since then, and when the last one did."""
+        """Returns how many simulated proxies have left a parent since a time, and the last such time."""
         reports = [process.execute("moved", parent, since) for process in self.simulated]
-        moments = [one["last"] for one in reports if one["last"] is not None]
-        return sum(one["count"] for one in reports), max(moments, default=None)
+        last_times = [report["last"] for report in reports if report["last"] is not None]
+        return sum(report["count"] for report in reports), max(last_times, default=None)
 
     def usage(self) -> dict[str, Usage]:
-        """Returns what each process has used so far."""
-        named = self.processes | {f"hollow{at:02d}": process for at, process in enumerate(self.simulated)}
-        return {name: process.usage() for name, process in named.items()}
+        """Returns the resources that each process has used so far, by its name."""
+        by_name = self.processes | {
+            f"hollow{index:02d}": process for index, process in enumerate(self.simulated)
+        }
+        return {name: process.usage() for name, process in by_name.items()}
 
     def logged(self) -> list[LoggedEvent]:
-        """Returns what control machines and real proxies have logged of distribution."""
+        """Returns the distribution events that control machines and real proxies have logged."""
         return read_logs(self.folder, [*self.controls, *self.real], "distribution")
 
-    def until(self, true: Callable[[], bool], what: str, limit: float = 60.0) -> float:
-        """Waits until it is true; returns the seconds. Raises ``RuntimeError``, naming it, at the limit."""
-        began = time.monotonic()
-        while not true():
-            if time.monotonic() - began > limit:
-                raise RuntimeError(f"{what}: not within {limit:g} s")
+    def until(self, condition: Callable[[], bool], description: str, limit_s: float = 60.0) -> float:
+        """Waits until a condition is true; returns the seconds. Raises ``RuntimeError`` after ``limit_s``."""
+        start = time.monotonic()
+        while not condition():
+            if time.monotonic() - start > limit_s:
+                raise RuntimeError(f"{description}: not true after {limit_s:g} s")
             time.sleep(CHECK_INTERVAL_S)
-        return time.monotonic() - began
+        return time.monotonic() - start
 
     def _watch_memory(self) -> None:
-        own = psutil.Process()
+        own_process = psutil.Process()
         while True:
-            total = own.memory_info().rss
+            total = own_process.memory_info().rss
             processes = self.all()
             for process in processes:
-                with suppress(psutil.Error):  # it has ended meanwhile
+                with suppress(psutil.Error):  # the process has ended in the meantime
                     total += psutil.Process(process.popen.pid).memory_info().rss
             self.peak = max(self.peak, total)
             if self._stopping.wait(
@@ -253,8 +264,8 @@
 
 
 def summed(counts: Iterable[Mapping[str, int]]) -> Counter[str]:
-    """Returns the sum of counts."""
+    """Returns the sum of several counts, key by key."""
     total: Counter[str] = Counter()
-    for one in counts:
-        total.update(one)
+    for count in counts:
+        total.update(count)
     return total
--- a/ironmill_testbed/faults/swim.py
+++ b/ironmill_testbed/faults/swim.py
@@ -1,8 +1,9 @@
-"""The baseline: plain SWIM, with the interface of a simulated member.
+"""A baseline for measurements: plain SWIM, with the interface of a simulated member.
 
-After Das, Gupta and Motivala (2002): one member is pinged per period. Without an ack three others are
-requested to ping it, then it is suspected. A suspicion that is not refuted in time removes it. The times are
-set so that a killed member is removed within about the same 5 s as by the program's own members.
+It follows Das, Gupta and Motivala (2002). Each period, a member pings one other member. Without an ack, it
+requests three others to ping that member, and then suspects it. A suspected member that does not refute the
+suspicion in time is removed. The timeouts are set so that a killed member is removed within about 5 s, as by
+ironmill's own members.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 HELPER_COUNT = 3
 SUSPICION_TIMEOUT_S = 2.0
 MAX_UPDATES_PER_DATAGRAM = 6
-TRANSMIT_FACTOR = 3.0
-MAX_RELAYED_PINGS = 256
+TRANSMIT_FACTOR = 3.0  # transmissions of an update per binary logarithm of the cluster's size
+MAX_RELAYED_PINGS = 256  # indirect pings that await an ack
 
 ALIVE, SUSPECTED, DEAD = 0, 1, 2
 
 
 class SwimState(Struct, array_like=True):
-    """The state of one member: the higher incarnation wins, then the worse status."""
+    """The state of one member. The higher incarnation takes precedence, then the higher status."""
 
     identity: MemberIdentity
     incarnation: int
@@ -39,7 +40,7 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """The key by which states of one name are ordered."""
+        """The sort key by which states of one name are ordered."""
         return self.incarnation, self.status
 
 
@@ -53,12 +54,12 @@
 
 
 class SwimMember:
-    """One member of the baseline."""
+    """A member of the baseline."""
 
     def __init__(
         self, config: MemberConfig, _codec: object, rng: random.Random, now: float, on_event: EventListener
     ) -> None:
-        """Starts with itself in the view."""
+        """Creates a member whose view contains only itself."""
         self.identity = config.identity
         self.sent_bytes = 0
         self._seeds = config.seeds
@@ -66,11 +67,13 @@
         self._on_event = on_event
         self._states = {config.identity.name: SwimState(config.identity, 0, ALIVE)}
         self._suspected_at: dict[str, float] = {}
-        self._transmissions: dict[str, int] = {}  # of the states that are gossiped
+        self._transmissions: dict[str, int] = {}  # by the name of each state that is still gossiped
         self._probe_order: list[str] = []
         self._next_period_at = now
         self._probed: ProbedMember | None = None
-        self._relayed: dict[int, tuple[Address, int]] = {}  # the requester and its number, by own number
+        self._relayed: dict[
+            int, tuple[Address, int]
+        ] = {}  # requester and its number, by the number of the own ping
         self._last_number = 0
         self._out: list[Datagram] = []
 
@@ -80,16 +83,16 @@
         return [MemberRecord(state.identity, 0) for state in states]
 
     def restore(self, records: Sequence[MemberRecord], _now: float) -> None:
-        """Starts from a view that is known to be true."""
+        """Adds records that are known to be correct to the view."""
         for record in records:
             self._states[record.identity.name] = SwimState(record.identity, 0, ALIVE)
 
     def leave(self, _now: float) -> list[Datagram]:
-        """Does nothing: the baseline has no graceful shutdown."""
+        """Returns no datagrams, as the baseline has no graceful shutdown."""
         return []
 
     def tick(self, now: float) -> list[Datagram]:
-        """Runs everything that is due."""
+        """Runs everything that is due; returns the datagrams to send."""
         self._remove_suspected(now)
         self._ping_indirectly(now)
         if now >= self._next_period_at:
@@ -97,7 +100,7 @@
         return self._flush()
 
     def receive(self, data: bytes, source: Address, now: float) -> list[Datagram]:
-        """Handles a datagram."""
+        """Handles a datagram; returns the datagrams to send."""
         try:
             kind, number, name, updates = msgspec.msgpack.decode(
                 data, type=tuple[str, int, str, list[SwimState]]
@@ -184,7 +187,7 @@
         was_present = old is not None and old.status != DEAD
         if (state.status != DEAD) is not was_present:
             kind = MemberRemoved if state.status == DEAD else MemberJoined
-            members = sum(one.status != DEAD for one in self._states.values())
+            members = sum(known.status != DEAD for known in self._states.values())
             self._on_event(kind(name, state.incarnation, ChangeCause.DECIDED, [], "", members))
 
     def _refute(self, state: SwimState) -> None:
@@ -194,13 +197,13 @@
 
     def _send(self, address: Address, kind: str, number: int, name: str) -> None:
         max_transmissions = math.ceil(TRANSMIT_FACTOR * math.log2(len(self._states) + 1))
-        selected = sorted(self._transmissions, key=lambda one: self._transmissions[one])
+        selected = sorted(self._transmissions, key=lambda subject: self._transmissions[subject])
         selected = selected[:MAX_UPDATES_PER_DATAGRAM]
-        for one in selected:
-            self._transmissions[one] += 1
-            if self._transmissions[one] >= max_transmissions:
-                del self._transmissions[one]
-        data = msgspec.msgpack.encode((kind, number, name, [self._states[one] for one in selected]))
+        for subject in selected:
+            self._transmissions[subject] += 1
+            if self._transmissions[subject] >= max_transmissions:
+                del self._transmissions[subject]
+        data = msgspec.msgpack.encode((kind, number, name, [self._states[subject] for subject in selected]))
         self.sent_bytes += len(data)
         self._out.append((address, data))
 
--- a/ironmill_testbed/faults/switch.py
+++ b/ironmill_testbed/faults/switch.py
@@ -1,7 +1,8 @@
-"""Forwards all datagrams between real processes and applies the schedule's faults to them.
+"""A switch that forwards all datagrams between real processes and applies the faults of a schedule.
 
-Each process is configured with a socket of the switch as the address of each other process. The switch
-forwards what arrives there from the socket that represents the sender, so no datagram takes another way.
+In the configuration of each process, the address of every other process is a socket of the switch. A datagram
+that arrives there is forwarded from the socket that represents its sender, so that no datagram
+bypasses the switch.
 """
 
 from __future__ import annotations
@@ -18,22 +19,22 @@
 from ironmill_testbed.faults.schedule import Links
 
 HOST = "127.0.0.1"
-STOP_CHECK_INTERVAL_S = 0.05  # between two checks for the end while no datagram arrives
+STOP_CHECK_INTERVAL_S = 0.05  # between two checks for ``stop`` while no datagram arrives
 RECEIVE_BUFFER_BYTES = 1 << 20
 MAX_RECEIVE_BYTES = 2048
 
 
 class Switch:
-    """Runs in a thread from ``start`` until ``stop``."""
+    """A switch that runs in a thread from ``start`` until ``stop``."""
 
     def __init__(self, names: Sequence[str]) -> None:
-        """Opens a socket for each ordered pair of names; raises ``OSError`` if that fails."""
+        """Opens a socket for each ordered pair of names. Raises ``OSError`` if that fails."""
         self.links = Links([], 0)
-        self.schedule_start = time.monotonic()  # from which the schedule's times count
+        self.schedule_start = time.monotonic()  # monotonic time at which the schedule of ``links`` starts
         self.forwarded = 0
         self.forwarded_bytes = 0
         self._addresses: dict[str, Address] = {}
-        self._sockets: dict[tuple[str, str], socket.socket] = {}  # by the sender and the target
+        self._sockets: dict[tuple[str, str], socket.socket] = {}  # by the names of sender and target
         self._selector = selectors.DefaultSelector()
         for source in names:
             for target in names:
@@ -49,7 +50,7 @@
         self._addresses[name] = address
 
     def address_for(self, source: str, target: str) -> Address:
-        """Returns the address under which one process reaches another."""
+        """Returns the address at which the source reaches the target."""
         host, port = self._sockets[source, target].getsockname()
         return host, port
 
@@ -58,12 +59,12 @@
         self._thread.start()
 
     def inject(self, links: Links) -> None:
-        """Replaces the faults; their times count from now."""
+        """Replaces the links and their faults, whose schedule starts now."""
         self.schedule_start = time.monotonic()
         self.links = links
 
     def stop(self) -> None:
-        """Ends the thread and closes all sockets."""
+        """Stops the thread and closes all sockets."""
         self._is_stopping = True
         if self._thread.is_alive():
             self._thread.join()
@@ -101,12 +102,12 @@
             now = time.monotonic()
             self.forwarded += 1
             self.forwarded_bytes += len(data)
-            for delay_s, copy in self.links.deliver(now - self.schedule_start, source, target, data):
+            for delay_s, received in self.links.deliver(now - self.schedule_start, source, target, data):
                 self._last_datagram += 1
-                heapq.heappush(self._delayed, (now + delay_s, self._last_datagram, source, target, copy))
+                heapq.heappush(self._delayed, (now + delay_s, self._last_datagram, source, target, received))
 
     def _forward(self, source: str, target: str, data: bytes) -> None:
         address = self._addresses.get(target)
         if address is not None:
-            with contextlib.suppress(OSError):  # the target is down, so the datagram is lost
+            with contextlib.suppress(OSError):  # the datagram is lost if the target does not run
                 self._sockets[target, source].sendto(data, address)
