--- a/ironmill_testbed/faults/fleet_observer.py
+++ b/ironmill_testbed/faults/fleet_observer.py
@@ -193,9 +193,8 @@
         observed.reachable_since = math.inf
         observed.target = None
         if not is_running:
-            observed.origin_heard_until = (
-                math.inf
-            )  # a process that does not run cannot report that it is stale
+            # A process that does not run cannot report that it is stale.
+            observed.origin_heard_until = math.inf
             return
         heard_until = now if observed.origin_heard_until == math.inf else observed.origin_heard_until
         heard_until = max(heard_until, self._heard_by_linked_relays(proxy))
@@ -335,7 +334,7 @@
                 continue
             if dict(node.replica.keyspace.entries()) != disk.values:
                 count += 1
-                self._record_violation(f"the keys and values of {proxy.name} differ from the store")
+                self._record_violation(f"{proxy.name} has keys or values that differ from the store")
         return count
 
     # Traffic
--- a/ironmill_testbed/faults/memory_store.py
+++ b/ironmill_testbed/faults/memory_store.py
@@ -80,7 +80,7 @@
         if self._disk.failure:
             raise StoreError(f"the store cannot be written; simulated disk failure: {self._disk.failure}")
         if self.fenced():
-            raise FencedError(f"another writer has opened the store since epoch {self.epoch}")
+            raise FencedError(f"epoch {self.epoch} is over: another writer has opened the store")
         committed_before = self.committed(metadata.ticket)
         if committed_before is not None:
             return committed_before
--- a/ironmill_testbed/faults/process_cluster.py
+++ b/ironmill_testbed/faults/process_cluster.py
@@ -123,8 +123,8 @@
             self.processes[name] = self._stack.enter_context(self._process(name))
 
     def _process(self, name: str) -> Process:
-        options = [f"--settings={self.folder / f'{name}.xml'}"]
-        return ProxyProcess(self.folder / f"{name}.json", self.folder, options=options)
+        serve_options = [f"--settings={self.folder / f'{name}.xml'}"]
+        return ProxyProcess(self.folder / f"{name}.json", self.folder, options=serve_options)
 
     def kill(self, *names: str) -> float:
         """Kills processes with SIGKILL; returns the monotonic time before that."""
--- a/ironmill_testbed/faults/simulated_cluster.py
+++ b/ironmill_testbed/faults/simulated_cluster.py
@@ -38,7 +38,7 @@
         """Returns the records of the members in the view, by name."""
 
     def restore(self, records: Sequence[MemberRecord], now: float, /) -> None:
-        """Replaces the view by records that are known to be correct."""
+        """Sets the view from records that are known to be correct."""
 
     def tick(self, now: float, /) -> list[Datagram]:
         """Runs everything that is due; returns the datagrams to send."""
