--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -106,14 +106,16 @@
     ):
         fleet.start(*fleet.controls)
         fleet.start_simulated()
-        fleet.start(*fleet.real, *fleet.plain)
-        fleet.wait_ready(*fleet.real, *fleet.plain)
-        fleet.until(lambda: fleet.counted() == proxies + real, "all proxies are counted", MAX_ATTACH_S)
+        fleet.start(*fleet.real_proxies, *fleet.plain_proxies)
+        fleet.wait_ready(*fleet.real_proxies, *fleet.plain_proxies)
+        fleet.wait_until(
+            lambda: fleet.counted_proxies() == proxies + real, "all proxies are counted", MAX_ATTACH_S
+        )
         found["attached_s"] = time.monotonic() - began
         found |= _idle(fleet, seconds / 3.0)
-        for one in fleet.plain:
+        for one in fleet.plain_proxies:
             fleet.end(one)
-        client_load = ClientLoad([fleet.clients[one] for one in fleet.real])
+        client_load = ClientLoad([fleet.client_addresses[one] for one in fleet.real_proxies])
         load = OperatorLoad(fleet)
         before = fleet.usage(), time.monotonic()
         load.run("ordinary", ORDINARY_CHANGES_PER_S, seconds / 3.0)
@@ -131,7 +133,7 @@
         found["clients_lines"] = clients.lines
         found |= _guarantees(fleet, load)
         found["control_memory_mb"] = _memory(fleet)
-        found["peak_memory_mb"] = fleet.peak / 2**20
+        found["peak_memory_mb"] = fleet.peak_resident_bytes / 2**20
     found |= {
         "hollow_on_sockets": proxies,
         "real_proxies": real,
@@ -169,7 +171,11 @@
     later = _sent(fleet)
     relays = [cores[name] for name in fleet.controls if name != ORIGIN]
     simulated = sum(cores[f"hollow{at:02d}"] for at in range(len(fleet.simulated)))
-    whole = [statistics.fmean(cores[one] for one in names) for names in (fleet.real, fleet.plain) if names]
+    whole = [
+        statistics.fmean(cores[one] for one in names)
+        for names in (fleet.real_proxies, fleet.plain_proxies)
+        if names
+    ]
     per_s = {name: (later[name] - sent[name]) / took for name in sent if name in later}
     everyone = len(per_s) == len(sent)
     of_proxies = per_s["proxies"] / fleet.proxies
@@ -194,7 +200,7 @@
         "proxies": sum(one["sent"] for one in reports),
         "received": sum(one["received"] for one in reports),
     }
-    for name in [*fleet.controls, *fleet.real]:
+    for name in [*fleet.controls, *fleet.real_proxies]:
         status = fleet.status(name)
         if "sent_bytes" in status:
             found[name] = status["sent_bytes"]
@@ -300,10 +306,10 @@
 def _guarantees(fleet: SocketFleet, load: OperatorLoad) -> dict[str, Any]:
     """Counts changes that are lost, out of order or torn, and returns how long changes took."""
     reports = [process.execute("summary") for process in fleet.simulated]
-    logged = fleet.logged()
+    logged = fleet.logged_events()
     last = load.pushed[-1].position if load.pushed else START
     simulated = [(to_position(at), count) for one in reports for at, count in one["in_force"].items()]
-    whole = [(to_position(fleet.status(name).get("in_force", "0.0")), 1) for name in fleet.real]
+    whole = [(to_position(fleet.status(name).get("in_force", "0.0")), 1) for name in fleet.real_proxies]
     silent = fleet.proxies - sum(count for _, count in simulated)  # never applied anything
     states = states_of(logged)
     for one in reports:
--- a/ironmill_testbed/capacity/scenarios.py
+++ b/ironmill_testbed/capacity/scenarios.py
@@ -219,7 +219,7 @@
     observer = fleet.observer
     changes, seconds = sorted(observer.latencies), observer.traffic.seconds
     quiet, busy = seconds[: int(IDLE_S)], seconds[int(IDLE_S) :]
-    lost, differing = observer.lost(), observer.differing()
+    lost, differing = observer.count_lost_changes(), observer.count_differing_proxies()
     return {
         "members_run": len(fleet.processes),
         "changes": len(observer.pushed_at),
--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -321,7 +321,7 @@
         simulated.push({f"shard/{at:06d}": value_of(at + 7)})
         simulated.run(simulated.now + 0.5)
     simulated.run(simulated.now + 3.0)
-    if simulated.observer.lost():
+    if simulated.observer.count_lost_changes():
         raise RuntimeError(f"changes were lost: {simulated.observer.broken}")
     latencies = sorted(simulated.observer.latencies)
     found["change_latency_p99"] = latencies[int(0.99 * len(latencies))]
--- a/ironmill_testbed/faults/fleet_observer.py
+++ b/ironmill_testbed/faults/fleet_observer.py
@@ -305,7 +305,7 @@
 
     # Checks at the end of a run
 
-    def lost(self) -> int:
+    def count_lost_changes(self) -> int:
         """Returns the number of changes that reachable proxies have not applied within ``MAX_CATCH_UP_S``."""
         cutoff, count = self._fleet.now - MAX_CATCH_UP_S, 0
         for proxy in self._fleet.proxies:
@@ -323,7 +323,7 @@
                 )
         return count
 
-    def differing(self) -> int:
+    def count_differing_proxies(self) -> int:
         """Returns how many proxies at the latest position have keys or values that differ from the store."""
         disk, count = self._fleet.disk, 0
         for proxy in self._fleet.proxies:
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -54,19 +54,21 @@
         self.folder = folder
         self.proxies = proxies
         self.controls = [f"c{index:02d}" for index in range(control)]
-        self.real = [f"p{index:02d}" for index in range(real)]
-        self.plain = [f"q{index:02d}" for index in range(real)]
+        self.real_proxies = [f"p{index:02d}" for index in range(real)]
+        self.plain_proxies = [f"q{index:02d}" for index in range(real)]
         self.processes: dict[str, Process] = {}
         self.simulated: list[CommandedProcess] = []
-        self.peak = 0  # highest resident bytes of all processes and this one together
+        self.peak_resident_bytes = 0  # highest resident bytes of all processes and this one together
         # Number of the first simulated proxy of each process, and at the end the number of all.
         self._boundaries = [
             proxies * index // simulated_processes for index in range(simulated_processes + 1)
         ]
-        names = [*self.controls, *self.real, *self.plain]
+        names = [*self.controls, *self.real_proxies, *self.plain_proxies]
         self._addresses = {name: ("127.0.0.1", free_port()) for name in names}
         self.admin_addresses = {name: ("127.0.0.1", free_port()) for name in names}
-        self.clients = {name: ("127.0.0.1", free_port()) for name in [*self.real, *self.plain]}
+        self.client_addresses = {
+            name: ("127.0.0.1", free_port()) for name in [*self.real_proxies, *self.plain_proxies]
+        }
         self._stack = ExitStack()
         self._paused: set[str] = set()
         self._stopping = threading.Event()
@@ -78,7 +80,7 @@
             self.dependencies = self._stack.enter_context(Dependencies(self.folder, 2))
             for name in self.controls:
                 self._write(name, "origin" if name == ORIGIN else "relay")
-            for name in self.real:
+            for name in self.real_proxies:
                 self._write(name, "subscriber")
             self._write("simulated", "subscriber")
             self._write("plain", "")
@@ -96,7 +98,7 @@
             self._memory_thread.join()
         for name in list(self._paused):
             self.resume(name)
-        for process in self.all():  # all before any is waited for, as each takes some time to end
+        for process in self.all_processes():  # all before any is waited for, as each takes some time to end
             if process.popen.poll() is None:
                 process.popen.kill()
         self._stack.close()
@@ -145,14 +147,20 @@
     def _process(self, name: str) -> Process:
         if name in self.controls:
             return start_control_machine(name, self.folder, self.admin_addresses[name])
-        settings = f"--settings={self.folder / ('plain.xml' if name in self.plain else f'{name}.xml')}"
+        settings = (
+            f"--settings={self.folder / ('plain.xml' if name in self.plain_proxies else f'{name}.xml')}"
+        )
         config_object = proxy_config(
-            name, self.clients[name], self.dependencies.discovery, 1024, platform_settings(len(self.real))
+            name,
+            self.client_addresses[name],
+            self.dependencies.discovery,
+            1024,
+            platform_settings(len(self.real_proxies)),
         )
         config_object["control"] = format_address(self.admin_addresses[name])
         return ProxyProcess(write_config(self.folder, config_object), self.folder, options=[settings])
 
-    def all(self) -> list[Process]:
+    def all_processes(self) -> list[Process]:
         """Returns all running processes."""
         return [*list(self.processes.values()), *self.simulated]
 
@@ -200,7 +208,7 @@
         """Pushes a revision to the origin's admin API. Raises ``ConfigError`` if it is not accepted."""
         return config.push(self.admin_addresses[ORIGIN], changes, config.Authorship("fleet"))
 
-    def counted(self) -> int:
+    def counted_proxies(self) -> int:
         """Returns the number of proxies that the origin knows; 0 until it knows all of its relays."""
         status = self.status(ORIGIN)
         return sum(zone_status["proxies"] for zone_status in status["zones"]) if status.get("settled") else 0
@@ -219,7 +227,7 @@
         in_force = self.state()["in_force"]
         if sum(in_force.values()) < self.proxies:
             return False
-        at_real_proxies = [self.status(name).get("in_force", "0.0") for name in self.real]
+        at_real_proxies = [self.status(name).get("in_force", "0.0") for name in self.real_proxies]
         return all(config.to_position(text) >= position for text in [*in_force, *at_real_proxies])
 
     def moved(self, parent: str, since: float) -> tuple[int, float | None]:
@@ -235,11 +243,11 @@
         }
         return {name: process.usage() for name, process in by_name.items()}
 
-    def logged(self) -> list[LoggedEvent]:
+    def logged_events(self) -> list[LoggedEvent]:
         """Returns the distribution events that control machines and real proxies have logged."""
-        return read_logs(self.folder, [*self.controls, *self.real], "distribution")
+        return read_logs(self.folder, [*self.controls, *self.real_proxies], "distribution")
 
-    def until(self, condition: Callable[[], bool], description: str, limit_s: float = 60.0) -> float:
+    def wait_until(self, condition: Callable[[], bool], description: str, limit_s: float = 60.0) -> float:
         """Waits until a condition is true; returns the seconds. Raises ``RuntimeError`` after ``limit_s``."""
         start = time.monotonic()
         while not condition():
@@ -252,11 +260,11 @@
         own_process = psutil.Process()
         while True:
             total = own_process.memory_info().rss
-            processes = self.all()
+            processes = self.all_processes()
             for process in processes:
                 with suppress(psutil.Error):  # the process has ended in the meantime
                     total += psutil.Process(process.popen.pid).memory_info().rss
-            self.peak = max(self.peak, total)
+            self.peak_resident_bytes = max(self.peak_resident_bytes, total)
             if self._stopping.wait(
                 MEMORY_CHECK_INTERVAL_S + MEMORY_CHECK_INTERVAL_PER_PROCESS_S * len(processes)
             ):
--- a/tests/system/test_simulated_proxies.py
+++ b/tests/system/test_simulated_proxies.py
@@ -78,7 +78,7 @@
         fleet.start_simulated()
         (simulated,) = fleet.simulated
         assert simulated.execute("summary")["proxies"] == 2
-        started = fleet.all()
+        started = fleet.all_processes()
         fleet.pause("c01")
         raise ZeroDivisionError
     assert all(process.popen.poll() is not None for process in started)
--- a/tests/unit/distribution/test_parents.py
+++ b/tests/unit/distribution/test_parents.py
@@ -39,7 +39,7 @@
         ), tenth
         previous_ranks = current_ranks
     assert len(fleet.observer.pushed_at) == int(10.0 * rate)
-    assert fleet.observer.lost() == 0
+    assert fleet.observer.count_lost_changes() == 0
 
 
 def test_endpoints_are_ranked_by_zone_then_region_and_evenly_within() -> None:
