--- a/ironmill_testbed/__init__.py
+++ b/ironmill_testbed/__init__.py
@@ -1,5 +1,5 @@
-"""The project's testbed: emulated dependencies, fleets of clients, simulated clusters and measurements.
+"""The testbed of ironmill: emulated dependencies, fleets of clients, simulated clusters and measurements.
 
-It may import every package of ``ironmill``, and none of them imports it. All sockets are on loopback, and
-every command ends by itself.
+The testbed may import every package of ``ironmill``, but no package of ``ironmill`` imports the testbed. All
+sockets are on loopback, and every command ends by itself.
 """
--- a/ironmill_testbed/__main__.py
+++ b/ironmill_testbed/__main__.py
@@ -53,7 +53,8 @@
     return command(arguments)
 
 
-# Each command imports what it uses: the process of the emulated dependencies stays small.
+# Each command imports only the modules that it uses, so that the process of the emulated dependencies stays
+# small.
 
 
 def _run_emulate(arguments: Mapping[str, Any]) -> int:
--- a/ironmill_testbed/call.py
+++ b/ironmill_testbed/call.py
@@ -1,4 +1,4 @@
-"""One client by hand: requests a connection of a proxy, sends a line and prints what comes back."""
+"""A command-line client that opens one connection through a proxy and prints the echo of a line."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 def run(address: str, token: str, class_name: str, authorities: str, certificate: str) -> int:
-    """Returns status 0 if the request was served and the line came back, otherwise 1.
+    """Opens a connection and sends a line; returns status 0 if the line was echoed, otherwise 1.
 
-    A ``token`` of ``-`` is read from standard input. With ``authorities``, a path, the client uses TLS to a
-    server for localhost, and presents ``certificate``, a path without its .crt, if it is not empty.
+    A ``token`` of ``-`` is read from standard input. If ``authorities``, the path of a PEM file, is given,
+    the client uses TLS and expects a server certificate for localhost. If ``certificate`` is also given, the
+    client presents the certificate in that path plus ``.crt``, with the key in that path plus ``.key``.
     """
     host, _, port = address.rpartition(":")
     credential = sys.stdin.readline() if token == "-" else token
--- a/ironmill_testbed/certificates.py
+++ b/ironmill_testbed/certificates.py
@@ -1,4 +1,4 @@
-"""A certificate authority for tests, and certificates that it signs, valid for a day."""
+"""A certificate authority for tests. Its certificates are valid for one day."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Authority:
-    """Signs certificates, and writes them with their keys to a folder."""
+    """A certificate authority that writes certificates and their private keys to a folder."""
 
     def __init__(self, folder: Path, name: str = "authority") -> None:
-        """Writes the authority's own certificate to ``folder/name.pem``."""
+        """Creates a key and writes the authority's own certificate to ``folder/name.pem``."""
         self.folder = folder
         self._key = ec.generate_private_key(ec.SECP256R1())
         self._name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
@@ -27,10 +27,10 @@
         self.path = folder / f"{name}.pem"
         signed = builder.sign(self._key, hashes.SHA256())
         self.path.write_bytes(signed.public_bytes(serialization.Encoding.PEM))
-        self.serials: dict[str, int] = {}
+        self.serials: dict[str, int] = {}  # serial numbers, by the name of the certificate
 
     def certificate(self, name: str, *names: str, until: datetime.datetime = NOW + DAY) -> tuple[str, str]:
-        """Signs a certificate for these DNS names; returns the paths of the certificate and of its key."""
+        """Issues a certificate for these DNS names; returns the paths of the certificate and of its key."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
         builder = self._builder(subject, key.public_key(), until)
@@ -50,7 +50,7 @@
         return str(certificate_path), str(key_path)
 
     def revocations(self, *names: str) -> str:
-        """Signs a list that revokes these certificates; returns its path."""
+        """Writes a revocation list with these certificates; returns its path."""
         builder = x509.CertificateRevocationListBuilder(self._name, NOW - DAY, NOW + DAY)
         for name in names:
             builder = builder.add_revoked_certificate(
@@ -61,7 +61,7 @@
         return str(path)
 
     def client(self, *certificate_and_key: str) -> ssl.SSLContext:
-        """Returns a client's context that trusts the authority and presents that certificate, if any."""
+        """Returns a client context that trusts the authority and presents a certificate if one is given."""
         context = ssl.create_default_context(cafile=str(self.path))
         if certificate_and_key:
             context.load_cert_chain(*certificate_and_key)
@@ -76,7 +76,7 @@
 
 
 def write_all(folder: Path) -> int:
-    """Writes an authority and certificates of a server and of a client; returns the exit status."""
+    """Writes the certificates of an authority, a server and a client; returns the exit status."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     authority = Authority(folder)
     server, _ = authority.certificate("server", "localhost")
--- a/ironmill_testbed/client_load.py
+++ b/ironmill_testbed/client_load.py
@@ -1,4 +1,4 @@
-"""Clients that keep their connections to some proxies and send requests, in a separate thread."""
+"""A load of clients that stay connected to several proxies and send lines, in a separate thread."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 
 class ClientLoadResult(Struct, frozen=True):
-    """The results of a load."""
+    """The result of a client load."""
 
-    lost: int  # connections and requests
-    lines: int  # received
+    lost: int  # lost connections, and requests that were unanswered, failed or not accepted
+    lines: int  # echoed lines that the clients received
 
 
 class ClientLoad:
-    """A load that runs from its creation until ``stop``."""
+    """A client load that runs from its creation until ``stop``."""
 
     def __init__(self, addresses: Sequence[Address]) -> None:
-        """Starts the thread; the clients are distributed over the addresses."""
+        """Starts the thread. Each connection goes to a random one of the addresses."""
         self._is_stopping = False
         self._result = ClientLoadResult(0, 0)
         self._thread = threading.Thread(target=self._run, args=(list(addresses),), daemon=True)
         self._thread.start()
 
     def stop(self) -> ClientLoadResult:
-        """Ends the clients and returns what they have received and lost."""
+        """Ends the clients and returns the result."""
         self._is_stopping = True
         self._thread.join()
         return self._result
--- a/ironmill_testbed/credentials.py
+++ b/ironmill_testbed/credentials.py
@@ -1,4 +1,4 @@
-"""Credentials for measurements: a key store, settings that name its ring, valid and invalid tokens."""
+"""Credentials for measurements: a key store, settings that use its key ring, and valid and invalid tokens."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class InvalidToken(Enum):
-    """Why a token is invalid."""
+    """The reason why a token is invalid."""
 
     EXPIRED = "expired"
     NOT_YET_VALID = "early"
@@ -35,10 +35,10 @@
 
 
 class Issuer:
-    """An issuer of tokens with two keys: ``old`` signs, ``new`` is published but does not sign yet."""
+    """A token issuer with two keys: ``old`` is the signing key, ``new`` is published but not yet used."""
 
     def __init__(self, folder: Path, algorithm: str = "EdDSA") -> None:
-        """Writes the key store and the settings to the folder."""
+        """Creates the keys, and writes the key store and the settings to the folder."""
         self.store = KeyStore(folder)
         self.algorithm = algorithm
         for kid in ("old", "new"):
@@ -49,7 +49,7 @@
         self.settings.write_text(SETTINGS)
 
     def token(self, kid: str, subject: str, **changes: Any) -> bytes:
-        """Returns a token that is valid for an hour, with these changes of its claims."""
+        """Returns a token that is valid for one hour. ``changes`` adds or replaces claims."""
         claims = {
             "iss": ISSUER,
             "aud": AUDIENCE,
@@ -60,7 +60,7 @@
         return jwt.encode(claims, private, algorithm=self.algorithm, headers={"kid": kid}).encode()
 
     def forged(self, kid: str, subject: str) -> bytes:
-        """Returns a token with the signature of another one."""
+        """Returns a token that carries the signature of another token."""
         signed, _, _ = self.token(kid, subject).rpartition(b".")
         return signed + b"." + self.token(kid, f"{subject}-other").rpartition(b".")[2]
 
--- a/ironmill_testbed/demo.py
+++ b/ironmill_testbed/demo.py
@@ -1,6 +1,7 @@
-"""The demonstration: one proxy among emulated dependencies, with a line of output for every step.
+"""A demonstration with one proxy, emulated dependencies and a line of output for every step.
 
-A server drains, the proxy is restarted, a new version takes over beside it, and an operator drains it.
+A server is drained, the proxy is restarted, a new version is started beside the old one and replaces it,
+and an operator drains the proxy.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 SERVER_COUNT = 6
 SOCKETS = 4096
 DRAINED_SERVER = "s-0"
-# Seconds from the start of the fleet.
+# Times of the steps, in seconds from the start of the clients.
 DRAIN_AT_S, RESTART_AT_S, UPGRADE_AT_S, PROXY_DRAIN_AT_S = 3.0, 8.0, 14.0, 20.0
 RESUME_AT_S, END_AT_S = 23.5, 27.0
 FINAL_DELAY_S = 1.0  # lets the clients close their connections
@@ -42,10 +43,10 @@
 
 
 class Deployment(Struct, frozen=True):
-    """What every process of the proxy is started with."""
+    """The folder, configuration and options with which every process of the proxy is started."""
 
     folder: Path
-    value: dict[str, Any]  # of the configuration file, without the admin API's address
+    config: dict[str, Any]  # object of the configuration file, without the admin API's address
     options: list[str]
 
 
@@ -56,9 +57,9 @@
         folder = Path(name)
         with Dependencies(folder, SERVER_COUNT) as dependencies:
             address = ("127.0.0.1", free_port())
-            value = proxy_config("demo", address, dependencies.discovery, SOCKETS, platform_settings())
+            config = proxy_config("demo", address, dependencies.discovery, SOCKETS, platform_settings())
             print(f"discovery and {SERVER_COUNT} emulated servers are up")
-            demo = Demo(dependencies, Deployment(folder, value, options), clients)
+            demo = Demo(dependencies, Deployment(folder, config, options), clients)
             try:
                 is_complete: bool = demo.run()
                 if stay:
@@ -71,7 +72,7 @@
 
 
 class Demo:
-    """The demonstration's scenario and what it prints."""
+    """The scenario of the demonstration and its output."""
 
     def __init__(self, dependencies: Dependencies, deployment: Deployment, client_count: int) -> None:
         """Starts the proxy."""
@@ -92,7 +93,7 @@
         return is_complete
 
     def stay(self) -> None:
-        """Keeps the proxy up until the process is interrupted."""
+        """Keeps the proxy running until the process is interrupted."""
         print(
             f"the proxy stays at 127.0.0.1 port {self._proxy.address[1]}; connect with telnet, type\n"
             "    OPEN 1 2 c=index-sync,d=2000\n"
@@ -102,7 +103,7 @@
         run_scenario(self._scheduler, lambda: self._scheduler.sleep(STAY_TIMEOUT_S), STAY_TIMEOUT_S)
 
     def close(self) -> None:
-        """Kills the proxy that runs now."""
+        """Kills the current proxy process."""
         self._proxy.end(signal.SIGKILL)
 
     def _scenario(self) -> bool:
@@ -126,10 +127,10 @@
         return self._print_summary(self._dependencies.status())
 
     def _write_config(self) -> Path:
-        """Writes the configuration with a new address for the admin API, so that two processes can run."""
+        """Writes the configuration with a new admin API address, so that two proxies can run at once."""
         self._admin_address = ("127.0.0.1", free_port())
-        value = self._deployment.value | {"control": format_address(self._admin_address)}
-        return write_config(self._deployment.folder, value)
+        config = self._deployment.config | {"control": format_address(self._admin_address)}
+        return write_config(self._deployment.folder, config)
 
     def _start_proxy(self) -> ProxyProcess:
         return ProxyProcess(self._config, self._deployment.folder, options=self._deployment.options)
@@ -183,7 +184,7 @@
         try:
             return self._call_api("GET", "health") == 200
         except (OSError, TimedOutError):
-            return False  # it does not listen there yet
+            return False  # the new process does not listen on this address yet
 
     def _call_api(self, method: str, path: str) -> int:
         return call(self._scheduler, self._admin_address, method, f"/admin/{path}")[0]
--- a/ironmill_testbed/dependency_status.py
+++ b/ironmill_testbed/dependency_status.py
@@ -1,4 +1,4 @@
-"""What the process of the emulated dependencies reports: counters of its servers, and attempts by request."""
+"""Reports of the emulated dependencies: counters of the servers, and the history of attempts."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 class ServerConnectionCounts(Struct):
-    """Counters of an emulated server, from its start."""
+    """Counters of an emulated server since its start."""
 
     opened: int = 0  # connections that were answered UP
-    rejected: int = 0  # requests that were answered BUSY because the server drains
+    rejected: int = 0  # requests that were answered BUSY because the server was draining
     malformed: int = 0
-    lines: int = 0  # echoed
+    lines: int = 0  # lines that were echoed
     migrated: int = 0  # connections that the server itself ended with MOVE
     closed_by_proxy: int = 0
     reset: int = 0
     health_checks: int = 0
-    late: int = 0  # requests that arrived after the drain was announced and its grace was over
+    late: int = 0  # requests that arrived after the grace period that follows the announcement of a drain
 
 
 class ServerStatus(Struct, frozen=True):
-    """One emulated server."""
+    """The status of one emulated server."""
 
     server_id: str
     address: Address
-    established: int  # connections, now
+    established: int  # connections that are established now
     counts: ServerConnectionCounts
 
 
 class DependenciesStatus(Struct, frozen=True):
-    """Discovery and all servers."""
+    """The status of discovery and of all servers."""
 
     discovery: Address
-    discovery_calls: int
+    discovery_calls: int  # number of requests for the endpoint list
     servers: tuple[ServerStatus, ...]
 
     def server(self, server_id: str) -> ServerStatus:
-        """Returns the server of that id. Raises ``KeyError`` if there is none."""
+        """Returns the status of a server. Raises ``KeyError`` if there is no server with this id."""
         for server in self.servers:
             if server.server_id == server_id:
                 return server
@@ -46,15 +46,15 @@
 
 
 class AttemptRecord(Struct, frozen=True):
-    """The first line of an attempt, as a server received it."""
+    """An attempt, recorded when a server received its request line."""
 
     request_id: str
-    received_at: float  # ``time.monotonic``
-    may_have_run: bool  # False if the server answered that a retry is harmless
+    received_at: float  # by ``time.monotonic``
+    may_have_run: bool  # False if the server answered BUSY, after which a retry is harmless
 
 
 class AttemptHistory(Struct):
-    """All attempts at the servers of one process, in the order of their arrival."""
+    """All attempts at the servers of one process, ordered by arrival."""
 
     attempts: list[AttemptRecord]
-    overlaps: list[str]  # ids of requests of which a second attempt arrived while one was open
+    overlaps: list[str]  # ids of requests whose second attempt arrived while the first one was open
--- a/ironmill_testbed/emulate.py
+++ b/ironmill_testbed/emulate.py
@@ -1,7 +1,8 @@
-"""The process of the emulated dependencies: servers and discovery, driven by commands in JSON lines.
+"""The process of the emulated dependencies: servers and discovery, controlled by JSON commands.
 
-It reads one command a line from standard input, for instance ``["drain", "s-2"]``, and writes one line with
-the response. It ends when its input does, so it never outlives the process that started it.
+It reads one command per line from standard input, such as ``["drain", "s-2"]``, and writes the response to
+standard output as one line. It exits when standard input ends, so it never outlives the process that started
+it.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class EmulatedDependencies:
-    """Servers ``s-0`` and so on, listed by one discovery."""
+    """Emulated servers ``s-0`` and so on, and a discovery that lists them."""
 
     def __init__(self, scheduler: Scheduler, server_count: int) -> None:
         self._scheduler = scheduler
@@ -34,16 +35,16 @@
             self.add(f"s-{number}")
 
     def add(self, server_id: str, boot: float = 0.0) -> None:
-        """Starts one more server and lists it as up; ``boot`` is its start as Unix time."""
+        """Starts another server and lists it as up. ``boot`` is its start time as Unix time in seconds."""
         zone = ZONES[len(self.servers) % len(ZONES)]
         server = EmulatedServer(self._scheduler, server_id, zone, recorder=self.recorder)
         self.servers[server_id] = server
         self.discovery.put(server_id, server.address, server.zone, "up", boot)
 
     def drain(self, server_id: str, delay_s: float = 2.0, duration_s: float = 2.0) -> ServerStatus:
-        """Announces the drain; after the delay migrates connections over the duration, then removes it.
+        """Announces the drain of a server, and returns the server's status at that time.
 
-        Returns the server's status at the announcement.
+        After the delay, the connections are migrated evenly over the duration, and the server is removed.
         """
         server = self.servers[server_id]
         server.drain()
@@ -58,11 +59,11 @@
         self.discovery.put(server.server_id, server.address, server.zone, "removed")
 
     def set_mode(self, server_id: str, mode: str) -> None:
-        """Changes how the server answers request lines. Raises ``ValueError`` for an unknown mode."""
+        """Changes how a server answers request lines. Raises ``ValueError`` if the mode is unknown."""
         self.servers[server_id].mode = Mode(mode)
 
     def crash(self, server_id: str) -> None:
-        """Crashes the server, and removes it from the endpoint list."""
+        """Crashes a server and removes it from the endpoint list."""
         server = self.servers[server_id]
         server.crash()
         self.discovery.put(server_id, server.address, server.zone, "removed")
@@ -78,7 +79,7 @@
 
 
 def run(server_count: int) -> int:
-    """Serves until standard input ends; returns the exit status."""
+    """Runs the dependencies until standard input ends; returns the exit status."""
     scheduler = Scheduler()
     dependencies = EmulatedDependencies(scheduler, server_count)
     commands: dict[str, Callable[..., object]] = {
@@ -95,7 +96,7 @@
 
 
 def answer_commands(scheduler: Scheduler, commands: Mapping[str, Callable[..., object]]) -> None:
-    """Executes commands from standard input until it ends, and then stops the scheduler."""
+    """Executes commands from standard input until it ends, then stops the scheduler."""
     descriptor, buffer = sys.stdin.fileno(), b""
     os.set_blocking(descriptor, False)
     try:
@@ -111,4 +112,4 @@
                 sys.stdout.buffer.write(orjson.dumps(response, default=msgspec.to_builtins) + b"\n")
                 sys.stdout.buffer.flush()
     finally:
-        scheduler.stop()  # also after a failure: the calling process must not wait for a response
+        scheduler.stop()  # also after an error, so that the calling process does not wait for a response
--- a/ironmill_testbed/emulated_discovery.py
+++ b/ironmill_testbed/emulated_discovery.py
@@ -1,4 +1,4 @@
-"""An emulated discovery: the endpoint list over HTTP/1.1, complete or as a watch on its changes."""
+"""An emulated discovery that serves the endpoint list and watches of its changes over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class EmulatedDiscovery:
-    """Serves the list of servers that ``put`` fills, and notifies every watch of a change."""
+    """A server of the endpoint list that ``put`` updates. Each change answers all open watches."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         """Starts listening on a free port of 127.0.0.1."""
         self._scheduler = scheduler
         self._targets: dict[str, dict[str, object]] = {}
-        self._changed: dict[str, int] = {}  # the revision in which each target last changed
+        self._changed: dict[str, int] = {}  # the revision at which each target last changed
         self.revision = 1
-        self.calls = 0
+        self.calls = 0  # number of requests for the list
         self._listener = Listener(scheduler, ("127.0.0.1", 0), self._accept)
         self._listener.start()
 
@@ -39,7 +39,7 @@
         return self._listener.address
 
     def put(self, server_id: str, address: Address, zone: str, state: str, boot: float = 0.0) -> None:
-        """Lists the server as ``up``, ``draining`` or ``removed``; ``boot`` is its start as Unix time."""
+        """Lists a server as ``up``, ``draining`` or ``removed``. ``boot`` is its start as Unix time."""
         self.revision += 1
         self._changed[server_id] = self.revision
         self._targets[server_id] = {
@@ -54,7 +54,7 @@
         }
 
     def response_body(self, after: int | None) -> bytes:
-        """Returns the list as JSON: complete for None, otherwise what changed after that revision."""
+        """Returns the list as JSON: the complete one for None, otherwise the changes after a revision."""
         targets = [
             target
             for server_id, target in self._targets.items()
--- a/ironmill_testbed/emulated_servers.py
+++ b/ironmill_testbed/emulated_servers.py
@@ -1,6 +1,6 @@
-"""Emulated servers that speak the line protocol: they echo lines, answer health checks, drain and count.
+"""Emulated servers of the line protocol, which echo lines, answer health checks, drain and count.
 
-They respond at once, so that a measurement contains the proxy's time only.
+They respond without delay, so that a measurement contains only the time that the proxy takes.
 """
 
 from __future__ import annotations
@@ -27,15 +27,16 @@
 LOAD_PER_CONNECTION = 0.0005
 LOAD_NOISE = 0.02
 MAX_LOAD = 0.8
-# From the announcement of a drain: the protocol's 250 ms, and a scheduler's delay on a busy machine.
+# Seconds after the announcement of a drain in which requests are not late: 250 ms of the protocol, and 50 ms
+# for the delay of the scheduler on a busy machine.
 DRAIN_GRACE_S = 0.25 + 0.05
 
 
 class Mode(Enum):
     """How a server answers request lines."""
 
-    SOUND = "sound"
-    HANG = "hang"  # never answers
+    NORMAL = "sound"
+    HANG = "hang"  # does not answer
     ERROR = "error"
     BUSY = "busy"
     RESET = "reset"  # reads the line and resets the connection
@@ -45,14 +46,14 @@
 
 
 class AttemptRecorder:
-    """Records the attempts of each request at all servers of a process."""
+    """A recorder of the attempts of all requests at the servers of one process."""
 
     def __init__(self) -> None:
         self.history = AttemptHistory([], [])
-        self._open: dict[str, Stream] = {}  # by request id
+        self._open: dict[str, Stream] = {}  # connection of the latest attempt, by request id
 
     def record(self, request_id: str, stream: Stream, *, may_have_run: bool) -> None:
-        """Records an attempt whose request line has arrived completely."""
+        """Records an attempt, once its request line is complete."""
         previous = self._open.get(request_id)
         if previous is not None and not previous.closed and not previous.is_closed_by_peer():
             self.history.overlaps.append(request_id)
@@ -60,13 +61,13 @@
         self.history.attempts.append(AttemptRecord(request_id, time.monotonic(), may_have_run))
 
     def end(self, stream: Stream) -> None:
-        """Removes the attempts on a connection that has ended."""
-        for request_id in [request_id for request_id, one in self._open.items() if one is stream]:
+        """Marks the attempts on a connection as ended."""
+        for request_id in [request_id for request_id, other in self._open.items() if other is stream]:
             del self._open[request_id]
 
 
 class EmulatedServer:
-    """One server that listens on a free port of 127.0.0.1."""
+    """An emulated server that listens on a free port of 127.0.0.1."""
 
     def __init__(
         self,
@@ -76,13 +77,13 @@
         seed: int = 1,
         recorder: AttemptRecorder | None = None,
     ) -> None:
-        """Starts listening. ``recorder`` may be shared with other servers."""
+        """Starts to listen. ``recorder`` may be shared with other servers."""
         self._scheduler = scheduler
         self._rng = random.Random(f"{server_id}-{seed}")
         self.server_id, self.zone = server_id, zone
         self.counts = ServerConnectionCounts()
         self.draining_since: float | None = None
-        self.mode = Mode.SOUND
+        self.mode = Mode.NORMAL
         self._recorder = recorder
         self._tasks: dict[Stream, Task] = {}
         self._established: dict[Stream, None] = {}
@@ -96,15 +97,15 @@
         return len(self._established)
 
     def status(self) -> ServerStatus:
-        """Returns its counters and the number of established connections."""
+        """Returns the server's counters and the number of its established connections."""
         return ServerStatus(self.server_id, self.address, self.established, self.counts)
 
     def drain(self) -> None:
-        """Rejects requests from now on. Established connections stay until ``migrate_all``."""
+        """Starts to reject requests. Established connections stay open until ``migrate_all``."""
         self.draining_since = time.monotonic()
 
     def migrate_all(self, duration_s: float) -> None:
-        """Ends the established connections with MOVE, evenly over the duration. Parks."""
+        """Ends the established connections with MOVE, evenly spread over the duration. Parks."""
         streams = list(self._established)
         for stream in streams:
             if stream in self._established:
@@ -115,14 +116,14 @@
             self._scheduler.sleep(duration_s / len(streams))
 
     def crash(self) -> None:
-        """Resets all connections and stops listening, as the death of the process would."""
+        """Resets all connections and stops listening, as if the server's process had been killed."""
         self._listener.close()
         for stream, task in list(self._tasks.items()):
             self._scheduler.kill(task)
             stream.abort()
 
     def close(self) -> None:
-        """Stops listening. Open connections are left to the end of the process."""
+        """Stops listening. Open connections stay until the process exits."""
         self._listener.close()
 
     def _accept(self, stream: Stream) -> None:
@@ -151,12 +152,12 @@
             self._established.pop(stream, None)
             if self._recorder is not None:
                 self._recorder.end(stream)
-            if self._tasks.pop(stream, None) is not None:  # else ``_migrate`` closes it
+            if self._tasks.pop(stream, None) is not None:  # otherwise ``_migrate`` closes the connection
                 stream.shutdown_write()
                 stream.close()
 
     def _answer(self, stream: Stream, line: bytes) -> bool:
-        """Answers a line before the connection is established; returns True if it is established now."""
+        """Answers a line before the connection is established. Returns True if the answer establishes it."""
         if line in (b"PING", b"STATS"):
             self.counts.health_checks += 1
             report = b" " + self._load_report() if line == b"STATS" else b""
@@ -169,7 +170,7 @@
             self.counts.rejected += 1
             self.counts.late += time.monotonic() - self.draining_since > DRAIN_GRACE_S
             stream.send(b"BUSY" + LINE_END, SEND_TIMEOUT_S)
-        elif self.mode is not Mode.SOUND:
+        elif self.mode is not Mode.NORMAL:
             self._record(stream, line, may_have_run=self.mode is not Mode.BUSY)
             self._fail(stream)
         else:
@@ -185,7 +186,7 @@
             self._recorder.record(line.split(b" ")[1].decode(), stream, may_have_run=may_have_run)
 
     def _fail(self, stream: Stream) -> None:
-        """Answers a request line as the mode says."""
+        """Answers a request line according to a mode other than ``NORMAL``."""
         if self.mode is Mode.RESET:
             stream.abort()
         elif self.mode in ANSWERS:
@@ -193,7 +194,7 @@
             stream.shutdown_write()
 
     def _echo(self, stream: Stream, lines: LineReader) -> None:
-        """Sends each complete line back, unchanged, until the other side ends the connection."""
+        """Echoes each complete line until the proxy ends the connection."""
         while data := stream.receive():
             complete = lines.feed(data)
             self.counts.lines += len(complete)
@@ -202,6 +203,6 @@
         self.counts.closed_by_proxy += 1
 
     def _load_report(self) -> bytes:
-        """Returns a load report with some noise."""
+        """Returns a load report, with random noise."""
         load = self.established * LOAD_PER_CONNECTION
         return b"x0=%.4f" % min(MAX_LOAD, BASE_LOAD + load + self._rng.random() * LOAD_NOISE)
--- a/ironmill_testbed/fleet.py
+++ b/ironmill_testbed/fleet.py
@@ -1,4 +1,4 @@
-"""Clients of a proxy, many in one process, on the project's own scheduler."""
+"""Clients of a proxy, which run as tasks of ironmill's scheduler in one process."""
 
 from __future__ import annotations
 
@@ -16,33 +16,34 @@
 from ironmill.runtime.scheduler import Scheduler
 
 CONNECT_TIMEOUT_S = 5.0
-ANSWER_GRACE_S = 3.0  # beyond the request's deadline
+ANSWER_GRACE_S = 3.0  # after the request's deadline
 LINE_TIMEOUT_S = 5.0
 JOIN_CHECK_INTERVAL_S = 0.002
 MIN_RECONNECT_DELAY_S, RECONNECT_JITTER_S = 0.05, 0.15
-STICKY_GROUP_SIZE = 4  # clients of a fleet whose requests name the same group
+STICKY_GROUP_SIZE = 4  # number of clients whose requests name the same connection group
 CLASS_NAMES = ("index-sync", "archive-fetch")
-NUMBER_MULTIPLIER = 2654435761  # Knuth's: distributes the request line's second number over 32 bits
+# Knuth's multiplicative hash, which spreads the second id of a request line over 32 bits.
+NUMBER_MULTIPLIER = 2654435761
 
 Item = TypeVar("Item")
 _request_numbers = itertools.count(1)
 
 
 class NotServedError(IronmillError):
-    """A request got an answer other than UP. The text is the answer, empty if the connection was closed."""
+    """An answer other than UP. The text is the answer, or empty if the connection was closed without one."""
 
 
 class Client:
-    """One connection through a proxy."""
+    """A client with one connection through a proxy."""
 
     def __init__(self, scheduler: Scheduler, address: Address, class_name: str = "index-sync") -> None:
         self._scheduler = scheduler
         self._address = address
         self._class_name = class_name
         self._reader = LineReader()
-        self._received: list[bytes] = []  # lines that were not returned yet
+        self._received: list[bytes] = []  # lines that ``receive_line`` has not returned yet
         self.stream: Stream | None = None
-        self.server_id = ""  # the server that accepted the request, by its UP line
+        self.server_id = ""  # id of the server that accepted the request, from the UP line
 
     def open(
         self,
@@ -50,9 +51,9 @@
         fields: Mapping[str, object] = MappingProxyType({}),
         token: bytes = b"",
     ) -> None:
-        """Sends a request and waits for UP; uses ``stream`` if one is set, and connects otherwise.
+        """Sends a request and waits for UP. Connects first, unless ``stream`` is set. Parks.
 
-        Raises ``NotServedError`` for another answer, ``OSError`` or ``TimedOutError`` for none.
+        Raises ``NotServedError`` for any other answer, and ``OSError`` or ``TimedOutError`` if there is none.
         """
         if self.stream is None:
             self.stream = Stream.connect(self._scheduler, self._address, CONNECT_TIMEOUT_S)
@@ -68,11 +69,11 @@
     def _request_line(self, deadline_s: float, fields: Mapping[str, object]) -> str:
         number = next(_request_numbers)
         ids = f"{number:x} {number * NUMBER_MULTIPLIER % 2**32:x}"
-        further = "".join(f",{name}={value}" for name, value in fields.items())
-        return f"OPEN {ids} c={self._class_name},d={deadline_s * 1000:.0f}{further}"
+        more_fields = "".join(f",{name}={value}" for name, value in fields.items())
+        return f"OPEN {ids} c={self._class_name},d={deadline_s * 1000:.0f}{more_fields}"
 
     def receive_line(self, timeout_s: float | None = None) -> bytes:
-        """Returns the next line; empty at the end of the connection. Parks."""
+        """Returns the next line, or an empty one if the connection has ended. Parks."""
         while not self._received:
             assert self.stream is not None
             data = self.stream.receive(timeout_s)
@@ -82,7 +83,7 @@
         return self._received.pop(0)
 
     def exchange(self, line: bytes, timeout_s: float = LINE_TIMEOUT_S) -> bytes:
-        """Sends a line and returns the next one that arrives; empty at the end of the connection. Parks."""
+        """Sends a line and returns the next received line, or an empty one if the connection ends. Parks."""
         assert self.stream is not None
         self.stream.send(line + LINE_END, timeout_s)
         return self.receive_line(timeout_s)
@@ -96,7 +97,7 @@
 def in_parallel(
     scheduler: Scheduler, parallelism: int, items: Iterable[Item], action: Callable[[Item], object]
 ) -> None:
-    """Calls the action for each item in so many tasks, and waits for all. Parks; raises the first error."""
+    """Calls the action for each item in parallel tasks and waits for all. Parks; raises the first error."""
     remaining = iter(items)
     failed: list[Exception] = []
     running = parallelism
@@ -121,9 +122,9 @@
 
 
 def run_scenario(scheduler: Scheduler, scenario: Callable[[], Any], timeout_s: float) -> Any:
-    """Runs a scenario as a task of the scheduler and returns its result.
+    """Runs a scenario as a task of the scheduler and returns the scenario's result.
 
-    Raises what the scenario raises, and ``TimedOutError`` if it does not end in time.
+    Raises what the scenario raises, and ``TimedOutError`` if the scenario does not end in time.
     """
     result: list[Any] = []
     failed: list[BaseException] = []
@@ -148,21 +149,21 @@
 
 @dataclass(slots=True)
 class FleetCounts:
-    """Outcomes of a fleet's requests: each one that was opened is served, rejected, failed or unanswered."""
+    """Outcomes of a fleet's requests. Every opened request is served, rejected, failed or unanswered."""
 
     opened: int = 0
     served: int = 0
     rejected: int = 0
     failed: int = 0
     unanswered: int = 0
-    unreachable: int = 0  # connections that no proxy accepted; not counted as opened
-    migrated: int = 0  # of the served ones: ended with MOVE
-    lost: int = 0  # of the served ones: ended by the proxy without MOVE
-    lines: int = 0
+    unreachable: int = 0  # failed connection attempts to a proxy, which are not counted as opened
+    migrated: int = 0  # served connections that ended with MOVE
+    lost: int = 0  # served connections that ended without MOVE, failed, or did not echo a line in time
+    lines: int = 0  # echoed lines that the clients received
 
 
 class Fleet:
-    """Clients that stay connected: each opens, sends lines with pauses, and reconnects when migrated."""
+    """Clients that stay connected. Each sends lines with pauses, and reconnects after a migration."""
 
     def __init__(
         self,
@@ -184,7 +185,7 @@
             scheduler.spawn(self._run_client, number)
 
     def end(self) -> None:
-        """Opens nothing more; each client closes its established connection after its current pause."""
+        """Stops opening connections. Each client closes its established one after its current pause."""
         self._is_ending = True
 
     def _run_client(self, number: int) -> None:
@@ -209,7 +210,7 @@
             self._scheduler.sleep(delay_s)
 
     def _count_answer(self, answer: str) -> float | None:
-        """Counts an answer other than UP; returns its Retry-After in seconds, if it has one."""
+        """Counts an answer other than UP; returns its Retry-After in seconds, or None if it has none."""
         word, _, retry_after_ms = answer.partition(" ")
         self.counts.rejected += word == "BUSY"
         self.counts.failed += word not in ("BUSY", "")
--- a/ironmill_testbed/floors.py
+++ b/ironmill_testbed/floors.py
@@ -1,8 +1,8 @@
-"""Baselines of the measurements: forwarding without a proxy's logic, and a TLS echo server.
+"""Baselines for measurements: forwarding without the logic of a proxy, and a TLS echo server.
 
-``epoll`` and ``greenlet`` accept a client's connection, open one to the target and copy bytes each way
-without parsing them: the first is a bare loop, the second the project's scheduler with two tasks for each
-connection.
+``epoll`` and ``greenlet`` open a connection to the target for each client and copy bytes in both directions
+without parsing them. ``epoll`` is a plain event loop; ``greenlet`` uses ironmill's scheduler, with two tasks
+per connection. ``tls`` echoes bytes over TLS.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def run(kind: str, target: str) -> int:
-    """Serves until it is killed. The first line of standard output is the port."""
+    """Serves until the process is killed. The first line of standard output is the port."""
     host, _, port = target.rpartition(":")
     servers = {"epoll": _serve_epoll, "greenlet": _serve_greenlets, "tls": _serve_tls}
     servers[kind]((host, int(port)))
@@ -36,7 +36,7 @@
 
 
 def _serve_tls(target: Address) -> None:
-    """Echoes over ``ssl``, one connection after another; the target's host is the folder of its files."""
+    """Echoes bytes over TLS, one connection at a time. The target's host is the folder of the certificate."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.load_cert_chain(f"{target[0]}/server.crt", f"{target[0]}/server.key")
     listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
@@ -55,7 +55,7 @@
     poll = select.epoll()
     poll.register(listener.fileno(), select.EPOLLIN)
     socks: dict[int, socket.socket] = {}
-    peers: dict[int, int] = {}  # descriptor of the other connection
+    peers: dict[int, int] = {}  # descriptor of the other connection, by descriptor
     while True:
         for fd, _ in poll.poll():
             if fd == listener.fileno():
--- a/ironmill_testbed/processes.py
+++ b/ironmill_testbed/processes.py
@@ -1,4 +1,4 @@
-"""Child processes on loopback: emulated dependencies, and proxies as ``ironmill serve`` runs them."""
+"""Child processes on loopback: emulated dependencies, proxies and control machines."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
 READY_CHECK_INTERVAL_S = 0.02
 CONNECT_TIMEOUT_S = 1.0
 EXIT_TIMEOUT_S = 10.0
-LOG_EXCERPT_LENGTH = 500  # characters of a log's end that go into an error
-PORTS = (10240, 32768)  # below the ephemeral ports of Linux
+LOG_EXCERPT_LENGTH = 500  # length in characters of the end of a log in an error message
+PORTS = (10240, 32768)  # first port and end of the range, below the ephemeral ports of Linux
 MAX_PORT_ATTEMPTS = 1000
 
 _reserved_ports: set[int] = set()
 
 
 class ProcessFailedError(IronmillError, RuntimeError):
-    """A child process has ended, or was not ready in time."""
+    """A child process has ended or was not ready in time."""
 
     def __init__(self, process: Process, problem: str) -> None:
-        """``problem`` completes a sentence that begins with the process's name; the log's end follows it."""
+        """The text is the name of the process, then ``problem`` (such as "has ended"), then the log's end."""
         excerpt = process.log.read_text()[-LOG_EXCERPT_LENGTH:]
         super().__init__(f"{process.log.stem} {problem}: {excerpt}")
 
 
 class NoFreePortError(IronmillError, RuntimeError):
-    """No port of the range is free."""
+    """No free port was found in the range."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,12 +53,12 @@
     """The resources that a process has used so far."""
 
     cpu_s: float
-    system_s: float  # of ``cpu_s`` in the kernel; in ticks of 10 ms
+    system_s: float  # part of ``cpu_s`` in the kernel; the resolution is 10 ms
     resident_bytes: int
 
 
 class Process:
-    """One child process, which is killed at the end of a ``with`` block."""
+    """A child process, which is killed at the end of a ``with`` block."""
 
     def __init__(
         self,
@@ -68,9 +68,9 @@
         env: dict[str, str] | None = None,
         program: Path | None = None,
     ) -> None:
-        """Starts the interpreter with these arguments; standard error goes to ``folder/name.log``.
+        """Starts a Python interpreter with these arguments; standard error is written to ``folder/name.log``.
 
-        ``program`` is the folder of a checkout to run in place of this one.
+        ``program`` is the folder of another checkout, which is run instead of this one.
         """
         self.log = folder / f"{name}.log"
         environment = dict(os.environ) | (env or {})
@@ -96,10 +96,10 @@
         self.end(signal.SIGKILL)
 
     def usage(self) -> Usage:
-        """Returns the resources that it has used so far."""
+        """Returns the resources that the process has used so far."""
         times = self._ps.cpu_times()
         try:
-            # In nanoseconds; ``cpu_times`` is too coarse for a measurement of some thousand lines.
+            # In nanoseconds; ``cpu_times`` is too coarse to measure a few thousand lines.
             cpu_s = int(Path(f"/proc/{self.popen.pid}/schedstat").read_text().split()[0]) / 1e9
         except (OSError, IndexError):
             cpu_s = times.user + times.system
@@ -109,7 +109,7 @@
         """Sends a signal and returns the exit status. Kills the process after ``EXIT_TIMEOUT_S``."""
         for pipe in (self.popen.stdin, self.popen.stdout):
             if pipe is not None:
-                with suppress(BrokenPipeError):  # raised if it has ended with unread input
+                with suppress(BrokenPipeError):  # raised if the process has ended with unread input
                     pipe.close()
         if self.popen.poll() is None:
             self.popen.send_signal(number)
@@ -121,10 +121,10 @@
 
 
 class CommandedProcess(Process):
-    """A process of the testbed that reads commands (``emulate.answer_commands``)."""
+    """A process of the testbed that executes commands with ``emulate.answer_commands``."""
 
     def execute(self, command: str, *args: object) -> Any:
-        """Sends a command and returns its response. Raises ``ProcessFailedError`` if it has ended."""
+        """Executes a command and returns its response. Raises ``ProcessFailedError`` if the process ended."""
         assert self.popen.stdin is not None
         assert self.popen.stdout is not None
         try:
@@ -142,7 +142,7 @@
     """The process of the emulated servers and discovery (``ironmill_testbed.emulate``)."""
 
     def __init__(self, folder: Path, server_count: int) -> None:
-        """Starts servers ``s-0`` and so on; all listen when it returns."""
+        """Starts ``server_count`` servers, ``s-0`` and so on, and waits until all of them listen."""
         arguments = ["-m", "ironmill_testbed", "emulate", f"--hosts={server_count}"]
         super().__init__(arguments, folder, "dependencies")
         self.discovery: Address = self.status().discovery
@@ -156,27 +156,27 @@
         return msgspec.convert(self.execute("attempts"), AttemptHistory)
 
     def add(self, server_id: str, boot: float) -> None:
-        """Starts one more server; ``boot`` is its start as Unix time."""
+        """Starts another server. ``boot`` is its start time as Unix time in seconds."""
         self.execute("add", server_id, boot)
 
     def drain(self, server_id: str, delay_s: float = 2.0, duration_s: float = 2.0) -> ServerStatus:
-        """Drains a server: migrates connections after the delay, evenly over the duration, and removes it.
+        """Announces the drain of a server, and returns the server's status at that time.
 
-        Returns the server's status at the announcement.
+        After the delay, the connections are migrated evenly over the duration, and the server is removed.
         """
         return msgspec.convert(self.execute("drain", server_id, delay_s, duration_s), ServerStatus)
 
     def crash(self, server_id: str) -> None:
-        """Crashes a server."""
+        """Crashes a server and removes it from the endpoint list."""
         self.execute("crash", server_id)
 
     def set_mode(self, server_id: str, mode: str) -> None:
-        """Changes how a server answers request lines, to a value of ``emulated_servers.Mode``."""
+        """Changes how a server answers request lines. ``mode`` is a value of ``emulated_servers.Mode``."""
         self.execute("set_mode", server_id, mode)
 
 
 class ProxyProcess(Process):
-    """One proxy, which serves once ``wait_ready`` has returned."""
+    """A proxy process, which serves clients once ``wait_ready`` has returned."""
 
     def __init__(
         self,
@@ -186,7 +186,7 @@
         options: Sequence[str] = (),
         launcher: Sequence[str] = ("-m", "ironmill"),
     ) -> None:
-        """Starts ``serve`` with further options; ``launcher`` is the interpreter's arguments before it."""
+        """Starts ``serve`` with these options. ``launcher`` is the arguments that precede ``serve``."""
         value = orjson.loads(config.read_bytes())
         host, _, port = value["listen"].rpartition(":")
         self.address = (host, int(port))
@@ -194,24 +194,24 @@
         super().__init__(arguments, folder, value["name"], program=program)
 
     def wait_ready(self) -> None:
-        """Waits until it answers PING. Raises ``ProcessFailedError`` if it does not in time."""
+        """Waits until the proxy answers PING. Raises ``ProcessFailedError`` if it does not in time."""
         wait_for_answer(self, self.address, b"PING\r\n")
 
 
 def start_control_machine(name: str, folder: Path, admin_address: Address) -> Process:
-    """Starts a control machine with the settings ``NAME.xml`` in the folder."""
+    """Starts a control machine with the settings in ``folder/name.xml``."""
     settings = f"--settings={folder / f'{name}.xml'}"
-    words = ["-m", "ironmill", "control", name, settings, f"--staff={format_address(admin_address)}"]
-    return Process(words, folder, name)
+    arguments = ["-m", "ironmill", "control", name, settings, f"--staff={format_address(admin_address)}"]
+    return Process(arguments, folder, name)
 
 
-def wait_for_answer(process: Process, address: Address, question: bytes) -> None:
-    """Waits until the question is answered at the address. Raises ``ProcessFailedError`` if it is not."""
+def wait_for_answer(process: Process, address: Address, probe: bytes) -> None:
+    """Waits until a probe is answered at the address. Raises ``ProcessFailedError`` if it is not in time."""
     deadline = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < deadline and process.popen.poll() is None:
         try:
             with socket.create_connection(address, CONNECT_TIMEOUT_S) as sock:
-                sock.sendall(question)
+                sock.sendall(probe)
                 if sock.recv(64):
                     return
         except OSError:
@@ -220,10 +220,10 @@
 
 
 def free_port() -> int:
-    """Returns a port of 127.0.0.1 that is free for TCP and UDP and that it has not returned before.
+    """Returns a port of 127.0.0.1 that is free for TCP and UDP and was not returned before.
 
-    The port lies below the ephemeral range, so that it is still free later, and at a restart, however many
-    sockets others open. Raises ``NoFreePortError``.
+    The port is below the ephemeral range, so the sockets of other processes do not take it before it is bound
+    or between a shutdown and a restart. Raises ``NoFreePortError`` if no attempt finds one.
     """
     for _ in range(MAX_PORT_ATTEMPTS):
         port = random.randrange(*PORTS)
--- a/ironmill_testbed/settings.py
+++ b/ironmill_testbed/settings.py
@@ -1,4 +1,4 @@
-"""Configurations of the testbed's proxies."""
+"""Configuration files of the testbed's proxies."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def platform_settings(proxies: int = 1) -> dict[str, Any]:
-    """Returns settings with two classes, health checks, three attempts and Retry-After."""
+    """Returns settings with two classes, health checks, three attempts per request and Retry-After."""
     return {
         "balancers": proxies,
         "discovery": "push",
@@ -55,7 +55,7 @@
 def proxy_config(
     name: str, listen: Address, discovery: Address, sockets: int, settings: dict[str, Any]
 ) -> dict[str, Any]:
-    """Returns the configuration file's object for a proxy that knows no server yet."""
+    """Returns the object of the configuration file for a proxy with an empty endpoint list."""
     return {
         "name": name,
         "listen": format_address(listen),
@@ -68,7 +68,7 @@
 
 
 def write_config(folder: Path, value: dict[str, Any]) -> Path:
-    """Writes the object to a file named after the proxy; returns its path."""
+    """Writes the object to a JSON file named after the proxy; returns the path."""
     path = folder / f"{value['name']}.json"
     path.write_bytes(orjson.dumps(value, option=orjson.OPT_INDENT_2))
     return path
