--- a/tests/system/test_membership_processes.py
+++ b/tests/system/test_membership_processes.py
@@ -1,4 +1,7 @@
-"""Members as real processes, with faults of links and processes. Waits have limits; no time is judged."""
+"""Tests of members as real processes, with faults of links and processes.
+
+Waits have time limits, but no measured time is checked.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +21,16 @@
 from ironmill_testbed.faults.schedule import Fault, both_ways, load
 from ironmill_testbed.processes import free_port
 
-COUNT = 8
+MEMBER_COUNT = 8
 
 
 def test_members_agree_through_kills_partitions_and_pauses(tmp_path: Path) -> None:
-    with ProcessCluster(tmp_path, COUNT) as cluster:
+    with ProcessCluster(tmp_path, MEMBER_COUNT) as cluster:
         names = cluster.names
         cluster.start()
         cluster.wait_until(lambda: cluster.agree(names))
         events = cluster.logged_events()
-        assert not [one for one in events if one.what == "removed" and one.fields["why"] == "decided"]
+        assert not [event for event in events if event.what == "removed" and event.fields["why"] == "decided"]
 
         start = cluster.kill("m05", "m06")
         rest = [name for name in names if name not in ("m05", "m06")]
@@ -42,15 +45,15 @@
         time.sleep(6.5)
         assert checker.removals(cluster.logged_events(), start) == []
 
-        # m03 can only send, then only receive.
+        # At first m03 can only send datagrams, then it can only receive them.
         rest = [name for name in names if name != "m03"]
         for cut in (Fault("cut", 0.0, 1e9, (), ("m03",)), Fault("cut", 0.0, 1e9, ("m03",), ())):
             start = cluster.inject([cut])
             cluster.wait_until(lambda: cluster.agree(rest))
             events = cluster.logged_events()
             assert removed_members(cluster, start) == {"m03"}
-            isolated = [one for one in events if one.name == "m03" and one.what == "isolated"]
-            assert [one for one in isolated if one.at >= start]
+            isolated = [event for event in events if event.name == "m03" and event.what == "isolated"]
+            assert [event for event in isolated if event.at >= start]
             cluster.inject([])
             cluster.wait_until(lambda: cluster.agree(names))
 
@@ -61,22 +64,22 @@
         cluster.wait_until(lambda: cluster.agree(names))
         events = cluster.logged_events()
         assert removed_members(cluster, start) == {"m02"}
-        assert [one for one in events if one.name == "m02" and one.what == "removed-by-others"]
+        assert [event for event in events if event.name == "m02" and event.what == "removed-by-others"]
 
-        one, other = names[:4], names[4:]
-        cluster.inject(both_ways(0.0, 1e9, tuple(one), tuple(other)))
-        cluster.wait_until(lambda: cluster.agree(one) and cluster.agree(other))
+        side_a, side_b = names[:4], names[4:]
+        cluster.inject(both_ways(0.0, 1e9, tuple(side_a), tuple(side_b)))
+        cluster.wait_until(lambda: cluster.agree(side_a) and cluster.agree(side_b))
         cluster.inject([])
         cluster.wait_until(lambda: cluster.agree(names))
 
         start = time.monotonic()
         assert cluster.shut_down("m07") == 0
         cluster.wait_until(lambda: cluster.agree(names[:-1]))
-        assert checker.removals(cluster.logged_events(), start) == []  # a graceful shutdown is no removal
+        assert checker.removals(cluster.logged_events(), start) == []  # a graceful shutdown is not a removal
 
 
 def test_seeds_that_start_a_cluster_of_their_own_merge_with_the_others(tmp_path: Path) -> None:
-    """Both seeds restart and hear from no other member meanwhile; the others find them later."""
+    """Guards against two separate clusters: both seeds restart while they cannot reach any other member."""
     with ProcessCluster(tmp_path, 5) as cluster:
         seeds, others = cluster.names[:2], cluster.names[2:]
         cluster.start()
@@ -92,7 +95,7 @@
 
 
 def removed_members(cluster: ProcessCluster, since: float) -> set[str]:
-    return {one.fields["member"] for one in checker.removals(cluster.logged_events(), since)}
+    return {event.fields["member"] for event in checker.removals(cluster.logged_events(), since)}
 
 
 def test_keys_are_replaced_in_place_and_an_unknown_key_admits_none(tmp_path: Path) -> None:
@@ -101,10 +104,10 @@
         cluster.start()
         cluster.wait_until(lambda: cluster.agree(cluster.names))
 
-        # Each step is taken by one running process after the other.
-        first = keys.read_text().strip()
-        second = "a1" * 32
-        for lines in ([first, second], [second, first], [second]):
+        # Each step of the rotation is applied to one running process after the other.
+        old_key = keys.read_text().strip()
+        new_key = "a1" * 32
+        for lines in ([old_key, new_key], [new_key, old_key], [new_key]):
             keys.write_text("\n".join(lines) + "\n")
             for name in cluster.names:
                 cluster.processes[name].popen.send_signal(signal.SIGHUP)
@@ -143,9 +146,9 @@
         assert printed.returncode == 0
         assert printed.stdout.startswith("m00 is a member of testbed, view ")
         assert "m01" in printed.stdout
-    down = run("members", f"127.0.0.1:{free_port()}")
-    assert (down.returncode, down.stdout) == (2, "")
-    assert "does not answer" in down.stderr
+    unreachable = run("members", f"127.0.0.1:{free_port()}")
+    assert (unreachable.returncode, unreachable.stdout) == (2, "")
+    assert "does not answer" in unreachable.stderr
 
 
 def test_without_membership_nothing_of_it_is_imported_or_listens(tmp_path: Path) -> None:
@@ -159,19 +162,19 @@
         "import sys; import ironmill.cli, ironmill.net.proxy; "
         "print([name for name in sys.modules if 'membership' in name])"
     )
-    found = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
-    assert found.stdout.strip() == "[]"
+    imported = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
+    assert imported.stdout.strip() == "[]"
 
 
 SETTINGS = """<ironmill xmlns="urn:ironmill:settings:1">
-<membership cluster="c" listen="127.0.0.1:7400" keys="k" {more}>
+<membership cluster="c" listen="127.0.0.1:7400" keys="k" {attributes}>
 <seed address="{seed}"/>{peers}
 </membership></ironmill>
 """
 
 
 @pytest.mark.parametrize(
-    ("more", "seed", "peers", "keys", "message"),
+    ("attributes", "seed", "peers", "keys", "message"),
     [
         ("", "127.0.0.1:7400", "", "0f" * 32, "are fit for use"),
         ('suspect-after="2s"', "127.0.0.1:7400", "", "0f" * 32, ":2: suspect-after is 2s"),
@@ -185,14 +188,14 @@
     ],
 )
 def test_invalid_settings_are_reported_in_one_line(
-    tmp_path: Path, more: str, seed: str, peers: str, keys: str, message: str
+    tmp_path: Path, attributes: str, seed: str, peers: str, keys: str, message: str
 ) -> None:
     from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
-    value = proxy_config("p", ("127.0.0.1", 1), ("127.0.0.1", 2), 1024, platform_settings())
-    config = write_config(tmp_path, value)
+    config_object = proxy_config("p", ("127.0.0.1", 1), ("127.0.0.1", 2), 1024, platform_settings())
+    config = write_config(tmp_path, config_object)
     path = tmp_path / "settings.xml"
-    path.write_text(SETTINGS.format(more=more, seed=seed, peers=peers))
+    path.write_text(SETTINGS.format(attributes=attributes, seed=seed, peers=peers))
     (tmp_path / "k").write_text(keys)
     checked = run("check-config", f"--config={config}", f"--settings={path}")
     assert message in checked.stdout + checked.stderr
@@ -202,10 +205,10 @@
 
 def test_start_fails_if_the_membership_address_is_in_use(tmp_path: Path) -> None:
     with (
-        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other_socket,
         ProcessCluster(tmp_path, 1) as cluster,
     ):
-        taken.bind(cluster.member_addresses["m00"])
+        other_socket.bind(cluster.member_addresses["m00"])
         cluster.start()
         assert cluster.processes["m00"].popen.wait(30.0) == 2
         assert "Address already in use" in cluster.processes["m00"].log.read_text()
@@ -216,7 +219,7 @@
     path.write_text('[{"kind": "loss", "start": 1, "end": 2.5, "share": 0.5, "targets": ["m01"]}]')
     (fault,) = load(path)
     assert fault == Fault("loss", 1, 2.5, targets=("m01",), fraction=0.5)
-    assert [fault.is_active(at, "m00", "m01") for at in (0.9, 1.0, 2.5)] == [False, True, False]
+    assert [fault.is_active(now, "m00", "m01") for now in (0.9, 1.0, 2.5)] == [False, True, False]
     assert not structs.replace(fault, sources=("m02",)).is_active(1.0, "m00", "m01")
     path.write_text('[{"kind": "flood", "start": 1}]')
     with pytest.raises(ValueError, match="flood"):
--- a/tests/system/test_simulated_proxies.py
+++ b/tests/system/test_simulated_proxies.py
@@ -1,6 +1,6 @@
-"""Simulated proxies on sockets: a small fleet with faults, and a test of each check.
+"""Tests of simulated proxies on sockets: a small fleet with faults, and each check of such a run.
 
-Waits end a test; no time is judged.
+Waits have time limits, but no measured time is checked.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from ironmill_testbed.faults.socket_fleet import SocketFleet
 from ironmill_testbed.processes import CommandedProcess
 
-ONE, OTHER = PAIRED_KEYS
+FIRST_KEY, SECOND_KEY = PAIRED_KEYS
 
 
 def _applied_fields(epoch: int, number: int, digest: str = "a") -> dict[str, Any]:
@@ -41,19 +41,19 @@
 
 
 def test_thirty_simulated_proxies_and_a_real_one_lose_nothing_through_faults() -> None:
-    me = psutil.Process()
-    before = {child.pid for child in me.children(recursive=True)}
-    found = on_sockets.run(30, 3, 2, 1, seconds=3.0, quick=True)
-    assert (found["hollow_on_sockets"], found["real_processes"], found["real_proxies"]) == (30, 4, 1)
-    assert found["changes"] > 20
-    assert (found["refused_pushes"], found["refused_why"]) == (0, "")
+    own_process = psutil.Process()
+    children_before = {child.pid for child in own_process.children(recursive=True)}
+    results = on_sockets.run(30, 3, 2, 1, seconds=3.0, quick=True)
+    assert (results["hollow_on_sockets"], results["real_processes"], results["real_proxies"]) == (30, 4, 1)
+    assert results["changes"] > 20
+    assert (results["refused_pushes"], results["refused_why"]) == (0, "")
     for name in ("lost_changes", "older_after_newer", "half_in_force", "false_everywhere", "clients_lost"):
-        assert found[name] == 0, name
-    assert found["clients_lines"] > 100
-    assert found["reattached"] > 0  # the killed relay's children have found another one
-    assert found["not_reattached"] == 0
-    assert found["stale_told"] == 30
-    assert found["hollow_events"].get("refused", 0) == 0
+        assert results[name] == 0, name
+    assert results["clients_lines"] > 100
+    assert results["reattached"] > 0  # the children of the killed relay have attached to another one
+    assert results["not_reattached"] == 0
+    assert results["stale_told"] == 30
+    assert results["hollow_events"].get("refused", 0) == 0
     figures = (
         "change_p50_s",
         "change_p99_s",
@@ -68,33 +68,33 @@
         "peak_memory_mb",
         "wall_s",
     )
-    assert all(isinstance(found[name], float) for name in figures)
-    assert {child.pid for child in me.children(recursive=True)} == before
+    assert all(isinstance(results[name], float) for name in figures)
+    assert {child.pid for child in own_process.children(recursive=True)} == children_before
 
 
 def test_processes_end_with_their_fleet(tmp_path: Path) -> None:
     with pytest.raises(ZeroDivisionError), SocketFleet(tmp_path, 2, 3, 1, 0) as fleet:
         fleet.start(*fleet.controls)
         fleet.start_simulated()
-        (simulated,) = fleet.simulated
-        assert simulated.execute("summary")["proxies"] == 2
-        started = fleet.all_processes()
+        (simulated_process,) = fleet.simulated
+        assert simulated_process.execute("summary")["proxies"] == 2
+        started_processes = fleet.all_processes()
         fleet.pause("c01")
         raise ZeroDivisionError
-    assert all(process.popen.poll() is not None for process in started)
+    assert all(process.popen.poll() is not None for process in started_processes)
 
 
 def test_process_of_simulated_proxies_ends_when_its_input_does(tmp_path: Path) -> None:
     with SocketFleet(tmp_path, 2, 3, 1, 0) as fleet:
         fleet.start_simulated()
-        (simulated,) = fleet.simulated
-        report = simulated.execute("summary")
+        (simulated_process,) = fleet.simulated
+        report = simulated_process.execute("summary")
         assert (report["proxies"], report["in_force"], report["reached"]) == (2, {}, {})
         assert report["cpu"] > 0.0
         assert report["resident"] > 0
-        assert simulated.popen.stdin is not None
-        simulated.popen.stdin.close()
-        assert simulated.popen.wait(20.0) == 0
+        assert simulated_process.popen.stdin is not None
+        simulated_process.popen.stdin.close()
+        assert simulated_process.popen.wait(20.0) == 0
 
 
 def test_ended_process_is_reported_by_name(tmp_path: Path) -> None:
@@ -118,9 +118,9 @@
 
 
 def test_eleven_zones_in_five_regions() -> None:
-    places = {(zone(at), region(at)) for at in range(2800)}
-    assert len(places) == 11
-    assert {name for _, name in places} == {f"r{at}" for at in range(5)}
+    locations = {(zone(index), region(index)) for index in range(2800)}
+    assert len(locations) == 11
+    assert {name for _, name in locations} == {f"r{number}" for number in range(5)}
 
 
 def test_reports_of_all_proxies_are_summed() -> None:
@@ -133,7 +133,8 @@
     reports.on_event("h1", BecameStale(4.0, START), 5.0)
     summary = reports.summary()
     assert summary["in_force"] == {"1.2": 2}
-    assert summary["reached"] == {"1": [2, 2.0, 3.0], "2": [2, 2.0, 4.0]}  # a later one includes it
+    # Applying a later revision counts for all earlier ones.
+    assert summary["reached"] == {"1": [2, 2.0, 3.0], "2": [2, 2.0, 4.0]}
     assert summary["digests"] == {"1.2": {"a": 1, "b": 1}, "1.1": {"a": 1}}
     assert (summary["out_of_order"], summary["stale"]) == (0, 1)
     assert reports.moments(2, 9) == {"reached": {"2": [2.0, 4.0]}, "stale": [5.0]}
@@ -149,23 +150,27 @@
     assert reports.moved("c02", 0.0) == {"count": 0, "last": None}
 
 
-def test_what_belongs_together_and_comes_alone_is_logged() -> None:
+def test_change_that_breaks_the_pair_of_keys_is_counted() -> None:
     reports = ProxyReports()
     consumer = PairCheckingConsumer(reports)
-    for changes in ({ONE: b"1", OTHER: b"1"}, {"shard/a": b"2"}, {ONE: None, OTHER: None}):
+    for changes in (
+        {FIRST_KEY: b"1", SECOND_KEY: b"1"},
+        {"shard/a": b"2"},
+        {FIRST_KEY: None, SECOND_KEY: None},
+    ):
         assert consumer.check(changes) is None
         consumer.apply(changes)
     assert reports.torn == 0
-    consumer.apply({ONE: b"1"})
-    consumer.apply({OTHER: None})
-    consumer.apply({ONE: b"1", OTHER: b"2"})
+    consumer.apply({FIRST_KEY: b"1"})
+    consumer.apply({SECOND_KEY: None})
+    consumer.apply({FIRST_KEY: b"1", SECOND_KEY: b"2"})
     assert reports.torn == 3
 
 
 def test_lost_changes_are_counted_for_each_proxy() -> None:
-    last = Position(2, 7)
-    assert on_sockets.lost([(last, 30), (Position(2, 8), 1)], last) == 0
-    assert on_sockets.lost([(last, 3), (Position(1, 5), 2), (START, 1)], last) == 2 * 2 + 7
+    latest = Position(2, 7)
+    assert on_sockets.lost([(latest, 30), (Position(2, 8), 1)], latest) == 0
+    assert on_sockets.lost([(latest, 3), (Position(1, 5), 2), (START, 1)], latest) == 2 * 2 + 7
 
 
 def test_different_state_at_the_same_position_is_counted() -> None:
@@ -174,7 +179,8 @@
     assert on_sockets.differing(on_sockets.states_of(logged), origin) == 0
     logged.append(_logged("p01", "in-force", 1, "b"))
     assert on_sockets.differing(on_sockets.states_of(logged), origin) == 1
-    assert on_sockets.differing({Position(1, 9): Counter({"a": 4})}, origin) == 4  # never was
+    # The origin never had this position.
+    assert on_sockets.differing({Position(1, 9): Counter({"a": 4})}, origin) == 4
 
 
 def test_older_position_after_a_newer_one_is_counted_unless_restarted() -> None:
@@ -201,10 +207,10 @@
     monkeypatch.setattr(time, "monotonic", lambda: clock[0])
     monkeypatch.setattr(time, "sleep", lambda delay: clock.__setitem__(0, clock[0] + delay))
 
-    class Counting(on_sockets.OperatorLoad):
+    class RecordingLoad(on_sockets.OperatorLoad):
         def push_once(self, phase: str) -> None:
             steps.append(phase)
 
-    load = Counting(None)  # type: ignore[arg-type]
+    load = RecordingLoad(None)  # type: ignore[arg-type]
     load.run("x", 2.0, 2.0, [(0.7, lambda: steps.append("kill")), (3.0, lambda: steps.append("late"))])
     assert steps == ["x", "x", "kill", "x", "x", "late"]
--- a/tests/system/test_testbed.py
+++ b/tests/system/test_testbed.py
@@ -1,4 +1,4 @@
-"""The emulated dependencies and the fleet, with a proxy in the same process or as a process."""
+"""Tests of the emulated dependencies, the fleet of clients and the measure command."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ironmill_testbed.processes import Dependencies, ProxyProcess, free_port
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
-OPEN = b"OPEN 1 2 c=index-sync,d=900\r\n"
+REQUEST_LINE = b"OPEN 1 2 c=index-sync,d=900\r\n"
 
 
 def get_json(stream: Stream, path: str) -> dict[str, Any]:
@@ -67,8 +67,8 @@
         client.open()
         assert (client.server_id, client.exchange(b"hey")) == ("s-0", b"hey")
         server.drain()
-        assert answer_to(OPEN) == b"BUSY\r\n"
-        server.draining_since = 0.0  # announced long ago
+        assert answer_to(REQUEST_LINE) == b"BUSY\r\n"
+        server.draining_since = 0.0  # as if the drain had been announced long ago
         with pytest.raises(NotServedError):
             Client(scheduler, server.address).open()
         server.migrate_all(0.01)
@@ -111,15 +111,15 @@
 
 def test_in_parallel_raises_the_first_error() -> None:
     scheduler = Scheduler()
-    done: list[int] = []
+    results: list[int] = []
 
     def work(item: int) -> None:
         scheduler.sleep(0.001)
-        done.append(1 // item)
+        results.append(1 // item)
 
     with pytest.raises(ZeroDivisionError):
         run_scenario(scheduler, lambda: in_parallel(scheduler, 2, [1, 0, 1, 1, 1, 1], work), 30.0)
-    assert 1 <= len(done) <= 3
+    assert 1 <= len(results) <= 3
 
 
 def test_unknown_measurement_returns_status_2(capsys: pytest.CaptureFixture[str]) -> None:
