--- a/tests/system/test_distribution_processes.py
+++ b/tests/system/test_distribution_processes.py
@@ -104,7 +104,7 @@
     large = cluster.push(many_keys)
     cluster.kill("p06")
     cluster.wait_until(
-        lambda: cluster.all_at(large, [name for name in proxies if name not in ("p05", "p06")])
+        lambda: cluster.all_at(large, [proxy for proxy in proxies if proxy not in ("p05", "p06")])
     )
     cluster.wait_until(lambda: _lagging_nodes(cluster) == {"p05": "unreachable", "p06": "unreachable"})
     cluster.wait_until(lambda: time.monotonic() > paused + STALE_AFTER_S)
