--- a/ironmill_testbed/faults/control_plane_cluster.py
+++ b/ironmill_testbed/faults/control_plane_cluster.py
@@ -31,7 +31,7 @@
     """
 
     def __init__(self, folder: Path, proxies: int = 8, controls: int = 3, identity: str = "") -> None:
-        """Creates the cluster. ``identity`` is an XML element that is added to the proxies' settings."""
+        """Creates the cluster. ``identity`` is an XML element to add to the settings of the proxies."""
         self.machines = [f"c{index:02d}" for index in range(controls)]
         self.proxies = [f"p{index:02d}" for index in range(proxies)]
         self._identity = identity
--- a/ironmill_testbed/faults/schedule.py
+++ b/ironmill_testbed/faults/schedule.py
@@ -47,9 +47,9 @@
     return msgspec.json.decode(path.read_bytes(), type=list[Fault])
 
 
-def both_ways(start: float, end: float, one: tuple[str, ...], other: tuple[str, ...]) -> list[Fault]:
+def both_ways(start: float, end: float, side_a: tuple[str, ...], side_b: tuple[str, ...]) -> list[Fault]:
     """Returns the faults of a partition: two sets of processes that cannot reach each other."""
-    return [Fault("cut", start, end, one, other), Fault("cut", start, end, other, one)]
+    return [Fault("cut", start, end, side_a, side_b), Fault("cut", start, end, side_b, side_a)]
 
 
 class Links:
--- a/ironmill_testbed/faults/simulated_proxies.py
+++ b/ironmill_testbed/faults/simulated_proxies.py
@@ -71,9 +71,8 @@
         self.out_of_order = 0  # positions applied that are not newer than the previous one
         self.torn = 0  # changes that set only one of the paired keys, or set them to different values
         self.received_bytes = 0
-        self._moves: deque[tuple[float, str]] = deque(
-            maxlen=MAX_KEPT_MOVES
-        )  # time and previous parent of each move
+        # Time and previous parent of each change of parent.
+        self._moves: deque[tuple[float, str]] = deque(maxlen=MAX_KEPT_MOVES)
         self._lost_parents: dict[str, str] = {}
 
     def on_event(self, name: str, event: Event, now: float) -> None:
@@ -163,9 +162,9 @@
         return None
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
-        """Counts the changes if they do not set both paired keys to the same value, or neither key."""
-        one, other = PAIRED_KEYS
-        if (one in changes) is not (other in changes) or changes.get(one) != changes.get(other):
+        """Counts the changes if they contain only one of the paired keys, or different values for them."""
+        key_a, key_b = PAIRED_KEYS
+        if (key_a in changes) is not (key_b in changes) or changes.get(key_a) != changes.get(key_b):
             self._reports.torn += 1
 
 
--- a/ironmill_testbed/faults/swim.py
+++ b/ironmill_testbed/faults/swim.py
@@ -71,9 +71,8 @@
         self._probe_order: list[str] = []
         self._next_period_at = now
         self._probed: ProbedMember | None = None
-        self._relayed: dict[
-            int, tuple[Address, int]
-        ] = {}  # requester and its number, by the number of the own ping
+        # Requester of an indirect ping and the requester's number, by the number of this member's own ping.
+        self._relayed: dict[int, tuple[Address, int]] = {}
         self._last_number = 0
         self._out: list[Datagram] = []
 
@@ -187,7 +186,7 @@
         was_present = old is not None and old.status != DEAD
         if (state.status != DEAD) is not was_present:
             kind = MemberRemoved if state.status == DEAD else MemberJoined
-            members = sum(known.status != DEAD for known in self._states.values())
+            members = sum(other.status != DEAD for other in self._states.values())
             self._on_event(kind(name, state.incarnation, ChangeCause.DECIDED, [], "", members))
 
     def _refute(self, state: SwimState) -> None:
--- a/ironmill_testbed/processes.py
+++ b/ironmill_testbed/processes.py
@@ -187,11 +187,11 @@
         launcher: Sequence[str] = ("-m", "ironmill"),
     ) -> None:
         """Starts ``serve`` with these options. ``launcher`` is the arguments that precede ``serve``."""
-        value = orjson.loads(config.read_bytes())
-        host, _, port = value["listen"].rpartition(":")
+        config_object = orjson.loads(config.read_bytes())
+        host, _, port = config_object["listen"].rpartition(":")
         self.address = (host, int(port))
         arguments = [*launcher, "serve", f"--config={config}", *options]
-        super().__init__(arguments, folder, value["name"], program=program)
+        super().__init__(arguments, folder, config_object["name"], program=program)
 
     def wait_ready(self) -> None:
         """Waits until the proxy answers PING. Raises ``ProcessFailedError`` if it does not in time."""
--- a/ironmill_testbed/settings.py
+++ b/ironmill_testbed/settings.py
@@ -67,8 +67,8 @@
     }
 
 
-def write_config(folder: Path, value: dict[str, Any]) -> Path:
+def write_config(folder: Path, config: dict[str, Any]) -> Path:
     """Writes the object to a JSON file named after the proxy; returns the path."""
-    path = folder / f"{value['name']}.json"
-    path.write_bytes(orjson.dumps(value, option=orjson.OPT_INDENT_2))
+    path = folder / f"{config['name']}.json"
+    path.write_bytes(orjson.dumps(config, option=orjson.OPT_INDENT_2))
     return path
