--- a/ironmill_testbed/capacity/sweep_core.py
+++ b/ironmill_testbed/capacity/sweep_core.py
@@ -1,8 +1,8 @@
-"""Sweeps of an established connection's costs: a real proxy and a bare epoll loop, measured in turns.
+"""Sweeps of the costs of established connections, in a real proxy and in a bare epoll loop.
 
-Four processes: this one with the clients, the emulated dependencies, the proxy and the loop. The latter two
-are restarted for each size, as a proxy reuses the memory of earlier connections. They are measured by the
-code of ``measure core``.
+The epoll loop is the floor that the proxy's CPU is compared with. A run has four processes: this one, which
+has the clients, the emulated dependencies, the proxy and the loop. Proxy and loop are restarted for each
+size, because a proxy reuses the memory of closed connections. The measuring code is that of ``measure core``.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 LINES_PER_ROUND, QUICK_LINES_PER_ROUND = 2000, 400
 SETUPS_PER_ROUND, QUICK_SETUPS_PER_ROUND = 300, 80
 ROUNDS, QUICK_ROUNDS = 7, 5
-FLOOR_CONNECTIONS = 200  # if only the floor is measured
-KINDS = ("proxy", "epoll")
+FLOOR_CONNECTIONS = 200  # the size at which the floor is measured without the proxy
+PROCESS_KINDS = ("proxy", "epoll")
 
 
-def _sweep(name: str, what: str, unit: str = "s") -> Sweep:
-    return Sweep(name, what, "established connections", unit, Sign.REAL, ())
+def _sweep(name: str, description: str, unit: str = "s") -> Sweep:
+    return Sweep(name, description, "established connections", unit, Sign.REAL, ())
 
 
 SWEEPS = (
@@ -58,7 +58,7 @@
 
 
 class Effort(Struct, frozen=True):
-    """How much is measured at one size."""
+    """The number of operations that are measured at one size."""
 
     lines: int  # per round
     setups: int  # per round
@@ -66,17 +66,19 @@
 
     @classmethod
     def of(cls, *, quick: bool) -> Effort:
-        """Returns the effort of a quick or a full measurement."""
+        """Returns the numbers of a quick or a full measurement."""
         if quick:
             return cls(QUICK_LINES_PER_ROUND, QUICK_SETUPS_PER_ROUND, QUICK_ROUNDS)
         return cls(LINES_PER_ROUND, SETUPS_PER_ROUND, ROUNDS)
 
 
-def measure_size(size: int, effort: Effort, kinds: Sequence[str] = KINDS) -> dict[str, ConnectionCosts]:
-    """Measures each kind of process with so many connections."""
-    with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
+def measure_size(
+    size: int, effort: Effort, kinds: Sequence[str] = PROCESS_KINDS
+) -> dict[str, ConnectionCosts]:
+    """Measures each kind of process with ``size`` established connections."""
+    with tempfile.TemporaryDirectory() as directory, ExitStack() as stack:
         descriptors = stack.enter_context(max_descriptors())
-        folder = Path(name)
+        folder = Path(directory)
         dependencies = stack.enter_context(Dependencies(folder, SERVER_COUNT))
         options = SubjectOptions(descriptors)
         scheduler, benches = Scheduler(), dict[str, Bench]()
@@ -88,7 +90,7 @@
         def scenario() -> None:
             for bench in benches.values():
                 bench.grow()
-            for _ in range(effort.rounds):  # in turns: noise of the machine affects both
+            for _ in range(effort.rounds):  # in turns, so that other load on the machine affects all kinds
                 for bench in benches.values():
                     bench.round(effort.lines, effort.setups)
             for bench in benches.values():
@@ -99,11 +101,11 @@
 
 
 def measure(*, quick: bool) -> dict[str, Sweep]:
-    """Measures all sweeps of the core."""
+    """Measures all sweeps of this module at the sizes of a quick or a full run."""
     results = []
     for size in QUICK_SIZES if quick else SIZES:
-        found = measure_size(size, Effort.of(quick=quick))
-        proxy, epoll = found["proxy"], found["epoll"]
+        costs = measure_size(size, Effort.of(quick=quick))
+        proxy, epoll = costs["proxy"], costs["epoll"]
         results.append(
             (
                 size,
@@ -120,11 +122,11 @@
 
 
 def measure_floor(*, quick: bool) -> float:
-    """Measures the seconds of CPU per line of the bare epoll loop."""
+    """Measures the CPU seconds per line of the bare epoll loop."""
     effort = Effort(Effort.of(quick=quick).lines, 1, ROUNDS)
     return measure_size(FLOOR_CONNECTIONS, effort, ("epoll",))["epoll"].line_ms / 1000.0
 
 
 def floor_of(sweep: Sweep) -> float:
-    """Returns the floor's seconds per line: the median of all sizes."""
+    """Returns the CPU seconds per line of a floor's sweep, as the median over its sizes."""
     return statistics.median(cost for _, cost in sweep.points)
--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -1,8 +1,8 @@
-"""Sweeps of distribution: keyspace, catching up, a relay with its children, and simulated fleets.
+"""Sweeps of distribution: the keyspace, catch-up, a relay with its children, and simulated fleets.
 
-CPU is that of the state machines alone, by ``time.process_time`` around their calls: what a driver's sockets
-cost is not in it, nor what the simulated network costs. Bytes are those of the datagrams without the headers
-of UDP and IP. Memory is that of Python, by tracemalloc.
+CPU is measured with ``time.process_time`` around the calls of the state machines. It includes neither the
+sockets of a driver nor the simulated network. Bytes are those of datagrams without the UDP and IP headers.
+Memory is what Python allocates, by tracemalloc.
 """
 
 from __future__ import annotations
@@ -37,97 +37,97 @@
 from ironmill_testbed.faults.memory_store import Disk
 from ironmill_testbed.faults.simulated_fleet import KEY, SimulatedFleet
 
-ENTRIES = (1000, 4000, 16_000, 64_000, 160_000, 640_000)
-ENTRIES_QUICK = (1000, 2000, 4000, 8000, 16_000)
-CHILDREN = (10, 30, 104, 300, 1000)
-CHILDREN_QUICK = (10, 20, 40, 70, 104)
-PROXIES = (104, 312, 624, 1248, 2800)
-PROXIES_QUICK = (52, 104, 156, 208, 312)
+ENTRY_COUNTS = (1000, 4000, 16_000, 64_000, 160_000, 640_000)
+QUICK_ENTRY_COUNTS = (1000, 2000, 4000, 8000, 16_000)
+CHILD_COUNTS = (10, 30, 104, 300, 1000)
+QUICK_CHILD_COUNTS = (10, 20, 40, 70, 104)
+PROXY_COUNTS = (104, 312, 624, 1248, 2800)
+QUICK_PROXY_COUNTS = (52, 104, 156, 208, 312)
 VALUE_BYTES = 40
-CONVERGED_AT = 6.0
-IDLE_S, IDLE_QUICK_S = 10, 4
-REVISIONS, REVISIONS_QUICK = 40, 15
+CONVERGENCE_S = 6.0
+IDLE_SPAN_S, QUICK_IDLE_SPAN_S = 10, 4
+REVISIONS, QUICK_REVISIONS = 40, 15
 UNLIMITED_BYTES_PER_S = 1e9
 
 Result = TypeVar("Result")
 
 
-def value_of(at: int) -> bytes:
-    """Returns a value like that of a shard."""
-    return b"server-%05d" % (at % 9000) + bytes(VALUE_BYTES - 12)
+def shard_value(index: int) -> bytes:
+    """Returns a value that names the server of a shard, padded to ``VALUE_BYTES``."""
+    return b"server-%05d" % (index % 9000) + bytes(VALUE_BYTES - 12)
 
 
-def keys_of(size: int) -> dict[str, bytes]:
-    """Returns entries of a keyspace."""
-    return {f"shard/{at:06d}": value_of(at) for at in range(size)}
+def shard_entries(count: int) -> dict[str, bytes]:
+    """Returns the entries of a keyspace by key."""
+    return {f"shard/{index:06d}": shard_value(index) for index in range(count)}
 
 
 # Keyspace
 
 
-def keyspace(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Measures the memory of a keyspace, and the processor time of a put."""
+def measure_keyspace(size: int, quick: bool, seed: int) -> dict[str, float]:
+    """Measures the memory of a keyspace of ``size`` entries, and the CPU time of a put."""
     rng = random.Random(seed)
     gc.collect()
     tracemalloc.start()
     entries = Keyspace()
-    for at in range(size):
-        entries.put(f"shard/{at:06d}", value_of(at))
+    for index in range(size):
+        entries.put(f"shard/{index:06d}", shard_value(index))
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    took = []
+    batch_cpu_s = []
     for _ in range(5 if quick else 9):
         keys = [f"shard/{rng.randrange(size):06d}" for _ in range(1000)]
-        new = rng.randbytes(VALUE_BYTES)
+        new_value = rng.randbytes(VALUE_BYTES)
         start = time.process_time()
         for key in keys:
-            entries.put(key, new)
-        took.append((time.process_time() - start) / len(keys))
-    return {"keyspace_memory": float(memory), "keyspace_put_cpu": statistics.median(took)}
+            entries.put(key, new_value)
+        batch_cpu_s.append((time.process_time() - start) / len(keys))
+    return {"keyspace_memory": float(memory), "keyspace_put_cpu": statistics.median(batch_cpu_s)}
 
 
 # Nodes without a network
 
 
 class DirectNetwork:
-    """Nodes that reach each other without delay; the processor time of each is counted."""
+    """A network that delivers datagrams without delay and measures the CPU time of each node."""
 
     def __init__(self) -> None:
-        """Begins without nodes."""
+        """Creates a network without nodes, whose clock is at 0."""
         self.now = 0.0
         self.cpu_s: dict[str, float] = {}
         self.received: dict[str, int] = {}
         self._nodes: dict[Address, Node] = {}
         self._queue: deque[tuple[Datagram, Address]] = deque()
 
-    def put(self, node: Node) -> None:
-        """Adds a node."""
+    def add(self, node: Node) -> None:
+        """Adds a node, with its counters at zero."""
         self._nodes[node.identity.address] = node
         self.cpu_s[node.identity.name] = 0.0
         self.received[node.identity.name] = 0
 
     def send(self, node: Node, datagrams: list[Datagram]) -> None:
-        """Queues the datagrams of a node."""
+        """Queues datagrams that a node sends."""
         self._queue.extend((datagram, node.identity.address) for datagram in datagrams)
 
-    def drain(self) -> None:
-        """Delivers datagrams until none is queued."""
+    def deliver(self) -> None:
+        """Delivers datagrams and those sent in response, until none is queued."""
         while self._queue:
             (address, data), source = self._queue.popleft()
             node = self._nodes.get(address)
             if node is not None:
                 self.received[node.identity.name] += len(data)
-                self.send(node, self._count(node, partial(node.receive, data, source, self.now)))
+                self.send(node, self._measure_cpu(node, partial(node.receive, data, source, self.now)))
 
     def tick(self) -> None:
-        """Advances the clock by a tick."""
+        """Advances the clock by a tick, which every node handles, and delivers what they send."""
         self.now += TICK_INTERVAL_S
         for node in self._nodes.values():
-            self.send(node, self._count(node, partial(node.tick, self.now)))
-            self.drain()
+            self.send(node, self._measure_cpu(node, partial(node.tick, self.now)))
+            self.deliver()
 
-    def _count(self, node: Node, call: Callable[[], Result]) -> Result:
+    def _measure_cpu(self, node: Node, call: Callable[[], Result]) -> Result:
         start = time.process_time()
         result = call()
         self.cpu_s[node.identity.name] += time.process_time() - start
@@ -135,7 +135,7 @@
 
 
 def _ignore(_: Event) -> None:
-    """Ignores an event."""
+    """Discards the event."""
 
 
 def _context(identity: MemberIdentity, timing: Timing, codec: Codec, seed: int) -> NodeContext:
@@ -149,32 +149,35 @@
     )
 
 
-def _identity(name: str, at: int) -> MemberIdentity:
-    return MemberIdentity(name, f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}", 7100, "z0", "r0", 1000)
+def _identity(name: str, index: int) -> MemberIdentity:
+    return MemberIdentity(name, f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}", 7100, "z0", "r0", 1000)
 
 
-def _origin(card: MemberIdentity, size: int, timing: Timing, relays: list[Endpoint]) -> Origin:
+def _origin(identity: MemberIdentity, entry_count: int, timing: Timing, relays: list[Endpoint]) -> Origin:
     disk = Disk()
-    disk.fill(keys_of(size))
-    context = _context(card, timing, Codec("sim", [KEY]), 1)
+    disk.fill(shard_entries(entry_count))
+    context = _context(identity, timing, Codec("sim", [KEY]), 1)
     return Origin(context, disk.open(), relays, lambda changes: None)
 
 
-def catch_up(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Measures bytes both ways and processor time of a proxy that starts empty, without a rate limit."""
+def measure_catch_up(size: int, quick: bool, seed: int) -> dict[str, float]:
+    """Measures the bytes sent and received, and the CPU time, of a proxy that starts without entries.
+
+    The catch-up is not limited in rate.
+    """
     del quick
     timing = Timing(catch_up_bytes_per_s=UNLIMITED_BYTES_PER_S, serve_bytes_per_s=UNLIMITED_BYTES_PER_S)
     network = DirectNetwork()
     origin = _origin(_identity("origin", 1), size, timing, [])
-    place = Endpoint("origin", origin.identity.address, "z0", "r0")
+    parent = Endpoint("origin", origin.identity.address, "z0", "r0")
     context = _context(_identity("p", 2), timing, Codec("sim", [KEY]), seed)
-    proxy = ProxyNode(context, [place], SimulatedConsumer())
-    network.put(origin)
-    network.put(proxy)
+    proxy = ProxyNode(context, [parent], SimulatedConsumer())
+    network.add(origin)
+    network.add(proxy)
     while proxy.replica.applied_position == START:
         network.tick()
         if network.now > 600.0:
-            raise TimeoutError(f"{size} entries: no end after {network.now} s")
+            raise TimeoutError(f"the catch-up of {size} entries is not complete after {network.now} s")
     return {
         "catch_up_bytes": float(proxy.sent_bytes + network.received["p"]),
         "catch_up_page_cpu": network.cpu_s["p"],
@@ -182,33 +185,36 @@
 
 
 class RelayWithChildren(DirectNetwork):
-    """A relay with children, and its origin."""
+    """A network of an origin, a relay and the relay's children."""
 
-    def __init__(self, children: int, seed: int) -> None:
-        """Runs until all children have the configuration. Raises ``TimeoutError`` if they do not get it."""
+    def __init__(self, child_count: int, seed: int) -> None:
+        """Runs until all children have applied the configuration; raises ``TimeoutError`` after 600 s."""
         super().__init__()
-        places = [
-            Endpoint(name, _identity(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))
+        endpoints = [
+            Endpoint(name, _identity(name, index).address, "z0", "r0")
+            for index, name in enumerate(("o", "r"))
         ]
         timing, codec = Timing(), Codec("sim", [KEY])
-        self.origin = _origin(_identity("o", 0), 300, timing, places[1:])
-        self.relay = Relay(_context(_identity("r", 1), timing, codec, seed), places[:1], places)
-        self.put(self.origin)
-        self.put(self.relay)
+        self.origin = _origin(_identity("o", 0), 300, timing, endpoints[1:])
+        self.relay = Relay(_context(_identity("r", 1), timing, codec, seed), endpoints[:1], endpoints)
+        self.add(self.origin)
+        self.add(self.relay)
         self.children = [
             ProxyNode(
-                _context(_identity(f"p{at:05d}", at + 2), timing, codec, seed * 10_000 + at),
-                places[1:],
+                _context(_identity(f"p{index:05d}", index + 2), timing, codec, seed * 10_000 + index),
+                endpoints[1:],
                 SimulatedConsumer(),
             )
-            for at in range(children)
+            for index in range(child_count)
         ]
         for child in self.children:
-            self.put(child)
+            self.add(child)
         while not self.has_converged:
             self.tick()
             if self.now > 600.0:
-                raise TimeoutError(f"{children} children: not all have it after {self.now} s")
+                raise TimeoutError(
+                    f"not all of {child_count} children have applied the configuration after {self.now} s"
+                )
 
     @property
     def has_converged(self) -> bool:
@@ -217,57 +223,61 @@
             child.replica.applied_position == self.origin.replica.received_position for child in self.children
         )
 
-    def push(self, changes: Changes, at: int) -> None:
-        """Pushes a revision and delivers what follows, without a tick."""
-        self.origin.push(changes, RevisionMetadata(0.0, "sweep", "", f"t{at}"), self.now)
+    def push(self, changes: Changes, index: int) -> None:
+        """Pushes a revision and delivers the resulting datagrams; the clock does not advance."""
+        self.origin.push(changes, RevisionMetadata(0.0, "sweep", "", f"t{index}"), self.now)
         self.send(self.origin, self.origin.flush())
-        self.drain()
+        self.deliver()
 
 
-def relay(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Measures the processor time of a relay: in a second without changes, and for a revision."""
+def measure_relay(size: int, quick: bool, seed: int) -> dict[str, float]:
+    """Measures the CPU time of a relay with ``size`` children, per idle second and per revision."""
     network = RelayWithChildren(size, seed)
     for _ in range(20):
         network.tick()
-    rest, pushes = [], []
-    for _ in range(IDLE_QUICK_S if quick else IDLE_S):
+    idle_cpu_s, push_cpu_s = [], []
+    for _ in range(QUICK_IDLE_SPAN_S if quick else IDLE_SPAN_S):
         before = network.cpu_s["r"]
         for _ in range(round(1.0 / TICK_INTERVAL_S)):
             network.tick()
-        rest.append(network.cpu_s["r"] - before)
-    for at in range(REVISIONS_QUICK if quick else REVISIONS):
+        idle_cpu_s.append(network.cpu_s["r"] - before)
+    for index in range(QUICK_REVISIONS if quick else REVISIONS):
         before = network.cpu_s["r"]
-        network.push({f"shard/{at:06d}": random.Random(at).randbytes(VALUE_BYTES)}, at)
-        pushes.append(network.cpu_s["r"] - before)
+        network.push({f"shard/{index:06d}": random.Random(index).randbytes(VALUE_BYTES)}, index)
+        push_cpu_s.append(network.cpu_s["r"] - before)
         for _ in range(4):
             network.tick()
         if not network.has_converged:
-            raise TimeoutError(f"{size} children: a revision is not in force at all of them after 0.4 s")
-    return {"relay_poll_cpu": statistics.median(rest), "relay_push_cpu": statistics.median(pushes)}
+            raise TimeoutError(f"not all of {size} children have applied a revision after 0.4 s")
+    return {"relay_poll_cpu": statistics.median(idle_cpu_s), "relay_push_cpu": statistics.median(push_cpu_s)}
 
 
-def relay_memory(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Measures the memory of a relay's children."""
+def measure_relay_memory(size: int, quick: bool, seed: int) -> dict[str, float]:
+    """Measures the memory that a relay allocates for ``size`` children."""
     del quick
-    places = [Endpoint(name, _identity(name, at).address, "z0", "r0") for at, name in enumerate(("o", "r"))]
+    endpoints = [
+        Endpoint(name, _identity(name, index).address, "z0", "r0") for index, name in enumerate(("o", "r"))
+    ]
     codec = Codec("sim", [KEY])
-    node = Relay(_context(_identity("r", 1), Timing(), codec, seed), places[:1], places)
-    node.tick(1.0)
+    relay = Relay(_context(_identity("r", 1), Timing(), codec, seed), endpoints[:1], endpoints)
+    relay.tick(1.0)
     polls = []
-    for at in range(size):
-        card = _identity(f"p{at:05d}", at + 2)
-        echo = node.link.tokens.issue(card.name, card.incarnation, 1.0)
+    for index in range(size):
+        child = _identity(f"p{index:05d}", index + 2)
+        echo = relay.link.tokens.issue(child.name, child.incarnation, 1.0)
         poll = Poll(echo, 1, False, 0, START, START, 0, 1, [], "z0", -1, START, [])
-        polls.append((codec.encode(card, "r", 1, poll), card.address))
+        polls.append((codec.encode(child, "r", 1, poll), child.address))
     gc.collect()
     tracemalloc.start()
     for data, source in polls:
-        node.receive(data, source, 1.0)
+        relay.receive(data, source, 1.0)
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    if len(node.publisher.children) != size:
-        raise RuntimeError(f"{len(node.publisher.children)} of {size} children: {node.dropped}")
+    if len(relay.publisher.children) != size:
+        raise RuntimeError(
+            f"{len(relay.publisher.children)} of {size} children attached; dropped datagrams: {relay.dropped}"
+        )
     return {"relay_memory": float(memory)}
 
 
@@ -275,12 +285,12 @@
 
 
 class MeteredFleet(SimulatedFleet):
-    """A simulated fleet that counts the processor time of its proxies' nodes."""
+    """A simulated fleet that measures the CPU time of its proxies' nodes."""
 
-    proxy_took = 0.0
+    proxy_cpu_s = 0.0
 
     def start(self, name: str, clock_offset_s: float = 0.0) -> None:
-        """Starts a process; the processor time of a proxy's node is counted."""
+        """Starts a process; if it is a proxy, the CPU time of its node is measured."""
         super().start(name, clock_offset_s)
         process: FleetProcess = self.processes[name]
         if process.role == "subscriber" and process.node is not None:
@@ -292,54 +302,60 @@
         def metered(*args: object) -> Result:
             start = time.process_time()
             result = call(*args)
-            self.proxy_took += time.process_time() - start
+            self.proxy_cpu_s += time.process_time() - start
             return result
 
         return metered
 
 
-def fleet(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Measures a fleet without changes, and how long changes take."""
+def measure_fleet(size: int, quick: bool, seed: int) -> dict[str, float]:
+    """Measures the costs of a fleet of ``size`` proxies without changes, and the latency of changes.
+
+    Raises ``RuntimeError`` if a change is lost.
+    """
     plan = scaled(size, seed=seed)
     simulated = MeteredFleet(plan)
-    simulated.converge(CONVERGED_AT + 20.0)  # all are at their preferred parents
-    seconds = IDLE_QUICK_S if quick else IDLE_S
+    simulated.converge(CONVERGENCE_S + 20.0)  # afterwards all proxies are at their preferred parents
+    span_s = QUICK_IDLE_SPAN_S if quick else IDLE_SPAN_S
     proxies = [process.node for process in simulated.proxies if process.node is not None]
-    everyone = [process.node for process in simulated.processes.values() if process.node is not None]
-    own, sent = sum(node.sent_bytes for node in proxies), sum(node.sent_bytes for node in everyone)
-    took: list[float] = []
-    for _ in range(seconds):
-        before = simulated.proxy_took
+    nodes = [process.node for process in simulated.processes.values() if process.node is not None]
+    sent_by_proxies, sent_by_all = (
+        sum(node.sent_bytes for node in proxies),
+        sum(node.sent_bytes for node in nodes),
+    )
+    idle_cpu_s: list[float] = []
+    for _ in range(span_s):
+        before = simulated.proxy_cpu_s
         simulated.run(simulated.now + 1.0)
-        took.append(simulated.proxy_took - before)
-    found = {
-        "subscriber_rest_bytes": (sum(node.sent_bytes for node in proxies) - own) / seconds / size,
-        "subscriber_rest_cpu": statistics.median(took) / size,
-        "control_rest_bytes": (sum(node.sent_bytes for node in everyone) - sent) / seconds,
+        idle_cpu_s.append(simulated.proxy_cpu_s - before)
+    costs = {
+        "subscriber_rest_bytes": (sum(node.sent_bytes for node in proxies) - sent_by_proxies) / span_s / size,
+        "subscriber_rest_cpu": statistics.median(idle_cpu_s) / size,
+        "control_rest_bytes": (sum(node.sent_bytes for node in nodes) - sent_by_all) / span_s,
     }
-    for at in range(REVISIONS_QUICK if quick else REVISIONS):
-        simulated.push({f"shard/{at:06d}": value_of(at + 7)})
+    for index in range(QUICK_REVISIONS if quick else REVISIONS):
+        simulated.push({f"shard/{index:06d}": shard_value(index + 7)})
         simulated.run(simulated.now + 0.5)
     simulated.run(simulated.now + 3.0)
     if simulated.observer.lost():
-        raise RuntimeError(f"changes were lost: {simulated.observer.broken}")
+        raise RuntimeError(f"changes were lost; broken guarantees: {simulated.observer.broken}")
     latencies = sorted(simulated.observer.latencies)
-    found["change_latency_p99"] = latencies[int(0.99 * len(latencies))]
-    return found
+    costs["change_latency_p99"] = latencies[int(0.99 * len(latencies))]
+    return costs
 
 
-def _sweep(name: str, what: str, x: str, unit: str = "s", shape: Shape = Shape.LINE) -> Sweep:
-    return Sweep(name, what, x, unit, Sign.VIRTUAL, (), shape)
+def _sweep(name: str, description: str, x: str, unit: str = "s", shape: Shape = Shape.LINE) -> Sweep:
+    return Sweep(name, description, x, unit, Sign.VIRTUAL, (), shape)
 
 
 RUNS = (
     Runs(
-        keyspace,
+        measure_keyspace,
         (
             _sweep(
                 "keyspace_memory",
                 "Bytes held by a Keyspace for all entries together, keys of 12 and "
-                f"values of {len(value_of(0))} bytes, by tracemalloc; an entry costs less the fuller "
+                f"values of {len(shard_value(0))} bytes, by tracemalloc; an entry costs less the fuller "
                 "its leaf is.",
                 "entries",
                 "B",
@@ -347,11 +363,11 @@
             ),
             _sweep("keyspace_put_cpu", "CPU of Keyspace.put of a new value for a key there is.", "entries"),
         ),
-        ENTRIES,
-        ENTRIES_QUICK,
+        ENTRY_COUNTS,
+        QUICK_ENTRY_COUNTS,
     ),
     Runs(
-        catch_up,
+        measure_catch_up,
         (
             _sweep(
                 "catch_up_bytes",
@@ -362,11 +378,11 @@
             ),
             _sweep("catch_up_page_cpu", "CPU of the proxy's state machines for all of that.", "entries"),
         ),
-        ENTRIES,
-        ENTRIES_QUICK,
+        ENTRY_COUNTS,
+        QUICK_ENTRY_COUNTS,
     ),
     Runs(
-        relay,
+        measure_relay,
         (
             _sweep(
                 "relay_push_cpu",
@@ -376,22 +392,22 @@
             ),
             _sweep("relay_poll_cpu", "CPU of a relay's state machines a second at rest.", "children"),
         ),
-        CHILDREN,
-        CHILDREN_QUICK,
+        CHILD_COUNTS,
+        QUICK_CHILD_COUNTS,
         repeats=3,
     ),
     Runs(
-        relay_memory,
+        measure_relay_memory,
         (
             _sweep(
                 "relay_memory", "Bytes that a relay holds for its children, by tracemalloc.", "children", "B"
             ),
         ),
-        CHILDREN,
-        CHILDREN_QUICK,
+        CHILD_COUNTS,
+        QUICK_CHILD_COUNTS,
     ),
     Runs(
-        fleet,
+        measure_fleet,
         (
             _sweep(
                 "subscriber_rest_bytes",
@@ -413,7 +429,7 @@
                 "proxies",
             ),
         ),
-        PROXIES,
-        PROXIES_QUICK,
+        PROXY_COUNTS,
+        QUICK_PROXY_COUNTS,
     ),
 )
