--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -177,7 +177,7 @@
     while proxy.replica.applied_position == START:
         network.tick()
         if network.now > 600.0:
-            raise TimeoutError(f"the catch-up of {size} entries is not complete after {network.now} s")
+            raise TimeoutError(f"{size} entries: the catch-up is not complete after {network.now} s")
     return {
         "catch_up_bytes": float(proxy.sent_bytes + network.received["p"]),
         "catch_up_page_cpu": network.cpu_s["p"],
@@ -213,7 +213,7 @@
             self.tick()
             if self.now > 600.0:
                 raise TimeoutError(
-                    f"not all of {child_count} children have applied the configuration after {self.now} s"
+                    f"{child_count} children: not all have applied the configuration after {self.now} s"
                 )
 
     @property
@@ -248,7 +248,7 @@
         for _ in range(4):
             network.tick()
         if not network.has_converged:
-            raise TimeoutError(f"not all of {size} children have applied a revision after 0.4 s")
+            raise TimeoutError(f"{size} children: not all have applied a revision after 0.4 s")
     return {"relay_poll_cpu": statistics.median(idle_cpu_s), "relay_push_cpu": statistics.median(push_cpu_s)}
 
 
--- a/ironmill_testbed/capacity/sweep_membership.py
+++ b/ironmill_testbed/capacity/sweep_membership.py
@@ -1,6 +1,6 @@
-"""Sweeps of membership: simulated members on a virtual clock, the program's state machines unchanged.
+"""Sweeps of membership: the program's unchanged state machines, simulated on a virtual clock.
 
-Bytes are those of the datagrams without the headers of UDP and IP. Members intern equal values
+Bytes are those of datagrams without the UDP and IP headers. Members intern equal values
 (``ironmill_testbed.faults.interning``), except where memory is measured.
 """
 
@@ -29,10 +29,10 @@
 from ironmill_testbed.faults.simulated_cluster import KEY, ClusterOptions, SimulatedCluster
 
 ZONES = 11
-WARM_UP_S = 5.0  # before anything is measured
+WARM_UP_S = 5.0  # simulated time before a measurement begins
 IDLE_SPAN_S, QUICK_IDLE_SPAN_S = 10, 5
-ZONE_FAILURE_SPAN_S = 20.0  # after the zone was killed
-RATE_THRESHOLD = 6000.0  # bytes a second of the mean member, above which the span is measured
+ZONE_FAILURE_SPAN_S = 20.0  # simulated time that is measured after the zone was killed
+RATE_THRESHOLD = 6000.0  # bytes per second sent by the mean member; time above it is counted
 TICKS_PER_SECOND = round(1.0 / TICK_INTERVAL_S)
 MEMORY_TICKS = 50
 IDLE_SIZES = (30, 60, 100, 200, 300, 600, 1000)
@@ -51,7 +51,7 @@
 
 
 def measure_idle(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Measures what the mean member sends and computes a second while nothing happens."""
+    """Measures the bytes and CPU time per second of the mean member in a cluster without changes."""
     cluster = _converged_cluster(size, seed)
     span_s = QUICK_IDLE_SPAN_S if quick else IDLE_SPAN_S
     sent_before = sum(member.sent_bytes for member in cluster.running_members())
@@ -68,22 +68,23 @@
 
 
 def measure_zone_failure(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Kills one of eleven zones; measures what the survivors send and when all dead members are removed."""
+    """Kills one of eleven zones; measures the survivors' traffic and the time until all dead are removed."""
     del quick
     cluster = _converged_cluster(size, seed)
-    killed_zone = f"z{random.Random(seed).randrange(2, ZONES)}"  # not those of the seeds: joining is excluded
+    # The zones of the seed members, z0 and z1, are never killed: joining is not part of the measurement.
+    killed_zone = f"z{random.Random(seed).randrange(2, ZONES)}"
     dead = {process.name for process in cluster.processes.values() if process.zone == killed_zone}
     for name in dead:
         cluster.kill(name)
     alive = cluster.running_members()
     watch = _RemovalWatch(cluster, dead, len(alive) * len(dead))
-    sums: deque[int] = deque([sum(member.sent_bytes for member in alive)], TICKS_PER_SECOND + 1)
+    sent_at_tick: deque[int] = deque([sum(member.sent_bytes for member in alive)], TICKS_PER_SECOND + 1)
     max_rate, ticks_above_threshold = 0.0, 0
     for tick in range(1, round(ZONE_FAILURE_SPAN_S / TICK_INTERVAL_S) + 1):
         cluster.run(WARM_UP_S + tick * TICK_INTERVAL_S)
-        sums.append(sum(member.sent_bytes for member in alive))
-        if len(sums) > TICKS_PER_SECOND:
-            rate = (sums[-1] - sums[0]) / len(alive)
+        sent_at_tick.append(sum(member.sent_bytes for member in alive))
+        if len(sent_at_tick) > TICKS_PER_SECOND:
+            rate = (sent_at_tick[-1] - sent_at_tick[0]) / len(alive)
             max_rate = max(max_rate, rate)
             ticks_above_threshold += rate > RATE_THRESHOLD
         watch.update()
@@ -95,63 +96,68 @@
 
 
 class _RemovalWatch:
-    """Finds the time at which all dead members were out of all views."""
+    """Finds the time at which all surviving members have removed all dead ones from their views."""
 
-    def __init__(self, cluster: SimulatedCluster, dead: set[str], expected: int) -> None:
+    def __init__(self, cluster: SimulatedCluster, dead: set[str], expected_count: int) -> None:
         self._cluster = cluster
         self._dead = dead
-        self._expected = expected
-        self._removed: set[tuple[str, str]] = set()  # the member with the view, and the dead one
-        self._read = len(cluster.events)
-        self.complete_at_s = math.inf  # since the failure
+        self._expected_count = expected_count
+        self._removed: set[tuple[str, str]] = set()  # pairs of the observing and the removed member
+        self._read_count = len(cluster.events)
+        self.complete_at_s = math.inf  # seconds after the failure; infinite until all are removed
 
     def update(self) -> None:
-        """Reads the events since the last call."""
-        for one in self._cluster.events[self._read :]:
-            if not isinstance(one.event, MemberJoined | MemberRemoved):
+        """Evaluates the events since the last call."""
+        for entry in self._cluster.events[self._read_count :]:
+            if not isinstance(entry.event, MemberJoined | MemberRemoved):
                 continue
-            member = one.event.member
-            if member not in self._dead or one.observer in self._dead:
+            member = entry.event.member
+            if member not in self._dead or entry.observer in self._dead:
                 continue
-            if isinstance(one.event, MemberRemoved):
-                self._removed.add((one.observer, member))
+            if isinstance(entry.event, MemberRemoved):
+                self._removed.add((entry.observer, member))
             else:
-                self._removed.discard((one.observer, member))
-            is_complete = len(self._removed) == self._expected
-            self.complete_at_s = one.at_s - WARM_UP_S if is_complete else math.inf
-        self._read = len(self._cluster.events)
+                self._removed.discard((entry.observer, member))
+            is_complete = len(self._removed) == self._expected_count
+            self.complete_at_s = entry.at_s - WARM_UP_S if is_complete else math.inf
+        self._read_count = len(self._cluster.events)
 
 
 def measure_memory(size: int, quick: bool, seed: int) -> dict[str, float]:
-    """Measures the bytes of one member whose view has so many, each record as it comes off the wire."""
+    """Measures the bytes that one member allocates with ``size`` members in its view.
+
+    Each record is decoded separately, as from a datagram, and not interned.
+    """
     del quick
-    data = [encode_update(MemberRecord(_identity(at), 2)) for at in range(size)]
+    encoded_records = [encode_update(MemberRecord(_identity(index), 2)) for index in range(size)]
     gc.collect()
     tracemalloc.start()
-    own = decode_update(Raw(data[0]))
+    own = decode_update(Raw(encoded_records[0]))
     assert isinstance(own, MemberRecord)
     config = MemberConfig(own.identity, Timing(), [own.identity.address])
     member = Member(config, Codec("sim", [KEY]), random.Random(seed), 0.0, lambda event: None)
-    member.restore(_records(data), 0.0)
-    for tick in range(1, MEMORY_TICKS):  # its own observations, without an answer
+    member.restore(_decode_records(encoded_records), 0.0)
+    for tick in range(1, MEMORY_TICKS):  # allocates the state of its own checks, which nobody answers
         member.tick(tick * TICK_INTERVAL_S)
     gc.collect()
-    found = tracemalloc.get_traced_memory()[0]
+    allocated_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return {"membership_memory": float(found)}
+    return {"membership_memory": float(allocated_bytes)}
 
 
-def _identity(at: int) -> MemberIdentity:
-    return MemberIdentity(f"p{at:05d}", f"10.0.{at >> 8}.{at & 255}", 7000, f"z{at % ZONES}", "r1", 1)
+def _identity(index: int) -> MemberIdentity:
+    return MemberIdentity(
+        f"p{index:05d}", f"10.0.{index >> 8}.{index & 255}", 7000, f"z{index % ZONES}", "r1", 1
+    )
 
 
-def _records(data: list[bytes]) -> list[MemberRecord]:
-    updates: list[GossipUpdate] = [decode_update(Raw(one)) for one in data]
+def _decode_records(encoded_records: list[bytes]) -> list[MemberRecord]:
+    updates: list[GossipUpdate] = [decode_update(Raw(encoded)) for encoded in encoded_records]
     return [update for update in updates if isinstance(update, MemberRecord)]
 
 
-def _sweep(name: str, meaning: str, unit: str, shape: Shape = Shape.LINE) -> Sweep:
-    return Sweep(name, meaning, "members", unit, Sign.VIRTUAL, (), shape)
+def _sweep(name: str, description: str, unit: str, shape: Shape = Shape.LINE) -> Sweep:
+    return Sweep(name, description, "members", unit, Sign.VIRTUAL, (), shape)
 
 
 RUNS = (
--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -1,7 +1,8 @@
-"""Sweeps of work inside one process: placements, routing tables of many entries, settings of many callers.
+"""Sweeps of work in one process: placements, routing tables of many entries, settings of many callers.
 
-CPU is that of the running thread. A figure is the median of several batches, each the mean of its calls, so
-that short disturbances by other processes do not count. The garbage collector is configured as in a proxy.
+CPU is that of the calling thread. A figure is the median of several batches, each the mean of its calls, so
+that other processes which are busy for a short time do not affect it. The garbage collector is configured as
+in a proxy.
 """
 
 from __future__ import annotations
@@ -33,39 +34,39 @@
 
 ZONES = 11
 BATCHES, QUICK_BATCHES = 9, 5
-PLACEMENT_INTERVAL_S = 0.05  # of the virtual clock
-MAX_ESTABLISHED = 500  # connections; also at most a tenth of the entries
-ENTRIES = (100, 300, 1000, 3000, 10_000, 30_000, 64_000)
-QUICK_ENTRIES = (100, 300, 1000, 3000, 10_000)
-CALLERS = (10, 30, 100, 300, 1000, 3000)
-QUICK_CALLERS = (10, 30, 100, 300, 1000)
+PLACEMENT_INTERVAL_S = 0.05  # on the virtual clock
+MAX_ESTABLISHED = 500  # connections; also at most a tenth of the number of entries
+ENTRY_COUNTS = (100, 300, 1000, 3000, 10_000, 30_000, 64_000)
+QUICK_ENTRY_COUNTS = (100, 300, 1000, 3000, 10_000)
+CALLER_COUNTS = (10, 30, 100, 300, 1000, 3000)
+QUICK_CALLER_COUNTS = (10, 30, 100, 300, 1000)
 
 
 def endpoint_list(size: int, *, full: bool = True, first: int = 0, weight: float = 4.0) -> bytes:
-    """Encodes a response of discovery with so many entries in eleven zones, numbered from ``first``."""
+    """Encodes a discovery response of ``size`` entries in eleven zones, numbered from ``first``."""
     targets = [
         {
-            "uid": f"server-{at:06d}",
-            "endpoint": f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:9000",
+            "uid": f"server-{number:06d}",
+            "endpoint": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:9000",
             "state": "up",
-            "az": f"zone-{at % ZONES}",
-            "pod_group": at % 40,
+            "az": f"zone-{number % ZONES}",
+            "pod_group": number % 40,
             "capacity_hint": weight,
             "boot_ms": 0,
         }
-        for at in range(first, first + size)
+        for number in range(first, first + size)
     ]
     return json.dumps({"rev": 1, "all": full, "targets": targets}).encode()
 
 
 def parse_list(data: bytes) -> EndpointUpdate:
-    """Parses a response of discovery as the program does."""
+    """Parses a discovery response as the proxy does."""
     return parse_endpoint_update(JsonObject(parse_json(data, "routing table:"), "", "routing table"))
 
 
 @contextmanager
 def proxy_gc() -> Iterator[None]:
-    """Configures the garbage collector as in a proxy: existing objects are frozen, full collections off."""
+    """Configures the garbage collector as in a proxy: freezes all objects and disables full collections."""
     thresholds = gc.get_threshold()
     gc.collect()
     gc.freeze()
@@ -81,29 +82,30 @@
     """The routing table and balancer of one proxy on a virtual clock."""
 
     def __init__(self, size: int, seed: int, *, live_weights: bool = False) -> None:
-        """Applies a list of so many entries; ``live_weights`` is the setting for weights of the list."""
+        """Applies a list of ``size`` entries; with ``live_weights`` the balancer uses the list's weights."""
         self.now = 1000.0
         self.table = RoutingTable()
         settings = platform_settings() | ({"weightSource": "live"} if live_weights else {})
         self.balancer = Balancer(parse_settings(json.dumps(settings)), seed, self.now)
         self._max_established = min(MAX_ESTABLISHED, size // 10)
-        self._serial = 0
+        self._request_count = 0
         self._established: deque[Send] = deque()
         self.apply(parse_list(endpoint_list(size)))
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Applies a list to the table and the balancer."""
+        """Applies an endpoint list to the routing table and the balancer."""
         self.balancer.handle(self.table.apply(update, self.now), self.now)
 
     def place(self, *, new_group: bool) -> float:
-        """Places one request, establishes it and ends the oldest connection above the maximum.
+        """Places and establishes one request; ends the oldest connection if there are too many.
 
-        Returns the seconds of CPU of the decision. With ``new_group`` the request is the first of a group.
+        Returns the CPU seconds of the placement. With ``new_group`` the request is the first of a connection
+        group.
         """
-        self._serial += 1
+        self._request_count += 1
         self.now += PLACEMENT_INTERVAL_S
-        group = self._serial if new_group else None
-        request = Request(f"r{self._serial}", "index-sync", self.now + 2.0, group=group)
+        group = self._request_count if new_group else None
+        request = Request(f"r{self._request_count}", "index-sync", self.now + 2.0, group=group)
         start = time.thread_time()
         actions = self.balancer.handle(request, self.now)
         cpu_s = time.thread_time() - start
@@ -120,45 +122,48 @@
 
 
 def _cpu_per_call(action: Callable[[], object], calls: int, batches: int) -> float:
-    """Measures the seconds of CPU per call, as the median of the batches."""
-    costs = []
+    """Measures the CPU seconds per call, as the median of the batches."""
+    batch_cpu_s = []
     for _ in range(batches):
         start = time.thread_time()
         for _ in range(calls):
             action()
-        costs.append((time.thread_time() - start) / calls)
-    return statistics.median(costs)
+        batch_cpu_s.append((time.thread_time() - start) / calls)
+    return statistics.median(batch_cpu_s)
 
 
 def measure_placement(size: int, quick: bool, seed: int) -> Costs:
-    """Measures the seconds of CPU of a placement, without group and in a new one."""
+    """Measures the CPU seconds of placing a request without a group, and the first of a group."""
     return _measure_placement("placement", size, SimulatedBalancer(size, seed), quick=quick)
 
 
 def measure_live_placement(size: int, quick: bool, seed: int) -> Costs:
-    """Measures with live weights the seconds of CPU of a placement and of a change of one entry."""
+    """Measures the CPU seconds of a placement and of a change of one entry, with live weights."""
     balancer = SimulatedBalancer(size, seed, live_weights=True)
-    found = _measure_placement("placement_live", size, balancer, quick=quick)
-    return found | {"table_change_live_cpu": _measure_change(size, balancer, quick=quick)}
+    costs = _measure_placement("placement_live", size, balancer, quick=quick)
+    return costs | {"table_change_live_cpu": _measure_change(size, balancer, quick=quick)}
 
 
 def _measure_placement(name: str, size: int, balancer: SimulatedBalancer, *, quick: bool) -> Costs:
-    found: Costs = {}
+    costs: Costs = {}
     for _ in range(min(MAX_ESTABLISHED, size // 10) + 1):
         balancer.place(new_group=False)
     with proxy_gc():
-        for kind, new_group, work in (("_cpu", False, 2_000_000), ("_group_cpu", True, 500_000)):
-            calls = max(10, min(400, (work // 4 if quick else work) // size))
+        for suffix, new_group, entries_per_batch in (
+            ("_cpu", False, 2_000_000),
+            ("_group_cpu", True, 500_000),
+        ):
+            calls = max(10, min(400, (entries_per_batch // 4 if quick else entries_per_batch) // size))
             batches = QUICK_BATCHES if quick else BATCHES
-            costs = [
+            batch_cpu_s = [
                 sum(balancer.place(new_group=new_group) for _ in range(calls)) / calls for _ in range(batches)
             ]
-            found[name + kind] = statistics.median(costs)
-    return found
+            costs[name + suffix] = statistics.median(batch_cpu_s)
+    return costs
 
 
 def _measure_change(size: int, balancer: SimulatedBalancer, *, quick: bool) -> float:
-    """Measures the seconds of CPU of a list that changes the weight of one entry."""
+    """Measures the CPU seconds of applying an endpoint list that changes the weight of one entry."""
     updates = [
         parse_list(endpoint_list(1, full=False, first=index * size // 8, weight=4.0 - index % 2))
         for index in range(8)
@@ -171,40 +176,40 @@
 
 
 def measure_lists(size: int, quick: bool, seed: int) -> Costs:
-    """Measures the seconds of CPU to apply a list of one entry, to apply a full list, and to parse it."""
+    """Measures the CPU seconds of applying a list of one entry and a full list, and of parsing the latter."""
     balancer = SimulatedBalancer(size, seed)
     data = endpoint_list(size)
     full_list = parse_list(data)
     batches = QUICK_BATCHES if quick else BATCHES
     calls = max(1, min(200, 10_000 // size))
-    found = {"table_change_cpu": _measure_change(size, balancer, quick=quick)}
+    costs = {"table_change_cpu": _measure_change(size, balancer, quick=quick)}
     with proxy_gc():
-        found["table_full_cpu"] = _cpu_per_call(lambda: balancer.apply(full_list), calls, batches)
-        found["table_parse_cpu"] = _cpu_per_call(lambda: parse_list(data), calls, batches)
-    return found
+        costs["table_full_cpu"] = _cpu_per_call(lambda: balancer.apply(full_list), calls, batches)
+        costs["table_parse_cpu"] = _cpu_per_call(lambda: parse_list(data), calls, batches)
+    return costs
 
 
 def measure_memory(size: int, quick: bool, seed: int) -> Costs:
-    """Measures the bytes that Python allocates for the entries, without the list that they came in."""
+    """Measures the bytes that Python allocates for the entries, not counting the list that it parses."""
     del quick
-    SimulatedBalancer(1, seed)  # allocates what all instances share
+    SimulatedBalancer(1, seed)  # allocates the objects that all instances share
     gc.collect()
     tracemalloc.start()
     balancer = SimulatedBalancer(size, seed)
     gc.collect()
-    found = tracemalloc.get_traced_memory()[0]
+    allocated_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert len(balancer.table.listed()) == size
-    return {"table_memory": float(found)}
+    return {"table_memory": float(allocated_bytes)}
 
 
-def settings_text(callers: int) -> str:
-    """Formats operator settings with so many caller rules."""
+def settings_text(caller_count: int) -> str:
+    """Formats operators' settings with this many caller rules."""
     rules = "\n".join(
-        f'<caller name="caller-{at}" tenant="tenant-{at % 100}">'
-        f'<token issuer="https://issuer.example" audience="ironmill" subject="farm-{at}-*"/>'
+        f'<caller name="caller-{number}" tenant="tenant-{number % 100}">'
+        f'<token issuer="https://issuer.example" audience="ironmill" subject="farm-{number}-*"/>'
         f'<rights classes="index-sync" connections="100" openings="10/s"/></caller>'
-        for at in range(callers)
+        for number in range(caller_count)
     )
     return (
         f'<ironmill xmlns="urn:ironmill:settings:1">\n<identity keys="ring.json">\n{rules}\n</identity>\n'
@@ -213,10 +218,10 @@
 
 
 def measure_reload(size: int, quick: bool, seed: int) -> Costs:
-    """Measures the seconds of CPU to read settings with so many caller rules, and their key ring."""
+    """Measures the CPU seconds of reading settings of ``size`` caller rules and their key ring."""
     del seed
-    with tempfile.TemporaryDirectory() as name:
-        path = Issuer(Path(name)).settings
+    with tempfile.TemporaryDirectory() as directory:
+        path = Issuer(Path(directory)).settings
         path.write_text(settings_text(size))
         classes = ("index-sync", "archive-fetch")
         read_operator_files(str(path), classes)
@@ -227,8 +232,10 @@
         return {"reload_cpu": cpu_s}
 
 
-def _sweep(name: str, what: str, x: str = "entries", unit: str = "s", shape: Shape = Shape.LINE) -> Sweep:
-    return Sweep(name, what, x, unit, Sign.VIRTUAL, (), shape)
+def _sweep(
+    name: str, description: str, x: str = "entries", unit: str = "s", shape: Shape = Shape.LINE
+) -> Sweep:
+    return Sweep(name, description, x, unit, Sign.VIRTUAL, (), shape)
 
 
 _ABOVE_LINE = (
@@ -252,8 +259,8 @@
                 shape=Shape.POWER,
             ),
         ),
-        ENTRIES,
-        QUICK_ENTRIES,
+        ENTRY_COUNTS,
+        QUICK_ENTRY_COUNTS,
         repeats=3,
     ),
     Runs(
@@ -275,8 +282,8 @@
                 shape=Shape.POWER,
             ),
         ),
-        ENTRIES,
-        QUICK_ENTRIES,
+        ENTRY_COUNTS,
+        QUICK_ENTRY_COUNTS,
         repeats=3,
     ),
     Runs(
@@ -298,8 +305,8 @@
                 shape=Shape.POWER,
             ),
         ),
-        ENTRIES,
-        QUICK_ENTRIES,
+        ENTRY_COUNTS,
+        QUICK_ENTRY_COUNTS,
         repeats=3,
     ),
     Runs(
@@ -311,8 +318,8 @@
                 unit="B",
             ),
         ),
-        ENTRIES,
-        QUICK_ENTRIES,
+        ENTRY_COUNTS,
+        QUICK_ENTRY_COUNTS,
     ),
     Runs(
         measure_reload,
@@ -324,8 +331,8 @@
                 "caller rules",
             ),
         ),
-        CALLERS,
-        QUICK_CALLERS,
+        CALLER_COUNTS,
+        QUICK_CALLER_COUNTS,
         repeats=3,
     ),
 )
