--- a/ironmill_testbed/capacity/sweeps.py
+++ b/ironmill_testbed/capacity/sweeps.py
@@ -35,15 +35,15 @@
     """
     selected_runs = [runs for runs in RUNS if set(names) & {sweep.name for sweep in runs.sweeps}]
     measured: dict[str, Sweep] = {}
-    floor_s: float | None = None
+    floor_cpu_s: float | None = None
     if set(names) & set(sweep_core.NAMES):
         measured = sweep_core.measure(quick=quick)
-        floor_s = sweep_core.floor_of(measured["core_floor_line"])
+        floor_cpu_s = sweep_core.floor_of(measured["core_floor_line"])
     elif any(has_floor(sweep) for runs in selected_runs for sweep in runs.sweeps):
-        floor_s = sweep_core.measure_floor(quick=quick)
+        floor_cpu_s = sweep_core.measure_floor(quick=quick)
     measured |= _measure_in_processes(selected_runs, quick=quick, seed=seed)
     return {
-        name: structs.replace(sweep, floor_s=floor_s) if has_floor(sweep) else sweep
+        name: structs.replace(sweep, floor_s=floor_cpu_s) if has_floor(sweep) else sweep
         for name, sweep in measured.items()
     }
 
