--- a/ironmill_testbed/capacity/scenarios.py
+++ b/ironmill_testbed/capacity/scenarios.py
@@ -197,7 +197,7 @@
 }
 
 
-def play(name: str, plan: Plan = FULL_PLAN, quick: bool = False) -> dict[str, Any]:
+def simulate(name: str, plan: Plan = FULL_PLAN, quick: bool = False) -> dict[str, Any]:
     """Runs one scenario and returns its figures; ``peak_memory_mb`` is the peak of this process so far."""
     scenario, full_duration_s, quick_duration_s, faults_of = SCENARIOS[name]
     duration_s = quick_duration_s if quick else full_duration_s
@@ -276,7 +276,7 @@
     }
 
 
-def broken(found: dict[str, Any]) -> list[str]:
+def broken_guarantees(found: dict[str, Any]) -> list[str]:
     """Returns the guarantees that a scenario has broken, each with its figure and limit."""
     limits = {
         "lost_changes": 0,
@@ -296,7 +296,7 @@
     ]
 
 
-def scaled(proxies: int, control: int | None = None, seed: int = 1) -> Plan:
+def scaled_plan(proxies: int, control: int | None = None, seed: int = 1) -> Plan:
     """Returns a plan with this many proxies, by default with a control machine per 104, at least three."""
     return structs.replace(
         FULL_PLAN, proxies=proxies, control=control or max(3, round(proxies / 104)), seed=seed
--- a/ironmill_testbed/capacity/sweep_distribution.py
+++ b/ironmill_testbed/capacity/sweep_distribution.py
@@ -32,7 +32,7 @@
 from ironmill.membership.identity import Address, Datagram, MemberIdentity
 from ironmill_testbed.capacity.data import Shape, Sign, Sweep
 from ironmill_testbed.capacity.runs import Runs
-from ironmill_testbed.capacity.scenarios import scaled
+from ironmill_testbed.capacity.scenarios import scaled_plan
 from ironmill_testbed.faults.fleet_process import FleetProcess, SimulatedConsumer
 from ironmill_testbed.faults.memory_store import Disk
 from ironmill_testbed.faults.simulated_fleet import KEY, SimulatedFleet
@@ -313,7 +313,7 @@
 
     Raises ``RuntimeError`` if a change is lost.
     """
-    plan = scaled(size, seed=seed)
+    plan = scaled_plan(size, seed=seed)
     simulated = MeteredFleet(plan)
     simulated.converge(CONVERGENCE_S + 20.0)  # afterwards all proxies are at their preferred parents
     span_s = QUICK_IDLE_SPAN_S if quick else IDLE_SPAN_S
--- a/ironmill_testbed/measures/scale.py
+++ b/ironmill_testbed/measures/scale.py
@@ -64,11 +64,11 @@
     found: dict[str, dict[str, Any]] = {}
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(PARALLEL_SCENARIOS, context, max_tasks_per_child=1) as pool:
-        tasks = {name: pool.submit(scenarios.play, name, scenarios.FULL_PLAN, quick) for name in names}
+        tasks = {name: pool.submit(scenarios.simulate, name, scenarios.FULL_PLAN, quick) for name in names}
         for name, task in tasks.items():
             found[name] = task.result(MAX_SCENARIO_S)
             print(f"{name}:", *(f"{key} {value}" for key, value in found[name].items()), sep="\n  ")
-            for line in scenarios.broken(found[name]):
+            for line in scenarios.broken_guarantees(found[name]):
                 print(f"NOT KEPT: {name}: {line}")
             sys.stdout.flush()
     return found
@@ -104,7 +104,7 @@
     found["peak_memory_mb"] = _aggregate(max, [one.get("peak_memory_mb") for one in every])
     found["stories"] = sorted(results)
     found["not_kept"] = sorted(
-        f"{name}: {line}" for name, one in results.items() for line in scenarios.broken(dict(one))
+        f"{name}: {line}" for name, one in results.items() for line in scenarios.broken_guarantees(dict(one))
     )
     return found
 
