--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -181,7 +181,9 @@
     relays = [core_percent[name] for name in fleet.controls if name != ORIGIN]
     simulated = sum(core_percent[f"hollow{number:02d}"] for number in range(len(fleet.simulated)))
     real_and_plain = [
-        statistics.fmean(core_percent[name] for name in names) for names in (fleet.real, fleet.plain) if names
+        statistics.fmean(core_percent[process_name] for process_name in names)
+        for names in (fleet.real, fleet.plain)
+        if names
     ]
     bytes_per_s = {
         name: (sent_after[name] - sent_before[name]) / elapsed_s for name in sent_before if name in sent_after
@@ -326,7 +328,9 @@
     logged = fleet.logged()
     last = load.pushed[-1].position if load.pushed else START
     simulated = [
-        (to_position(position), count) for report in reports for position, count in report["in_force"].items()
+        (to_position(position_text), count)
+        for report in reports
+        for position_text, count in report["in_force"].items()
     ]
     real = [(to_position(fleet.status(name).get("in_force", "0.0")), 1) for name in fleet.real]
     without_position = fleet.proxies - sum(count for _, count in simulated)  # proxies that applied nothing
--- a/ironmill_testbed/measures/__init__.py
+++ b/ironmill_testbed/measures/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements by name. Each prints a table, and as its last line one JSON object."""
+"""The measurements of ``measure NAME``. Each prints a table, and one JSON object as its last line."""
--- a/ironmill_testbed/measures/core.py
+++ b/ironmill_testbed/measures/core.py
@@ -1,9 +1,9 @@
-"""Measures what a line, a set-up and an established connection cost the proxy, by the number of connections.
+"""Measures the proxy's costs of a line, of a set-up and of an established connection.
 
-Beside the proxy the same run measures two baselines (``ironmill_testbed.floors``): a bare loop on
-``select.epoll``, and the scheduler's greenlets without the gateway. The differences between the three are the
-costs of the layers. A line is one that a client sends and gets back, so it passes the proxy twice. A set-up
-is a connection from its request line to its close.
+All costs are measured at several numbers of connections. The same run measures two baselines, the floors
+(``ironmill_testbed.floors``): a bare loop on ``select.epoll``, and the scheduler's greenlets without the
+gateway. The differences between the three are the costs of the layers. A line is sent by a client and
+returned to it, so it passes the proxy twice. A set-up is a connection from its request line to its close.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 
 SERVER_COUNT = 6
 SIZES = (500, 2000, 3600, 5000)
-SIZES_QUICK = (500, 5000)
-MAX_CONNECTIONS = 9000  # that one core must be able to keep established
-LINES, LINES_QUICK = 12_000, 4_000
-SETUPS, SETUPS_QUICK = 1_500, 600
+QUICK_SIZES = (500, 5000)
+MAX_CONNECTIONS = 9000  # established connections that one core must be able to hold
+LINES, QUICK_LINES = 12_000, 4_000
+SETUPS, QUICK_SETUPS = 1_500, 600
 PARALLEL_LINES = 16
 PARALLEL_SETUPS = 8
 MAX_OPEN_ATTEMPTS = 200
 OPEN_RETRY_DELAY_S = 0.1
-SETTLE_S = 0.5  # lets the process release temporary memory
+SETTLE_S = 0.5  # after which the process has released its temporary memory
 ROUNDS = 5
-MAX_RUN_S = 900.0  # for all sizes of one kind of process
+MAX_RUN_S = 900.0  # for all sizes of one kind of subject
 MAX_DESCRIPTORS = 1 << 20
 RESERVED_DESCRIPTORS = 600
 LINE = b"a line as clients send them"
@@ -49,27 +49,27 @@
 
 @dataclass(slots=True)
 class ConnectionCosts:
-    """The costs of one subject at one size; times are CPU time."""
+    """The costs of one subject at one number of connections; times are CPU time."""
 
     size: int  # established connections
     line_ms: float = 0.0
-    line_system_ms: float = 0.0  # of it in the kernel
+    line_system_ms: float = 0.0  # the part of ``line_ms`` in the kernel
     setup_ms: float = 0.0
-    setup_system_ms: float = 0.0
-    kib: float = 0.0  # resident memory for each connection
+    setup_system_ms: float = 0.0  # the part of ``setup_ms`` in the kernel
+    kib: float = 0.0  # resident memory per connection
 
 
 class SubjectOptions(Struct, frozen=True):
-    """How the processes that are measured are started."""
+    """Options with which measured processes are started."""
 
-    descriptors: int  # that a proxy may use
+    descriptors: int  # the number that a proxy may use
     poller: str = "epoll"
-    program: Path | None = None  # the folder of another checkout
+    program: Path | None = None  # the folder of another checkout to run the proxy from
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """A process that is measured, and the address that clients connect to."""
+    """A measured process, and the address that clients connect to."""
 
     process: Process
     address: Address
@@ -79,7 +79,7 @@
     """Opens connections to one subject and measures its CPU time and memory."""
 
     def __init__(self, scheduler: Scheduler, subject: Subject, costs: ConnectionCosts) -> None:
-        """``costs`` names the size and is filled by the measurements."""
+        """Creates a bench without connections; ``costs`` gives the size and receives the measurements."""
         self._scheduler = scheduler
         self._subject = subject
         self._rng = random.Random(5)
@@ -93,14 +93,17 @@
         self.rejected = 0
 
     def grow(self) -> None:
-        """Opens connections up to the size, and measures their memory after a line on each. Parks."""
+        """Opens connections up to the size, exchanges a line on each and measures their memory. Parks."""
         self.hold(self.costs.size)
         self._scheduler.sleep(SETTLE_S)
         grown_bytes = self._subject.process.usage().resident_bytes - self._resident_bytes_at_start
         self.costs.kib = grown_bytes / 1024.0 / self.costs.size
 
     def round(self, lines: int, setups: int) -> None:
-        """Runs one round; the costs are the rounds' medians, and their means in the kernel. Parks."""
+        """Runs one round and updates the costs. Parks.
+
+        CPU times are medians of the rounds so far, and the parts in the kernel their means.
+        """
         cpu_ms, system_ms = self._measure(lines, self._exchange_many)
         self._line_ms.append(cpu_ms)
         self._line_system_ms.append(system_ms)
@@ -113,7 +116,7 @@
         self.costs.setup_system_ms = sum(self._setup_system_ms) / len(self._setup_system_ms)
 
     def hold(self, size: int) -> None:
-        """Opens connections up to that size, and exchanges a line on each. Parks."""
+        """Opens connections until there are ``size``, and exchanges a line on each. Parks."""
         missing = range(size - len(self._clients))
         in_parallel(self._scheduler, PARALLEL_SETUPS, missing, lambda _: self._clients.append(self._open()))
         in_parallel(self._scheduler, PARALLEL_LINES, self._clients, self._exchange)
@@ -125,7 +128,7 @@
         self._clients.clear()
 
     def _measure(self, count: int, action: Callable[[int], None]) -> tuple[float, float]:
-        """Returns CPU milliseconds for each of ``count``, in all and in the kernel."""
+        """Runs ``count`` operations; returns the CPU milliseconds per operation, total and in the kernel."""
         before = self._subject.process.usage()
         action(count)
         after = self._subject.process.usage()
@@ -148,7 +151,7 @@
         in_parallel(self._scheduler, PARALLEL_SETUPS, range(count), lambda _: self._open().close())
 
     def _exchange_many(self, count: int) -> None:
-        # A batch has no connection twice, so that no two of its lines are in flight together.
+        # A batch contains each connection at most once, so that a connection has one line in flight.
         batches = [self._sample_clients(count)]
         while sum(map(len, batches)) < count:
             batches.append(self._sample_clients(count))
@@ -162,20 +165,20 @@
     def _exchange(self, client: Client) -> None:
         answer = client.exchange(LINE)
         if answer != LINE:
-            raise MeasurementError(f"the line came back as {answer!r}; expected {LINE!r}")
+            raise MeasurementError(f"the returned line is {answer!r}; expected {LINE!r}")
 
 
 def measure(options: MeasurementOptions) -> dict[str, Any]:
     """Prints the table of costs, and returns the figures by name."""
-    sizes = SIZES_QUICK if options.is_quick else SIZES
+    sizes = QUICK_SIZES if options.is_quick else SIZES
     costs: dict[str, list[ConnectionCosts]] = {}
     rejected = 0
-    with tempfile.TemporaryDirectory() as name, max_descriptors() as descriptors:
-        # Each connection takes two descriptors, here and in the proxy.
+    with tempfile.TemporaryDirectory() as directory, max_descriptors() as descriptors:
+        # Both this process and the proxy need two descriptors per connection.
         max_size = 0 if options.is_quick else min(MAX_CONNECTIONS, (descriptors - RESERVED_DESCRIPTORS) // 2)
         subject_options = SubjectOptions(descriptors, options.poller, options.program)
         for kind in ("epoll", "greenlet", "proxy"):
-            folder = Path(name) / kind
+            folder = Path(directory) / kind
             folder.mkdir()
             with ExitStack() as stack:
                 benches = _start_benches(kind, sizes, folder, subject_options, stack)
@@ -201,7 +204,7 @@
 
 @contextmanager
 def max_descriptors() -> Iterator[int]:
-    """Raises the soft limit on descriptors to the hard one; yields how many a process may use."""
+    """Raises the soft limit on descriptors to the hard limit; yields the number that a process may use."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     try:
@@ -212,7 +215,7 @@
 
 class _Benches(Struct, frozen=True):
     scheduler: Scheduler
-    values: list[Bench]  # by size
+    values: list[Bench]  # in the order of the sizes
 
 
 def _start_benches(
@@ -228,8 +231,11 @@
 
 
 def _run_benches(benches: _Benches, final_size: int, *, quick: bool) -> None:
-    """Measures all sizes in turns, so that noise of the machine affects each; then opens the final size."""
-    lines, setups = (LINES_QUICK, SETUPS_QUICK) if quick else (LINES, SETUPS)
+    """Measures all sizes in turn, so that other load on the machine affects each of them.
+
+    If ``final_size`` is not 0, that many connections are finally opened to the largest subject.
+    """
+    lines, setups = (QUICK_LINES, QUICK_SETUPS) if quick else (LINES, SETUPS)
 
     def scenario() -> None:
         for bench in benches.values:
@@ -247,7 +253,7 @@
 
 
 def start_subject(name: str, dependencies: Dependencies, folder: Path, options: SubjectOptions) -> Subject:
-    """Starts a process of the kind that the name begins with; it is ready when this returns."""
+    """Starts a process that is ready for clients; its kind is the name up to the first hyphen."""
     kind = name.partition("-")[0]
     if kind == "proxy":
         address = ("127.0.0.1", free_port())
@@ -265,15 +271,15 @@
 def _print(costs: dict[str, list[ConnectionCosts]]) -> None:
     print("subject   standing   ms a line  of it kernel   ms a set-up  of it kernel   KiB a connection")
     for kind, costs_by_size in costs.items():
-        for it in costs_by_size:
+        for entry in costs_by_size:
             print(
-                f"{kind:<9} {it.size:>8}   {it.line_ms:>9.4f}  {it.line_system_ms:>12.4f}   "
-                f"{it.setup_ms:>11.3f}  {it.setup_system_ms:>12.3f}   {it.kib:>16.1f}"
+                f"{kind:<9} {entry.size:>8}   {entry.line_ms:>9.4f}  {entry.line_system_ms:>12.4f}   "
+                f"{entry.setup_ms:>11.3f}  {entry.setup_system_ms:>12.3f}   {entry.kib:>16.1f}"
             )
-    epoll, greenlet, proxy = (costs[kind][-1].line_ms for kind in ("epoll", "greenlet", "proxy"))
-    if proxy > 0.0:
+    epoll_ms, greenlet_ms, proxy_ms = (costs[kind][-1].line_ms for kind in ("epoll", "greenlet", "proxy"))
+    if proxy_ms > 0.0:
         print(
-            f"a line at {costs['proxy'][-1].size}: {epoll / proxy:.0%} kernel and loop, "
-            f"{(greenlet - epoll) / proxy:.0%} greenlets, "
-            f"{(proxy - greenlet) / proxy:.0%} protocol, gateway and measuring"
+            f"a line at {costs['proxy'][-1].size}: {epoll_ms / proxy_ms:.0%} kernel and loop, "
+            f"{(greenlet_ms - epoll_ms) / proxy_ms:.0%} greenlets, "
+            f"{(proxy_ms - greenlet_ms) / proxy_ms:.0%} protocol, gateway and measuring"
         )
--- a/ironmill_testbed/measures/errors.py
+++ b/ironmill_testbed/measures/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the measurements."""
+"""Errors of measurements."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class MeasurementError(IronmillError, RuntimeError):
-    """The subject of a measurement does not behave as the measurement assumes."""
+    """Raised if the measured process does not behave as the measurement assumes."""
--- a/ironmill_testbed/measures/identity.py
+++ b/ironmill_testbed/measures/identity.py
@@ -1,9 +1,9 @@
 """Measures authentication: its cost, TLS, a key rotation and a flood of forged tokens.
 
-Five parts: tokens verified a second, without and with the cache; set-ups with and without a credential; TLS
-handshakes, full and resumed, beside a bare echo server; a rotation while clients reconnect within some
-seconds with valid, expired, early, forged and foreign tokens; set-ups of valid callers while another address
-sends forged tokens.
+The five parts are: tokens verified per second, without and with the cache; set-ups with and without a
+credential; TLS handshakes, full and resumed, compared with a bare echo server; a key rotation during which
+clients reconnect within some seconds with valid, expired, not yet valid and forged tokens and with tokens for
+another audience; set-ups of valid callers while another address sends forged tokens.
 """
 
 from __future__ import annotations
@@ -35,26 +35,26 @@
 from ironmill_testbed.settings import platform_settings, proxy_config, write_config
 
 SERVER_COUNT = 6
-ROTATION_CLIENTS, ROTATION_CLIENTS_QUICK = 2000, 300
-SETUPS, SETUPS_QUICK = 2000, 400
-CHECKS, CHECKS_QUICK = 5000, 1000
-SOCKETS = 8192
+ROTATION_CLIENTS, QUICK_ROTATION_CLIENTS = 2000, 300
+SETUPS, QUICK_SETUPS = 2000, 400
+VERIFIED_TOKENS, QUICK_VERIFIED_TOKENS = 5000, 1000
+MAX_SOCKETS = 8192
 PARALLEL_SETUPS = 4
 HANDSHAKE_TIMEOUT_S = 10.0
 FLOOD_ADDRESS = "127.0.0.9"
 FLOOD_PROCESSES = 2
 FLOOD_TOKENS = 500
-FLOOD_LEAD_S = 1.5
+FLOOD_WARM_UP_S = 1.5  # between the start of the flood and the first set-up
 MAX_FLOOD_S = 60.0
 FLOOD_RETRY_DELAY_S = 0.001
 FLOOD_CONNECT_TIMEOUT_S = 5.0
-MIN_RECONNECT_DELAY_S, RECONNECT_SPAN_S = 0.2, 2.8
+MIN_RECONNECT_DELAY_S, RECONNECT_SPAN_S = 0.2, 2.8  # clients reconnect at random times between 0.2 and 3.0 s
 PROMOTE_DELAY_S, RETIRE_SETTLE_S = 1.5, 1.0
 KEY_OVERLAP_S = 3600.0
 DEADLINE_S = 5.0
 MAX_RUN_S = 300.0
 CHECK_INTERVAL_S = 0.02
-VALID, RETIRED = "good", "retired"  # kinds of credentials, beside those of ``InvalidToken``
+VALID, RETIRED = "good", "retired"  # kinds of credentials, in addition to those of ``InvalidToken``
 TLS_SETTINGS = """<ironmill xmlns="urn:ironmill:settings:1">
   <tls listen="127.0.0.1:{}" certificate="server.crt" key="server.key"/>
 </ironmill>
@@ -64,12 +64,12 @@
 def measure(options: MeasurementOptions) -> dict[str, Any]:
     """Prints the figures and returns them by name; only ``is_quick`` is used."""
     quick = options.is_quick
-    setups = SETUPS_QUICK if quick else SETUPS
+    setups = QUICK_SETUPS if quick else SETUPS
     figures: dict[str, Any] = {}
-    with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
-        folder = Path(name)
+    with tempfile.TemporaryDirectory() as directory, ExitStack() as stack:
+        folder = Path(directory)
         issuer = Issuer(folder)
-        figures |= _measure_checks(issuer, CHECKS_QUICK if quick else CHECKS)
+        figures |= _measure_verification(issuer, QUICK_VERIFIED_TOKENS if quick else VERIFIED_TOKENS)
         dependencies = stack.enter_context(Dependencies(folder, SERVER_COUNT))
         plain = _start_proxy("plain", dependencies, folder, [], stack)
         settings = [f"--settings={issuer.settings}"]
@@ -81,7 +81,7 @@
         figures |= _measure_setups("token", authenticating, tokens, setups)
         figures |= _measure_tls(dependencies, folder, setups // 2, stack)
         figures |= _measure_flood(issuer, authenticating, setups)
-        client_count = ROTATION_CLIENTS_QUICK if quick else ROTATION_CLIENTS
+        client_count = QUICK_ROTATION_CLIENTS if quick else ROTATION_CLIENTS
         figures |= Rotation(issuer, authenticating, client_count).measure()
     for key, value in figures.items():
         print(f"{key:<28} {value}")
@@ -92,14 +92,14 @@
     name: str, dependencies: Dependencies, folder: Path, options: list[str], stack: ExitStack
 ) -> ProxyProcess:
     address = ("127.0.0.1", free_port())
-    config = proxy_config(name, address, dependencies.discovery, SOCKETS, platform_settings())
+    config = proxy_config(name, address, dependencies.discovery, MAX_SOCKETS, platform_settings())
     proxy = stack.enter_context(ProxyProcess(write_config(folder, config), folder, options=options))
     proxy.wait_ready()
     return proxy
 
 
-def _measure_checks(issuer: Issuer, count: int) -> dict[str, Any]:
-    """Returns how many tokens one core verifies a second, at their first use and from the cache."""
+def _measure_verification(issuer: Issuer, count: int) -> dict[str, Any]:
+    """Returns the tokens that one core verifies per second, at their first use and from the cache."""
     match = TokenMatch(ISSUER, AUDIENCE, "farm-*")
     identity = IdentitySettings("", (CallerRule(Caller("farms", "community", Rights()), (match,)),))
     authenticator = Authenticator(identity, issuer.store.ring(), time.time())
@@ -109,13 +109,13 @@
         start = time.process_time()
         for token in tokens:
             if not isinstance(authenticator.authenticate_token(token, "", time.time()), Admitted):
-                raise MeasurementError("a valid token was rejected")
+                raise MeasurementError("the authenticator rejected a valid token")
         rates.append(round(count / (time.process_time() - start)))
     return {"tokens_per_s_cold": rates[0], "tokens_per_s_cached": rates[1]}
 
 
 def _measure_setups(name: str, proxy: ProxyProcess, tokens: list[bytes], count: int) -> dict[str, Any]:
-    """Returns the time from connect to UP, and the proxy's CPU time for a set-up, in milliseconds."""
+    """Returns the time from connect to UP, and the proxy's CPU time per set-up, in milliseconds."""
     scheduler = Scheduler()
     latencies_ms: list[float] = []
 
@@ -126,9 +126,9 @@
         latencies_ms.append((time.monotonic() - start) * 1000.0)
         client.close()
 
-    before_s = proxy.usage().cpu_s
+    cpu_before_s = proxy.usage().cpu_s
     run_scenario(scheduler, lambda: in_parallel(scheduler, PARALLEL_SETUPS, range(count), set_up), MAX_RUN_S)
-    cpu_ms = (proxy.usage().cpu_s - before_s) * 1000.0 / count
+    cpu_ms = (proxy.usage().cpu_s - cpu_before_s) * 1000.0 / count
     percentiles = statistics.quantiles(latencies_ms, n=100)
     return {
         f"setup_p50_ms_{name}": round(percentiles[49], 3),
@@ -138,7 +138,10 @@
 
 
 def _measure_tls(dependencies: Dependencies, folder: Path, count: int, stack: ExitStack) -> dict[str, Any]:
-    """Returns handshakes for each second of CPU, full and resumed, also of an echo server, and memory."""
+    """Returns handshakes per CPU second, full and resumed, and memory per connection.
+
+    The handshakes are also measured with a bare echo server.
+    """
     write_all(folder)
     port = free_port()
     settings = folder / "tls.xml"
@@ -153,45 +156,45 @@
 
     def scenario() -> dict[str, Any]:
         figures: dict[str, Any] = {}
-        for name, process, at in (("proxy", proxy, port), ("floor", floor, floor_port)):
+        for name, process, server_port in (("proxy", proxy, port), ("floor", floor, floor_port)):
             for kind, is_resumed in (("full", False), ("resumed", True)):
-                rate = connector.handshake_rate(process, at, count, is_resumed=is_resumed)
+                rate = connector.handshake_rate(process, server_port, count, is_resumed=is_resumed)
                 figures[f"handshakes_per_cpu_s_{kind}_{name}"] = rate
         figures["kib_per_tls_connection"] = _tls_connection_kib(scheduler, connector, proxy, port, count)
         return figures
 
-    found: dict[str, Any] = run_scenario(scheduler, scenario, MAX_RUN_S)
-    return found
+    figures: dict[str, Any] = run_scenario(scheduler, scenario, MAX_RUN_S)
+    return figures
 
 
 class TlsConnector:
-    """Connects TLS clients to servers for localhost."""
+    """Connects TLS clients to servers whose certificate is for localhost."""
 
     def __init__(self, scheduler: Scheduler, authorities: Path) -> None:
         self._scheduler = scheduler
         self._context = ssl.create_default_context(cafile=str(authorities))
-        # In TLS 1.2 the session is known once the handshake is complete.
+        # In TLS 1.2 the session is available as soon as the handshake is complete.
         self._context.maximum_version = ssl.TLSVersion.TLSv1_2
 
     def connect(self, port: int, session: ssl.SSLSession | None = None) -> TlsStream:
-        """Connects and completes the handshake, resuming the session if there is one. Parks."""
+        """Connects and completes the handshake, resuming ``session`` if it is given. Parks."""
         sock = socket.create_connection(("127.0.0.1", port))
         stream = TlsStream.for_client(self._scheduler, sock, self._context, "localhost", session)
         stream.handshake(time.monotonic() + HANDSHAKE_TIMEOUT_S)
         return stream
 
     def handshake_rate(self, process: Process, port: int, count: int, *, is_resumed: bool) -> int:
-        """Returns the handshakes for each second of the process's CPU time. Parks."""
+        """Returns the number of handshakes per second of the process's CPU time. Parks."""
         first = self.connect(port)
         session = first.tls.session if is_resumed else None
         first.close()
-        before_s = process.usage().cpu_s
+        cpu_before_s = process.usage().cpu_s
         for _ in range(count):
             stream = self.connect(port, session)
             if stream.tls.resumed is not is_resumed:
-                raise MeasurementError(f"resumed is {stream.tls.resumed}; expected {is_resumed}")
+                raise MeasurementError(f"TLS session resumed: {stream.tls.resumed}; expected: {is_resumed}")
             stream.close()
-        return round(count / (process.usage().cpu_s - before_s))
+        return round(count / (process.usage().cpu_s - cpu_before_s))
 
 
 def _tls_connection_kib(
@@ -210,9 +213,9 @@
 
 
 def _send_forged(address: Address, tokens: list[bytes], until: float) -> None:
-    """Sends one forged token after another, each once the previous one is answered, until that Unix time.
+    """Sends forged tokens one at a time, each after the answer to the previous one, until a Unix time.
 
-    It runs in a process of its own.
+    It runs in a separate process.
     """
     number = 0
     while time.time() < until:
@@ -227,7 +230,7 @@
 
 
 def _measure_flood(issuer: Issuer, proxy: ProxyProcess, setups: int) -> dict[str, Any]:
-    """Returns figures of set-ups with valid tokens while other processes send forged ones."""
+    """Measures set-ups with valid tokens while other processes send forged ones."""
     forged = [issuer.forged("old", f"farm-{number}") for number in range(FLOOD_TOKENS)]
     tokens = [issuer.token("old", f"farm-new-{number}") for number in range(setups)]
     context = multiprocessing.get_context("spawn")
@@ -235,7 +238,7 @@
     floods = [context.Process(target=_send_forged, args=args, daemon=True) for _ in range(FLOOD_PROCESSES)]
     for flood in floods:
         flood.start()
-    time.sleep(FLOOD_LEAD_S)
+    time.sleep(FLOOD_WARM_UP_S)
     try:
         return _measure_setups("flood", proxy, tokens, setups)
     finally:
@@ -245,22 +248,23 @@
 
 
 class Rotation:
-    """A rotation of keys while clients reconnect, half of them with invalid credentials.
+    """A key rotation while clients reconnect, half of them with invalid credentials.
 
-    Clients reconnect twice: during the first time the new key begins to sign; before the second the old key
-    is retired.
+    Clients reconnect in two rounds. The new key becomes the signing one during the first round, and the old
+    key is retired before the second.
     """
 
     def __init__(self, issuer: Issuer, proxy: ProxyProcess, client_count: int) -> None:
         self._issuer = issuer
         self._proxy = proxy
-        self._clients_each_time = client_count // 2
+        self._clients_per_round = client_count // 2
         self._scheduler = Scheduler()
         self._rng = random.Random(7)
-        self._answers: Counter[tuple[str, str]] = Counter()  # by kind of credential and first word
+        # By kind of credential and first word of the answer.
+        self._answers: Counter[tuple[str, str]] = Counter()
 
     def measure(self) -> dict[str, Any]:
-        """Runs the rotation; returns how many requests had a wrong outcome, by kind."""
+        """Runs the rotation; returns the counts of requests with a wrong outcome, by kind."""
         run_scenario(self._scheduler, self._scenario, MAX_RUN_S)
         answers = self._answers
         invalid = {kind.value for kind in InvalidToken}
@@ -270,7 +274,7 @@
             "valid_refused": answers[VALID, "BUSY"],
             "forged_admitted": sum(answers[kind, "UP"] for kind in invalid),
             "retired_admitted": answers[RETIRED, "UP"],
-            "unanswered": sum(n for (_, word), n in answers.items() if word in ("none", "closed")),
+            "unanswered": sum(count for (_, word), count in answers.items() if word in ("none", "closed")),
         }
 
     def _scenario(self) -> None:
@@ -279,15 +283,15 @@
         self._reconnect(("old", "new"), invalid)
         self._scheduler.sleep(PROMOTE_DELAY_S)
         store.write(store.ring().promoted("new", time.time(), KEY_OVERLAP_S))
-        self._wait_for_answers(self._clients_each_time)
+        self._wait_for_answers(self._clients_per_round)
         store.write(store.ring().retired("old", time.time()))
         self._scheduler.sleep(RETIRE_SETTLE_S)
         self._reconnect(("new",), (*invalid, RETIRED))
-        self._wait_for_answers(2 * self._clients_each_time)
+        self._wait_for_answers(2 * self._clients_per_round)
 
     def _reconnect(self, valid_keys: tuple[str, ...], invalid: tuple[str, ...]) -> None:
-        """Starts the clients; every other one has an invalid credential, of each kind in turn."""
-        for number in range(self._clients_each_time):
+        """Starts the clients of a round; every other one has an invalid credential, of each kind in turn."""
+        for number in range(self._clients_per_round):
             kind = VALID if number % 2 else invalid[number // 2 % len(invalid)]
             kid = "old" if kind == RETIRED else self._rng.choice(valid_keys)
             token = self._token(kind, kid, f"farm-{number}")
--- a/ironmill_testbed/measures/membership.py
+++ b/ironmill_testbed/measures/membership.py
@@ -1,7 +1,8 @@
-"""Measures failure detection: simulated beside plain SWIM, and by real processes behind the switch.
+"""Measures failure detection: simulated and compared with plain SWIM, and with real processes.
 
-The worst of the schedules and seeds counts. The times of plain SWIM are set to remove a killed member within
-about the same time. A plot is written to ``found/membership.png``.
+The datagrams of real processes pass ``ironmill_testbed.faults.switch``, which injects faults. Each figure is
+the worst of all schedules and seeds. The intervals of plain SWIM are set so that it removes a killed member
+within about the same time. A plot is written to ``found/membership.png``.
 """
 
 from __future__ import annotations
@@ -27,24 +28,24 @@
 from ironmill_testbed.measures.options import MeasurementOptions
 
 PLOTS = Path("found")
-WARM_UP_S = 5.0  # before a fault begins
+WARM_UP_S = 5.0  # simulated time before a fault begins
 DETECTION_SPAN_S = 12.0
 CUT_SPAN_S, ONE_WAY_LIMIT_S = 20.0, 20.0
 PARTITION_SPAN_S, PARTITION_LIMIT_S = 25.0, 25.0
 COST_SPAN_S = 10.0
-PUBLISHED_LOSS = 0.3  # of the loss fractions, the one whose false removals are a figure
+PUBLISHED_LOSS = 0.3  # the loss fraction whose false removals are returned as a figure
 KINDS: dict[str, MemberFactory] = {"ours": Member, "swim": SwimMember}
 
 
 class Extent(Struct, frozen=True):
-    """How much is measured."""
+    """The sizes and durations of a measurement."""
 
     seeds: tuple[int, ...]
-    sizes: tuple[int, ...]  # of the clusters in which a member is killed
+    sizes: tuple[int, ...]  # members of the clusters in which one is killed
     loss_fractions: tuple[float, ...]
-    size: int  # of all other clusters
-    span_s: float  # of a fault
-    cost_size: int
+    size: int  # members of all other clusters
+    span_s: float  # duration of a fault
+    cost_size: int  # members of the cluster whose traffic and memory are measured
     processes: int
     setups: int
 
@@ -73,7 +74,7 @@
 
 
 class DetectionTime(Struct, frozen=True):
-    """Seconds until a killed member was out of a view, over all views."""
+    """The seconds until a killed member was removed from a view, over all views."""
 
     mean_s: float
     p99_s: float
@@ -97,7 +98,7 @@
     found["detect_p99_s"] = max(time.p99_s for time in detection["ours"])
     found["detect_p99_s_swim"] = max(time.p99_s for time in detection["swim"])
     by_loss = {
-        kind: [_count_removals(kind, extent, [_loss(one, extent)]) for one in extent.loss_fractions]
+        kind: [_count_removals(kind, extent, [_loss(fraction, extent)]) for fraction in extent.loss_fractions]
         for kind in KINDS
     }
     found |= _measure_false_removals(extent, by_loss)
@@ -120,16 +121,18 @@
 
 
 def _measure_detection(kind: str, size: int, seeds: Sequence[int]) -> DetectionTime:
-    """Kills one member in a cluster of each seed."""
+    """Kills one member of a cluster for each seed, and measures its removal from all other views."""
     times_s: list[float] = []
     for seed in seeds:
         cluster = _converged_cluster(kind, size, [], seed)
         dead = random.Random(seed).choice(list(cluster.processes))
         cluster.kill(dead)
-        since = cluster.now
-        cluster.run(since + DETECTION_SPAN_S)
+        killed_at = cluster.now
+        cluster.run(killed_at + DETECTION_SPAN_S)
         removed_at = {
-            one.observer: one.at_s - since for one in cluster.removals(since) if _removed_member(one) == dead
+            removal.observer: removal.at_s - killed_at
+            for removal in cluster.removals(killed_at)
+            if _removed_member(removal) == dead
         }
         times_s += [removed_at.get(name, float("inf")) for name in cluster.processes if name != dead]
     times_s.sort()
@@ -146,18 +149,18 @@
 
 
 def _schedules(extent: Extent) -> dict[str, list[Fault]]:
-    """Returns schedules, by name, under which no member may be removed."""
-    names = [f"p{at:05d}" for at in range(extent.size)]
+    """Returns schedules of faults, by name, during which no member may be removed."""
+    names = [f"p{index:05d}" for index in range(extent.size)]
     end = WARM_UP_S + extent.span_s
     rng = random.Random(7)
     pauses = [
         Fault(
             "pause",
-            WARM_UP_S + at,
-            WARM_UP_S + at + 2.0,
+            WARM_UP_S + offset_s,
+            WARM_UP_S + offset_s + 2.0,
             names=tuple(rng.sample(names, extent.size // 5)),
         )
-        for at in range(0, int(extent.span_s) - 2, 3)
+        for offset_s in range(0, int(extent.span_s) - 2, 3)
     ]
     third = tuple(names[2 : 2 + (extent.size - 1) // 3])
     return {
@@ -172,7 +175,7 @@
 
 
 def _count_removals(kind: str, extent: Extent, faults: Sequence[Fault]) -> int:
-    """Returns the removals of healthy members from views, over all seeds."""
+    """Counts the removals of healthy members from views, over all seeds."""
     count = 0
     for seed in extent.seeds:
         cluster = _converged_cluster(kind, extent.size, faults, seed)
@@ -182,8 +185,8 @@
 
 
 def _measure_false_removals(extent: Extent, by_loss: dict[str, list[int]]) -> dict[str, Any]:
-    published = extent.loss_fractions.index(PUBLISHED_LOSS)
-    counts = {"loss": {kind: by_loss[kind][published] for kind in KINDS}}
+    published_index = extent.loss_fractions.index(PUBLISHED_LOSS)
+    counts = {"loss": {kind: by_loss[kind][published_index] for kind in KINDS}}
     for name, faults in _schedules(extent).items():
         counts[name] = {kind: _count_removals(kind, extent, faults) for kind in KINDS}
     print("wrongly removed, all members of all seeds:")
@@ -196,28 +199,28 @@
 
 
 def _measure_one_way_contact(extent: Extent) -> dict[str, Any]:
-    """Runs a member that cannot receive, and one that cannot send, for each seed."""
+    """Measures, for each seed, a member that cannot receive and one that cannot send."""
     affected = ("p00001",)
     flaps, removal_s, rejoin_s = 0, 0.0, 0.0
     for sources, targets in (((), affected), (affected, ())):
         for seed in extent.seeds:
             cut = Fault("cut", WARM_UP_S, WARM_UP_S + CUT_SPAN_S, sources, targets)
             cluster = _converged_cluster("ours", extent.size, [cut], seed)
-            rest = [name for name in cluster.processes if name not in affected]
-            removal_s = max(removal_s, _wait_for_agreement(cluster, [rest], ONE_WAY_LIMIT_S))
+            unaffected = [name for name in cluster.processes if name not in affected]
+            removal_s = max(removal_s, _wait_for_agreement(cluster, [unaffected], ONE_WAY_LIMIT_S))
             cluster.run(WARM_UP_S + CUT_SPAN_S)
             rejoin_s = max(rejoin_s, _wait_for_agreement(cluster, [None], ONE_WAY_LIMIT_S))
-            flaps += len(cluster.removals(WARM_UP_S)) - len(rest)  # each removes it once
+            flaps += len(cluster.removals(WARM_UP_S)) - len(unaffected)  # every other member removes it once
     return {"flaps": flaps, "one_sided_gone_s": removal_s, "one_sided_back_s": rejoin_s}
 
 
 def _measure_partition(size: int, seed: int) -> tuple[float, float]:
     """Returns the seconds until the views of both halves were complete, and until they had merged."""
-    names = tuple(f"p{at:05d}" for at in range(size))
-    one, other = names[: size // 2], names[size // 2 :]
-    faults = both_ways(WARM_UP_S, WARM_UP_S + PARTITION_SPAN_S, one, other)
+    names = tuple(f"p{index:05d}" for index in range(size))
+    first_half, second_half = names[: size // 2], names[size // 2 :]
+    faults = both_ways(WARM_UP_S, WARM_UP_S + PARTITION_SPAN_S, first_half, second_half)
     cluster = _converged_cluster("ours", size, faults, seed)
-    complete_s = _wait_for_agreement(cluster, [one, other], PARTITION_LIMIT_S)
+    complete_s = _wait_for_agreement(cluster, [first_half, second_half], PARTITION_LIMIT_S)
     cluster.run(WARM_UP_S + PARTITION_SPAN_S)
     return complete_s, _wait_for_agreement(cluster, [None], PARTITION_LIMIT_S)
 
@@ -225,13 +228,16 @@
 def _wait_for_agreement(
     cluster: SimulatedCluster, groups: Sequence[Sequence[str] | None], limit_s: float
 ) -> float:
-    """Returns the seconds until each group agrees on itself, None for all; infinite after the limit."""
-    took_s = cluster.run_until(lambda: all(cluster.agree(group) for group in groups), limit_s)
-    return float("inf") if took_s is None else took_s
+    """Returns the seconds until the views of each group's members consist of the group.
+
+    A group of None is all members. The result is infinite if the limit is exceeded.
+    """
+    duration_s = cluster.run_until(lambda: all(cluster.agree(group) for group in groups), limit_s)
+    return float("inf") if duration_s is None else duration_s
 
 
 def _measure_cost(size: int) -> tuple[float, float]:
-    """Returns the bytes a second of the busiest idle member, and the bytes of memory per further member."""
+    """Returns the highest bytes per second of an idle member, and the bytes of memory per further member."""
     import tracemalloc
 
     cluster = _converged_cluster("ours", size, [], 1)
@@ -242,8 +248,8 @@
     bytes_per_member = []
     for count in (size, 2 * size):
         tracemalloc.start()
-        measured = SimulatedCluster(count, [], 1)
-        measured.start_converged()
+        measured_cluster = SimulatedCluster(count, [], 1)
+        measured_cluster.start_converged()
         bytes_per_member.append(tracemalloc.get_traced_memory()[0] / count)
         tracemalloc.stop()
     return max(sent) / COST_SPAN_S, (bytes_per_member[1] - bytes_per_member[0]) / size
--- a/ironmill_testbed/measures/membership_processes.py
+++ b/ironmill_testbed/measures/membership_processes.py
@@ -1,4 +1,4 @@
-"""Measures membership with real processes behind the switch."""
+"""Measures membership with real processes, whose datagrams pass a switch that injects faults."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 LOSS_SPAN_S, LOSS_FRACTION = 6.0, 0.3
 CUT_SPAN_S = 8.0
 UNLIMITED_S = 1e9
-LOADED_PROXIES = 3  # which no fault concerns
+LOADED_PROXIES = 3  # proxies that have clients; no fault affects them
 PARALLEL_SETUPS = 4
 
 
 def measure_processes(count: int) -> dict[str, Any]:
-    """Returns the figures of kills, loss, one-way contact and a partition, evaluated by the logs."""
+    """Returns the figures of kills, loss, one-way contact and a partition, computed from the logs."""
     found: dict[str, Any] = {"processes": count}
     with tempfile.TemporaryDirectory() as folder, ProcessCluster(Path(folder), count) as cluster:
         cluster.start()
@@ -45,21 +45,21 @@
 
 
 def _idle_cpu_percent(cluster: ProcessCluster) -> float:
-    """Returns the share of a core that the busiest process uses while nothing happens."""
+    """Returns the share of a core, in percent, that the busiest process uses in an idle cluster."""
     processes = list(cluster.processes.values())
     start = time.monotonic()
     cpu_before = [process.usage().cpu_s for process in processes]
     time.sleep(IDLE_SPAN_S)
-    spent = [process.usage().cpu_s - before for process, before in zip(processes, cpu_before, strict=True)]
-    return 100.0 * max(spent) / (time.monotonic() - start)
+    cpu_s = [process.usage().cpu_s - before for process, before in zip(processes, cpu_before, strict=True)]
+    return 100.0 * max(cpu_s) / (time.monotonic() - start)
 
 
 def _measure_kills(cluster: ProcessCluster, dead: list[str]) -> dict[str, Any]:
-    rest = [name for name in cluster.names if name not in dead]
+    alive = [name for name in cluster.names if name not in dead]
     killed_at = cluster.kill(*dead)
-    cluster.wait_until(lambda: cluster.agree(rest))
+    cluster.wait_until(lambda: cluster.agree(alive))
     events = cluster.logged_events()
-    detection_s = max(max(checker.detection_delays(events, rest, name, killed_at)) for name in dead)
+    detection_s = max(max(checker.detection_delays(events, alive, name, killed_at)) for name in dead)
     cluster.start(*dead)
     return {
         "real_detect_s": detection_s,
@@ -74,25 +74,25 @@
 
 
 def _measure_one_way_contact(cluster: ProcessCluster, affected: str) -> dict[str, Any]:
-    """Cuts off one process from all datagrams to it, and restores it."""
-    rest = [name for name in cluster.names if name != affected]
+    """Drops all datagrams to one process for some time; measures its removal and its return."""
+    unaffected = [name for name in cluster.names if name != affected]
     start = cluster.inject([Fault("cut", 0.0, CUT_SPAN_S, (), (affected,))])
-    cluster.wait_until(lambda: cluster.agree(rest))
+    cluster.wait_until(lambda: cluster.agree(unaffected))
     time.sleep(max(0.0, start + CUT_SPAN_S - time.monotonic()))
     rejoin_s = cluster.wait_until(lambda: cluster.agree(cluster.names))
     events = cluster.logged_events()
     return {
         "real_one_sided_back_s": rejoin_s,
-        "real_one_sided_gone_s": max(checker.detection_delays(events, rest, affected, start)),
+        "real_one_sided_gone_s": max(checker.detection_delays(events, unaffected, affected, start)),
         "real_flaps": checker.count_flaps(events, start, start + CUT_SPAN_S),
     }
 
 
 def _measure_partition(cluster: ProcessCluster) -> dict[str, Any]:
     names = cluster.names
-    one, other = names[: len(names) // 2], names[len(names) // 2 :]
-    cluster.inject(both_ways(0.0, UNLIMITED_S, tuple(one), tuple(other)))
-    complete_s = cluster.wait_until(lambda: cluster.agree(one) and cluster.agree(other))
+    first_half, second_half = names[: len(names) // 2], names[len(names) // 2 :]
+    cluster.inject(both_ways(0.0, UNLIMITED_S, tuple(first_half), tuple(second_half)))
+    complete_s = cluster.wait_until(lambda: cluster.agree(first_half) and cluster.agree(second_half))
     cluster.inject([])
     healed_at = time.monotonic()
     merge_s = cluster.wait_until(lambda: cluster.agree(names))
@@ -104,7 +104,7 @@
 
 
 def measure_setup_times(count: int, setups: int) -> dict[str, Any]:
-    """Returns the 99th percentile of a client's set-up in milliseconds, with membership and without."""
+    """Returns the 99th percentile of a client's set-up time in milliseconds, with membership and without."""
     times_ms: dict[bool, list[float]] = {True: [], False: []}
     for membership in (True, False, True, False):
         with (
@@ -130,8 +130,8 @@
     scheduler = Scheduler()
     times_ms: list[float] = []
 
-    def set_up(at: int) -> None:
-        client = Client(scheduler, addresses[at % len(addresses)])
+    def set_up(number: int) -> None:
+        client = Client(scheduler, addresses[number % len(addresses)])
         start = time.monotonic()
         client.open()
         times_ms.append((time.monotonic() - start) * 1000.0)
--- a/ironmill_testbed/measures/options.py
+++ b/ironmill_testbed/measures/options.py
@@ -1,4 +1,4 @@
-"""The options that every measurement takes."""
+"""The options that are common to all measurements."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class MeasurementOptions(Struct, frozen=True):
-    """The options of ``measure NAME``; a measurement says which ones it uses."""
+    """The options of ``measure NAME``; the docstring of a measurement says which ones it uses."""
 
-    is_quick: bool = False  # smaller sizes
-    poller: str = "epoll"  # what the proxy waits with
+    is_quick: bool = False  # whether smaller sizes are measured
+    poller: str = "epoll"  # the poller of the proxy's event loop: epoll or poll
     program: Path | None = None  # the folder of another checkout, whose proxy is measured
--- a/ironmill_testbed/measures/scale.py
+++ b/ironmill_testbed/measures/scale.py
@@ -1,8 +1,9 @@
-"""Measures a fleet of the operators' plan: sweeps, simulated scenarios, and simulated proxies on sockets.
+"""Measures the fleet that operators plan: sweeps, simulated scenarios, and simulated proxies on sockets.
 
 The full measurement is written to ``docs/capacity/measured.json``, from which ``python -m ironmill_testbed
-capacity`` makes the page. With ``--quick`` sizes are small, except for the scenarios, of which three run at
-the plan's size, beside the sweeps; nothing is written. A figure that was not measured is None.
+capacity`` generates the page. With ``--quick`` nothing is written and sizes are small, except for three
+scenarios, which run at the plan's size and at the same time as the sweeps. A figure that was not measured is
+None.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from ironmill_testbed.measures.options import MeasurementOptions
 
 QUICK_SCENARIOS = ("zone", "storm", "loss")
-QUICK_SWEEPS = (  # beside those of distribution
+QUICK_SWEEPS = (  # in addition to those of distribution
     "placement_cpu",
     "membership_zone_bytes",
     "table_memory",
 )
 DISTRIBUTION_SWEEPS = frozenset(sweep.name for runs in sweep_distribution.RUNS for sweep in runs.sweeps)
-PARALLEL_SCENARIOS = 4  # each is one busy process of a quarter of a GB
+PARALLEL_SCENARIOS = 4  # each is one process that uses a whole core and a quarter of a GB
 MAX_SCENARIO_S = 3600.0
-SOCKETS_SPAN_S, SOCKETS_SPAN_QUICK_S = 60.0, 15.0
-# Simulated proxies, control machines, processes of simulated proxies, real proxies.
-ON_SOCKETS, ON_SOCKETS_QUICK = (2800, 27, 20, 3), (280, 5, 4, 1)
+SOCKETS_SPAN_S, QUICK_SOCKETS_SPAN_S = 60.0, 15.0
+# The numbers of simulated proxies, control machines, processes of simulated proxies, and real proxies.
+ON_SOCKETS, QUICK_ON_SOCKETS = (2800, 27, 20, 3), (280, 5, 4, 1)
 
 
 def measure(options: MeasurementOptions) -> dict[str, Any]:
@@ -36,26 +37,26 @@
     names = [
         name for name in sweeps.NAMES if not quick or name in QUICK_SWEEPS or name in DISTRIBUTION_SWEEPS
     ]
-    found: dict[str, data.Sweep] = {}
+    measured_sweeps: dict[str, data.Sweep] = {}
     if quick:
-        with ThreadPoolExecutor(1) as side:
-            task = side.submit(_run_scenarios, quick=quick)
-            found = sweeps.measure_sweeps(quick=quick, names=names)
+        with ThreadPoolExecutor(1) as executor:
+            task = executor.submit(_run_scenarios, quick=quick)
+            measured_sweeps = sweeps.measure_sweeps(quick=quick, names=names)
             results = task.result()
     else:
         results = _run_scenarios(quick=quick)
-    extent = ON_SOCKETS_QUICK if quick else ON_SOCKETS
-    sockets = on_sockets.run(*extent, SOCKETS_SPAN_QUICK_S if quick else SOCKETS_SPAN_S, quick)
+    extent = QUICK_ON_SOCKETS if quick else ON_SOCKETS
+    sockets = on_sockets.run(*extent, QUICK_SOCKETS_SPAN_S if quick else SOCKETS_SPAN_S, quick)
     print("on sockets:", *(f"{name} {value}" for name, value in sockets.items()), sep="\n  ")
     if not quick:
-        measured = {name: one | {"sign": data.Sign.VIRTUAL.value} for name, one in results.items()}
+        measured = {name: figures | {"sign": data.Sign.VIRTUAL.value} for name, figures in results.items()}
         measured["on_sockets"] = sockets | {"sign": data.Sign.SIMULATED.value}
-        data.save(
-            data.merge(data.Measured({}, measured, sweeps.machine()))
-        )  # before the sweeps, which may fail
-        found = sweeps.measure_sweeps(quick=quick, names=names)  # when nothing else is busy
-        data.save(data.merge(data.Measured(found, {}, sweeps.machine())))
-    sweeps.print_fits(found)
+        # The scenarios are stored before the sweeps, which may fail.
+        data.save(data.merge(data.Measured({}, measured, sweeps.machine())))
+        # The sweeps run last, while no other process of the measurement is busy.
+        measured_sweeps = sweeps.measure_sweeps(quick=quick, names=names)
+        data.save(data.merge(data.Measured(measured_sweeps, {}, sweeps.machine())))
+    sweeps.print_fits(measured_sweeps)
     return summary(results, sockets)
 
 
@@ -75,9 +76,9 @@
 
 
 def summary(results: Mapping[str, Mapping[str, Any]], sockets: Mapping[str, Any]) -> dict[str, Any]:
-    """Returns each figure at its worst scenario, on the virtual clock or on sockets."""
-    every = [*results.values(), sockets]
-    worst: dict[str, Callable[[Iterable[Any]], Any]] = {
+    """Returns each figure in its worst scenario, on the virtual clock or on sockets."""
+    all_figures = [*results.values(), sockets]
+    aggregates: dict[str, Callable[[Iterable[Any]], Any]] = {
         "members_run": max,
         "change_p99_s": max,
         "change_max_s": max,
@@ -88,9 +89,11 @@
         "false_everywhere": sum,
     }
     found: dict[str, Any] = {
-        name: _aggregate(aggregate, [one.get(name) for one in every]) for name, aggregate in worst.items()
+        name: _aggregate(aggregate, [figures.get(name) for figures in all_figures])
+        for name, aggregate in aggregates.items()
     }
-    idle = results.get("rest") or next(iter(results.values()), {})  # each scenario begins without changes
+    # Without the scenario "rest" any other will do, since each begins without changes.
+    idle = results.get("rest") or next(iter(results.values()), {})
     found["control_bytes_per_s"] = idle.get("control_bytes_per_s")
     found["zone_loss_bytes_per_s"] = results.get("zone", {}).get("proxy_bytes_highest_s")
     for name in (
@@ -101,10 +104,12 @@
         "clients_lost",
     ):
         found[name] = sockets.get(name)
-    found["peak_memory_mb"] = _aggregate(max, [one.get("peak_memory_mb") for one in every])
+    found["peak_memory_mb"] = _aggregate(max, [figures.get("peak_memory_mb") for figures in all_figures])
     found["stories"] = sorted(results)
     found["not_kept"] = sorted(
-        f"{name}: {line}" for name, one in results.items() for line in scenarios.broken_guarantees(dict(one))
+        f"{name}: {line}"
+        for name, figures in results.items()
+        for line in scenarios.broken_guarantees(dict(figures))
     )
     return found
 
