--- a/tests/unit/testbed/test_scale.py
+++ b/tests/unit/testbed/test_scale.py
@@ -1,4 +1,4 @@
-"""Tests of the last line of ``measure scale``."""
+"""Checks the summary that ``measure scale`` prints as its last line."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 )
 
 
-def _scenario(**more: Any) -> dict[str, Any]:
-    found = dict.fromkeys(
+def _scenario_figures(**overrides: Any) -> dict[str, Any]:
+    figures = dict.fromkeys(
         (
             "lost_changes",
             "older_after_newer",
@@ -38,14 +38,14 @@
         ),
         0,
     ) | {"change_max_s": 0.9, "change_p99_s": 0.2, "catch_up_s": None, "reattach_s": None}
-    return found | {"members_run": 2828, "peak_memory_mb": 200.0} | more
+    return figures | {"members_run": 2828, "peak_memory_mb": 200.0} | overrides
 
 
 def test_summary_takes_worst_figure_of_all_scenarios() -> None:
-    scenarios = {
-        "rest": _scenario(control_bytes_per_s=800.0),
-        "zone": _scenario(proxy_bytes_highest_s=600.0, change_p99_s=0.4),
-        "loss": _scenario(change_max_s=3.5, lost_changes=2),
+    results = {
+        "rest": _scenario_figures(control_bytes_per_s=800.0),
+        "zone": _scenario_figures(proxy_bytes_highest_s=600.0, change_p99_s=0.4),
+        "loss": _scenario_figures(change_max_s=3.5, lost_changes=2),
     }
     sockets = {
         "lost_changes": 1,
@@ -57,7 +57,7 @@
         "control_core_percent": 7.0,
         "control_memory_mb": 37.0,
     }
-    found = summary(scenarios, sockets)
+    found = summary(results, sockets)
     assert set(SUMMARY_KEYS) <= set(found)
     assert (found["change_p99_s"], found["change_max_s"], found["lost_changes"]) == (0.4, 3.5, 3)
     assert (found["control_bytes_per_s"], found["zone_loss_bytes_per_s"]) == (800.0, 600.0)
@@ -66,7 +66,7 @@
 
 
 def test_summary_is_none_for_figures_not_run() -> None:
-    found = summary({"storm": _scenario()}, {})
+    found = summary({"storm": _scenario_figures()}, {})
     assert set(SUMMARY_KEYS) <= set(found)
     for name in ("zone_loss_bytes_per_s", "real_processes", "clients_lost", "control_bytes_per_s"):
         assert found[name] is None
