--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -104,7 +104,7 @@
     if the fleet does not start.
     """
     start = time.monotonic()
-    found: dict[str, Any] = {"load_before": round(os.getloadavg()[0], 2)}
+    figures: dict[str, Any] = {"load_before": round(os.getloadavg()[0], 2)}
     with (
         tempfile.TemporaryDirectory() as directory,
         SocketFleet(Path(directory), proxies, control, simulated_processes, real) as fleet,
@@ -114,30 +114,30 @@
         fleet.start(*fleet.real, *fleet.plain)
         fleet.wait_ready(*fleet.real, *fleet.plain)
         fleet.until(lambda: fleet.counted() == proxies + real, "all proxies are counted", MAX_ATTACH_S)
-        found["attached_s"] = time.monotonic() - start
-        found |= _idle(fleet, seconds / 3.0)
+        figures["attached_s"] = time.monotonic() - start
+        figures |= _idle(fleet, seconds / 3.0)
         for plain_name in fleet.plain:
             fleet.end(plain_name)
         client_load = ClientLoad([fleet.clients[real_name] for real_name in fleet.real])
         load = OperatorLoad(fleet)
         before = fleet.usage(), time.monotonic()
         load.run("ordinary", ORDINARY_CHANGES_PER_S, seconds / 3.0)
-        found |= _cores(fleet, before, "ordinary_")
+        figures |= _cores(fleet, before, "ordinary_")
         before = fleet.usage(), time.monotonic()
         load.run("storm", STORM_CHANGES_PER_S, seconds / 3.0)
-        found |= _cores(fleet, before, "storm_")
+        figures |= _cores(fleet, before, "storm_")
         _await_last(fleet, load)
-        found |= _faults(fleet, load, quick)
+        figures |= _faults(fleet, load, quick)
         _await_last(fleet, load)
-        found |= _stale(fleet, load)
+        figures |= _stale(fleet, load)
         _await_last(fleet, load)
         clients = client_load.stop()
-        found["clients_lost"] = clients.lost if clients.lines else None
-        found["clients_lines"] = clients.lines
-        found |= _guarantees(fleet, load)
-        found["control_memory_mb"] = _memory(fleet)
-        found["peak_memory_mb"] = fleet.peak / 2**20
-    found |= {
+        figures["clients_lost"] = clients.lost if clients.lines else None
+        figures["clients_lines"] = clients.lines
+        figures |= _guarantees(fleet, load)
+        figures["control_memory_mb"] = _memory(fleet)
+        figures["peak_memory_mb"] = fleet.peak / 2**20
+    figures |= {
         "hollow_on_sockets": proxies,
         "real_proxies": real,
         "real_processes": control + real,
@@ -146,7 +146,7 @@
         "wall_s": time.monotonic() - start,
         "load_after": round(os.getloadavg()[0], 2),
     }
-    return {name: round(value, 4) if isinstance(value, float) else value for name, value in found.items()}
+    return {name: round(value, 4) if isinstance(value, float) else value for name, value in figures.items()}
 
 
 def _await_last(fleet: SocketFleet, load: OperatorLoad) -> None:
@@ -339,7 +339,7 @@
         for position, digests in report["digests"].items():
             states.setdefault(to_position(position), Counter()).update(digests)
     applied_at = application_times(fleet, load.pushed)
-    found: dict[str, Any] = {
+    figures: dict[str, Any] = {
         "changes": len(load.pushed),
         "refused_pushes": load.rejected,
         "refused_why": load.rejection,
@@ -353,7 +353,7 @@
     }
     if not load.pushed:
         unmeasured = ("lost_changes", "older_after_newer", "half_in_force", "false_everywhere")
-        found |= dict.fromkeys(unmeasured)
+        figures |= dict.fromkeys(unmeasured)
     for phase in ("", "ordinary", "storm", "faults", "contact"):
         changes = [change for change in load.pushed if phase in ("", change.phase)]
         latencies = sorted(
@@ -362,17 +362,17 @@
             for applied in applied_at.get(change.position.number, ())
         )
         prefix = f"{phase}_" if phase else ""
-        found |= {
+        figures |= {
             f"{prefix}change_p50_s": quantile(latencies, 0.5),
             f"{prefix}change_p99_s": quantile(latencies, 0.99),
             f"{prefix}change_max_s": quantile(latencies, 1.0),
         }
     for phase in ("ordinary", "storm"):
         push_times = [change.pushed_at for change in load.pushed if change.phase == phase]
-        found[f"{phase}_changes_per_s"] = (
+        figures[f"{phase}_changes_per_s"] = (
             (len(push_times) - 1) / (push_times[-1] - push_times[0]) if len(push_times) > 1 else None
         )
-    return found
+    return figures
 
 
 def application_times(fleet: SocketFleet, pushed: Sequence[PushedChange]) -> dict[int, list[float]]:
--- a/ironmill_testbed/capacity/scenarios.py
+++ b/ironmill_testbed/capacity/scenarios.py
@@ -210,12 +210,12 @@
         load = OperatorLoad(fleet, plan.entries)
         end = scenario(fleet, load, duration_s)
         fleet.run(end + RECOVERY_S)
-        found = figures(fleet)
-    found["refused_pushes"] = load.rejected
-    found["story_s"] = duration_s
-    found["wall_s"] = round(time.perf_counter() - start, 1)
-    found["peak_memory_mb"] = round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0, 1)
-    return found
+        result = figures(fleet)
+    result["refused_pushes"] = load.rejected
+    result["story_s"] = duration_s
+    result["wall_s"] = round(time.perf_counter() - start, 1)
+    result["peak_memory_mb"] = round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0, 1)
+    return result
 
 
 def figures(fleet: SimulatedFleet) -> dict[str, Any]:
@@ -276,7 +276,7 @@
     }
 
 
-def broken_guarantees(found: dict[str, Any]) -> list[str]:
+def broken_guarantees(result: dict[str, Any]) -> list[str]:
     """Returns the guarantees that a scenario has broken, each with its figure and limit."""
     limits = {
         "lost_changes": 0,
@@ -290,9 +290,9 @@
         "reattach_s": 1.0,
     }
     return [
-        f"{name} {found[name]} > {limit}"
+        f"{name} {result[name]} > {limit}"
         for name, limit in limits.items()
-        if found[name] is not None and found[name] > limit
+        if result[name] is not None and result[name] > limit
     ]
 
 
--- a/ironmill_testbed/measures/membership.py
+++ b/ironmill_testbed/measures/membership.py
@@ -91,26 +91,26 @@
 def measure(options: MeasurementOptions) -> dict[str, Any]:
     """Returns the figures by name; only ``is_quick`` is used."""
     extent = QUICK if options.is_quick else FULL
-    found: dict[str, Any] = {}
+    figures: dict[str, Any] = {}
     detection = {
         kind: [_measure_detection(kind, size, extent.seeds[:2]) for size in extent.sizes] for kind in KINDS
     }
-    found["detect_p99_s"] = max(time.p99_s for time in detection["ours"])
-    found["detect_p99_s_swim"] = max(time.p99_s for time in detection["swim"])
+    figures["detect_p99_s"] = max(time.p99_s for time in detection["ours"])
+    figures["detect_p99_s_swim"] = max(time.p99_s for time in detection["swim"])
     by_loss = {
         kind: [_count_removals(kind, extent, [_loss(fraction, extent)]) for fraction in extent.loss_fractions]
         for kind in KINDS
     }
-    found |= _measure_false_removals(extent, by_loss)
-    found |= _measure_one_way_contact(extent)
+    figures |= _measure_false_removals(extent, by_loss)
+    figures |= _measure_one_way_contact(extent)
     healed = [_measure_partition(extent.size, seed) for seed in extent.seeds]
-    found["whole_s"] = max(complete_s for complete_s, _ in healed)
-    found["heal_s"] = max(merge_s for _, merge_s in healed)
-    found["bytes_per_s"], found["memory_bytes"] = _measure_cost(extent.cost_size)
-    found |= measure_processes(extent.processes)
-    found |= measure_setup_times(SETUP_PROXIES, extent.setups)
+    figures["whole_s"] = max(complete_s for complete_s, _ in healed)
+    figures["heal_s"] = max(merge_s for _, merge_s in healed)
+    figures["bytes_per_s"], figures["memory_bytes"] = _measure_cost(extent.cost_size)
+    figures |= measure_processes(extent.processes)
+    figures |= measure_setup_times(SETUP_PROXIES, extent.setups)
     _plot(PlotData(extent, detection, by_loss))
-    return {name: round(value, 3) if isinstance(value, float) else value for name, value in found.items()}
+    return {name: round(value, 3) if isinstance(value, float) else value for name, value in figures.items()}
 
 
 def _converged_cluster(kind: str, size: int, faults: Sequence[Fault], seed: int) -> SimulatedCluster:
--- a/ironmill_testbed/measures/membership_processes.py
+++ b/ironmill_testbed/measures/membership_processes.py
@@ -27,21 +27,21 @@
 
 def measure_processes(count: int) -> dict[str, Any]:
     """Returns the figures of kills, loss, one-way contact and a partition, computed from the logs."""
-    found: dict[str, Any] = {"processes": count}
+    figures: dict[str, Any] = {"processes": count}
     with tempfile.TemporaryDirectory() as folder, ProcessCluster(Path(folder), count) as cluster:
         cluster.start()
         cluster.wait_until(lambda: cluster.agree(cluster.names))
-        found["cpu_percent"] = _idle_cpu_percent(cluster)
+        figures["cpu_percent"] = _idle_cpu_percent(cluster)
         addresses = [cluster.client_addresses[name] for name in cluster.names[:LOADED_PROXIES]]
         load = ClientLoad(addresses)
-        found |= _measure_kills(cluster, cluster.names[-count // 4 :])
-        found |= _measure_loss(cluster)
-        found |= _measure_one_way_contact(cluster, cluster.names[LOADED_PROXIES])
-        found |= _measure_partition(cluster)
+        figures |= _measure_kills(cluster, cluster.names[-count // 4 :])
+        figures |= _measure_loss(cluster)
+        figures |= _measure_one_way_contact(cluster, cluster.names[LOADED_PROXIES])
+        figures |= _measure_partition(cluster)
         result = load.stop()
-        found["clients_lost"] = result.lost
-        found["clients_lines"] = result.lines
-    return found
+        figures["clients_lost"] = result.lost
+        figures["clients_lines"] = result.lines
+    return figures
 
 
 def _idle_cpu_percent(cluster: ProcessCluster) -> float:
--- a/ironmill_testbed/measures/scale.py
+++ b/ironmill_testbed/measures/scale.py
@@ -62,17 +62,17 @@
 
 def _run_scenarios(*, quick: bool) -> dict[str, dict[str, Any]]:
     names = QUICK_SCENARIOS if quick else tuple(scenarios.SCENARIOS)
-    found: dict[str, dict[str, Any]] = {}
+    results: dict[str, dict[str, Any]] = {}
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(PARALLEL_SCENARIOS, context, max_tasks_per_child=1) as pool:
         tasks = {name: pool.submit(scenarios.simulate, name, scenarios.FULL_PLAN, quick) for name in names}
         for name, task in tasks.items():
-            found[name] = task.result(MAX_SCENARIO_S)
-            print(f"{name}:", *(f"{key} {value}" for key, value in found[name].items()), sep="\n  ")
-            for line in scenarios.broken_guarantees(found[name]):
+            results[name] = task.result(MAX_SCENARIO_S)
+            print(f"{name}:", *(f"{key} {value}" for key, value in results[name].items()), sep="\n  ")
+            for line in scenarios.broken_guarantees(results[name]):
                 print(f"NOT KEPT: {name}: {line}")
             sys.stdout.flush()
-    return found
+    return results
 
 
 def summary(results: Mapping[str, Mapping[str, Any]], sockets: Mapping[str, Any]) -> dict[str, Any]:
@@ -88,14 +88,14 @@
         "stale_unnoticed": sum,
         "false_everywhere": sum,
     }
-    found: dict[str, Any] = {
+    summary_figures: dict[str, Any] = {
         name: _aggregate(aggregate, [figures.get(name) for figures in all_figures])
         for name, aggregate in aggregates.items()
     }
     # Without the scenario "rest" any other will do, since each begins without changes.
     idle = results.get("rest") or next(iter(results.values()), {})
-    found["control_bytes_per_s"] = idle.get("control_bytes_per_s")
-    found["zone_loss_bytes_per_s"] = results.get("zone", {}).get("proxy_bytes_highest_s")
+    summary_figures["control_bytes_per_s"] = idle.get("control_bytes_per_s")
+    summary_figures["zone_loss_bytes_per_s"] = results.get("zone", {}).get("proxy_bytes_highest_s")
     for name in (
         "real_processes",
         "hollow_on_sockets",
@@ -103,15 +103,17 @@
         "control_memory_mb",
         "clients_lost",
     ):
-        found[name] = sockets.get(name)
-    found["peak_memory_mb"] = _aggregate(max, [figures.get("peak_memory_mb") for figures in all_figures])
-    found["stories"] = sorted(results)
-    found["not_kept"] = sorted(
+        summary_figures[name] = sockets.get(name)
+    summary_figures["peak_memory_mb"] = _aggregate(
+        max, [figures.get("peak_memory_mb") for figures in all_figures]
+    )
+    summary_figures["stories"] = sorted(results)
+    summary_figures["not_kept"] = sorted(
         f"{name}: {line}"
         for name, figures in results.items()
         for line in scenarios.broken_guarantees(dict(figures))
     )
-    return found
+    return summary_figures
 
 
 def _aggregate(function: Callable[[Iterable[Any]], Any], values: Iterable[Any]) -> Any:
--- a/tests/unit/testbed/test_sweeps.py
+++ b/tests/unit/testbed/test_sweeps.py
@@ -36,8 +36,8 @@
 
 
 def test_simulated_balancer_keeps_a_tenth_of_entries_established() -> None:
-    for live_weights in (False, True):
-        simulated = sweep_table.SimulatedBalancer(100, 1, live_weights=live_weights)
+    for has_live_weights in (False, True):
+        simulated = sweep_table.SimulatedBalancer(100, 1, live_weights=has_live_weights)
         for _ in range(100):
             simulated.place(new_group=True)
         assert sum(simulated.balancer.connection_counts().values()) == 10
