--- a/ironmill_testbed/capacity/formulas/__init__.py
+++ b/ironmill_testbed/capacity/formulas/__init__.py
@@ -1,7 +1,7 @@
-"""The formulas behind ``docs/CAPACITY.md``, by concern.
+"""The formulas from which ``docs/CAPACITY.md`` is computed, with one module for each concern.
 
-The package owns the arithmetic on measurements and plan; it may import `data`, `figure` and `plan`.
-A formula whose sweep was not run returns a figure without value.
+The package contains the arithmetic on measurements and plan; it may import `data`, `figure` and `plan`.
+A formula returns a figure without a value if a sweep that it needs was not run.
 """
 
 from ironmill_testbed.capacity.formulas.control import (
@@ -39,7 +39,7 @@
 from ironmill_testbed.capacity.formulas.deliveries import (
     FAN_OUT,
     Hop,
-    delivery,
+    delivery_time,
     floor_pass,
     hops,
     listeners_per_proxy,
@@ -58,7 +58,7 @@
     children_per_relay,
     connections_per_proxy,
     deliveries_per_proxy,
-    multiple,
+    fleet_multiple,
     proxies_per_region,
     proxies_per_zone,
     relays_of_origin,
@@ -86,7 +86,7 @@
     gaps,
 )
 from ironmill_testbed.capacity.formulas.model import Model, assumed, fit_of
-from ironmill_testbed.capacity.formulas.sizes import size_of
+from ironmill_testbed.capacity.formulas.sizes import target_size_of
 
 __all__ = [
     "CONFIGURATION",
@@ -119,11 +119,12 @@
     "data_path_cores",
     "data_path_memory",
     "deliveries_per_proxy",
-    "delivery",
+    "delivery_time",
     "discovery_calls",
     "factor_at_limit",
     "first_gaps",
     "fit_of",
+    "fleet_multiple",
     "floor_pass",
     "full_catch_up_bytes",
     "full_catch_up_cpu",
@@ -138,7 +139,6 @@
     "max_connections_per_process",
     "max_listeners_one_to_one",
     "min_revisions",
-    "multiple",
     "pass_time",
     "ping_rate",
     "placement_cores",
@@ -158,8 +158,8 @@
     "setups_per_proxy",
     "size_at_limit",
     "size_at_limit_with_error",
-    "size_of",
     "starts_per_day",
     "storm_rate",
+    "target_size_of",
     "worst_minute_mean",
 ]
--- a/ironmill_testbed/capacity/formulas/control.py
+++ b/ironmill_testbed/capacity/formulas/control.py
@@ -8,15 +8,15 @@
 
 
 def change_cores(model: Model, rate: Figure, entries: float, *, live_weights: bool = False) -> Figure:
-    """Computes changes per second x the processor time of a list in which one entry changes."""
+    """Computes changes per second x the processor time to apply a list in which one entry changed."""
     return rate * model.at("table_change_live_cpu" if live_weights else "table_change_cpu", entries)
 
 
 def control_rest_bytes(model: Model) -> Figure:
-    """Computes the bytes of membership and distribution at rest + those of an average second's changes."""
+    """Computes bytes per second of membership and distribution at rest + those of the average change rate."""
     proxies = model.plan.target.proxies
-    parts = model.at("membership_rest_bytes", proxies) + model.at("subscriber_rest_bytes", proxies)
-    return parts + change_rate(model) * assumed(model.plan.assumed.change)
+    bytes_at_rest = model.at("membership_rest_bytes", proxies) + model.at("subscriber_rest_bytes", proxies)
+    return bytes_at_rest + change_rate(model) * assumed(model.plan.assumed.change)
 
 
 def control_rest_cores(model: Model) -> Figure:
@@ -26,31 +26,31 @@
 
 
 def ping_rate(model: Model) -> Figure:
-    """Computes datagrams per second of a member: pings to its subjects and acks to its observers."""
+    """Computes the datagrams that a member sends per second: pings to its subjects, acks to its observers."""
     today = model.plan.today
     return Figure(2.0 * today.observers / today.ping_interval_s)
 
 
 def relay_bytes(model: Model, rate: Figure) -> Figure:
-    """Computes changes per second x bytes per change x children."""
+    """Computes the bytes per second that a relay sends: changes per second x bytes per change x children."""
     return rate * assumed(model.plan.assumed.change) * children_per_relay(model)
 
 
-def relay_cores(model: Model, rate: Figure, count: float | None = None) -> Figure:
-    """Computes the cores for polls of the children + changes per second x one push to all of them.
+def relay_cores(model: Model, rate: Figure, child_count: float | None = None) -> Figure:
+    """Computes the cores that a relay uses: polls of its children + changes per second x one push to all.
 
-    ``count`` is the number of children, by default the target's per relay.
+    ``child_count`` defaults to the children per relay of the target fleet.
     """
-    size = children_per_relay(model).value if count is None else count
-    assert size is not None
-    return model.at("relay_poll_cpu", size) + rate * model.at("relay_push_cpu", size)
+    children = children_per_relay(model).value if child_count is None else child_count
+    assert children is not None
+    return model.at("relay_poll_cpu", children) + rate * model.at("relay_push_cpu", children)
 
 
 def full_catch_up_bytes(model: Model) -> Figure:
-    """Computes the bytes of a full catch-up: as measured, or else all entries at their assumed size."""
-    found = model.at("catch_up_bytes", model.plan.target.shards)
-    if found.value is not None:
-        return found
+    """Computes the bytes of a full catch-up: as measured, otherwise entries x assumed bytes per entry."""
+    measured = model.at("catch_up_bytes", model.plan.target.shards)
+    if measured.value is not None:
+        return measured
     return assumed(model.plan.assumed.entry) * model.plan.target.shards
 
 
@@ -60,34 +60,38 @@
 
 
 def concurrent_catch_up_time(model: Model, proxies: Figure) -> Figure:
-    """Computes bytes per relay / the rate at which it serves, if these proxies start at once.
+    """Computes the bytes that a relay serves / the rate at which it serves, if these proxies start at once.
 
-    The proxies are spread evenly over the relays; the result is at least the time of one proxy alone.
+    The proxies are distributed evenly over the relays. The result is at least the time of a single proxy.
     """
-    alone = full_catch_up_time(model)
-    shared = proxies * full_catch_up_bytes(model) / model.plan.target.control_machines
-    together = shared / model.plan.today.serve_bytes_per_s
-    return together if (together.value or 0.0) > (alone.value or 0.0) else alone
+    single_proxy_time = full_catch_up_time(model)
+    bytes_per_relay = proxies * full_catch_up_bytes(model) / model.plan.target.control_machines
+    concurrent_time = bytes_per_relay / model.plan.today.serve_bytes_per_s
+    return (
+        concurrent_time
+        if (concurrent_time.value or 0.0) > (single_proxy_time.value or 0.0)
+        else single_proxy_time
+    )
 
 
 def full_catch_up_time_in_budget(model: Model) -> Figure:
-    """Computes bytes of a full catch-up / the budget of a proxy."""
+    """Computes bytes of a full catch-up / the bytes per second that a proxy may use for control."""
     return full_catch_up_bytes(model) / model.plan.target.control_bytes_per_s
 
 
 def full_catch_up_cpu(model: Model) -> Figure:
-    """Computes entries x the processor time to put one."""
+    """Computes entries x the processor time to write one entry into the keyspace."""
     shards = model.plan.target.shards
     return model.at("keyspace_put_cpu", shards) * shards
 
 
 def min_revisions(model: Model) -> Figure:
-    """Computes entries / maximum changes per revision, rounded up: a change of every entry."""
+    """Computes the revisions that change every entry: entries / maximum changes per revision, rounded up."""
     return Figure(model.plan.target.shards / model.plan.today.revision_changes).ceil()
 
 
 def discovery_calls(model: Model, proxies: float, pause_fraction: float = 1.0) -> Figure:
-    """Computes calls per second of the proxies to a discovery service that fails.
+    """Computes the calls per second of all proxies to a failing discovery service.
 
     proxies / (pause_fraction x min(proxies x interval, longest pause of one proxy))
     """
@@ -106,12 +110,15 @@
 
 
 def worst_minute_mean(model: Model, size: float) -> Figure:
-    """Computes an upper bound of the bytes per second in the worst minute at a zone's loss.
+    """Computes an upper bound of a member's bytes per second in the worst minute after the loss of a zone.
 
-    (span x highest second + (minute - span) x rest) / minute
+    (span x rate in the highest second + (minute - span) x rate at rest) / minute
     """
     span = model.at("membership_zone_span", size)
     if span.value is not None:
         span = Figure(min(max(span.value, 0.0), MINUTE_S), span.error)
-    high, rest = model.at("membership_zone_bytes", size), model.at("membership_rest_bytes", size)
-    return (span * high + (Figure(MINUTE_S) - span) * rest) / MINUTE_S
+    highest_rate, rate_at_rest = (
+        model.at("membership_zone_bytes", size),
+        model.at("membership_rest_bytes", size),
+    )
+    return (span * highest_rate + (Figure(MINUTE_S) - span) * rate_at_rest) / MINUTE_S
--- a/ironmill_testbed/capacity/formulas/data_path.py
+++ b/ironmill_testbed/capacity/formulas/data_path.py
@@ -10,7 +10,7 @@
 
 
 def pass_time(model: Model, connections: float) -> Figure:
-    """Computes the processor time of a measured line / passes per line."""
+    """Computes the processor time of one pass: that of a measured line / passes per line."""
     return model.at("core_line_cpu", connections) / assumed(model.plan.assumed.passes_per_line)
 
 
@@ -20,9 +20,9 @@
     connections x (deliveries per connection x pass + setup / lifetime of a connection)
     """
     target = model.plan.target
-    delivering = pass_time(model, connections) * (target.deliveries_per_s / target.connections)
-    setting_up = model.at("core_setup_cpu", connections) / assumed(model.plan.assumed.connection_lifetime)
-    return (delivering + setting_up) * connections
+    delivery_load = pass_time(model, connections) * (target.deliveries_per_s / target.connections)
+    setup_load = model.at("core_setup_cpu", connections) / assumed(model.plan.assumed.connection_lifetime)
+    return (delivery_load + setup_load) * connections
 
 
 def max_connections_per_process(model: Model) -> Figure:
@@ -39,41 +39,45 @@
 
 
 def processes_with_error(model: Model) -> Figure:
-    """Computes ``processes_per_proxy`` with the error that one error of the maximum connections makes."""
+    """Computes ``processes_per_proxy`` with the error that follows from that of the maximum connections."""
     processes, maximum = processes_per_proxy(model), max_connections_per_process(model)
     if processes.value is None or maximum.value is None:
         return processes
     connections = connections_per_proxy(model)
     errors = (-maximum.error, maximum.error)
-    ends = [(connections / (maximum.value + error)).ceil().value or 0.0 for error in errors]
-    return Figure(processes.value, max(abs(end - processes.value) for end in ends), processes.sign)
+    bounds = [(connections / (maximum.value + error)).ceil().value or 0.0 for error in errors]
+    return Figure(processes.value, max(abs(bound - processes.value) for bound in bounds), processes.sign)
 
 
 def connections_per_process(model: Model) -> float | None:
     """Computes connections per proxy / processes per proxy; None if the latter is unknown."""
-    number = processes_per_proxy(model).value
-    total = connections_per_proxy(model).value
-    return None if not number or total is None else total / number
+    processes = processes_per_proxy(model).value
+    connections = connections_per_proxy(model).value
+    return None if not processes or connections is None else connections / processes
 
 
 def data_path_cores(model: Model) -> Figure:
-    """Computes processes per proxy x the cores of one with its part of the connections."""
-    each = connections_per_process(model)
-    return Figure(None) if each is None else processes_per_proxy(model) * process_load(model, each)
+    """Computes processes per proxy x the cores of one process with its share of the connections."""
+    connections = connections_per_process(model)
+    return (
+        Figure(None) if connections is None else processes_per_proxy(model) * process_load(model, connections)
+    )
 
 
 def data_path_memory(model: Model) -> Figure:
-    """Computes processes per proxy x (initial memory + memory of its part of the connections)."""
-    each = connections_per_process(model)
-    if each is None:
+    """Computes processes per proxy x (initial memory + memory of one process's share of the connections)."""
+    connections = connections_per_process(model)
+    if connections is None:
         return Figure(None)
-    return processes_per_proxy(model) * (model.at("core_memory", each) + model.plan.today.process_bytes)
+    return processes_per_proxy(model) * (
+        model.at("core_memory", connections) + model.plan.today.process_bytes
+    )
 
 
 def placement_cores(model: Model, entries: float, *, new_groups: bool = False) -> Figure:
-    """Computes setups per proxy and second x the processor time of one placement among the entries.
+    """Computes setups per second of a proxy x the processor time of one placement among the entries.
 
-    With ``new_groups`` every placement is the first of a sticky group at the proxy.
+    With ``new_groups`` every placement is the first one of its connection group at the proxy.
     """
     return setups_per_proxy(model) * model.at(
         "placement_group_cpu" if new_groups else "placement_cpu", entries
@@ -86,17 +90,17 @@
 
 
 def returning_per_proxy(model: Model, lost: Figure) -> Figure:
-    """Computes clients of the lost proxies / remaining proxies."""
+    """Computes the clients that reconnect to each proxy: clients of the lost proxies / remaining proxies."""
     return clients_of(model, lost) / (Figure(model.plan.target.proxies) - lost)
 
 
 def returning_cores(model: Model, lost: Figure) -> Figure:
-    """Computes returning clients per remaining proxy x setup / the time in which they return."""
-    each = connections_per_process(model)
-    if each is None:
+    """Computes returning clients per remaining proxy / the time in which they return x setup time."""
+    connections = connections_per_process(model)
+    if connections is None:
         return Figure(None)
-    coming = returning_per_proxy(model, lost) / assumed(model.plan.assumed.return_window)
-    return coming * model.at("core_setup_cpu", each)
+    setup_rate = returning_per_proxy(model, lost) / assumed(model.plan.assumed.return_window)
+    return setup_rate * model.at("core_setup_cpu", connections)
 
 
 def allowed_cores(model: Model) -> Figure:
--- a/ironmill_testbed/capacity/formulas/deliveries.py
+++ b/ironmill_testbed/capacity/formulas/deliveries.py
@@ -1,4 +1,4 @@
-"""Time of a delivery from a publisher to the last listener of a topic."""
+"""Formulas for the time of a delivery from a publisher to the last listener of a topic."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def proxies_per_shard(model: Model) -> Figure:
-    """Computes the proxies that have a listener of the mean shard, if listeners choose at random.
+    """Computes the proxies with a listener of the average shard, if each listener picks its proxy at random.
 
     proxies x (1 - (1 - 1 / proxies) ** listeners)
     """
@@ -36,59 +36,64 @@
 
 
 def floor_pass(model: Model) -> Figure:
-    """Computes the time of one pass in a bare epoll loop that has one process's connections."""
-    each = connections_per_process(model)
-    if each is None:
+    """Computes the time of one pass in a bare epoll loop with as many connections as one process."""
+    connections = connections_per_process(model)
+    if connections is None:
         return Figure(None)
-    return model.at("core_floor_line", each) / assumed(model.plan.assumed.passes_per_line)
+    return model.at("core_floor_line", connections) / assumed(model.plan.assumed.passes_per_line)
 
 
 def queueing_time(model: Model) -> Figure:
-    """Computes the time of queueing and one pass at the target's percentile, as in an M/M/1 queue.
+    """Computes the sojourn time (queueing and one pass) at the target's percentile, by the M/M/1 model.
 
     pass x ln(1 / (1 - percentile)) / (1 - load)
     """
-    each = connections_per_process(model)
-    if each is None:
+    connections = connections_per_process(model)
+    if connections is None:
         return Figure(None)
-    load = process_load(model, each)
-    tail = math.log(1.0 / (1.0 - model.plan.target.delivery_share))
-    return pass_time(model, each) * tail / (Figure(1.0) - load)
+    load = process_load(model, connections)
+    quantile_factor = math.log(1.0 / (1.0 - model.plan.target.delivery_share))
+    return pass_time(model, connections) * quantile_factor / (Figure(1.0) - load)
 
 
 FAN_OUT = "server writes to all its streams, the last one"
 
 
 class Hop(Struct, frozen=True):
-    """A part of a delivery's path; times in seconds."""
+    """One part of a delivery's path, with its time in seconds for two ways to fan out."""
 
     name: str
-    single: Figure  # with a stream for each listener
-    shared: Figure  # with a stream for each shard and proxy
+    single: Figure  # with one stream for each listener
+    shared: Figure  # with one stream for each shard and proxy
 
 
 def hops(model: Model) -> list[Hop]:
-    """Returns the parts of one line's path from a publisher to the last listener of the largest topic."""
-    given = model.plan.assumed
-    client, region = assumed(given.to_client) / 1000.0, assumed(given.between_regions) / 1000.0
-    each = connections_per_process(model)
-    copies = Figure(None) if each is None else listeners_per_proxy(model) * pass_time(model, each)
+    """Returns the parts of a line's path from the publisher to the last listener of the largest topic."""
+    assumptions = model.plan.assumed
+    client_delay, region_delay = (
+        assumed(assumptions.to_client) / 1000.0,
+        assumed(assumptions.between_regions) / 1000.0,
+    )
+    connections = connections_per_process(model)
+    listener_writes = (
+        Figure(None) if connections is None else listeners_per_proxy(model) * pass_time(model, connections)
+    )
     fan_out = floor_pass(model) * model.plan.target.largest_topic
-    streams = floor_pass(model) * model.plan.target.proxies
-    waited = queueing_time(model)
+    stream_writes = floor_pass(model) * model.plan.target.proxies
+    queueing = queueing_time(model)
     return [
-        Hop("publisher to its proxy", client, client),
-        Hop("proxy: queues and forwards", waited, waited),
-        Hop("proxy to the shard's server, another region", region, region),
-        Hop(FAN_OUT, fan_out, streams),
-        Hop("server to the listener's proxy, another region", region, region),
-        Hop("proxy: queues and forwards", waited, waited),
-        Hop("proxy writes to its listeners, the last one", copies, copies),
-        Hop("proxy to the listener", client, client),
+        Hop("publisher to its proxy", client_delay, client_delay),
+        Hop("proxy: queues and forwards", queueing, queueing),
+        Hop("proxy to the shard's server, another region", region_delay, region_delay),
+        Hop(FAN_OUT, fan_out, stream_writes),
+        Hop("server to the listener's proxy, another region", region_delay, region_delay),
+        Hop("proxy: queues and forwards", queueing, queueing),
+        Hop("proxy writes to its listeners, the last one", listener_writes, listener_writes),
+        Hop("proxy to the listener", client_delay, client_delay),
     ]
 
 
-def delivery(model: Model) -> tuple[Figure, Figure]:
+def delivery_time(model: Model) -> tuple[Figure, Figure]:
     """Computes the sum of the hops, an upper bound of the total at the target's percentile."""
     single, shared = Figure(0.0), Figure(0.0)
     for hop in hops(model):
@@ -97,21 +102,21 @@
 
 
 def max_listeners_one_to_one(model: Model) -> Figure:
-    """Computes the listeners a server can write to one by one in the time that the other hops leave."""
-    left = Figure(model.plan.target.delivery_ms / 1000.0)
+    """Computes how many listeners a server can write to in turn in the time that the other hops leave."""
+    remaining = Figure(model.plan.target.delivery_ms / 1000.0)
     for hop in hops(model):
         if hop.name != FAN_OUT:
-            left = left - hop.single
-    found = left / floor_pass(model)
-    if found.value is not None and found.value < 0.0:
-        return Figure(0.0, sign=found.sign)
-    return found
+            remaining = remaining - hop.single
+    listeners = remaining / floor_pass(model)
+    if listeners.value is not None and listeners.value < 0.0:
+        return Figure(0.0, sign=listeners.sign)
+    return listeners
 
 
 def server_cores(model: Model) -> Figure:
-    """Computes the cores of all servers for deliveries and setups in bare epoll loops."""
-    target, each = model.plan.target, connections_per_process(model)
-    if each is None:
+    """Computes the cores that all servers use for deliveries and setups, if they are bare epoll loops."""
+    target, connections = model.plan.target, connections_per_process(model)
+    if connections is None:
         return Figure(None)
-    setting_up = setups_per_proxy(model) * target.proxies * model.at("core_floor_setup", each)
-    return floor_pass(model) * target.deliveries_per_s + setting_up
+    setup_cores = setups_per_proxy(model) * target.proxies * model.at("core_floor_setup", connections)
+    return floor_pass(model) * target.deliveries_per_s + setup_cores
--- a/ironmill_testbed/capacity/formulas/fleet.py
+++ b/ironmill_testbed/capacity/formulas/fleet.py
@@ -1,4 +1,4 @@
-"""Figures that follow from the plan alone: rates, and sizes of parts of the fleet."""
+"""Formulas that need only the plan: rates, and sizes of parts of the fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 MINUTE_S = 60.0
 
 
-def multiple(model: Model) -> float:
+def fleet_multiple(model: Model) -> float:
     """Computes target proxies / today's proxies."""
     return model.plan.target.proxies / model.plan.today.proxies
 
@@ -53,7 +53,7 @@
 
 
 def storm_rate(model: Model) -> Figure:
-    """Computes changes per second if all changes of a day come within an hour."""
+    """Computes changes per second if all changes of a day are made within one hour."""
     return Figure(model.plan.target.changes_per_day / HOUR_S)
 
 
@@ -63,13 +63,13 @@
 
 
 def relays_of_origin(model: Model) -> float:
-    """Computes control machines without the origin."""
+    """Computes the relays that the origin pushes to: all control machines but itself."""
     return model.plan.target.control_machines - 1.0
 
 
 def children_after_zone(model: Model) -> Figure:
-    """Computes the remaining proxies / remaining control machines after the loss of a zone, rounded up."""
+    """Computes remaining proxies / remaining control machines after the loss of a zone, rounded up."""
     target = model.plan.target
-    lost = math.ceil(target.control_machines / target.zones)
-    left = target.proxies - (proxies_per_zone(model).value or 0.0)
-    return Figure(left / (target.control_machines - lost)).ceil()
+    lost_machines = math.ceil(target.control_machines / target.zones)
+    remaining_proxies = target.proxies - (proxies_per_zone(model).value or 0.0)
+    return Figure(remaining_proxies / (target.control_machines - lost_machines)).ceil()
--- a/ironmill_testbed/capacity/formulas/mechanisms.py
+++ b/ironmill_testbed/capacity/formulas/mechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms in the order in which a growing fleet exceeds them."""
+"""The mechanisms of the proxy, in the order in which a growing fleet exceeds their limits."""
 
 from __future__ import annotations
 
@@ -19,23 +19,25 @@
     placement_cores,
 )
 from ironmill_testbed.capacity.formulas.deliveries import max_listeners_one_to_one
-from ironmill_testbed.capacity.formulas.fleet import connections_per_proxy, multiple, storm_rate
+from ironmill_testbed.capacity.formulas.fleet import connections_per_proxy, fleet_multiple, storm_rate
 from ironmill_testbed.capacity.formulas.limits import Cost, factor_at_limit
 from ironmill_testbed.capacity.formulas.model import Model, assumed
 
 
 class Gap(Struct, frozen=True):
-    """A mechanism together with the multiple of today's fleet at which it reaches a limit."""
+    """A limitation of a mechanism, with the multiple of today's fleet at which it takes effect."""
 
     mechanism: str
-    limitation: str  # which cost reaches which limit
-    factor: Figure  # multiple of today's fleet; 0: exceeded at the smallest size, or no mechanism exists
-    required: float  # multiple that the target fleet needs, in the same size
-    sweep: str  # the measurement behind the factor; empty: the program has no mechanism
+    limitation: str  # the cost and the limit that it reaches
+    factor: (
+        Figure  # multiple of today's fleet; 0 if the smallest size exceeds the limit or there is no mechanism
+    )
+    required: float  # multiple that the target fleet needs, of the same size
+    sweep: str  # name of the measurement that gives the factor; empty if there is no mechanism
 
     @property
     def is_covered(self) -> bool:
-        """Whether the target size is reached; False where the factor is unknown."""
+        """Whether the mechanism reaches the target size; False if the factor is unknown."""
         return self.factor.value is not None and self.factor.value >= self.required
 
 
@@ -46,8 +48,8 @@
 
 
 def gaps(model: Model) -> list[Gap]:
-    """Returns every gap, the smallest factor first and unknown factors last."""
-    found = [
+    """Returns all gaps, sorted by ascending factor, with unknown factors last."""
+    unsorted_gaps = [
         _missing_distribution(model),
         *_membership_gaps(model),
         *_routing_table_gaps(model),
@@ -55,7 +57,7 @@
         _single_process_gap(model),
         _stream_per_listener_gap(model),
     ]
-    return sorted(found, key=lambda gap: math.inf if gap.factor.value is None else gap.factor.value)
+    return sorted(unsorted_gaps, key=lambda gap: math.inf if gap.factor.value is None else gap.factor.value)
 
 
 def _missing_distribution(model: Model) -> Gap:
@@ -63,7 +65,7 @@
         CONFIGURATION,
         "a change in force everywhere, and known to be: a file and SIGHUP for each process reach one machine",
         Figure(0.0),
-        multiple(model),
+        fleet_multiple(model),
         "",
     )
 
@@ -73,7 +75,7 @@
 
     def gap(sweep: str, limit: float, limitation: str, cost: Cost | None = None) -> Gap:
         factor = factor_at_limit(cost or (lambda size: model.at(sweep, size)), limit, today.proxies)
-        return Gap(FLAT_VIEW, limitation, factor, multiple(model), sweep)
+        return Gap(FLAT_VIEW, limitation, factor, fleet_multiple(model), sweep)
 
     budget = target.control_bytes_per_s
     return [
@@ -144,10 +146,10 @@
 
 
 def _placement_gaps(model: Model) -> list[Gap]:
-    cores = allowed_cores(model).value
+    available_cores = allowed_cores(model).value
 
     def gap(sweep: str, limitation: str, cost: Cost) -> Gap:
-        factor = Figure(None) if cores is None else _entries_factor(model, cost, cores)
+        factor = Figure(None) if available_cores is None else _entries_factor(model, cost, available_cores)
         return Gap(PLACEMENT, limitation, factor, _entries_multiple(model), sweep)
 
     return [
@@ -165,42 +167,44 @@
 
 
 def _single_process_gap(model: Model) -> Gap:
-    connections = assumed(model.plan.assumed.connections_today)
+    connections_today = assumed(model.plan.assumed.connections_today)
     return Gap(
         "one process per proxy",
         "its share of a core at the target's deliveries and connection setups",
-        max_connections_per_process(model) / connections,
-        (connections_per_proxy(model) / connections).value or 0.0,
+        max_connections_per_process(model) / connections_today,
+        (connections_per_proxy(model) / connections_today).value or 0.0,
         "core_setup_cpu",
     )
 
 
 def _stream_per_listener_gap(model: Model) -> Gap:
-    today = model.plan.assumed.largest_topic_today
+    largest_topic_today = model.plan.assumed.largest_topic_today
     return Gap(
         "one stream per listener, from the server",
         "the largest topic's last listener gets its line later than a delivery may take",
-        max_listeners_one_to_one(model) / assumed(today),
-        model.plan.target.largest_topic / today.value,
+        max_listeners_one_to_one(model) / assumed(largest_topic_today),
+        model.plan.target.largest_topic / largest_topic_today.value,
         "core_floor_line",
     )
 
 
 def current_distribution_gaps(model: Model) -> list[Gap]:
-    """Returns the gaps of distribution as it is built, the smallest part of the required size first."""
+    """Returns the gaps of the distribution in use, the one that covers least of the required size first."""
     target, today = model.plan.target, model.plan.today
     share = model.plan.assumed.process_share.value
 
     def gap(sweep: str, limitation: str, limit: float, cost: Cost | None = None) -> Gap:
-        of_entries = sweep.startswith("keyspace")
-        now, required = (today.servers, target.shards) if of_entries else (today.proxies, target.proxies)
-        factor = factor_at_limit(cost or (lambda size: model.at(sweep, size)), limit, now)
-        return Gap(CONFIGURATION, limitation, factor, required / now, sweep)
+        is_by_entries = sweep.startswith("keyspace")
+        today_size, target_size = (
+            (today.servers, target.shards) if is_by_entries else (today.proxies, target.proxies)
+        )
+        factor = factor_at_limit(cost or (lambda size: model.at(sweep, size)), limit, today_size)
+        return Gap(CONFIGURATION, limitation, factor, target_size / today_size, sweep)
 
     def relay_storm_cores(size: float) -> Figure:
         return relay_cores(model, storm_rate(model), size / target.control_machines)
 
-    found = [
+    unsorted_gaps = [
         gap("change_latency_p99", "time until a change is in force", target.in_force_s),
         gap("subscriber_rest_bytes", "bytes of a proxy at rest", target.control_bytes_per_s),
         gap("subscriber_rest_cpu", "processor time of a proxy at rest", target.control_core_share),
@@ -208,17 +212,17 @@
         gap("relay_push_cpu", "processor time of a relay in a storm", share, relay_storm_cores),
     ]
 
-    def covered_fraction(found_gap: Gap) -> float:
-        factor = found_gap.factor.value
-        return -1.0 if factor is None else factor / found_gap.required
+    def covered_fraction(gap_to_rank: Gap) -> float:
+        factor = gap_to_rank.factor.value
+        return -1.0 if factor is None else factor / gap_to_rank.required
 
-    return sorted(found, key=covered_fraction)
+    return sorted(unsorted_gaps, key=covered_fraction)
 
 
 def first_gaps(model: Model) -> list[Gap]:
-    """Returns the first gap of each mechanism that does not reach the target size, in order."""
-    found: dict[str, Gap] = {}
+    """Returns the first gap of each mechanism that does not reach the target size, by ascending factor."""
+    first_by_mechanism: dict[str, Gap] = {}
     for gap in gaps(model):
         if not gap.is_covered:
-            found.setdefault(gap.mechanism, gap)
-    return list(found.values())
+            first_by_mechanism.setdefault(gap.mechanism, gap)
+    return list(first_by_mechanism.values())
--- a/ironmill_testbed/capacity/formulas/sizes.py
+++ b/ironmill_testbed/capacity/formulas/sizes.py
@@ -1,4 +1,4 @@
-"""The target's value of the size that a sweep varies."""
+"""The size that a sweep varies, as the target fleet has it."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from ironmill_testbed.capacity.formulas.model import Model
 
 
-def size_of(model: Model, sweep: Sweep) -> float | None:
-    """Returns the target's value of the size that a sweep varies; None if the plan does not give it."""
+def target_size_of(model: Model, sweep: Sweep) -> float | None:
+    """Returns the target fleet's size on a sweep's axis, or None if the plan does not give it."""
     target = model.plan.target
     sizes = {
         "members": target.proxies,
--- a/ironmill_testbed/capacity/plots.py
+++ b/ironmill_testbed/capacity/plots.py
@@ -58,7 +58,7 @@
 def _draw_sweep(axis: Axes, model: Model, sweep: Sweep) -> None:
     """Draws points, fit with its error, and the target size as a dotted line."""
     axis.plot([x for x, _ in sweep.points], [y for _, y in sweep.points], "o", markersize=3)
-    target = formulas.size_of(model, sweep)
+    target = formulas.target_size_of(model, sweep)
     fit = model.fit(sweep.name)
     sizes = sorted({x for x, _ in sweep.points if x > 0.0})
     if fit is not None and sizes:
--- a/ironmill_testbed/capacity/roles/control_machine.py
+++ b/ironmill_testbed/capacity/roles/control_machine.py
@@ -78,7 +78,7 @@
             share,
             RELAY_SWEEPS,
             factor,
-            formulas.multiple(model),
+            formulas.fleet_multiple(model),
         ),
     ]
 
@@ -96,7 +96,7 @@
         target.in_force_s,
         (sweep,),
         factor,
-        formulas.multiple(model),
+        formulas.fleet_multiple(model),
     )
 
 
@@ -126,7 +126,7 @@
 def _origin_bytes_at_rest(model: Model) -> RoleCost:
     name = "origin_rest_bytes"
     sweep = model.measured.sweeps.get(name)
-    size = None if sweep is None else formulas.size_of(model, sweep)
+    size = None if sweep is None else formulas.target_size_of(model, sweep)
     rest = Figure(None) if size is None else model.at(name, size)
     return RoleCost("bytes at rest, mean of a minute", rest, "B/s", DISTRIBUTION, sweeps=(name,))
 
--- a/ironmill_testbed/capacity/roles/dependencies.py
+++ b/ironmill_testbed/capacity/roles/dependencies.py
@@ -58,7 +58,7 @@
             objective,
             (),
             factor,
-            formulas.multiple(model),
+            formulas.fleet_multiple(model),
         ),
         RoleCost(
             "while it fails: the longest pause of one proxy",
--- a/ironmill_testbed/capacity/tables/events.py
+++ b/ironmill_testbed/capacity/tables/events.py
@@ -171,7 +171,7 @@
             "its server writes as many lines,"
             f" {quantity(formulas.floor_pass(model) * listeners, 's')} of a core;"
             f" {quantity(formulas.listeners_per_proxy(model))} of them to each proxy",
-            f"{quantity(formulas.delivery(model)[0], 's')} to the last listener, of"
+            f"{quantity(formulas.delivery_time(model)[0], 's')} to the last listener, of"
             f" {number(self._target.delivery_ms)} ms: see below",
             "other topics of that server wait as long",
             "nobody: deliveries are not measured end to end",
--- a/ironmill_testbed/capacity/tables/mechanisms.py
+++ b/ironmill_testbed/capacity/tables/mechanisms.py
@@ -9,7 +9,7 @@
 
 def deliveries(model: Model) -> str:
     """Formats the time of a delivery by hop."""
-    single, shared = formulas.delivery(model)
+    single, shared = formulas.delivery_time(model)
     rows = [[hop.name, quantity(hop.single, "s"), quantity(hop.shared, "s")] for hop in formulas.hops(model)]
     limit = f"{number(model.plan.target.delivery_ms)} ms"
     rows.append([f"**sum**, of {limit}", quantity(single, "s"), quantity(shared, "s")])
--- a/ironmill_testbed/capacity/tables/slopes.py
+++ b/ironmill_testbed/capacity/tables/slopes.py
@@ -101,7 +101,7 @@
     """Formats the sizes that were run, and the target's with its distance from them."""
     sizes = sorted({x for x, _ in sweep.points})
     span = f"{number(sizes[0])} to {number(sizes[-1])}, {number(len(sizes))} of them" if sizes else UNKNOWN
-    target = formulas.size_of(model, sweep)
+    target = formulas.target_size_of(model, sweep)
     if target is None:
         return [span, UNKNOWN]
     if sizes and target > sizes[-1]:
@@ -131,7 +131,7 @@
     other = formulas.fit_of(structs.replace(sweep, shape=shape))
     if other is None or other.residual >= fit.residual:
         return ""
-    target = formulas.size_of(model, sweep)
+    target = formulas.target_size_of(model, sweep)
     there = ""
     if target is not None:
         there = f", {quantity(Figure(other.at(target)), sweep.unit, signed=False)} there"
--- a/tests/unit/testbed/test_capacity_formulas.py
+++ b/tests/unit/testbed/test_capacity_formulas.py
@@ -104,7 +104,7 @@
     assert formulas.floor_pass(found).value == pytest.approx(0.0005)
     # two processes with a load of 0.35: 1 ms x ln 100 / 0.65
     assert formulas.queueing_time(found).value == pytest.approx(0.001 * math.log(100.0) / 0.65)
-    single, shared = formulas.delivery(found)
+    single, shared = formulas.delivery_time(found)
     assert single.value is not None and shared.value is not None
     assert single.value - shared.value == pytest.approx((50 - 10) * 0.0005)
     rest = single.value - 50 * 0.0005
@@ -151,7 +151,7 @@
         "caller rules": None,
     }
     for x, size in sizes.items():
-        assert formulas.size_of(found, line("a", x, "s", 1.0, 0.0)) == size
+        assert formulas.target_size_of(found, line("a", x, "s", 1.0, 0.0)) == size
 
 
 def test_discovery_calls_match_values_by_hand() -> None:
