--- a/ironmill_testbed/capacity/page_values.py
+++ b/ironmill_testbed/capacity/page_values.py
@@ -12,7 +12,7 @@
     "roles": roles.roles,
     "events": tables.events,
     "deliveries_table": tables.deliveries,
-    "missing": tables.missing,
+    "missing": tables.mechanism_gaps,
     "slopes": tables.slopes,
     "target_table": tables.target,
     "today_table": tables.today,
@@ -42,7 +42,7 @@
         "today": number(today.proxies),
         "servers": number(today.servers),
         "budget": quantity(Figure(target.control_bytes_per_s), "B/s", signed=False),
-        "share": tables.share_of(model),
+        "share": tables.format_delivery_share(model),
         "delivery": f"{number(target.delivery_ms)} ms",
         "within": f"{number(target.in_force_s)} s",
         "shards": number(target.shards),
@@ -62,7 +62,7 @@
 
 def _reason(gap: Gap) -> str:
     limitation = gap.limitation[0].upper() + gap.limitation[1:]
-    factor = tables.factor_of(gap)
+    factor = tables.format_factor(gap)
     return f"{limitation}: {factor}, as a multiple of today's fleet; {number(gap.required)} is required"
 
 
@@ -104,7 +104,7 @@
 def _measurement_values(model: Model) -> dict[str, str]:
     machine = sorted(model.measured.machine.items())
     return {
-        "rough": tables.rough(model),
+        "rough": tables.rough_sweeps(model),
         "rough_residual": f"{number(tables.ROUGH_RESIDUAL * 100.0)} %",
         "machine": ", ".join(f"{key} {value}" for key, value in machine) or NOT_RUN,
     }
--- a/ironmill_testbed/capacity/roles/__init__.py
+++ b/ironmill_testbed/capacity/roles/__init__.py
@@ -1,7 +1,7 @@
-"""The table by role: each cost beside its limit, and whether it is within it.
+"""The table of costs by role, each with its limit and whether the cost is within it.
 
-The package owns the costs of every role; it may import `formulas` and `figure`.
-Every figure comes from a formula: no text contains one.
+The package contains the costs of every role; it may import `formulas` and `figure`.
+All figures are computed by formulas; string literals contain none.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     }
     rows = [
         ["" if index else role, *cost.cells()]
-        for role, found in costs.items()
-        for index, cost in enumerate(found)
+        for role, role_costs in costs.items()
+        for index, cost in enumerate(role_costs)
     ]
     return table(_HEADS, rows)
--- a/ironmill_testbed/capacity/roles/control.py
+++ b/ironmill_testbed/capacity/roles/control.py
@@ -17,7 +17,7 @@
 
 
 def control(model: Model) -> list[RoleCost]:
-    """Returns the costs of what a proxy knows of the fleet."""
+    """Returns the costs of a proxy's view of the members, its keyspace and its routing table."""
     return [
         *_state(model),
         *_messages(model),
@@ -47,37 +47,37 @@
 
 
 def _by_proxies(model: Model, cost: RoleCost) -> RoleCost:
-    """Fills in figure and factor of a cost that one sweep over proxies gives."""
+    """Returns the cost with the figure and the factor of its sweep, whose sizes are proxies."""
     return _from_sweep(model, cost, model.plan.target.proxies, model.plan.today.proxies)
 
 
 def _by_entries(model: Model, cost: RoleCost) -> RoleCost:
-    """Fills in figure and factor of a cost that one sweep over entries gives."""
+    """Returns the cost with the figure and the factor of its sweep, whose sizes are entries."""
     return _from_sweep(model, cost, model.plan.target.shards, model.plan.today.servers)
 
 
-def _from_sweep(model: Model, cost: RoleCost, target: float, today: float) -> RoleCost:
+def _from_sweep(model: Model, cost: RoleCost, target_size: float, today_size: float) -> RoleCost:
     (sweep,), limit = cost.sweeps, cost.limit_value
     assert limit is not None
-    factor = formulas.factor_at_limit(lambda n: model.at(sweep, n), limit, today)
+    factor = formulas.factor_at_limit(lambda n: model.at(sweep, n), limit, today_size)
     return RoleCost(
         cost.name,
-        model.at(sweep, target),
+        model.at(sweep, target_size),
         cost.unit,
         cost.mechanism,
         cost.limit,
         cost.sweeps,
         factor,
-        target / today,
+        target_size / today_size,
     )
 
 
-_FROM_SWEEP = Figure(None)  # filled in by `_by_proxies` or `_by_entries`
+_FROM_SWEEP = Figure(None)  # placeholder, replaced by `_by_proxies` or `_by_entries`
 
 
 def _bytes_at_rest(model: Model) -> list[RoleCost]:
     budget = model.plan.target.control_bytes_per_s
-    of_membership = RoleCost(
+    membership = RoleCost(
         "bytes at rest, membership, mean of a minute",
         _FROM_SWEEP,
         "B/s",
@@ -85,7 +85,7 @@
         budget,
         ("membership_rest_bytes",),
     )
-    of_distribution = RoleCost(
+    distribution = RoleCost(
         "bytes at rest, distribution, mean of a minute",
         _FROM_SWEEP,
         "B/s",
@@ -94,15 +94,15 @@
         ("subscriber_rest_bytes",),
     )
     return [
-        _by_proxies(model, of_membership),
-        _by_proxies(model, of_distribution),
+        _by_proxies(model, membership),
+        _by_proxies(model, distribution),
         RoleCost(
             "bytes at rest, both and an average second's changes, mean of a minute",
             formulas.control_rest_bytes(model),
             "B/s",
             BOTH,
             budget,
-            of_membership.sweeps + of_distribution.sweeps,
+            membership.sweeps + distribution.sweeps,
         ),
     ]
 
@@ -110,7 +110,7 @@
 def _bytes_of_events(model: Model) -> list[RoleCost]:
     target, gap = model.plan.target, gap_of(model, "membership_zone_span")
     budget = target.control_bytes_per_s
-    changes = formulas.storm_rate(model) * formulas.assumed(model.plan.assumed.change)
+    change_bytes = formulas.storm_rate(model) * formulas.assumed(model.plan.assumed.change)
     highest_second = RoleCost(
         "bytes at a zone's loss, highest second",
         _FROM_SWEEP,
@@ -121,7 +121,7 @@
     )
     return [
         RoleCost(
-            "bytes in a storm, its changes alone, mean of a minute", changes, "B/s", DISTRIBUTION, budget
+            "bytes in a storm, its changes alone, mean of a minute", change_bytes, "B/s", DISTRIBUTION, budget
         ),
         _by_proxies(model, highest_second),
         RoleCost(
@@ -139,7 +139,7 @@
 
 def _processor_time_at_rest(model: Model) -> list[RoleCost]:
     limit = model.plan.target.control_core_share
-    of_membership = RoleCost(
+    membership = RoleCost(
         "processor time at rest, membership",
         _FROM_SWEEP,
         "cores",
@@ -147,7 +147,7 @@
         limit,
         ("membership_rest_cpu",),
     )
-    of_distribution = RoleCost(
+    distribution = RoleCost(
         "processor time at rest, distribution",
         _FROM_SWEEP,
         "cores",
@@ -156,22 +156,25 @@
         ("subscriber_rest_cpu",),
     )
     return [
-        _by_proxies(model, of_membership),
-        _by_proxies(model, of_distribution),
+        _by_proxies(model, membership),
+        _by_proxies(model, distribution),
         RoleCost(
             "processor time at rest, both",
             formulas.control_rest_cores(model),
             "cores",
             BOTH,
             limit,
-            of_membership.sweeps + of_distribution.sweeps,
+            membership.sweeps + distribution.sweeps,
         ),
     ]
 
 
 def _processor_time_of_changes(model: Model) -> list[RoleCost]:
     target, storm = model.plan.target, formulas.storm_rate(model)
-    plain, live = gap_of(model, "table_change_cpu"), gap_of(model, "table_change_live_cpu")
+    static_weight_gap, live_weight_gap = (
+        gap_of(model, "table_change_cpu"),
+        gap_of(model, "table_change_live_cpu"),
+    )
     shards, limit = target.shards, target.control_core_share
     return [
         RoleCost(
@@ -180,7 +183,7 @@
             "cores",
             TABLE,
             limit,
-            (plain.sweep,),
+            (static_weight_gap.sweep,),
         ),
         RoleCost(
             "processor time, a storm's changes in the flat list",
@@ -188,9 +191,9 @@
             "cores",
             TABLE,
             limit,
-            (plain.sweep,),
-            plain.factor,
-            plain.required,
+            (static_weight_gap.sweep,),
+            static_weight_gap.factor,
+            static_weight_gap.required,
         ),
         RoleCost(
             "the same, with live weights",
@@ -198,9 +201,9 @@
             "cores",
             TABLE,
             limit,
-            (live.sweep,),
-            live.factor,
-            live.required,
+            (live_weight_gap.sweep,),
+            live_weight_gap.factor,
+            live_weight_gap.required,
         ),
     ]
 
--- a/ironmill_testbed/capacity/roles/cost.py
+++ b/ironmill_testbed/capacity/roles/cost.py
@@ -1,4 +1,4 @@
-"""One cost of one role, and the verdict on it."""
+"""The cost of a role in the table, and the verdict on whether it is within its limit."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ironmill_testbed.capacity.figure import NOT_RUN, UNKNOWN, Figure, number, quantity
 from ironmill_testbed.capacity.formulas import Gap, Model
 
-# The mechanisms, as the table names them.
+# Names of the mechanisms in the table.
 CORE = "[core](core.md): one process, one event loop"
 PROCESSES = "[core](core.md), several processes behind one address"
 MEMBERSHIP = "[membership](membership.md), one flat view"
@@ -27,24 +27,24 @@
 
 
 class RoleCost(Struct, frozen=True):
-    """One cost of one role at the target size, beside its limit."""
+    """A cost of a role at the target size, with its limit."""
 
     name: str
     figure: Figure
     unit: str = ""
-    mechanism: str = ""  # empty: there is none
-    limit: Figure | float | None = None  # a plain number is the target's own
+    mechanism: str = ""  # empty if there is none
+    limit: Figure | float | None = None  # a float if the plan gives the number itself
     sweeps: tuple[str, ...] = ()
     factor: Figure = Figure(None)  # multiple of today's fleet at which the limit is reached
     required: float = 0.0  # multiple of today's fleet that the target needs
 
     @property
     def limit_value(self) -> float | None:
-        """The limit as a number."""
+        """The limit as a number, or None if there is none or its value is unknown."""
         return self.limit.value if isinstance(self.limit, Figure) else self.limit
 
     def cells(self) -> list[str]:
-        """Formats the cells of the table's row."""
+        """Formats the cells of this cost's row in the table."""
         if isinstance(self.limit, Figure):
             limit = quantity(self.limit, self.unit)
         elif self.limit is None:
@@ -57,7 +57,7 @@
 
 
 def verdict(cost: RoleCost) -> str:
-    """Formats whether the figure is within its limit, or the multiple of today's fleet that exceeds it."""
+    """Formats whether a cost is within its limit, and if not, from which multiple of today's fleet."""
     value, limit = cost.figure.value, cost.limit_value
     if not cost.mechanism:
         return "**no mechanism**"
@@ -71,14 +71,14 @@
     return _excess(cost, value / limit)
 
 
-def _excess(cost: RoleCost, ratio: float) -> str:
+def _excess(cost: RoleCost, limit_ratio: float) -> str:
     if cost.factor.value is None:
-        return f"**over, {number(ratio)} times the limit**"
+        return f"**over, {number(limit_ratio)} times the limit**"
     if cost.factor.value == 0.0:
         return "**exceeded at any size**"
     return f"**exceeded at {quantity(cost.factor)} times today's fleet**, {number(cost.required)} required"
 
 
 def gap_of(model: Model, sweep: str) -> Gap:
-    """Returns the gap that is based on a sweep."""
+    """Returns the gap whose factor comes from a sweep."""
     return next(gap for gap in formulas.gaps(model) if gap.sweep == sweep)
--- a/ironmill_testbed/capacity/roles/data_path.py
+++ b/ironmill_testbed/capacity/roles/data_path.py
@@ -83,27 +83,27 @@
 
 
 def _placements(model: Model) -> list[RoleCost]:
-    shards, allowed = model.plan.target.shards, formulas.allowed_cores(model)
-    known, new = gap_of(model, "placement_cpu"), gap_of(model, "placement_group_cpu")
+    shards, allowed_cores = model.plan.target.shards, formulas.allowed_cores(model)
+    known_group_gap, new_group_gap = gap_of(model, "placement_cpu"), gap_of(model, "placement_group_cpu")
     return [
         RoleCost(
             "processor time, placements among all shards in one list",
             formulas.placement_cores(model, shards),
             "cores",
             TABLE,
-            allowed,
-            (known.sweep,),
-            known.factor,
-            known.required,
+            allowed_cores,
+            (known_group_gap.sweep,),
+            known_group_gap.factor,
+            known_group_gap.required,
         ),
         RoleCost(
             "the same, of groups that are new to the proxy",
             formulas.placement_cores(model, shards, new_groups=True),
             "cores",
             TABLE,
-            allowed,
-            (new.sweep,),
-            new.factor,
-            new.required,
+            allowed_cores,
+            (new_group_gap.sweep,),
+            new_group_gap.factor,
+            new_group_gap.required,
         ),
     ]
--- a/ironmill_testbed/capacity/roles/dependencies.py
+++ b/ironmill_testbed/capacity/roles/dependencies.py
@@ -1,4 +1,4 @@
-"""Load that the fleet puts on programs that are not part of this one."""
+"""Costs outside the proxy and the control machines: discovery's agent, servers, the operator's tool."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def discovery(model: Model) -> list[RoleCost]:
-    """Returns the load on discovery's agent."""
+    """Returns the load of the fleet on discovery's agent."""
     return [
         *_watches(model),
         *_failing_discovery(model),
@@ -27,12 +27,12 @@
 
 def _watches(model: Model) -> list[RoleCost]:
     target, full_list = model.plan.target, formulas.full_list_bytes(model)
-    average, storm = formulas.change_rate(model), formulas.storm_rate(model)
+    average_rate, storm_rate = formulas.change_rate(model), formulas.storm_rate(model)
     return [
         RoleCost("state: entries listed", Figure(target.shards), "", WATCH),
         RoleCost("messages in: open watches", Figure(target.proxies), "", WATCH),
-        RoleCost("messages out: watch events", average * target.proxies, "/s", WATCH),
-        RoleCost("messages out: watch events in a storm", storm * target.proxies, "/s", WATCH),
+        RoleCost("messages out: watch events", average_rate * target.proxies, "/s", WATCH),
+        RoleCost("messages out: watch events in a storm", storm_rate * target.proxies, "/s", WATCH),
         RoleCost("bytes of one full list", full_list, "B", WATCH),
         RoleCost(
             "bytes of full lists for the day's starts, mean of a day",
@@ -45,7 +45,7 @@
 
 def _failing_discovery(model: Model) -> list[RoleCost]:
     today = model.plan.today
-    objective = Figure(1.0 / today.call_interval_s)
+    call_rate_objective = Figure(1.0 / today.call_interval_s)
     factor = formulas.factor_at_limit(
         lambda n: formulas.discovery_calls(model, n), 1.0 / today.call_interval_s, today.proxies
     )
@@ -55,7 +55,7 @@
             formulas.discovery_calls(model, model.plan.target.proxies),
             "/s",
             BACKOFF,
-            objective,
+            call_rate_objective,
             (),
             factor,
             formulas.fleet_multiple(model),
@@ -70,7 +70,7 @@
 
 
 def server(model: Model) -> list[RoleCost]:
-    """Returns the load on a server, and the minimum that it costs there."""
+    """Returns the load of the fleet on a server, with the minimum of its processor time."""
     target, today = model.plan.target, model.plan.today
     servers = formulas.assumed(model.plan.assumed.servers)
     return [
--- a/ironmill_testbed/capacity/tables/__init__.py
+++ b/ironmill_testbed/capacity/tables/__init__.py
@@ -1,7 +1,7 @@
-"""The tables of ``docs/CAPACITY.md`` and ``docs/ROADMAP.md`` but for that by role, as Markdown.
+"""The Markdown tables of ``docs/CAPACITY.md`` and ``docs/ROADMAP.md``, except the table of costs by role.
 
-The package owns their rows and words; it may import `formulas`, `figure`, `data` and `plan`.
-Every figure comes from a formula: no text contains one.
+The package contains their rows and texts; it may import `formulas`, `figure`, `data` and `plan`.
+All figures are computed by formulas; string literals contain none.
 """
 
 from ironmill_testbed.capacity.tables.catch_up import full_catch_up
@@ -9,14 +9,14 @@
 from ironmill_testbed.capacity.tables.inputs import assumptions, target, today
 from ironmill_testbed.capacity.tables.mechanisms import (
     deliveries,
-    factor_of,
-    missing,
+    format_delivery_share,
+    format_factor,
+    format_state,
+    mechanism_gaps,
     roadmap,
-    share_of,
-    state_of,
 )
 from ironmill_testbed.capacity.tables.scenarios import SCENARIOS, scenarios
-from ironmill_testbed.capacity.tables.slopes import EXPECTED, ROUGH_RESIDUAL, rough, slopes
+from ironmill_testbed.capacity.tables.slopes import EXPECTED, ROUGH_RESIDUAL, rough_sweeps, slopes
 
 __all__ = [
     "EXPECTED",
@@ -25,15 +25,15 @@
     "assumptions",
     "deliveries",
     "events",
-    "factor_of",
+    "format_delivery_share",
+    "format_factor",
+    "format_state",
     "full_catch_up",
-    "missing",
+    "mechanism_gaps",
     "roadmap",
-    "rough",
+    "rough_sweeps",
     "scenarios",
-    "share_of",
     "slopes",
-    "state_of",
     "target",
     "today",
 ]
--- a/ironmill_testbed/capacity/tables/inputs.py
+++ b/ironmill_testbed/capacity/tables/inputs.py
@@ -1,4 +1,4 @@
-"""The tables of the figures that the page is computed from."""
+"""The tables of the plan's figures, from which the page is computed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def target(model: Model) -> str:
-    """Formats the target fleet's figures."""
+    """Formats the figures of the target fleet."""
     return _fields("target", model.plan.target)
 
 
@@ -20,9 +20,9 @@
     return _fields("today's", model.plan.today)
 
 
-def _fields(head: str, figures: Struct) -> str:
+def _fields(heading: str, figures: Struct) -> str:
     names = figures.__struct_fields__
-    return table([head, ""], [[name.replace("_", " "), plain(getattr(figures, name))] for name in names])
+    return table([heading, ""], [[name.replace("_", " "), plain(getattr(figures, name))] for name in names])
 
 
 def assumptions(model: Model) -> str:
@@ -30,6 +30,6 @@
     rows = []
     for name in model.plan.assumed.__struct_fields__:
         assumption: Assumption = getattr(model.plan.assumed, name)
-        value = f"{plain(assumption.value)} {assumption.unit} {Sign.ASSUMED.mark}"
-        rows.append([name.replace("_", " "), value, assumption.why])
+        formatted_value = f"{plain(assumption.value)} {assumption.unit} {Sign.ASSUMED.mark}"
+        rows.append([name.replace("_", " "), formatted_value, assumption.why])
     return table(["assumed", "", "why"], rows)
--- a/ironmill_testbed/capacity/tables/mechanisms.py
+++ b/ironmill_testbed/capacity/tables/mechanisms.py
@@ -1,4 +1,4 @@
-"""The tables of deliveries and of mechanisms in the order in which a growing fleet exceeds them."""
+"""The table of deliveries, and tables of mechanisms in the order in which a growing fleet exceeds them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def deliveries(model: Model) -> str:
-    """Formats the time of a delivery by hop."""
+    """Formats the time that a delivery takes at each hop."""
     single, shared = formulas.delivery_time(model)
     rows = [[hop.name, quantity(hop.single, "s"), quantity(hop.shared, "s")] for hop in formulas.hops(model)]
     limit = f"{number(model.plan.target.delivery_ms)} ms"
@@ -17,8 +17,8 @@
     return table(heads, rows)
 
 
-def missing(model: Model) -> str:
-    """Formats every gap, the smallest factor first."""
+def mechanism_gaps(model: Model) -> str:
+    """Formats all gaps, sorted by ascending factor."""
     heads = [
         "mechanism",
         "limitation",
@@ -31,10 +31,10 @@
         [
             gap.mechanism,
             gap.limitation,
-            factor_of(gap),
+            format_factor(gap),
             number(gap.required),
             f"`{gap.sweep}`" if gap.sweep else "the program",
-            state_of(model, gap),
+            format_state(model, gap),
         ]
         for gap in formulas.gaps(model)
     ]
@@ -44,14 +44,14 @@
 def roadmap(model: Model) -> str:
     """Formats the first gap of each mechanism that does not reach the target size."""
     rows = [
-        [gap.mechanism, gap.limitation, factor_of(gap), number(gap.required), state_of(model, gap)]
+        [gap.mechanism, gap.limitation, format_factor(gap), number(gap.required), format_state(model, gap)]
         for gap in formulas.first_gaps(model)
     ]
     heads = ["mechanism", "first limitation", "at N times today's fleet", "required", "state"]
     return table(heads, rows)
 
 
-def factor_of(gap: Gap) -> str:
+def format_factor(gap: Gap) -> str:
     """Formats the multiple of today's fleet at which the limit is reached."""
     if not gap.sweep:
         return f"{quantity(gap.factor)} (no mechanism)"
@@ -60,15 +60,18 @@
     return quantity(gap.factor)
 
 
-def state_of(model: Model, gap: Gap) -> str:
-    """Formats whether a mechanism suffices; where none was measured, how far the one built since goes."""
+def format_state(model: Model, gap: Gap) -> str:
+    """Formats whether a mechanism suffices; for a missing one, how far the distribution in use reaches."""
     if gap.sweep:
         return _measured_state(gap)
-    now = formulas.current_distribution_gaps(model)[0]
+    tightest_gap = formulas.current_distribution_gaps(model)[0]
     link = "now [distribution](distribution.md)"
-    if now.factor.value is None:
+    if tightest_gap.factor.value is None:
         return f"{link}: {NOT_RUN}, or in part"
-    return f"{link}: to {factor_of(now)}, {number(now.required)} required, by {now.limitation}"
+    return (
+        f"{link}: to {format_factor(tightest_gap)}, {number(tightest_gap.required)} required,"
+        f" by {tightest_gap.limitation}"
+    )
 
 
 def _measured_state(gap: Gap) -> str:
@@ -77,6 +80,6 @@
     return NOT_RUN if gap.factor.value is None else "insufficient"
 
 
-def share_of(model: Model) -> str:
-    """Formats the target's percentile of deliveries in words."""
+def format_delivery_share(model: Model) -> str:
+    """Formats the target's percentile of deliveries as a count out of a hundred."""
     return f"{number(model.plan.target.delivery_share * 100.0)} in {number(100.0)}"
--- a/ironmill_testbed/capacity/tables/slopes.py
+++ b/ironmill_testbed/capacity/tables/slopes.py
@@ -1,4 +1,4 @@
-"""The table of sweeps with their fits."""
+"""The table of measured sweeps with their fits."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ironmill_testbed.capacity.figure import NOT_RUN, UNKNOWN, Figure, number, quantity, table
 from ironmill_testbed.capacity.formulas import Model
 
-ROUGH_RESIDUAL = 0.1  # as a fraction of the fit
+ROUGH_RESIDUAL = 0.1  # fraction of the fitted value
 
 _HEADS = [
     "sweep",
@@ -27,7 +27,7 @@
     "run",
     "what was measured",
 ]
-# The sweeps that the formulas use.
+# Names of the sweeps that the formulas use.
 EXPECTED = (
     "catch_up_bytes",
     "catch_up_page_cpu",
@@ -64,53 +64,53 @@
 
 
 def slopes(model: Model) -> str:
-    """Formats every sweep with its fit, and the expected ones that were not run."""
+    """Formats every sweep with its fit, and the names of expected sweeps that were not run."""
     rows = [_row(model, model.measured.sweeps[name]) for name in sorted(model.measured.sweeps)]
     not_run = [name for name in EXPECTED if name not in model.measured.sweeps]
     rows += [[f"`{name}`", *[UNKNOWN] * (len(_HEADS) - 3), NOT_RUN, UNKNOWN] for name in not_run]
     return table(_HEADS, rows)
 
 
-def rough(model: Model) -> str:
+def rough_sweeps(model: Model) -> str:
     """Formats the names of the sweeps whose residual exceeds ``ROUGH_RESIDUAL``."""
-    found = [
+    names = [
         name
         for name in sorted(model.measured.sweeps)
         if (fit := model.fit(name)) is not None and fit.residual > ROUGH_RESIDUAL
     ]
-    return ", ".join(f"`{name}`" for name in found) or "none"
+    return ", ".join(f"`{name}`" for name in names) or "none"
 
 
 def _row(model: Model, sweep: Sweep) -> list[str]:
     fit = model.fit(sweep.name)
-    fitted = ["no fit", "no fit", sweep.unit, UNKNOWN, UNKNOWN]
+    fit_cells = ["no fit", "no fit", sweep.unit, UNKNOWN, UNKNOWN]
     if fit is not None:
-        fitted = _fit_cells(model, sweep, fit)
+        fit_cells = _fit_cells(model, sweep, fit)
     return [
         f"`{sweep.name}`",
         sweep.x,
         *_size_cells(model, sweep),
         sweep.shape.value,
-        *fitted,
+        *fit_cells,
         f"{sweep.sign.mark} {sweep.sign.value}",
         sweep.what,
     ]
 
 
 def _size_cells(model: Model, sweep: Sweep) -> list[str]:
-    """Formats the sizes that were run, and the target's with its distance from them."""
+    """Formats the measured sizes, and the target size with its distance from the largest of them."""
     sizes = sorted({x for x, _ in sweep.points})
     span = f"{number(sizes[0])} to {number(sizes[-1])}, {number(len(sizes))} of them" if sizes else UNKNOWN
-    target = formulas.target_size_of(model, sweep)
-    if target is None:
+    target_size = formulas.target_size_of(model, sweep)
+    if target_size is None:
         return [span, UNKNOWN]
-    if sizes and target > sizes[-1]:
-        return [span, f"{number(target)}, {number(target / sizes[-1])} times beyond"]
-    return [span, number(target)]
+    if sizes and target_size > sizes[-1]:
+        return [span, f"{number(target_size)}, {number(target_size / sizes[-1])} times beyond"]
+    return [span, number(target_size)]
 
 
 def _fit_cells(model: Model, sweep: Sweep, fit: Fit) -> list[str]:
-    """Formats constant, slope, unit and residual of a fit, and the first two in floors."""
+    """Formats constant, slope, unit and residual of a fit, the first two also as multiples of the floor."""
     unit = "" if sweep.shape is Shape.POWER else sweep.unit
     floors = UNKNOWN
     if sweep.floor_s and sweep.shape is Shape.LINE:
@@ -126,16 +126,16 @@
 
 
 def _better_shape(model: Model, sweep: Sweep, fit: Fit) -> str:
-    """Formats the residual of the other shape; empty unless it is smaller."""
+    """Formats the residual of the other shape if it is smaller; otherwise returns an empty text."""
     shape = Shape.POWER if sweep.shape is Shape.LINE else Shape.LINE
-    other = formulas.fit_of(structs.replace(sweep, shape=shape))
-    if other is None or other.residual >= fit.residual:
+    other_fit = formulas.fit_of(structs.replace(sweep, shape=shape))
+    if other_fit is None or other_fit.residual >= fit.residual:
         return ""
-    target = formulas.target_size_of(model, sweep)
-    there = ""
-    if target is not None:
-        there = f", {quantity(Figure(other.at(target)), sweep.unit, signed=False)} there"
-    return f" ({shape.value}: {_percent(other.residual)}{there})"
+    target_size = formulas.target_size_of(model, sweep)
+    value_at_target = ""
+    if target_size is not None:
+        value_at_target = f", {quantity(Figure(other_fit.at(target_size)), sweep.unit, signed=False)} there"
+    return f" ({shape.value}: {_percent(other_fit.residual)}{value_at_target})"
 
 
 def _percent(fraction: float) -> str:
--- a/tests/unit/testbed/test_capacity_tables.py
+++ b/tests/unit/testbed/test_capacity_tables.py
@@ -14,7 +14,7 @@
 
 def test_state_of_missing_mechanism_names_limit_of_present_one() -> None:
     first = formulas.gaps(model())[0]
-    assert tables.state_of(model(), first).endswith("not run, or in part")
+    assert tables.format_state(model(), first).endswith("not run, or in part")
     found = full()
     costs = {"keyspace_memory": 800.0, "relay_push_cpu": 1e-6, "relay_poll_cpu": 1e-6}
     lines = {name: line(name, "entries", "B", 0.0, slope) for name, slope in costs.items()}
@@ -22,7 +22,7 @@
     now = formulas.current_distribution_gaps(known)
     assert (now[0].sweep, now[0].is_covered) == ("keyspace_memory", False)
     assert now[0].factor.value == pytest.approx(160_000.0 / 90.0)
-    assert tables.state_of(known, first).endswith("required, by memory of the keyspace")
+    assert tables.format_state(known, first).endswith("required, by memory of the keyspace")
 
 
 @pytest.mark.parametrize(
@@ -69,5 +69,5 @@
     assert "(power: 0 %, 784 MB/s there)" in row  # 100 x the square of 2,800
     (row,) = [one for one in rows if "`membership_rest_bytes`" in one]
     assert "power" not in row
-    assert tables.rough(found) == "`membership_zone_bytes`"
-    assert tables.rough(model()) == "none"
+    assert tables.rough_sweeps(found) == "`membership_zone_bytes`"
+    assert tables.rough_sweeps(model()) == "none"
