--- a/ironmill_testbed/capacity/data.py
+++ b/ironmill_testbed/capacity/data.py
@@ -1,8 +1,8 @@
-"""The data behind ``docs/CAPACITY.md``: sweeps with their fits, and figures of scenarios.
+"""The measurements for ``docs/CAPACITY.md``: sweeps with their fits, and figures of scenarios.
 
-``docs/capacity/measured.json`` is written by ``python -m ironmill_testbed measure scale`` and read by
-the page's formulas. Only points are stored; fits are computed from them each time, so that the two
-cannot differ.
+``python -m ironmill_testbed measure scale`` writes ``docs/capacity/measured.json``, which the page's
+formulas read. The file contains only measured points; fits are computed from them on each run, so that
+points and fits cannot differ.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 MEASURED = Path(__file__).parents[2] / "docs" / "capacity" / "measured.json"
 Costs = npt.NDArray[np.float64]
-MIN_SIZES = 5  # in a sweep that is fitted
+MIN_SIZES = 5  # different sizes that a sweep needs for a fit
 
 
 class Sign(Enum):
-    """How a figure was obtained; the page marks every figure with one of three signs."""
+    """The way in which a figure was obtained; the page marks each figure with one of three signs."""
 
-    # The first three were run; their values are stored in the measurements.
+    # REAL, SIMULATED and VIRTUAL are kinds of runs; their values are stored with the measurements.
     REAL = "real processes"
     SIMULATED = "hollow processes on sockets"
     VIRTUAL = "virtual clock"
@@ -34,26 +34,26 @@
 
     @property
     def mark(self) -> str:
-        """The sign on the page: run, computed or assumed."""
+        """The sign on the page, which tells whether a figure was measured, computed or assumed."""
         return {Sign.DERIVED: "=", Sign.ASSUMED: "?"}.get(self, "✓")
 
 
 class Shape(Enum):
-    """The curve that is fitted."""
+    """The kind of curve that is fitted to a sweep."""
 
     LINE = "line"  # y = constant + slope x
     POWER = "power"  # y = factor x ** exponent
 
 
 class Fit(Struct, frozen=True):
-    """A fitted curve with its errors."""
+    """A curve fitted to a sweep, with its errors."""
 
     shape: Shape
-    constant: float  # of a power law: its factor
-    slope: float  # of a power law: its exponent
+    constant: float  # the factor of a power law
+    slope: float  # the exponent of a power law
     constant_error: float  # one standard error
     slope_error: float
-    residual: float  # root of the mean square of (measured - fitted) / fitted
+    residual: float  # root mean square of (measured - fitted) / fitted
 
     def at(self, x: float) -> float:
         """Computes the fitted value at a size."""
@@ -62,7 +62,7 @@
         return self.constant * float(x**self.slope)
 
     def error_at(self, x: float) -> float:
-        """Computes one standard error of the fitted value: the constant's plus the slope's."""
+        """Computes one standard error of the fitted value, as the sum of the errors of constant and slope."""
         if self.shape is Shape.LINE:
             return self.constant_error + self.slope_error * x
         relative = self.constant_error / max(self.constant, 1e-300) + self.slope_error * math.log(x)
@@ -73,22 +73,24 @@
     """Measurements of one cost at several sizes."""
 
     name: str
-    what: str  # one sentence: what was measured, and in which program
-    x: str  # what the size is a number of
-    unit: str  # of the cost: s, B, B/s, floor (multiple of the bare epoll loop in the same run)
+    what: str  # one sentence on what was measured, and in which program
+    x: str  # what the size counts, such as members
+    unit: str  # unit of the cost: s, B, B/s, or floor (a multiple of the bare epoll loop in the same run)
     sign: Sign
-    points: tuple[tuple[float, float], ...]  # (size, cost); several of one size are several runs
+    points: tuple[tuple[float, float], ...]  # (size, cost) of each run; a size may have several runs
     shape: Shape = Shape.LINE
-    floor_s: float | None = None  # seconds per line of the bare epoll loop in the same run
+    floor_s: float | None = None  # seconds per line in the bare epoll loop of the same run
 
     def fit(self) -> Fit:
-        """Fits the shape by least squares weighted by 1/cost, so that all sizes have the same influence.
+        """Fits the shape by least squares, weighted by 1/cost so that all sizes have the same influence.
 
-        Raises ``ValueError`` if there are fewer than ``MIN_SIZES`` sizes.
+        Raises ``ValueError`` if fewer than ``MIN_SIZES`` sizes were measured.
         """
-        sizes = len({x for x, _ in self.points})
-        if sizes < MIN_SIZES:
-            raise ValueError(f"sweep {self.name!r} has {sizes}; a fit needs at least {MIN_SIZES} sizes")
+        size_count = len({x for x, _ in self.points})
+        if size_count < MIN_SIZES:
+            raise ValueError(
+                f"sweep {self.name!r} has too few sizes ({size_count}); a fit needs at least {MIN_SIZES} sizes"
+            )
         x = np.array([point[0] for point in self.points])
         y = np.array([point[1] for point in self.points])
         fit = _fit_line(x, y) if self.shape is Shape.LINE else _fit_power(x, y)
@@ -98,7 +100,7 @@
         deviations = [
             (cost - fit.at(size)) / max(abs(fit.at(size)), smallest_cost) for size, cost in self.points
         ]
-        return math.sqrt(sum(one * one for one in deviations) / len(deviations))
+        return math.sqrt(sum(deviation * deviation for deviation in deviations) / len(deviations))
 
 
 def _fit_line(x: Costs, y: Costs) -> Fit:
@@ -117,17 +119,17 @@
 
 
 def _smallest_cost(costs: Costs) -> float:
-    """Returns the smallest cost above zero; it replaces zeros, whose weight would be infinite."""
+    """Returns the smallest cost above zero, which replaces zeros because their weight would be infinite."""
     return float(min((cost for cost in np.abs(costs) if cost > 0.0), default=1e-12))
 
 
 class Measured(Struct, frozen=True, forbid_unknown_fields=True):
-    """All results of ``measure scale``."""
+    """The results of ``measure scale``."""
 
     sweeps: dict[str, Sweep]
-    # By scenario: figures by name, None where one could not be measured.
+    # Figures by scenario and name; None for a figure that could not be measured.
     scenarios: dict[str, dict[str, Any]] = msgspec.field(name="stories")
-    machine: dict[str, Any]  # cores, version of Python
+    machine: dict[str, Any]  # number of cores, version of Python
 
 
 def load(path: Path = MEASURED) -> Measured:
@@ -136,14 +138,16 @@
 
 
 def save(measured: Measured, path: Path = MEASURED) -> None:
-    """Writes the data indented and in sorted order, so that changes can be read line by line."""
+    """Writes the data indented and sorted, so that changes show up as lines of a diff."""
     data = msgspec.json.format(msgspec.json.encode(measured, order="sorted"), indent=1)
     path.write_bytes(data + b"\n")
 
 
 def merge(new: Measured, path: Path = MEASURED) -> Measured:
-    """Returns the stored data in which these sweeps and scenarios replace those of the same name."""
+    """Returns the stored data with the new sweeps and scenarios added or replacing those of the same name."""
     if not path.exists():
         return new
-    old = load(path)
-    return Measured(old.sweeps | new.sweeps, old.scenarios | new.scenarios, new.machine or old.machine)
+    stored = load(path)
+    return Measured(
+        stored.sweeps | new.sweeps, stored.scenarios | new.scenarios, new.machine or stored.machine
+    )
--- a/ironmill_testbed/capacity/figure.py
+++ b/ironmill_testbed/capacity/figure.py
@@ -1,4 +1,4 @@
-"""A figure with its error and its sign, and the format of figures on the page."""
+"""Figures with their errors and signs, and the format of figures on the page."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from ironmill_testbed.capacity.data import Sign
 
 NOT_RUN = "not run"
-UNKNOWN = "-"  # does not apply
-_VALUE_DIGITS = 3  # significant
-_ERROR_DIGITS = 2
+UNKNOWN = "-"  # shown for a value that is not given or does not apply
+_VALUE_DIGITS = 3  # significant digits of a value
+_ERROR_DIGITS = 2  # significant digits of an error
 
 
 class _Scale(Struct, frozen=True):
-    """A unit of the page for values from ``start`` on."""
+    """A unit that the page uses for values from ``start`` up to the next scale."""
 
     start: float
     divisor: float
     suffix: str
 
 
-# By unit of the value, from the smallest scale to the largest.
+# Scales by the unit of the value, from the smallest to the largest.
 _SCALES: dict[str, tuple[_Scale, ...]] = {
     "s": (
         _Scale(0.0, 1e-6, " µs"),
@@ -54,10 +54,10 @@
 
 
 class Figure(Struct, frozen=True):
-    """A value, one standard error of it, and its sign; the value is None where a measurement is missing.
+    """A value with its standard error and sign; the value is None if a measurement is missing.
 
-    Errors of what is added, or relative errors of what is multiplied, are added: they may be correlated,
-    so the result is never too small.
+    A sum or difference adds the errors of its operands, a product or quotient adds their relative errors.
+    Errors may be correlated, so the sum is an upper bound of the error.
     """
 
     value: float | None
@@ -81,7 +81,7 @@
     __rmul__ = __mul__
 
     def __truediv__(self, other: Figure | float) -> Figure:
-        """Divides values and adds relative errors; a divisor of zero gives infinity."""
+        """Divides values and adds relative errors; the result is infinite if the divisor is zero."""
         return self._product(other, lambda a, b: a / b if b else math.inf)
 
     def __rtruediv__(self, other: float) -> Figure:
@@ -93,32 +93,34 @@
         return Figure(None if self.value is None else float(math.ceil(self.value - 1e-9)), 0.0, self.sign)
 
     def _sum(self, other: Figure | float, combine: Callable[[float, float], float]) -> Figure:
-        right = _figure(other)
-        sign = _sign_of(self, right)
+        right = _to_figure(other)
+        sign = _combined_sign(self, right)
         if self.value is None or right.value is None:
             return Figure(None, sign=sign)
         return Figure(combine(self.value, right.value), self.error + right.error, sign)
 
     def _product(self, other: Figure | float, combine: Callable[[float, float], float]) -> Figure:
-        right = _figure(other)
-        sign = _sign_of(self, right)
+        right = _to_figure(other)
+        sign = _combined_sign(self, right)
         if self.value is None or right.value is None:
             return Figure(None, sign=sign)
         value = combine(self.value, right.value)
-        relative_errors = [abs(one.error / one.value) if one.value else 0.0 for one in (self, right)]
+        relative_errors = [
+            abs(operand.error / operand.value) if operand.value else 0.0 for operand in (self, right)
+        ]
         return Figure(value, abs(value) * sum(relative_errors), sign)
 
 
-def _figure(value: Figure | float) -> Figure:
+def _to_figure(value: Figure | float) -> Figure:
     return value if isinstance(value, Figure) else Figure(float(value))
 
 
-def _sign_of(left: Figure, right: Figure) -> Sign:
+def _combined_sign(left: Figure, right: Figure) -> Sign:
     return Sign.ASSUMED if Sign.ASSUMED in (left.sign, right.sign) else Sign.DERIVED
 
 
 def number(value: float, digits: int = _VALUE_DIGITS) -> str:
-    """Formats a number to so many significant digits, with thousands separators."""
+    """Formats a number rounded to significant digits, with thousands separators."""
     if value == 0.0:
         return "0"
     if math.isinf(value):
@@ -134,7 +136,7 @@
 
 
 def quantity(figure: Figure, unit: str = "", *, signed: bool = True) -> str:
-    """Formats a figure with its error, a unit that suits its size, and its sign."""
+    """Formats a figure with its error, its sign, and a unit that is scaled to the value."""
     if figure.value is None or math.isnan(figure.value):
         return NOT_RUN
     divisor, suffix = _scale(figure.value, unit)
@@ -143,7 +145,7 @@
 
 
 def _scale(value: float, unit: str) -> tuple[float, str]:
-    """Returns the divisor and the suffix for a value."""
+    """Returns the divisor of a value's scale and the suffix that names its unit."""
     divisor, suffix = 1.0, f" {unit}" if unit else ""
     for scale in _SCALES.get(unit, ()):
         if math.isfinite(value) and abs(value) >= scale.start:
@@ -165,9 +167,9 @@
 
 
 def _decimal_places(value: float, digits: int) -> int:
-    """Returns the decimal places for so many significant digits; negative: zeros before the point."""
+    """Returns the decimal places for that many significant digits; negative if integer digits are rounded."""
     places = digits - 1 - math.floor(math.log10(abs(value)))
-    if abs(round(value, places)) >= 10.0 ** (digits - places):  # 9.996 is 10.0
+    if abs(round(value, places)) >= 10.0 ** (digits - places):  # as 9.996, rounded to 10.0
         places -= 1
     return places
 
@@ -177,7 +179,7 @@
     return text.removeprefix("-") if not text.strip("-0.,") else text
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Formats a table in Markdown."""
-    lines = [heads, ["---"] * len(heads), *rows]
-    return "\n".join("| " + " | ".join(cell.replace("|", "\\|") for cell in line) + " |" for line in lines)
+def table(headings: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Formats a Markdown table and escapes ``|`` in its cells."""
+    all_rows = [headings, ["---"] * len(headings), *rows]
+    return "\n".join("| " + " | ".join(cell.replace("|", "\\|") for cell in row) + " |" for row in all_rows)
--- a/ironmill_testbed/capacity/page.py
+++ b/ironmill_testbed/capacity/page.py
@@ -1,7 +1,7 @@
 """Writes and checks ``docs/CAPACITY.md`` and the table in ``docs/ROADMAP.md``.
 
-The page is a template of prose in which ``{{name}}`` refers to a figure or table of `page_values`.
-Prose must not contain a digit outside of code and links: every figure comes from a formula.
+The page is rendered from a template, in which ``{{name}}`` refers to a figure or table of `page_values`.
+The template must not contain digits outside code and links, so that every figure comes from a formula.
 """
 
 from __future__ import annotations
@@ -31,18 +31,18 @@
 
 
 def render(model: Model, template: str) -> str:
-    """Returns the page.
+    """Returns the text of the page.
 
-    Raises ``TemplateError`` if the prose has a figure of its own or refers to an unknown name.
+    Raises ``TemplateError`` if the template has a digit outside code and links, or an unknown name.
     """
     values = page_values(model)
     for number, line in enumerate(template.splitlines(), 1):
         if re.search(r"\d", _CODE_LINKS_REFERENCES.sub("", line)):
-            raise TemplateError(f"line {number} has a figure of its own: {line}")
+            raise TemplateError(f"template line {number} has a digit outside code and links: {line}")
         for name in _REFERENCE.findall(line):
             if name not in values:
-                raise TemplateError(f"line {number} asks for {name}, which is not there")
-    return _REFERENCE.sub(lambda found: values[found[1]], template)
+                raise TemplateError(f"template line {number} refers to {name}, which is not defined")
+    return _REFERENCE.sub(lambda match: values[match[1]], template)
 
 
 def render_roadmap(model: Model, text: str) -> str:
@@ -51,20 +51,22 @@
     Raises ``TemplateError`` unless the table's two markers appear once each and in order.
     """
     if text.count(BEGIN) != 1 or text.count(END) != 1 or text.index(BEGIN) > text.index(END):
-        raise TemplateError("the roadmap has no place for the table")
-    head, rest = text.split(BEGIN)
-    return f"{head}{BEGIN}\n{tables.roadmap(model)}\n{END}{rest.split(END)[1]}"
-
-
-def difference(name: str, actual: str, expected: str) -> str:
-    """Formats the first line that differs; empty if none does."""
-    left, right = actual.split("\n"), expected.split("\n")
-    for index in range(max(len(left), len(right))):
-        is_line = left[index] if index < len(left) else None
-        must_be = right[index] if index < len(right) else None
-        if is_line != must_be:
-            line = f"{name}, line {index + 1}"
-            return f"{line}\n  is      {_quoted(is_line)}\n  must be {_quoted(must_be)}"
+        raise TemplateError(
+            "the roadmap must contain the begin and end markers of the table once each, in this order"
+        )
+    before, from_table = text.split(BEGIN)
+    return f"{before}{BEGIN}\n{tables.roadmap(model)}\n{END}{from_table.split(END)[1]}"
+
+
+def first_difference(name: str, actual: str, expected: str) -> str:
+    """Formats the first line that differs; returns an empty text if there is none."""
+    actual_lines, expected_lines = actual.split("\n"), expected.split("\n")
+    for index in range(max(len(actual_lines), len(expected_lines))):
+        actual_line = actual_lines[index] if index < len(actual_lines) else None
+        expected_line = expected_lines[index] if index < len(expected_lines) else None
+        if actual_line != expected_line:
+            position = f"{name}, line {index + 1}"
+            return f"{position}\n  is      {_quoted(actual_line)}\n  must be {_quoted(expected_line)}"
     return ""
 
 
@@ -73,7 +75,7 @@
 
 
 class Files(Struct, frozen=True):
-    """Paths of what the page is made from and of what is written."""
+    """Paths of the files that the page is rendered from and of the files that are written."""
 
     measured: Path = data.MEASURED
     plan: Path = plan.PLAN
@@ -82,15 +84,15 @@
     roadmap: Path = ROADMAP
 
 
-def model_of(files: Files) -> Model:
-    """Reads measurements and plan; the measurements are empty if their file does not exist."""
+def read_model(files: Files) -> Model:
+    """Reads the measurements and the plan; the measurements are empty if their file does not exist."""
     measured = data.load(files.measured) if files.measured.exists() else data.Measured({}, {}, {})
     return Model(measured, plan.load(files.plan))
 
 
 def write(files: Files) -> None:
-    """Writes the page and the roadmap's table. Raises ``TemplateError`` before anything is written."""
-    model = model_of(files)
+    """Writes the page and the roadmap's table. If it raises ``TemplateError``, no file was changed."""
+    model = read_model(files)
     page = render(model, files.template.read_text())
     roadmap = render_roadmap(model, files.roadmap.read_text())
     files.page.write_text(page)
@@ -98,18 +100,18 @@
 
 
 def check(files: Files) -> str:
-    """Formats the first difference of page or roadmap from what `write` would write; empty if none."""
-    model = model_of(files)
+    """Formats the first line of page or roadmap that `write` would change, or returns an empty text."""
+    model = read_model(files)
     page = files.page.read_text() if files.page.exists() else ""
     roadmap = files.roadmap.read_text()
     expected_page = render(model, files.template.read_text())
-    return difference(files.page.name, page, expected_page) or difference(
+    return first_difference(files.page.name, page, expected_page) or first_difference(
         files.roadmap.name, roadmap, render_roadmap(model, roadmap)
     )
 
 
 def run(files: Files | None = None, *, checking: bool = False, plots: bool = False) -> int:
-    """Runs the command and returns its exit status: 1 if the check or the template fails."""
+    """Runs the command and returns its exit status: 1 if the check fails or the template is invalid."""
     files = files or Files()
     try:
         if checking:
@@ -121,13 +123,16 @@
     if plots:
         from ironmill_testbed.capacity import plots as drawing
 
-        for path in drawing.draw(model_of(files), files.measured.parent):
+        for path in drawing.draw(read_model(files), files.measured.parent):
             print(path)
     return 0
 
 
 def _report_difference(files: Files) -> int:
-    found = check(files)
-    if found:
-        print(f"capacity: {found}\npython -m ironmill_testbed capacity writes it anew", file=sys.stderr)
-    return 1 if found else 0
+    mismatch = check(files)
+    if mismatch:
+        print(
+            f"capacity: {mismatch}\nrun `python -m ironmill_testbed capacity` to write it again",
+            file=sys.stderr,
+        )
+    return 1 if mismatch else 0
--- a/ironmill_testbed/capacity/page_values.py
+++ b/ironmill_testbed/capacity/page_values.py
@@ -23,7 +23,7 @@
 
 
 def page_values(model: Model) -> dict[str, str]:
-    """Formats every figure and table that the template may name."""
+    """Formats all figures and tables that the template may refer to, by name."""
     return {
         **_plan_values(model),
         **_gap_values(model),
@@ -31,7 +31,7 @@
         **_delivery_values(model),
         **_control_values(model),
         **_measurement_values(model),
-        **{name: make(model) for name, make in _TABLES.items()},
+        **{table_name: format_table(model) for table_name, format_table in _TABLES.items()},
     }
 
 
@@ -75,10 +75,10 @@
 
 
 def _delivery_values(model: Model) -> dict[str, str]:
-    target, fan_out = model.plan.target, formulas.floor_pass(model)
+    target, pass_time = model.plan.target, formulas.floor_pass(model)
     return {
-        "fan_out_single": quantity(fan_out * target.largest_topic, "s"),
-        "fan_out_shared": quantity(fan_out * target.proxies, "s"),
+        "fan_out_single": quantity(pass_time * target.largest_topic, "s"),
+        "fan_out_shared": quantity(pass_time * target.proxies, "s"),
         "one_to_one": quantity(formulas.max_listeners_one_to_one(model)),
         "listeners_per_shard": quantity(formulas.listeners_per_shard(model)),
         "proxies_per_shard": quantity(formulas.proxies_per_shard(model)),
--- a/ironmill_testbed/capacity/plan.py
+++ b/ironmill_testbed/capacity/plan.py
@@ -1,4 +1,4 @@
-"""The figures that the page is computed from: the target fleet's, today's fleet's, and the assumptions."""
+"""The plan from which the page is computed: target fleet, today's fleet, and assumptions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Target(Struct, frozen=True, forbid_unknown_fields=True):
-    """The fleet that the operators plan."""
+    """The target fleet, which the operators plan."""
 
     proxies: float
     connections: float
@@ -24,25 +24,25 @@
     zones: float
     changes_per_day: float
     in_force_s: float
-    control_core_share: float  # of one core, per proxy
-    control_bytes: float  # of memory, per proxy
-    control_bytes_per_s: float  # per proxy
+    control_core_share: float  # fraction of one core, per proxy
+    control_bytes: float  # memory per proxy
+    control_bytes_per_s: float  # bandwidth per proxy
     control_machines: float
     failures_per_day: float
     restarts_per_day: float
 
 
 class Today(Struct, frozen=True, forbid_unknown_fields=True):
-    """The fleet of the operators' test, and the program's own limits."""
+    """Today's fleet, which is that of the operators' test, and limits that the program sets itself."""
 
     proxies: float
     servers: float
     max_detection_s: float
     call_interval_s: float
     max_call_pause_s: float
-    min_call_pause_fraction: float  # of max_call_pause_s
+    min_call_pause_fraction: float  # fraction of max_call_pause_s
     health_checks_per_s: float
-    observers: float  # of a member
+    observers: float  # per member
     ping_interval_s: float
     poll_interval_s: float
     catch_up_bytes_per_s: float
@@ -53,15 +53,15 @@
 
 
 class Assumption(Struct, frozen=True, forbid_unknown_fields=True):
-    """A figure that is neither given nor measured."""
+    """A figure that is neither specified by the operators nor measured, with its reason."""
 
     value: float
     unit: str
-    why: str  # one line
+    why: str  # reason for the value, on one line
 
 
 class Assumed(Struct, frozen=True, forbid_unknown_fields=True):
-    """All assumptions."""
+    """All assumptions, by name."""
 
     connections_today: Assumption
     largest_topic_today: Assumption
--- a/tests/unit/testbed/test_capacity_page.py
+++ b/tests/unit/testbed/test_capacity_page.py
@@ -102,7 +102,7 @@
     assert files.roadmap.read_text() == text
     assert text.startswith(head) and text.endswith(tail)
     files.roadmap.write_text(head)
-    with pytest.raises(page.TemplateError, match="no place"):
+    with pytest.raises(page.TemplateError, match="must contain the begin and end markers"):
         page.write(files)
 
 
@@ -116,7 +116,7 @@
     assert page.run(files, checking=True) == 0
     files.template.write_text("It is 7 times that.\n")
     assert page.run(files) == 1
-    assert "line 1 has a figure of its own" in capsys.readouterr().err
+    assert "template line 1 has a digit outside code and links" in capsys.readouterr().err
 
 
 def test_rendering_is_deterministic() -> None:
@@ -126,13 +126,13 @@
 
 @pytest.mark.parametrize("text", ["About 12 of them.", "`code 1` and 2", "{{budget}} or 6 KB/s"])
 def test_rejects_figure_in_prose_of_template(text: str) -> None:
-    with pytest.raises(page.TemplateError, match="figure of its own"):
+    with pytest.raises(page.TemplateError, match="digit outside code and links"):
         page.render(model(), text)
 
 
 def test_template_accepts_code_and_links_and_rejects_unknown_name() -> None:
     assert page.render(model(), "{{shards}} `x1` [a](b2.md)") == "640,000 `x1` [a](b2.md)"
-    with pytest.raises(page.TemplateError, match="asks for nothing_such"):
+    with pytest.raises(page.TemplateError, match="refers to nothing_such"):
         page.render(model(), "{{nothing_such}}")
 
 
