--- a/ironmill_testbed/capacity/data.py
+++ b/ironmill_testbed/capacity/data.py
@@ -89,7 +89,7 @@
         size_count = len({x for x, _ in self.points})
         if size_count < MIN_SIZES:
             raise ValueError(
-                f"sweep {self.name!r} has too few sizes ({size_count}); a fit needs at least {MIN_SIZES} sizes"
+                f"sweep {self.name!r} has too few sizes ({size_count}); a fit needs {MIN_SIZES} sizes"
             )
         x = np.array([point[0] for point in self.points])
         y = np.array([point[1] for point in self.points])
--- a/tests/unit/testbed/test_capacity_data.py
+++ b/tests/unit/testbed/test_capacity_data.py
@@ -1,4 +1,4 @@
-"""Tests of the capacity page's data: sweeps, fits and the plan."""
+"""Tests for the data of the capacity page: sweeps, fits and the plan."""
 
 from __future__ import annotations
 
@@ -16,19 +16,21 @@
 from ironmill.membership.timing import Timing as MembershipTiming
 from ironmill.requests import discovery_backoff
 from ironmill_testbed.capacity import plan
-from tests.unit.testbed.capacity_models import SIZES, line, model, power
+from tests.unit.testbed.capacity_models import SIZES, line_sweep, make_model, power_sweep
 
 
 def test_power_law_through_zeros_has_no_fit() -> None:
-    flat = replace(power("a", "members", "s", 1.0, 1.0), points=tuple((size, 0.0) for size in SIZES))
-    assert model(flat).fit("a") is None
+    zero_sweep = replace(
+        power_sweep("a", "members", "s", 1.0, 1.0), points=tuple((size, 0.0) for size in SIZES)
+    )
+    assert make_model(zero_sweep).fit("a") is None
 
 
 def test_rejects_plan_with_unknown_key(tmp_path: Path) -> None:
-    wrong = tmp_path / "plan.toml"
-    wrong.write_text(plan.PLAN.read_text().replace("[target]", "[target]\nproxys = 1"))
+    plan_file = tmp_path / "plan.toml"
+    plan_file.write_text(plan.PLAN.read_text().replace("[target]", "[target]\nproxys = 1"))
     with pytest.raises(msgspec.ValidationError, match="proxys"):
-        plan.load(wrong)
+        plan.load(plan_file)
 
 
 def test_plan_matches_constants_of_program() -> None:
@@ -50,15 +52,15 @@
 
 def test_zero_costs_do_not_dominate_fit() -> None:
     points = ((10.0, 0.0), (20.0, 0.0), (100.0, 5.0), (200.0, 10.0), (400.0, 20.0))
-    fit = replace(line("a", "members", "s", 0.0, 0.0), points=points).fit()
+    fit = replace(line_sweep("a", "members", "s", 0.0, 0.0), points=points).fit()
     assert 0.04 < fit.slope < 0.06
-    flat = tuple((x, 0.0) for x, _ in points)
-    nothing = replace(line("a", "members", "s", 0.0, 0.0), points=flat).fit()
-    assert (nothing.constant, nothing.slope, nothing.residual) == (0.0, 0.0, 0.0)
+    zero_points = tuple((x, 0.0) for x, _ in points)
+    zero_fit = replace(line_sweep("a", "members", "s", 0.0, 0.0), points=zero_points).fit()
+    assert (zero_fit.constant, zero_fit.slope, zero_fit.residual) == (0.0, 0.0, 0.0)
 
 
 def test_fit_recovers_line_and_power_law() -> None:
-    fit = line("a", "members", "s", 3.0, 0.25).fit()
+    fit = line_sweep("a", "members", "s", 3.0, 0.25).fit()
     assert (fit.constant, fit.slope) == (pytest.approx(3.0), pytest.approx(0.25))
-    fit = power("a", "members", "s", 3.0, 1.5).fit()
+    fit = power_sweep("a", "members", "s", 3.0, 1.5).fit()
     assert (fit.constant, fit.slope) == (pytest.approx(3.0), pytest.approx(1.5))
--- a/tests/unit/testbed/test_capacity_figure.py
+++ b/tests/unit/testbed/test_capacity_figure.py
@@ -1,4 +1,4 @@
-"""Tests of figures, their errors and their format."""
+"""Tests for the arithmetic on figures with errors, and for their format."""
 
 from __future__ import annotations
 
