--- a/ironmill_testbed/capacity/figure.py
+++ b/ironmill_testbed/capacity/figure.py
@@ -130,8 +130,8 @@
     return _fixed(value, min(places, 0) if is_whole else places)
 
 
-def plain(value: float) -> str:
-    """Formats a number without rounding, with thousands separators."""
+def plain_number(value: float) -> str:
+    """Formats a whole number with thousands separators, or another with up to six significant digits."""
     return f"{int(value):,}" if value == int(value) else f"{value:g}"
 
 
--- a/ironmill_testbed/capacity/formulas/data_path.py
+++ b/ironmill_testbed/capacity/formulas/data_path.py
@@ -85,7 +85,7 @@
 
 
 def clients_of(model: Model, proxies: Figure) -> Figure:
-    """Computes proxies x connections per proxy."""
+    """Computes the clients of these proxies: proxies x connections per proxy."""
     return proxies * connections_per_proxy(model)
 
 
@@ -95,7 +95,7 @@
 
 
 def returning_cores(model: Model, lost: Figure) -> Figure:
-    """Computes returning clients per remaining proxy / the time in which they return x setup time."""
+    """Computes the cores for setups of returning clients: clients per proxy / return time x setup time."""
     connections = connections_per_process(model)
     if connections is None:
         return Figure(None)
--- a/ironmill_testbed/capacity/formulas/mechanisms.py
+++ b/ironmill_testbed/capacity/formulas/mechanisms.py
@@ -29,10 +29,9 @@
 
     mechanism: str
     limitation: str  # the cost and the limit that it reaches
-    factor: (
-        Figure  # multiple of today's fleet; 0 if the smallest size exceeds the limit or there is no mechanism
-    )
-    required: float  # multiple that the target fleet needs, of the same size
+    # Multiple of today's fleet; 0 if the smallest size exceeds the limit or if there is no mechanism.
+    factor: Figure
+    required: float  # multiple of today's fleet that the target needs
     sweep: str  # name of the measurement that gives the factor; empty if there is no mechanism
 
     @property
--- a/ironmill_testbed/capacity/roles/__init__.py
+++ b/ironmill_testbed/capacity/roles/__init__.py
@@ -16,7 +16,7 @@
 
 __all__ = ["RoleCost", "roles", "verdict"]
 
-_HEADS = ["role", "cost", "at the target size", "limit", "based on", "mechanism", "verdict"]
+_HEADINGS = ["role", "cost", "at the target size", "limit", "based on", "mechanism", "verdict"]
 
 
 def roles(model: Model) -> str:
@@ -35,4 +35,4 @@
         for role, role_costs in costs.items()
         for index, cost in enumerate(role_costs)
     ]
-    return table(_HEADS, rows)
+    return table(_HEADINGS, rows)
--- a/ironmill_testbed/capacity/tables/events.py
+++ b/ironmill_testbed/capacity/tables/events.py
@@ -7,7 +7,7 @@
 from ironmill_testbed.capacity.formulas import Model
 from ironmill_testbed.capacity.tables.mechanisms import format_delivery_share
 
-_HEADS = [
+_HEADINGS = [
     "event",
     "what is sent, by whom, within what time",
     "highest second, and how long",
@@ -20,7 +20,7 @@
     """Formats one row for each event."""
     rows = _EventRows(model)
     return table(
-        _HEADS,
+        _HEADINGS,
         [
             rows.ordinary_day(),
             rows.rack_lost(),
--- a/ironmill_testbed/capacity/tables/inputs.py
+++ b/ironmill_testbed/capacity/tables/inputs.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 from ironmill_testbed.capacity.data import Sign
-from ironmill_testbed.capacity.figure import plain, table
+from ironmill_testbed.capacity.figure import plain_number, table
 from ironmill_testbed.capacity.formulas import Model
 from ironmill_testbed.capacity.plan import Assumption
 
@@ -22,7 +22,9 @@
 
 def _fields(heading: str, figures: Struct) -> str:
     names = figures.__struct_fields__
-    return table([heading, ""], [[name.replace("_", " "), plain(getattr(figures, name))] for name in names])
+    return table(
+        [heading, ""], [[name.replace("_", " "), plain_number(getattr(figures, name))] for name in names]
+    )
 
 
 def assumptions(model: Model) -> str:
@@ -30,6 +32,6 @@
     rows = []
     for name in model.plan.assumed.__struct_fields__:
         assumption: Assumption = getattr(model.plan.assumed, name)
-        formatted_value = f"{plain(assumption.value)} {assumption.unit} {Sign.ASSUMED.mark}"
+        formatted_value = f"{plain_number(assumption.value)} {assumption.unit} {Sign.ASSUMED.mark}"
         rows.append([name.replace("_", " "), formatted_value, assumption.why])
     return table(["assumed", "", "why"], rows)
--- a/ironmill_testbed/capacity/tables/mechanisms.py
+++ b/ironmill_testbed/capacity/tables/mechanisms.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ironmill_testbed.capacity import formulas
-from ironmill_testbed.capacity.figure import NOT_RUN, number, plain, quantity, table
+from ironmill_testbed.capacity.figure import NOT_RUN, number, plain_number, quantity, table
 from ironmill_testbed.capacity.formulas import Gap, Model
 
 
@@ -13,13 +13,13 @@
     rows = [[hop.name, quantity(hop.single, "s"), quantity(hop.shared, "s")] for hop in formulas.hops(model)]
     limit = f"{number(model.plan.target.delivery_ms)} ms"
     rows.append([f"**sum**, of {limit}", quantity(single, "s"), quantity(shared, "s")])
-    heads = ["hop", "one stream per listener (today)", "one stream per shard and proxy (not built)"]
-    return table(heads, rows)
+    headings = ["hop", "one stream per listener (today)", "one stream per shard and proxy (not built)"]
+    return table(headings, rows)
 
 
 def mechanism_gaps(model: Model) -> str:
     """Formats all gaps, sorted by ascending factor."""
-    heads = [
+    headings = [
         "mechanism",
         "limitation",
         "at N times today's fleet",
@@ -38,7 +38,7 @@
         ]
         for gap in formulas.gaps(model)
     ]
-    return table(heads, rows)
+    return table(headings, rows)
 
 
 def roadmap(model: Model) -> str:
@@ -47,8 +47,8 @@
         [gap.mechanism, gap.limitation, format_factor(gap), number(gap.required), format_state(model, gap)]
         for gap in formulas.first_gaps(model)
     ]
-    heads = ["mechanism", "first limitation", "at N times today's fleet", "required", "state"]
-    return table(heads, rows)
+    headings = ["mechanism", "first limitation", "at N times today's fleet", "required", "state"]
+    return table(headings, rows)
 
 
 def format_factor(gap: Gap) -> str:
@@ -56,7 +56,7 @@
     if not gap.sweep:
         return f"{quantity(gap.factor)} (no mechanism)"
     if gap.factor.value == 0.0:
-        return f"below {plain(formulas.MIN_MULTIPLE)} {gap.factor.sign.mark} (at any size)"
+        return f"below {plain_number(formulas.MIN_MULTIPLE)} {gap.factor.sign.mark} (at any size)"
     return quantity(gap.factor)
 
 
--- a/ironmill_testbed/capacity/tables/scenarios.py
+++ b/ironmill_testbed/capacity/tables/scenarios.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ironmill_testbed.capacity.data import Sign
-from ironmill_testbed.capacity.figure import NOT_RUN, Figure, plain, quantity, table
+from ironmill_testbed.capacity.figure import NOT_RUN, Figure, plain_number, quantity, table
 from ironmill_testbed.capacity.formulas import Model
 
 SCENARIOS = ("rest", "rack", "zone", "region", "restarts", "storm", "control_killed", "loss")
@@ -57,5 +57,5 @@
     if not isinstance(value, (int, float)):
         return ""
     if isinstance(value, int) and not suffix:
-        return f"{name} {plain(value)}"
+        return f"{name} {plain_number(value)}"
     return f"{name} {quantity(Figure(float(value)), _UNITS.get(suffix, ''), signed=False)}"
--- a/ironmill_testbed/capacity/tables/slopes.py
+++ b/ironmill_testbed/capacity/tables/slopes.py
@@ -13,7 +13,7 @@
 
 ROUGH_RESIDUAL = 0.1  # fraction of the fitted value
 
-_HEADS = [
+_HEADINGS = [
     "sweep",
     "of",
     "sizes",
@@ -67,8 +67,8 @@
     """Formats every sweep with its fit, and the names of expected sweeps that were not run."""
     rows = [_row(model, model.measured.sweeps[name]) for name in sorted(model.measured.sweeps)]
     not_run = [name for name in EXPECTED if name not in model.measured.sweeps]
-    rows += [[f"`{name}`", *[UNKNOWN] * (len(_HEADS) - 3), NOT_RUN, UNKNOWN] for name in not_run]
-    return table(_HEADS, rows)
+    rows += [[f"`{name}`", *[UNKNOWN] * (len(_HEADINGS) - 3), NOT_RUN, UNKNOWN] for name in not_run]
+    return table(_HEADINGS, rows)
 
 
 def rough_sweeps(model: Model) -> str:
