--- a/ironmill_testbed/capacity/formulas/mechanisms.py
+++ b/ironmill_testbed/capacity/formulas/mechanisms.py
@@ -31,7 +31,7 @@
     limitation: str  # the cost and the limit that it reaches
     # Multiple of today's fleet; 0 if the smallest size exceeds the limit or if there is no mechanism.
     factor: Figure
-    required: float  # multiple of today's fleet that the target needs
+    required: float  # multiple that the target needs, of the same quantity as the factor
     sweep: str  # name of the measurement that gives the factor; empty if there is no mechanism
 
     @property
