--- a/ironmill_testbed/capacity/page_values.py
+++ b/ironmill_testbed/capacity/page_values.py
@@ -12,7 +12,7 @@
     "roles": roles.roles,
     "events": tables.events,
     "deliveries_table": tables.deliveries,
-    "missing": tables.missing,
+    "missing": tables.mechanism_gaps,
     "slopes": tables.slopes,
     "target_table": tables.target,
     "today_table": tables.today,
@@ -23,7 +23,7 @@
 
 
 def page_values(model: Model) -> dict[str, str]:
-    """Formats every figure and table that the template may name."""
+    """Formats all figures and tables that the template may refer to, by name."""
     return {
         **_plan_values(model),
         **_gap_values(model),
@@ -31,7 +31,7 @@
         **_delivery_values(model),
         **_control_values(model),
         **_measurement_values(model),
-        **{name: make(model) for name, make in _TABLES.items()},
+        **{table_name: format_table(model) for table_name, format_table in _TABLES.items()},
     }
 
 
@@ -42,7 +42,7 @@
         "today": number(today.proxies),
         "servers": number(today.servers),
         "budget": quantity(Figure(target.control_bytes_per_s), "B/s", signed=False),
-        "share": tables.share_of(model),
+        "share": tables.format_delivery_share(model),
         "delivery": f"{number(target.delivery_ms)} ms",
         "within": f"{number(target.in_force_s)} s",
         "shards": number(target.shards),
@@ -62,7 +62,7 @@
 
 def _reason(gap: Gap) -> str:
     limitation = gap.limitation[0].upper() + gap.limitation[1:]
-    factor = tables.factor_of(gap)
+    factor = tables.format_factor(gap)
     return f"{limitation}: {factor}, as a multiple of today's fleet; {number(gap.required)} is required"
 
 
@@ -75,10 +75,10 @@
 
 
 def _delivery_values(model: Model) -> dict[str, str]:
-    target, fan_out = model.plan.target, formulas.floor_pass(model)
+    target, pass_time = model.plan.target, formulas.floor_pass(model)
     return {
-        "fan_out_single": quantity(fan_out * target.largest_topic, "s"),
-        "fan_out_shared": quantity(fan_out * target.proxies, "s"),
+        "fan_out_single": quantity(pass_time * target.largest_topic, "s"),
+        "fan_out_shared": quantity(pass_time * target.proxies, "s"),
         "one_to_one": quantity(formulas.max_listeners_one_to_one(model)),
         "listeners_per_shard": quantity(formulas.listeners_per_shard(model)),
         "proxies_per_shard": quantity(formulas.proxies_per_shard(model)),
@@ -104,7 +104,7 @@
 def _measurement_values(model: Model) -> dict[str, str]:
     machine = sorted(model.measured.machine.items())
     return {
-        "rough": tables.rough(model),
+        "rough": tables.rough_sweeps(model),
         "rough_residual": f"{number(tables.ROUGH_RESIDUAL * 100.0)} %",
         "machine": ", ".join(f"{key} {value}" for key, value in machine) or NOT_RUN,
     }
