--- a/tests/support/tls.py
+++ b/tests/support/tls.py
@@ -45,7 +45,7 @@
         self.listener = Listener(
             self.scheduler,
             ("127.0.0.1", 0),
-            self._take,
+            self._serve_client,
             make_stream=lambda scheduler, sock: TlsStream.for_server(scheduler, sock, self.context),
         )
         self.listener.start()
--- a/tests/system/test_request_intake.py
+++ b/tests/system/test_request_intake.py
@@ -190,7 +190,7 @@
     """The deadline ``d`` counts from when the client sent the line, including time in the accept queue."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
-        listener = Listener(proxy.scheduler, ("127.0.0.1", 0), proxy._take)
+        listener = Listener(proxy.scheduler, ("127.0.0.1", 0), proxy._serve_client)
 
         def remaining_s() -> float:
             """Returns the seconds until the newest request is given up."""
