--- a/ironmill/administration/configuration_api.py
+++ b/ironmill/administration/configuration_api.py
@@ -147,7 +147,7 @@
 
 
 class HistoryBody(Struct):
-    """Response with the history. ``cut`` is True if older revisions did not fit."""
+    """Response with the history. ``cut`` is True if older revisions were omitted for lack of room."""
 
     revisions: list[RevisionBody]
     cut: bool
@@ -222,7 +222,7 @@
             except RevisionError:
                 if changes:
                     raise
-                # A ticket that was used before does not get here, because the call returned its position.
+                # This is not a repeated request: for a known ticket, the push returns the stored position.
                 raise InvalidCallError(
                     f"there is nothing to revert: all is as it was at {body.number}"
                 ) from None
--- a/ironmill/administration/proxy_api.py
+++ b/ironmill/administration/proxy_api.py
@@ -60,7 +60,7 @@
         super().__init__()
         self._source = source
         self._lifecycle = source.lifecycle
-        # Set if distribution is on.
+        # None if distribution is off.
         self.configuration_health: Callable[[], ConfigurationHealth] | None = None
         self.add("/admin/health", {"GET": self._health})
         self.add("/admin/stats", {"GET": self._stats})
--- a/ironmill/cli.py
+++ b/ironmill/cli.py
@@ -92,7 +92,7 @@
 def main(argv: Sequence[str] | None = None) -> int:
     """Runs the sub-command and returns the exit status."""
     argv = list(sys.argv[1:] if argv is None else argv)
-    if argv == ["serve"]:  # the platform's command; parsing the usage would take a tenth of the start time
+    if argv == ["serve"]:  # run by the platform; parsing the usage would take a tenth of the start time
         return _serve_with_signals(None, None, DEFAULT_POLLER)
     from docopt import docopt
 
--- a/ironmill/commands/config.py
+++ b/ironmill/commands/config.py
@@ -46,7 +46,7 @@
     """Raised if a call gets no response. If ``sent`` is true the call may have taken effect."""
 
     def __init__(self, message: str, *, sent: bool) -> None:
-        """``sent`` says that the connection was established, so the call may have been received."""
+        """Creates the error; ``sent`` is True if a connection was established before the failure."""
         super().__init__(message)
         self.sent = sent
 
@@ -139,14 +139,14 @@
 ) -> Position:
     """Pushes the changes and returns their position.
 
-    Raises ``ConfigError``; its message says so if it is unknown whether the revision was stored.
+    Raises ``ConfigError``; its message says if it is unknown whether the revision was stored.
     """
     authorship.check()
     return _write(address, REVISIONS_PATH, {"changes": changes}, authorship, sleep)
 
 
 def revert(address: Address, revision: str, authorship: Authorship, sleep: Sleep = time.sleep) -> Position:
-    """Restores the values of a revision, given by number or position. Raises like ``push``."""
+    """Restores the values of a revision, given by number or position. Raises the same errors as ``push``."""
     authorship.check()
     number = revision.rpartition(".")[2]
     if not (number.isascii() and number.isdigit() and len(number) <= 19):
--- a/ironmill/commands/config_status.py
+++ b/ironmill/commands/config_status.py
@@ -53,7 +53,8 @@
             return False
         if any(zone.rejecting or zone.unreachable for zone in self.zones):
             return False
-        # The zones do not count unreachable relays, and the state of the proxies below these is unknown.
+        # The counts by zone do not include unreachable relays, and the state of the proxies below such a
+        # relay is unknown.
         if any(node.state != "behind" for node in self.lagging_nodes):
             return False
         return all(read_position(zone.lowest_position) >= position for zone in self.zones)
--- a/ironmill/commands/keys.py
+++ b/ironmill/commands/keys.py
@@ -88,7 +88,7 @@
         return key
 
     def _store_pair(self, kid: str, pem: bytes, ring: KeyRing) -> None:
-        """Writes a new private key, then the ring. Leaves no private key that the ring does not have."""
+        """Writes a new private key, then the ring. On failure, deletes a private key that the ring lacks."""
         path = self.private_path(kid)
         try:
             self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
--- a/ironmill/commands/members.py
+++ b/ironmill/commands/members.py
@@ -33,7 +33,7 @@
 
     @property
     def cells(self) -> list[str]:
-        """The texts of the columns in ``COLUMNS``."""
+        """The texts of this member's row, in the order of ``COLUMNS``."""
         incarnation = "" if self.incarnation is None else str(self.incarnation)
         return [self.name, self.address, self.zone, self.region, incarnation, self.state]
 
@@ -54,7 +54,7 @@
 
     @property
     def state(self) -> str:
-        """The state of the process that sent the report, in words that ``format_view`` puts before \"of\"."""
+        """The state of the process that sent the report, as ``format_view`` prints it before the cluster."""
         if self.superseded:
             return "superseded"
         if self.is_isolated:
@@ -97,7 +97,7 @@
 
 
 def watch_view(host: str, port: int) -> Iterator[str]:
-    """Yields the view as lines of text, and again after each change. Raises like ``fetch_view``."""
+    """Yields the view as lines of text, and again after each change. Raises ``MembersError``."""
     last_view = ""
     while True:
         report = fetch_view(host, port)
--- a/ironmill/configuration/distributed_keys.py
+++ b/ironmill/configuration/distributed_keys.py
@@ -31,8 +31,8 @@
 
 LEVELS = ("debug", "info", "warning", "error")
 MAX_UID_CHARACTERS = 64
-MAX_SUBJECTS = 20_000  # without wildcards; limits memory and the time to apply one more change
-MAX_PATTERNS = 256  # with wildcards; each one is matched against every credential
+MAX_SUBJECTS = 20_000  # denied subjects without wildcards; bounds the memory and the time to apply a change
+MAX_PATTERNS = 256  # denied subjects with wildcards; each one is matched against every credential
 MAX_FINGERPRINTS = 20_000
 
 
--- a/ironmill/configuration/proxy_config.py
+++ b/ironmill/configuration/proxy_config.py
@@ -35,8 +35,8 @@
     connect_timeout_s: float
     drain_grace_s: float
     packets_pass_through: bool  # established connections continue through another proxy after the exit
-    default_deadlines_s: Mapping[str, float]  # by class, for requests without a deadline
-    shortest_latency_objective_s: float  # of messages on established connections, over all classes
+    default_deadlines_s: Mapping[str, float]  # by request class, for requests without a deadline
+    shortest_latency_objective_s: float  # shortest of all classes, for messages on established connections
     raw_values: Mapping[str, object]  # values of the file by their full keys
     admin_address: Address | None = None  # None: there is no admin API
 
--- a/ironmill/configuration/site_settings.py
+++ b/ironmill/configuration/site_settings.py
@@ -1,4 +1,4 @@
-"""Reads the operators' settings of a site, a JSON object, into the settings of the balancer.
+"""Reads the platform's settings of a site, a JSON object, into the settings of the balancer.
 
 The proxy and the simulator's adapter share this module. It is the only place that maps the keys of the JSON
 object to the names used in the code.
--- a/ironmill/identity/authenticator.py
+++ b/ironmill/identity/authenticator.py
@@ -140,7 +140,7 @@
     def reauthenticate(
         self, admitted: Admitted, now: float, settings: IdentitySettings | None = None
     ) -> Admitted | Rejected:
-        """Returns a new verdict on a credential that was admitted before. Does not count it."""
+        """Returns a new verdict on a credential that was admitted before. Does not count the verdict."""
         settings = settings or self.settings
         if admitted.certificate is None and admitted.token is None:
             return admitted if settings.anonymous is not None else Rejected(RejectionReason.MISSING)
--- a/ironmill/identity/callers.py
+++ b/ironmill/identity/callers.py
@@ -25,7 +25,7 @@
 
 EXPIRY_CHECK_INTERVAL_S = 1.0
 MAX_LOGGED_REJECTIONS_PER_S = 20
-MAX_STALE_EXPIRIES = 64  # heap entries of closed connections, beyond one for each established connection
+MAX_STALE_EXPIRIES = 64  # allowed heap entries of closed connections, plus one per established connection
 
 log = EventLog("ironmill.identity.callers")
 
--- a/ironmill/identity/usage.py
+++ b/ironmill/identity/usage.py
@@ -8,7 +8,7 @@
 from ironmill.identity.rate_limiter import RateLimiter
 from ironmill.identity.rules import Caller
 
-RETRY_AFTER_S = 1.0  # for a caller that has reached its number of connections
+RETRY_AFTER_S = 1.0  # for a caller that has reached its maximum number of connections
 MIN_RETRY_AFTER_S = 0.001
 
 
--- a/ironmill/net/admin_server.py
+++ b/ironmill/net/admin_server.py
@@ -45,7 +45,7 @@
         self._listener.start()
 
     def close(self, within: float = 0.0) -> None:
-        """Stops listening; accepted requests are still answered. ``within``: as for ``Listener.close``."""
+        """Stops listening, but answers accepted requests. ``within`` is passed to ``Listener.close``."""
         self._listener.close(within)
 
     def _accepted(self, stream: Stream) -> None:
--- a/ironmill/net/attempt.py
+++ b/ironmill/net/attempt.py
@@ -21,7 +21,8 @@
 from ironmill.runtime.scheduler import Task
 from ironmill.runtime.system_calls import RESOURCE_EXHAUSTED_ERRNOS, UnsentError
 
-# Connects to an address within a timeout in seconds. The caller calls ``Stream.handshake`` before any data.
+# A function that connects to an address within a timeout in seconds. Its caller must call
+# ``Stream.handshake`` before it sends or receives data.
 Dial = Callable[[tuple[str, int], float], Stream]
 
 
@@ -126,11 +127,11 @@
             self.stream.close()
 
     def _open(self, owner: AttemptOwner, deadline: float) -> AttemptEvent | None:
-        """Connects and sends the request; returns None if there is no answer or the owner cancels it."""
+        """Connects and sends the request; returns None without an answer or if the owner forbids it."""
         connect_timeout_s = self._plan.connect_timeout_s
         stream = self.stream = self._connect(owner, deadline)
-        # The drain grace period of a server applies to the first byte sent, not to the decision to connect.
-        # With TLS the handshake sends the first byte, so that the owner is asked before and after it.
+        # The drain grace period of a server limits when the first byte is sent, not when the connect begins.
+        # With TLS the handshake sends the first byte, so the owner is asked before and after the handshake.
         if not owner.may_start():
             return None
         stream.handshake(min(deadline, time.monotonic() + connect_timeout_s))
--- a/ironmill/net/clients/attempts.py
+++ b/ironmill/net/clients/attempts.py
@@ -29,7 +29,7 @@
         self._connection = connection
         self._attempt = attempt
         self._service = connection.service
-        # Bound directly: a method of this class that forwards the call would run for every read.
+        # An attribute instead of a method that forwards the call, because it is called for every read.
         self.run_guarded = connection.run_guarded
 
     def run(self) -> None:
@@ -137,7 +137,7 @@
             connection.stream.close_gracefully(GRACEFUL_CLOSE_TIMEOUT_S)
 
     def _check_client(self) -> bool:
-        """Returns False if the client has closed, and handles the close. The last check before an attempt.
+        """Returns False if the client has closed, and handles the close. Called just before an attempt sends.
 
         The FIN of a client that closed while its connection was in the accept queue follows the request line.
         Without this check the attempt would reach a server before the FIN is read.
@@ -166,7 +166,7 @@
             connection.fail()
 
     def may_start(self) -> bool:
-        """Returns False if the client has closed. The server may drain: it has this connection already."""
+        """Returns False if the client has closed. The server may be draining, as it has this connection."""
         return self._check_client()
 
     def _try_until(self, deadline: float) -> bool:
--- a/ironmill/net/clients/closing.py
+++ b/ironmill/net/clients/closing.py
@@ -17,9 +17,9 @@
     from ironmill.net.clients.connection import ClientConnection
 
 GRACEFUL_CLOSE_TIMEOUT_S = 1.0  # for the peer to read the last line and to close its side
-REJECTED_CLOSE_TIMEOUT_S = 0.2  # the same limit for a rejected client
+REJECTED_CLOSE_TIMEOUT_S = 0.2  # for a rejected client to close its side
 NO_CAPACITY_RETRY_AFTER_S = 0.5  # sent to a client for which no descriptor is left
-# Sent while the proxy drains: by then the load balancer in front routes the client to another proxy.
+# Sent while the proxy drains. After this time the front-end load balancer routes the client to another proxy.
 DRAINING_RETRY_AFTER_S = 0.2
 
 
@@ -36,14 +36,14 @@
         *,
         sends_retry_after: bool,
     ) -> None:
-        """Creates a closer; ``sends_retry_after`` is True if the settings allow a time in ``BUSY`` lines."""
+        """Creates a closer; ``sends_retry_after`` is True if the settings allow a delay in ``BUSY`` lines."""
         self._scheduler = scheduler
         self._gateway = gateway
         self._connection_limiter = connection_limiter
         self._sends_retry_after = sends_retry_after
 
     def busy(self, retry_after_s: float) -> bytes:
-        """Returns a ``BUSY`` line, with the time to retry after if the settings allow one."""
+        """Returns a ``BUSY`` line, with the delay before a retry if the settings allow it in the line."""
         return busy_line(retry_after_s if self._sends_retry_after else 0.0)
 
     def finish(
--- a/ironmill/net/clients/connection.py
+++ b/ironmill/net/clients/connection.py
@@ -97,7 +97,7 @@
         self.attempt_task = self.service.scheduler.spawn(self.run_guarded, ClientAttempt(self, attempt).run)
 
     def cancel_attempt(self) -> bool:
-        """Cancels the current attempt while the client still waits; returns True if it may have run."""
+        """Cancels the attempt while the client still waits; returns True if the server may have run it."""
         driver = self.attempt_driver
         task = self.attempt_task
         self.attempt_driver = None
@@ -111,7 +111,7 @@
         return may_have_run
 
     def reject(self, retry_after_s: float) -> None:
-        """Answers ``BUSY`` with the time to retry after, and closes."""
+        """Answers ``BUSY`` with the delay before a retry, and closes."""
         self.service.closer.finish_later(self, self.service.closer.busy(retry_after_s))
 
     def fail(self) -> None:
@@ -145,7 +145,7 @@
         return True
 
     def _count_unread_request(self) -> None:
-        """Counts a request that has already arrived as rejected; one that arrives later is not counted."""
+        """Counts a request line that has already arrived as rejected. A later one is not counted."""
         gateway = self.service.gateway
         line, end, _ = self.stream.receive_nowait().partition(LINE_END)
         with contextlib.suppress(MalformedLineError):
--- a/ironmill/net/clients/intake.py
+++ b/ironmill/net/clients/intake.py
@@ -49,7 +49,7 @@
             return  # the client's credential was rejected, and the request line arrived in the same read
         received_at = self._gateway.now()
         queued_since = connection.stream.queued_since
-        if queued_since is not None:  # the deadline counts from when the client sent the line
+        if queued_since is not None:  # the deadline counts from the time at which the client sent the line
             received_at -= time.monotonic() - queued_since
         if not self._gateway.has_class(line.class_name):
             self._closer.reject_violation(connection, "unknown request class")
--- a/ironmill/net/clients/reading.py
+++ b/ironmill/net/clients/reading.py
@@ -28,7 +28,7 @@
 # From the accept, or from the reply to a PING, to the end of the request line. Some clients take 2 s to write
 # it, and a client that stops in the middle of it must get its answer within 3 s.
 REQUEST_LINE_TIMEOUT_S = 2.5
-HALF_CLOSED_TIMEOUT_S = 6.0  # for the server to close after its client has half-closed
+HALF_CLOSED_TIMEOUT_S = 6.0  # for the server to close after the client has half-closed its connection
 
 
 class ClientReader:
--- a/ironmill/net/control_machine.py
+++ b/ironmill/net/control_machine.py
@@ -33,7 +33,7 @@
     """The origin for the admin API. Sends the datagrams of a push without waiting for the next tick."""
 
     def __init__(self, origin: Origin, distribution: Distribution) -> None:
-        """Wraps the origin. ``distribution`` owns its socket."""
+        """Wraps the origin, whose datagrams ``distribution`` sends."""
         self._origin = origin
         self._distribution = distribution
 
--- a/ironmill/net/discovery.py
+++ b/ironmill/net/discovery.py
@@ -19,7 +19,7 @@
 # The time for which discovery may hold a poll until there is a change. It is short because a poll that is
 # lost, or blocked by a hung agent, is noticed only after this time.
 POLL_WAIT_MS = 1_000
-CALL_TIMEOUT_S = MAX_CALL_S  # from the connect to the last byte of the answer, in addition to that wait
+CALL_TIMEOUT_S = MAX_CALL_S  # from the connect to the last byte of the answer, plus the wait of a poll
 # If an empty endpoint list would replace known servers, the list is requested once more before it is
 # applied, because a fault of discovery is more likely. A longer timeout would delay a genuine empty list past
 # the grace period of draining servers, of which the gateway leaves 0.1 s.
@@ -59,7 +59,10 @@
         new_backoff: Callable[[], DiscoveryBackoff],
         known_revision: int | None = None,
     ) -> None:
-        """``known_revision``: revision of the endpoint list in use before the first answer, if any."""
+        """Creates a watch that ``start`` begins.
+
+        ``known_revision`` is the revision of the endpoint list that is used until the first answer, if any.
+        """
         self._scheduler = scheduler
         self._listener = listener
         self._new_backoff = new_backoff
@@ -107,7 +110,7 @@
         backoff: DiscoveryBackoff,
         known_revision: int | None = None,
     ) -> None:
-        """Creates a watch that does nothing until ``start``. ``known_revision``: as for ``Discovery``."""
+        """Creates a watch that does nothing until ``start``. ``Discovery`` describes ``known_revision``."""
         self.address = address
         self._scheduler = scheduler
         self._listener = listener
--- a/ironmill/net/drain.py
+++ b/ironmill/net/drain.py
@@ -15,13 +15,14 @@
 from ironmill.runtime.scheduler import Scheduler, Task
 
 # Delays from the drain request.
-# The load balancer in front polls every 0.1 s and may route clients here for another 0.2 s. Requests are
+# The front-end load balancer polls every 0.1 s and may route clients here for another 0.2 s. Requests are
 # admitted until this delay is over.
 FRONT_UPDATE_DELAY_S = 0.5
-# The last connection is told to migrate by then. Its current line has 0.9 s to end, within the 4 s allowed.
+# By this time every connection established so far has been told to migrate. The current line of the
+# last one then has 0.9 s to end, so that it is migrated within the 4 s allowed.
 MIGRATION_DEADLINE_S = 2.8
 FINAL_ANSWER_DEADLINE_S = 3.0  # pending requests get their final answer at this time
-LATE_MIGRATION_S = 1.0  # duration after that, for connections established in the meantime
+LATE_MIGRATION_S = 1.0  # from the final answers, to migrate the connections established since
 
 log = logging.getLogger("ironmill.drain")
 
--- a/ironmill/net/health_check.py
+++ b/ironmill/net/health_check.py
@@ -15,8 +15,8 @@
 from ironmill.runtime.system_calls import RESOURCE_EXHAUSTED_ERRNOS
 
 REPLY_TIMEOUT_S = 0.5
-# Limit of cached connections, reserved in ``connection_limiter.RESERVED_DESCRIPTORS``. Beyond it the least
-# recently used one is closed.
+# Limit of cached connections, whose descriptors are part of ``connection_limiter.RESERVED_DESCRIPTORS``. At
+# the limit, the least recently used connection is closed before another is opened.
 MAX_CONNECTIONS = 20
 
 
--- a/ironmill/net/key_ring_watcher.py
+++ b/ironmill/net/key_ring_watcher.py
@@ -38,7 +38,7 @@
         self._on_change = on_change
         self.path = path
         self._loaded_version: FileVersion | None = None
-        self._rejected_version: FileVersion | None = None  # latest one whose rejection was logged
+        self._rejected_version: FileVersion | None = None  # the latest version whose rejection was logged
 
     def start(self) -> None:
         """Starts to check the file every ``CHECK_INTERVAL_S``."""
--- a/ironmill/net/listener.py
+++ b/ironmill/net/listener.py
@@ -1,8 +1,8 @@
 """Listener that accepts connections and passes each of them to a callback.
 
 Shared listeners are used for upgrades: two processes listen on one address with ``SO_REUSEPORT``, and the
-kernel distributes connections between them. The process that exits first makes the kernel pass all new
-connections to the other one. The two processes do not communicate.
+kernel distributes connections between them. Before the older process exits, it makes the kernel pass
+all new connections to the newer one. The two processes do not communicate.
 """
 
 from __future__ import annotations
@@ -97,8 +97,8 @@
     def yield_to_successor(self) -> None:
         """Makes the kernel pass all new connections to the process started after this one, if there is one.
 
-        Without it the kernel would queue connections at this listener until it closes, and reset those that
-        are still queued then.
+        Without this call the kernel would queue connections at this listener until it closes, and reset those
+        that are still queued then.
         """
         if self._shared and self._sock.fileno() >= 0:
             program = array("B", struct.pack("=HBBI", _BPF_RETURN_CONSTANT, 0, 0, _SUCCESSOR_INDEX))
@@ -108,7 +108,7 @@
     def close(self, within: float = 0.0) -> None:
         """Accepts the queued connections, which a close would reset, and closes. Further calls do nothing.
 
-        Retries a failed accept for up to ``within`` seconds, and parks between the tries.
+        Retries a failed accept for up to ``within`` seconds, and parks between the retries.
         """
         if self._sock.fileno() < 0:
             return
--- a/ironmill/net/operator_features.py
+++ b/ironmill/net/operator_features.py
@@ -144,9 +144,9 @@
         self._apply_identity(files)
 
     def _with_current_tls(self, new: OperatorFiles) -> OperatorFiles:
-        """Returns the new files, with the current TLS context where it is kept.
+        """Returns the new files, with the current TLS context if it stays in use.
 
-        It is kept if it is unchanged, and if the address changed, which requires a restart.
+        It stays in use if the new one is equal, and also if the address changed, which requires a restart.
         """
         old = self._files
         old_listen = None if old.settings.tls is None else old.settings.tls.listen
--- a/ironmill/net/reload.py
+++ b/ironmill/net/reload.py
@@ -17,7 +17,7 @@
 # discovery is applied.
 _UNLOGGED_KEYS = ("seed", "known", "discovery")
 # The time for which reading a file is retried after a transient failure. Changes count as notified 4 s after
-# the signal, and the first poll at a new address of discovery takes 1 s of that.
+# the signal, and the first poll at a new address of discovery takes 1 s of these 4 s.
 READ_RETRY_TIMEOUT_S = 2.0
 READ_RETRY_INTERVAL_S = 0.02
 MAX_LOGGED_KEYS = 8  # bounds the log line if the two files have little in common
@@ -44,7 +44,7 @@
         watch_at: Callable[[Address], object],
         sleep: Callable[[float], object] = time.sleep,
     ) -> None:
-        """``config`` is the configuration in use; ``watch_at`` moves the watch on discovery to an address."""
+        """Creates a reload of ``config``; ``watch_at`` moves the watch on discovery to an address."""
         self._config = config
         self._read_config = read_config
         self._watch_at = watch_at
--- a/ironmill/net/shutdown.py
+++ b/ironmill/net/shutdown.py
@@ -19,10 +19,10 @@
 if TYPE_CHECKING:  # modules of disabled features are not imported
     from ironmill.net.admin_server import AdminServer
 
-# Delays from the signal.
+# ACCEPT_PERIOD_S and MIGRATION_DELAY_S are counted from the signal.
 ACCEPT_PERIOD_S = 0.5  # new connections keep arriving for up to 0.4 s
-# Proxies are restarted one after another. The proxy restarted before this one serves again by then, and can
-# take the migrated clients.
+# Proxies are restarted one after another. After this delay, the proxy that was restarted before this one
+# serves again and can take the migrated clients.
 MIGRATION_DELAY_S = 2.0
 # SIGKILL follows no earlier than the longest request deadline, capped at MAX_DEADLINE_S, plus KILL_GRACE_S.
 MAX_DEADLINE_S = 3.0
@@ -126,7 +126,7 @@
         for request in self._gateway.established():
             request.handler.migrate()  # includes those established since the bulk migration
         self._scheduler.spawn(self._evict_silent, finalized_at + FINAL_FLUSH_S)
-        if self._admin_server is not None:  # the exit would reset its pending calls
+        if self._admin_server is not None:  # the exit would reset the connections of its pending requests
             self._admin_server.close(FINAL_FLUSH_S / 2.0)
         self._scheduler.sleep(max(0.0, finalized_at + FINAL_FLUSH_S - time.monotonic()))
 
--- a/ironmill/net/sockets.py
+++ b/ironmill/net/sockets.py
@@ -21,10 +21,10 @@
     UnsentError,
 )
 
-READ_BYTES = 16 * 1024  # maximum of one read, which bounds the data buffered for the other side
+READ_BYTES = 16 * 1024  # maximum of one read; bounds the data buffered for the other side of a relay
 MAX_DISCARDED_BYTES = 64 * 1024  # maximum that is read and discarded after the final answer
-MAX_IMMEDIATE_RETRIES = 16  # of a call that fails for lack of memory while the task must not park
-MAX_READS_WITHOUT_YIELD = 4  # consecutive reads of one connection
+MAX_IMMEDIATE_RETRIES = 16  # retries of a call that fails for lack of memory and must not park
+MAX_READS_WITHOUT_YIELD = 4  # consecutive reads of one connection before its task yields to others
 # A write that is blocked by its peer checks at this interval whether the source has closed. If it has, the
 # write fails after the timeout, because the close must reach the other side within 1 s.
 BLOCKED_WRITE_CHECK_INTERVAL_S = 0.25
--- a/ironmill/net/tls.py
+++ b/ironmill/net/tls.py
@@ -1,8 +1,8 @@
 """A TLS stream with the interface of a plain ``Stream``.
 
-Encrypted records that the socket has not taken yet are buffered, so that up to one record that was reported
-as sent may still be unsent. ``has_backpressure`` is True while the buffer is not empty, and ``send`` waits
-until it is.
+Encrypted records that the socket has not taken yet are buffered. Data of up to one record may therefore be
+reported as sent while it is still buffered. ``has_backpressure`` is True while the buffer is not empty, and
+``send`` waits until the buffer is empty.
 """
 
 from __future__ import annotations
--- a/ironmill/protocol/client.py
+++ b/ironmill/protocol/client.py
@@ -15,17 +15,17 @@
 from ironmill.protocol.request import MalformedLineError, RequestLine, parse_request_line
 
 PONG_LINE = b"PONG\r\n"
-DRAINING_LINE = b"DRAINING\r\n"  # the reply to PING of a proxy that the load balancer should stop using
+DRAINING_LINE = b"DRAINING\r\n"  # replies to PING; tells the front-end load balancer to use other proxies
 ERROR_LINE = b"ERR\r\n"
 MIGRATE_LINE = b"MOVE\r\n"
 
 MAX_EARLY_BYTES = MAX_LINE_BYTES  # buffered for a resumed connection until it is established again
 MAX_PINGS = 64  # on one connection
-MAX_PINGS_PER_READ = 4  # the load balancer in front waits for each reply, so more in one read are an error
+MAX_PINGS_PER_READ = 4  # the front-end load balancer waits for each reply, so more at once are an error
 
 
 class PingReceived(Struct, frozen=True):
-    """The load balancer in front of the proxies checks whether this proxy is up."""
+    """The front-end load balancer checks whether this proxy is up."""
 
 
 class CredentialPresented(Struct, frozen=True):
@@ -41,7 +41,7 @@
 
 
 class ProtocolViolated(Struct, frozen=True):
-    """The client violated the protocol. It is sent ``ERR``, and its attempt, if any, is ended."""
+    """The client violated the protocol. The driver sends it ``ERR`` and ends its attempt, if there is one."""
 
     reason: str
 
--- a/ironmill/protocol/discovery.py
+++ b/ironmill/protocol/discovery.py
@@ -33,7 +33,7 @@
 
 
 def parse_endpoint_update(message: JsonObject) -> EndpointUpdate:
-    """Parses a response, without the servers in an unknown state. Raises ``MalformedError``."""
+    """Parses a response; omits servers whose state this version does not know. Raises ``MalformedError``."""
     servers = []
     for item in message.nested_list("targets"):
         stage = STAGES.get(item.text("state"))
--- a/ironmill/protocol/request.py
+++ b/ironmill/protocol/request.py
@@ -11,8 +11,8 @@
 from ironmill.errors import IronmillError
 from ironmill.protocol.lines import LINE_END
 
-# Clients whose connection was open before this process started send 4,294,967 ms, the largest number of
-# microseconds that fits in 32 bits. A deadline of more than a day is treated as an error.
+# A longer deadline is an error. Clients whose connection was open before this process started send a deadline
+# of 4,294,967 ms, the largest number of microseconds that fits in 32 bits; it must be accepted.
 MAX_DEADLINE_MS = 86_400_000
 
 # Names of the request line's fields on the wire.
--- a/ironmill/runtime/gc_schedule.py
+++ b/ironmill/runtime/gc_schedule.py
@@ -23,7 +23,7 @@
     """Runs full collections only while few connections are open."""
 
     def __init__(self, timers: Timers, count_connections: Callable[[], int]) -> None:
-        """``count_connections`` returns the number of open connections."""
+        """Creates a schedule; ``count_connections`` returns the number of open connections."""
         self._timers = timers
         self._count_connections = count_connections
 
--- a/ironmill/runtime/logs.py
+++ b/ironmill/runtime/logs.py
@@ -42,7 +42,7 @@
     """A logger of the standard library whose events take fields."""
 
     def __init__(self, name: str) -> None:
-        """``name`` is the dotted name of the logger."""
+        """Creates an event log; ``name`` is the dotted name of the logger."""
         self._log = logging.getLogger(name)
 
     def info(self, event: str, **fields: object) -> None:
--- a/ironmill/runtime/rate_limited_log.py
+++ b/ironmill/runtime/rate_limited_log.py
@@ -16,7 +16,7 @@
         self._suppressed = 0
 
     def allow(self) -> int | None:
-        """Returns how many lines were suppressed since the last allowed one; None if this one is, too."""
+        """Returns the number of suppressed lines since the last allowed one; None to suppress this line."""
         now = time.monotonic()
         if now - self._logged_at < LINE_INTERVAL_S:
             self._suppressed += 1
--- a/ironmill/runtime/scheduler.py
+++ b/ironmill/runtime/scheduler.py
@@ -5,7 +5,7 @@
 
 A descriptor is registered at its first wait and stays registered until ``forget``, so an idle connection
 costs no system calls. Events are level-triggered. If an event occurs without a waiting task, it is
-unregistered; a later wait registers it again and still reports it.
+unregistered; a later wait registers it again and reports the event if the condition still holds.
 
 Killing a task raises ``GreenletExit`` in its ``wait`` or ``sleep``. The task releases its resources in
 ``finally`` blocks and context managers, and must not park there.
@@ -96,7 +96,7 @@
 
     @property
     def started(self) -> bool:
-        """Whether ``run`` has been called, even if the task was killed before it started."""
+        """True once ``run`` has been called, also if it skipped the function because the task was killed."""
         return self._function is None
 
     def run(self) -> None:
@@ -122,7 +122,7 @@
     """Runs tasks and timers in one thread until it is stopped."""
 
     def __init__(self, poller: str = "epoll") -> None:
-        """``poller`` is a key of ``POLLERS``. The calling greenlet becomes the hub."""
+        """Creates a scheduler with the calling greenlet as hub; ``poller`` is a key of ``POLLERS``."""
         self._hub = getcurrent()
         self._poller = POLLERS[poller]()
         self._timers = TimerQueue()
@@ -154,9 +154,9 @@
         return task
 
     def kill(self, task: Task | None) -> None:
-        """Ends a parked task; if it is the current one, raises ``GreenletExit``.
+        """Ends a parked task in the next round of the hub; if it is the current one, raises ``GreenletExit``.
 
-        Its descriptor may be closed as soon as this returns.
+        The descriptor that the task waited for may be closed as soon as this returns.
         """
         if task is None or task.killed:
             return
--- a/ironmill/runtime/timers.py
+++ b/ironmill/runtime/timers.py
@@ -12,15 +12,15 @@
 from collections.abc import Callable
 from typing import Any
 
-# The minimum number of cancelled entries for a removal; they must also be more than half of the queue. The
-# removal bounds the memory for long timers that are constantly set and cancelled.
+# Cancelled entries are removed once there are at least this many and they are more than half of the queue.
+# The removal bounds the memory for long timers that are constantly set and cancelled.
 MIN_CANCELLED_TO_REMOVE = 4096
 
 log = logging.getLogger("ironmill.runtime.timers")
 
 
 def _no_delay(_: float) -> None:
-    """Does nothing: ``sched`` yields after each action, a system call with no other thread to run."""
+    """Does nothing. Replaces the ``sleep(0)`` of ``sched`` after each action, a needless system call."""
 
 
 class Timer:
