--- a/ironmill_testbed/capacity/on_sockets.py
+++ b/ironmill_testbed/capacity/on_sockets.py
@@ -80,7 +80,7 @@
         seconds: float,
         actions: Iterable[tuple[float, Callable[[], object]]] = (),
     ) -> None:
-        """Pushes ``rate`` changes per second; runs each action at its number of seconds after the start."""
+        """Pushes ``rate`` changes per second; calls each action at its time in seconds since the start."""
         start, pending_actions = time.monotonic(), list(actions)
         push_count = 0
         while (elapsed_s := time.monotonic() - start) < seconds or pending_actions:
@@ -233,7 +233,10 @@
 
 
 def _cores(fleet: SocketFleet, before: tuple[dict[str, Usage], float], prefix: str) -> dict[str, float]:
-    """Returns the shares of a core used since ``before``, a usage and its time, while changes are pushed."""
+    """Returns the percentages of a core that relays, origin and proxies have used since ``before``.
+
+    ``before`` is a usage and its time; changes are pushed between that time and the call.
+    """
     usage_before, start = before
     core_percent = _core_percent(usage_before, fleet.usage(), time.monotonic() - start)
     relays = [core_percent[name] for name in fleet.controls if name != ORIGIN]
--- a/ironmill_testbed/capacity/scenarios.py
+++ b/ironmill_testbed/capacity/scenarios.py
@@ -37,7 +37,7 @@
 RESTARTED_FRACTION = 710 / 2800  # fraction of the proxies that restart in a day
 VALUE_BYTES = 100
 MAX_PROXY_BYTES_PER_S = 6000.0  # sent and received
-# Of the latencies of all changes at all proxies.
+# The quantiles that are computed of the latencies of all changes at all proxies.
 QUANTILES = (0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.99, 0.999, 1.0)
 
 
--- a/ironmill_testbed/faults/checker.py
+++ b/ironmill_testbed/faults/checker.py
@@ -66,7 +66,7 @@
 
 
 def count_flaps(events: Iterable[LoggedEvent], since: float, until: float) -> int:
-    """Returns how many removals in the interval repeat one of the same member from the same view."""
+    """Counts the removals that follow another removal of the same member from the same view."""
     counts: dict[tuple[str, str], int] = {}
     for event in removals(events, since, until):
         key = (event.name, event.fields["member"])
--- a/ironmill_testbed/faults/process_cluster.py
+++ b/ironmill_testbed/faults/process_cluster.py
@@ -171,7 +171,7 @@
         return () if report is None else tuple(member.name for member in report.members)
 
     def agree(self, names: Sequence[str], on: Sequence[str] | None = None) -> bool:
-        """Returns True if the views of these processes are exactly ``on``, by default these processes."""
+        """Returns True if the view of each named process is exactly ``on``, by default the named ones."""
         expected = tuple(sorted(names if on is None else on))
         return all(self.member_names(name) == expected for name in names)
 
--- a/ironmill_testbed/faults/simulated_cluster.py
+++ b/ironmill_testbed/faults/simulated_cluster.py
@@ -180,7 +180,10 @@
         }
 
     def agree(self, names: Sequence[str] | None = None, on: Sequence[str] | None = None) -> bool:
-        """Returns True if the views of these members are exactly ``on``, by default these members."""
+        """Returns True if the view of each named member is exactly ``on``, by default the named ones.
+
+        Without ``names``, the views of all running members are compared.
+        """
         if on is None:
             running = [process.name for process in self.processes.values() if process.member is not None]
             on = running if names is None else names
--- a/ironmill_testbed/faults/simulated_proxies.py
+++ b/ironmill_testbed/faults/simulated_proxies.py
@@ -41,7 +41,8 @@
 PAIRED_KEYS = ("shard/twin-a", "shard/twin-b")  # always changed together and to the same value
 MAX_KEPT_NUMBERS = 4096  # number of revisions whose times are kept
 MAX_KEPT_MOVES = 1 << 16  # changes of parent
-# Window in which the proxies of a process start, as the proxies of a real fleet do not tick at the same time.
+# The starts of the proxies of a process are spread over this time, as the proxies of a real fleet do not tick
+# at the same time.
 START_WINDOW_S = 1.0
 
 
@@ -120,7 +121,7 @@
         }
 
     def summary(self) -> dict[str, Any]:
-        """Returns all results, with the number, minimum and maximum in place of the single times."""
+        """Returns all results, with the number, minimum and maximum in place of the individual times."""
         return self.state() | {
             "reached": {
                 str(number): [len(times), min(times), max(times)] for number, times in self.applied_at.items()
--- a/ironmill_testbed/faults/socket_fleet.py
+++ b/ironmill_testbed/faults/socket_fleet.py
@@ -34,7 +34,7 @@
 KEY = "0f" * 32
 CHECK_INTERVAL_S = 0.1
 MEMORY_CHECK_INTERVAL_S = 0.2
-MEMORY_CHECK_INTERVAL_PER_PROCESS_S = 0.005  # added for each process that is checked
+MEMORY_CHECK_INTERVAL_PER_PROCESS_S = 0.005  # added to the interval for each checked process
 
 
 class SocketFleet:
--- a/ironmill_testbed/fleet.py
+++ b/ironmill_testbed/fleet.py
@@ -16,7 +16,7 @@
 from ironmill.runtime.scheduler import Scheduler
 
 CONNECT_TIMEOUT_S = 5.0
-ANSWER_GRACE_S = 3.0  # after the request's deadline
+ANSWER_GRACE_S = 3.0  # how long a client waits for its answer after the request's deadline
 LINE_TIMEOUT_S = 5.0
 JOIN_CHECK_INTERVAL_S = 0.002
 MIN_RECONNECT_DELAY_S, RECONNECT_JITTER_S = 0.05, 0.15
--- a/ironmill_testbed/measures/scale.py
+++ b/ironmill_testbed/measures/scale.py
@@ -92,7 +92,7 @@
         name: _aggregate(aggregate, [figures.get(name) for figures in all_figures])
         for name, aggregate in aggregates.items()
     }
-    # Without the scenario "rest" any other will do, since each begins without changes.
+    # If the scenario "rest" was not run, any other is used, since each begins with a time without changes.
     idle = results.get("rest") or next(iter(results.values()), {})
     summary_figures["control_bytes_per_s"] = idle.get("control_bytes_per_s")
     summary_figures["zone_loss_bytes_per_s"] = results.get("zone", {}).get("proxy_bytes_highest_s")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -38,7 +38,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    if not hasattr(config, "workerinput"):  # for a worker, the run that started it checks the names
+    if not hasattr(config, "workerinput"):  # the controller of pytest-xdist checks the names for its workers
         check_listed_tests_exist(config, (item.nodeid for item in items))
 
 
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -36,9 +36,9 @@
     )  # how many of the first calls fail, by name of the call
     failing_fraction: dict[str, float] = field(
         default_factory=dict
-    )  # of the later calls, by name of the call
-    delay_s: float = 0.0  # until ``failing_fraction`` applies and the clock is stepped
-    clock_step_s: float = 0.0  # by which the wall clock is stepped
+    )  # fraction of the later calls that fail, by name of the call
+    delay_s: float = 0.0  # time until ``failing_fraction`` applies and the clock is stepped
+    clock_step_s: float = 0.0  # size of the step of the wall clock
     stall_s: float = 0.0  # pause of the process before it sends a request line
     has_short_io: bool = False  # each read and write transfers a random part of the data
     has_read_only_files: bool = False  # only the folder for temporary files is writable
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -37,7 +37,7 @@
 MAX_RUN_S = 90.0
 READY_TIMEOUT_S = 10.0
 KILL_GRACE_S = 0.7  # from the longest deadline, at most 3 s, to the earliest permitted SIGKILL
-FRONT_DELAY_S = 0.3  # for which the load balancer in front sends new clients after SIGTERM
+FRONT_DELAY_S = 0.3  # how long the load balancer sends new clients after SIGTERM
 CROWD_CLIENTS = 120  # clients that connect at once
 MAX_EXTRA_SIGNALS = 8  # signals sent after SIGTERM
 
--- a/tests/support/soak_clients.py
+++ b/tests/support/soak_clients.py
@@ -11,7 +11,7 @@
 from ironmill.runtime.scheduler import Scheduler
 from tests.support.soak_records import CLASSES, SoakProxy, SoakRequest
 
-ANSWER_GRACE_S = 3.0  # for which a client waits for its answer after the deadline
+ANSWER_GRACE_S = 3.0  # how long a client waits for its answer after the deadline
 PERSISTENT_FRACTION = 0.4  # fraction of the clients that use their connection until the proxy ends it
 
 
--- a/tests/support/soak_records.py
+++ b/tests/support/soak_records.py
@@ -16,7 +16,7 @@
 
 MAX_ATTEMPTS = 3
 MAX_ATTEMPT_AFTER_CLOSE_S = 0.1  # latest begin of an attempt after its client has closed
-CLOCK_TOLERANCE_S = 0.15  # by which the test may read the clock too late
+CLOCK_TOLERANCE_S = 0.15  # how late the test may read the clock
 CLASSES = {"index-sync": "pure", "archive-fetch": "pure", "order": "side_effect"}
 
 
--- a/tests/system/test_admin_api.py
+++ b/tests/system/test_admin_api.py
@@ -125,7 +125,7 @@
 def test_drain_keeps_established_connections_where_packets_pass_through(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against needless migrations, each of which makes a client reconnect."""
+    """Guards against needless migrations in a drain, each of which makes a client reconnect."""
     for name, value in (
         ("FRONT_UPDATE_DELAY_S", 0.02),
         ("MIGRATION_DEADLINE_S", 0.1),
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -216,8 +216,8 @@
         try:
             client.open(token=token)
             word = "UP"
-            # The proxy sends only one answer, so the next line is the server's reply. A probe may also be
-            # established at the moment when its key is retired, and is then migrated.
+            # The proxy sends only one answer, so the next line is the server's reply. A client of kind
+            # "probe" may be established just when its key is retired; the proxy then migrates it.
             assert client.exchange(b"line") in ((b"line", b"MOVE") if kind == "probe" else (b"line",))
         except NotServedError as error:
             word = str(error).partition(" ")[0]
@@ -315,7 +315,7 @@
 
 
 def test_settings_reload_under_load_and_invalid_file_changes_nothing(tmp_path: Path) -> None:
-    """Five reloads, one of an invalid file. Each must take effect completely or not at all."""
+    """Guards against a reload that is applied in part. Of five reloads, one has an invalid file."""
     keys = Keys(tmp_path)
     with Dependencies(tmp_path, 2) as dependencies:
         clients = ProxyWithClients(tmp_path, dependencies)
--- a/tests/system/test_descriptors.py
+++ b/tests/system/test_descriptors.py
@@ -27,7 +27,7 @@
 def test_idle_clients_do_not_starve_discovery_admin_api_or_requests_of_descriptors(
     tmp_path: Path,
 ) -> None:
-    """Descriptors are reserved for the watch, the admin API, health checks and attempts.
+    """Guards against idle clients that use the descriptors for the watch, admin API, checks and attempts.
 
     Discovery is down while the idle clients connect.
     """
@@ -71,7 +71,7 @@
 
 
 def test_attempt_without_a_descriptor_affects_only_itself() -> None:
-    """The next attempt is made and becomes established."""
+    """Guards against a failed request if one attempt gets no descriptor; the next must be established."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         failures: list[bool] = []
--- a/tests/system/test_discovery_watch.py
+++ b/tests/system/test_discovery_watch.py
@@ -121,7 +121,7 @@
 
     def on_call() -> None:
         call_counts[1] += 1
-        if call_counts[1] > call_counts[0] * 2 - 1:  # the call after each answered one gets no answer
+        if call_counts[1] > call_counts[0] * 2 - 1:  # the unanswered call has ended; the next is answered
             monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 30.0)
 
     def scenario(proxy: ProxyUnderTest) -> None:
--- a/tests/system/test_distribution_processes.py
+++ b/tests/system/test_distribution_processes.py
@@ -123,7 +123,7 @@
     for faults, can_receive in (
         (both_ways(0.0, 1e9, ("p07",), machines), False),
         ([Fault("cut", 0.0, 1e9, machines, ("p07",))], False),
-        # Revisions that are pushed within the lease of its last poll still reach it.
+        # While p07 cannot send, its parent pushes revisions to it until the lease of its last poll ends.
         ([Fault("cut", 0.0, 1e9, ("p07",), machines)], True),
     ):
         cut_at = cluster.inject(faults)
@@ -144,7 +144,7 @@
         cluster.inject([])
         cluster.wait_until(lambda position=later: _is_fully_applied(cluster, position))  # type: ignore[misc]
 
-    # The origin is killed and restarted: the epoch is a new one, the history continues.
+    # The origin is killed and restarted: it begins a new epoch and continues the history of revisions.
     cluster.kill(ORIGIN)
     cluster.start(ORIGIN)
     cluster.wait_until(lambda: bool(cluster.status(ORIGIN)))
--- a/tests/system/test_migration_and_shutdown.py
+++ b/tests/system/test_migration_and_shutdown.py
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("longest_deadline_s", [0.05, 0.3, 0.6, 1.0, 2.0, 3.2, 60.0])
 def test_shutdown_has_time_to_migrate_established_connections(longest_deadline_s: float) -> None:
-    """Migrations need time to end, but must not start before the proxy restarted earlier serves again."""
+    """Migrations must have time to end, but begin only once the previously restarted proxy serves again."""
     schedule = ShutdownSchedule.for_deadline(longest_deadline_s)
     assert schedule.close_at < schedule.migrate_at < schedule.end_at <= min(longest_deadline_s, 3.0) + 0.7
     assert schedule.end_at - schedule.migrate_at >= (schedule.end_at - schedule.close_at) / 2.0 - 1e-9
@@ -126,10 +126,10 @@
 
 @pytest.mark.parametrize("longest_deadline_s", [0.3, 0.6, 2.0, 3.2])
 def test_shutdown_accepts_clients_until_the_load_balancer_has_noticed(longest_deadline_s: float) -> None:
-    """New connections arrive for 0.2 to 0.4 s after SIGTERM, independent of the deadlines."""
+    """The load balancer sends new connections for 0.2 to 0.4 s after SIGTERM, whatever the deadlines."""
     schedule = ShutdownSchedule.for_deadline(longest_deadline_s)
     assert schedule.close_at >= 0.4 + 0.04
-    # Time is left to choose servers for the last requests.
+    # The schedule leaves time to choose servers for the requests that arrive last.
     assert schedule.close_at < schedule.end_at - shutdown_module.FINAL_FLUSH_S
 
 
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -51,7 +51,7 @@
 def test_clients_are_accepted_once_discovery_has_answered_or_failed(
     monkeypatch: pytest.MonkeyPatch, answered: bool
 ) -> None:
-    """Before the first poll the known endpoint list may not show yet that a server is draining."""
+    """Guards against requests to a draining server: the endpoint list at the start may not show the drain."""
     monkeypatch.setattr(proxy_module, "FIRST_POLL_TIMEOUT_S", 60.0)
     monkeypatch.setattr(proxy_module, "GcSchedule", NoOperation)
     known_list = EndpointUpdate(
@@ -86,7 +86,7 @@
 def test_clients_are_accepted_after_a_timeout_of_discovery(
     monkeypatch: pytest.MonkeyPatch, subscribes: bool
 ) -> None:
-    """A proxy that polls discovery accepts clients at once: a fleet spreads its first polls over seconds."""
+    """A proxy that polls discovery does not wait: a large fleet spreads its first polls over seconds."""
     monkeypatch.setattr(proxy_module, "FIRST_POLL_TIMEOUT_S", 60.0 if subscribes else 0.02)
     monkeypatch.setattr(proxy_module, "GcSchedule", NoOperation)
     received: list[bytes] = []
--- a/tests/system/test_request_intake.py
+++ b/tests/system/test_request_intake.py
@@ -95,7 +95,7 @@
 
 
 def test_reads_a_bounded_part_of_a_fast_sender_after_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Bytes that arrive after a rejection must not cost processor time."""
+    """Guards against spending processor time on all the bytes that a rejected client continues to send."""
     read_sizes: list[int] = []
     receive = Stream.receive
 
@@ -134,7 +134,7 @@
 
 
 def test_request_line_may_take_two_seconds() -> None:
-    """Some clients take 2 s; a client that stops halfway must get an error or a close within 3 s."""
+    """Some clients need 2 s for the line; one that stops halfway must get an error or a close within 3 s."""
     assert 2.3 <= reading_module.REQUEST_LINE_TIMEOUT_S <= 2.7
 
 
@@ -149,7 +149,7 @@
 
 
 def test_resumed_connection_may_state_a_long_deadline() -> None:
-    """A proxy that terminates connections resumes all of them; a rejection would lose the connection."""
+    """A restarted proxy that terminates connections resumes all of them; a rejection would lose one."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client = proxy.client(b"OPEN 1a 2b c=read,d=4294967,g=3c,at=s-0\r\n")
--- a/tests/system/test_system_calls.py
+++ b/tests/system/test_system_calls.py
@@ -180,10 +180,10 @@
 
 @pytest.mark.parametrize("step_s", [0.0, 3600.0, -3600.0])
 def test_slow_start_budget_holds_whatever_the_wall_clock(tmp_path: Path, step_s: float) -> None:
-    """The wall clock of a machine may be stepped by seconds or by an hour.
+    """Guards against a slow start that ends early or late if the wall clock is stepped, by up to an hour.
 
-    Without a budget the new one of four equal servers would get a fourth of the 400 requests. The budget of a
-    window is 0.4 x 3 x 0.05 of what an old server gets in it, and there are two windows.
+    Without a slow-start budget the new one of four equal servers would get a fourth of the 400 requests. The
+    budget for a window is 0.4 x 3 x 0.05 of what an old server gets in it, and there are two windows.
     """
     with create_site(tmp_path, FaultPlan(clock_step_s=step_s), {"rules": dict(SLOW_START)}) as site:
 
@@ -332,7 +332,7 @@
 def test_shutdown_answers_clients_that_are_writing_their_request_line(
     tmp_path: Path, interval_s: float, recv_failing: float
 ) -> None:
-    """The proxy once checked for unread bytes only at one moment of the shutdown.
+    """Guards against a shutdown that checks only once for unread bytes of clients.
 
     Clients that had sent bytes by then, or whose check had failed, got no answer.
     """
--- a/tests/unit/balancing/test_connection_groups.py
+++ b/tests/unit/balancing/test_connection_groups.py
@@ -28,7 +28,7 @@
         for send in sends(proxy.request(group=77)):
             proxy.establish(send)
     counts = sorted(proxy.balancer.connection_counts().values())
-    assert counts[1] > GROUP_DISCOUNT  # three of the four servers share the group
+    assert counts[1] > GROUP_DISCOUNT  # at least three of the four servers share the group
     assert counts[-1] < 3 * GROUP_DISCOUNT
 
 
--- a/tests/unit/balancing/test_fleet.py
+++ b/tests/unit/balancing/test_fleet.py
@@ -37,7 +37,7 @@
 
 
 def list_connections(proxy: SimulatedProxy, connections: dict[int, float], size: float = 4.0) -> None:
-    """Sends the proxy a list whose live weights show these connections per core, by server."""
+    """Sends the proxy a list whose live weights correspond to these connections per core, by server id."""
     listed = tuple(
         EndpointEntry(server_id, Stage.READY, weight=size / (1.0 + load))
         for server_id, load in connections.items()
@@ -97,7 +97,8 @@
 
 def test_live_weights_include_placements_of_other_proxies() -> None:
     for proxy in fleet(4, live_weights=True):
-        list_connections(proxy, {1: 0.0, 2: 0.0, 3: 0.0, 4: 0.0})  # shows the size of the servers
+        # Without connections, each weight is the server's size.
+        list_connections(proxy, {1: 0.0, 2: 0.0, 3: 0.0, 4: 0.0})
         proxy.now += 5.0
         list_connections(proxy, {1: 5.0, 2: 4.5, 3: 0.5, 4: 6.0})
         assert [send.server_id for send in sends(proxy.request())] == [3]
@@ -151,7 +152,7 @@
 
 
 def test_fleet_migrates_some_but_not_all_connections_off_overloaded_server() -> None:
-    """Each report reaches only one proxy, which must act on it, but not all proxies may act at once."""
+    """Guards against all proxies acting at once. Each report reaches only one proxy, which must act on it."""
     proxies = fleet(1, health_checks=True)
     establish_on_server_1(proxies, 1)
     migrated = 0
@@ -189,7 +190,7 @@
 
 
 def test_unused_slow_start_budget_is_not_carried_over() -> None:
-    """With grants carried over, the fleet could exceed the rule in one window."""
+    """Guards against grants that are carried over, with which the fleet could exceed the rule in a window."""
     granted = next_window = later_window = 0
     for seed in range(2000):
         budget = SlowStartBudget(
@@ -204,12 +205,12 @@
             next_window += budget.allows(server, 86.0)
             later_window += budget.allows(server, 88.0)
     assert 20 <= granted <= 60  # about one in fifty proxies gets a grant in one window
-    assert next_window <= 3  # no more often than for any other proxy
+    assert next_window <= 3  # a proxy with an unused grant gets another no more often than the others
     assert later_window < granted, "unused grants are carried over"
 
 
 def test_threshold_of_proxy_with_few_placements_follows_list() -> None:
-    """Otherwise all proxies of a large fleet would use only the few servers that are listed as idle."""
+    """Guards against a low threshold, with which a large fleet would use only the servers listed as idle."""
     for proxy in fleet(10, proxies=200, live_weights=True):
         proxy.request()
         assert proxy.balancer.threshold <= 1
--- a/tests/unit/balancing/test_load_shedding.py
+++ b/tests/unit/balancing/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: new requests are rejected when most servers are overloaded, and not for a single one."""
+"""Load shedding: new requests are rejected when many servers are overloaded, but not if only one is."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 def test_sheds_work_over_tenant_quota_first() -> None:
     """Work over a tenant's quota has low priority and must not displace other work."""
-    # Each of the 4 proxies has a share of 2 and 10 connections.
+    # Each of the 4 proxies has a share of the quotas: 2 connections of "greedy" and 10 of "modest".
     tenants = (Tenant("greedy", 4.0, 8.0), Tenant("modest", 4.0, 40.0))
     admitted = {"greedy": 0, "modest": 0}
     for seed in range(20):
@@ -94,7 +94,9 @@
     assert all(sends(proxy.request()) for _ in range(10))
     proxy.report_load(1, 1.4)
     proxy.run_until(proxy.now + 1.0)
-    assert all(sends(proxy.request()) for _ in range(10))  # a single overloaded server has a fault of its own
+    assert all(
+        sends(proxy.request()) for _ in range(10)
+    )  # one overloaded server indicates a fault of its own
     proxy.report_load(2, 0.92)
     for server in (3, 4):
         proxy.report_load(server, 0.15)
--- a/tests/unit/balancing/test_migration.py
+++ b/tests/unit/balancing/test_migration.py
@@ -32,7 +32,7 @@
             for send in sends(proxy.request()):
                 proxy.establish(send)
         proxy.handle(ConnectionSample("r1", 0, 1, SampleKind.DELAY, 1.0))
-        if not expected:  # every server is slow before a migration could start
+        if not expected:  # the others become slow first, as one slow server alone would cause a migration
             for send in sends(proxy.actions):
                 if send.server_id > 1:
                     proxy.sample_delay(send, 90.0)
--- a/tests/unit/balancing/test_server_counts.py
+++ b/tests/unit/balancing/test_server_counts.py
@@ -41,8 +41,8 @@
         proxy.report_load(server, load)
     (send,) = sends(proxy.request())
     counts = proxy.balancer.token_counts()
-    assert counts.pop(1) == 4  # 0.8 / 1.2 of the reported load, times 6 connections
-    assert counts.pop(send.server_id) == 2  # 1 by the report, and 1 placed since
+    assert counts.pop(1) == 4  # 6 connections x its load of 0.8 / the reported total of 1.2
+    assert counts.pop(send.server_id) == 2  # 1 by its reported load, and 1 placed since the report
     assert list(counts.values()) == [1]
     proxy.run_until(proxy.now + REPORT_LIFETIME_S + 1.0)
     proxy.request()
--- a/tests/unit/balancing/test_slow_start.py
+++ b/tests/unit/balancing/test_slow_start.py
@@ -24,7 +24,10 @@
 
 
 def test_reconnect_burst_keeps_slow_start_budget() -> None:
-    """Many proxies, each with less than one connection per server, act alike while most servers start."""
+    """Guards against a budget that each proxy keeps but the fleet exceeds, while most servers start.
+
+    Each of the many proxies has less than one connection per server, and all of them act alike.
+    """
     proxies = [SimulatedProxy(10, seed=number) for number in range(100)]
     window, multiple, initial_capacity = 2.0, 3.0, 0.3
     for proxy in proxies:
--- a/tests/unit/balancing/test_slow_start_of_fleet.py
+++ b/tests/unit/balancing/test_slow_start_of_fleet.py
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("uses_live_weights", [True, False])
 def test_handover_keeps_slow_start_budget(uses_live_weights: bool) -> None:
-    """The old and the new process of each proxy serve in parallel for up to 6 s."""
+    """Guards against a doubled budget while old and new processes serve in parallel, for up to 6 s."""
     for proxies in (1, 4, 20):
         for seed in range(1, 5):
             assert excess_over_budget(proxies, uses_live_weights, 0.0, seed, upgraded=1.0) <= 0.0
--- a/tests/unit/balancing/test_subscription.py
+++ b/tests/unit/balancing/test_subscription.py
@@ -32,7 +32,7 @@
         assert len(delays) == 6
         assert delays[4] > delays[0]
         delays_by_proxy.append(delays)
-    # The limit is four times the poll interval, after a failed call.
+    # After failed calls, the pause is at most four times the poll interval.
     assert max(max(delays) for delays in delays_by_proxy) < 40.0
     assert len({delays[0] for delays in delays_by_proxy}) == 20
 
--- a/tests/unit/balancing/test_threshold.py
+++ b/tests/unit/balancing/test_threshold.py
@@ -29,7 +29,8 @@
     for number in range(9):
         proxy.handle(resumed(number, 1 + number % 4))
     proxy.request()
-    # The mean of 9 over 4 servers is 2. Server 1 has 3, the others 2: no green, three yellow, so no step.
+    # 9 connections on 4 servers have a mean of 2, rounded down. Server 1 has 3 and each other server 2: there
+    # are no green and three yellow tokens, so the threshold does not change.
     assert proxy.balancer.threshold == 2
     assert sends(proxy.actions)[0].server_id != 1
 
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -218,7 +218,9 @@
     session = callers.new_session(connection, "x")
     assert session.present_token(keys.token()) is None
     ConfigurationConsumer(callers, ignore_level).apply({"deny/subject/farm-1": b""})
-    assert session.request_connection("read") is None  # the rules at its start apply
+    assert (
+        session.request_connection("read") is None
+    )  # the rules apply that were in force when the token was presented
     session.connection_established()
     timers.run(2.0)
     assert len(connection.migrated_at) == 1
--- a/tests/unit/distribution/test_catch_up.py
+++ b/tests/unit/distribution/test_catch_up.py
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_catch_up_yields_one_state_despite_lost_duplicated_and_late_answers(seed: int) -> None:
-    """Under changes, a change of parent and responses in any order, the result is a state of the parent."""
+    """Guards against a mixed state if the parent or its keyspace changes, or responses are out of order."""
     rng = random.Random(seed)
     parent = Parent(PARENT_VALUES)
     old = keyspace_of({f"shard/{number}": b"old" for number in range(0, 900 if seed % 2 else 3, 2)})
--- a/tests/unit/requests/test_discovery_backoff.py
+++ b/tests/unit/requests/test_discovery_backoff.py
@@ -26,7 +26,7 @@
     """Returns the times at which proxies call discovery, and how many calls were answered.
 
     Discovery answers no call before ``available_at``, then up to ``answers_per_s``. Calls take no simulated
-    time, but the pauses are those after calls that failed after ``call_duration_s``.
+    time, but each pause is as long as after a call that failed after ``call_duration_s``.
     """
     backoffs = [DiscoveryBackoff(proxies, random.Random(seed)) for seed in range(proxies)]
     due = [(backoff.first_delay(), number) for number, backoff in enumerate(backoffs)]
@@ -64,7 +64,7 @@
         backoff = DiscoveryBackoff(200, random.Random(number))
         assert backoff.first_delay() + MAX_CALL_S < NOTIFICATION_TIMEOUT_S
         first_pause, *later_pauses = (backoff.failed() for _ in range(40))
-        # The first failed call waits for changes, the later ones do not.
+        # Only the first failed call may have waited for changes, which adds POLL_WAIT_MS to its duration.
         assert POLL_WAIT_MS / 1000.0 + CALL_TIMEOUT_S + first_pause + MAX_CALL_S < NOTIFICATION_TIMEOUT_S
         assert MAX_CALL_S + max(later_pauses) + MAX_CALL_S <= NOTIFICATION_TIMEOUT_S - TIMING_MARGIN_S
 
@@ -100,7 +100,7 @@
 
 
 def test_first_call_is_immediate_where_discovery_is_not_polled() -> None:
-    """Changes sent to the local agent count as notified, so a list from before the start must not be used."""
+    """A change counts as notified once the local agent has it, so a list from before the start is too old."""
     backoff = DiscoveryBackoff(40, random.Random(1), polls_discovery=False)
     assert backoff.first_delay() == 0.0
     assert all(backoff.failed() < 0.2 for _ in range(20))
--- a/tests/unit/requests/test_gateway.py
+++ b/tests/unit/requests/test_gateway.py
@@ -156,7 +156,10 @@
 def test_attempt_starts_early_enough_for_a_suspended_process_to_meet_the_drain_grace(
     timers: FakeTimers,
 ) -> None:
-    """A process may be suspended for 0.15 s between reading its clock and writing."""
+    """Guards against a request line written after the drain grace period.
+
+    The process may be suspended for 0.15 s between reading its clock and writing.
+    """
     gateway, handler = Gateway(config(EndpointUpdate(1, True, (listed("s-1"),))), timers), RecordingHandler()
     gateway.open_request(handler, IncomingRequest("read", gateway.now(), 1.0))
     (attempt,) = handler.attempts
@@ -245,13 +248,13 @@
 
 
 def test_unanswered_line_counts_as_delay_and_unresponsive_connection_is_given_up(timers: FakeTimers) -> None:
-    """If a server's machine is lost, its connections stay open without any data."""
+    """Guards against clients that wait forever: connections of a lost machine stay open without any data."""
     recording = RecordingMeter(timers)
     recording.meter.add_connection("a")
     recording.meter.lines_sent("a", 1)
     timers.run(UNRESPONSIVE_TIMEOUT_S - 0.1)
     assert [delay for _, delay in recording.reports] == [0.05, 1.05, 2.05]
-    assert UNRESPONSIVE_TIMEOUT_S + 2.0 < 6.0  # a line is sent every 2 s; 7 s are allowed
+    assert UNRESPONSIVE_TIMEOUT_S + 2.0 < 6.0  # clients send a line every 2 s; 7 s are allowed
     assert recording.unresponsive == []
     timers.run(0.2)
     assert recording.unresponsive == ["a"]
--- a/tests/unit/testbed/test_capacity_formulas.py
+++ b/tests/unit/testbed/test_capacity_formulas.py
@@ -122,9 +122,9 @@
 def test_first_gaps_are_ordered_by_factor_and_omit_covered_mechanisms() -> None:
     measured = make_model(
         line_sweep("membership_zone_bytes", "members", "B/s", 0.0, 100.0),  # reaches its limit at 60 members
-        line_sweep("membership_rest_bytes", "members", "B/s", 0.0, 10.0),  # at 600 members
-        line_sweep("membership_rest_cpu", "members", "s/s", 0.001, 0.0),  # never
-        line_sweep("table_memory", "entries", "B", 0.0, 1280.0),  # at 100,000 entries
+        line_sweep("membership_rest_bytes", "members", "B/s", 0.0, 10.0),  # reaches its limit at 600 members
+        line_sweep("membership_rest_cpu", "members", "s/s", 0.001, 0.0),  # never reaches its limit
+        line_sweep("table_memory", "entries", "B", 0.0, 1280.0),  # reaches its limit at 100,000 entries
     )
     known_gaps = [gap for gap in formulas.gaps(measured) if gap.factor.value is not None]
     assert [gap.sweep for gap in known_gaps] == [
