--- a/ironmill_testbed/capacity/formulas/limits.py
+++ b/ironmill_testbed/capacity/formulas/limits.py
@@ -11,7 +11,7 @@
 from ironmill_testbed.capacity.figure import Figure
 
 MIN_MULTIPLE = 1e-3  # multiple of today's fleet at which the search for a limit begins
-MAX_MULTIPLE = 1e7  # multiple of today's fleet at which it ends
+MAX_MULTIPLE = 1e7  # multiple of today's fleet at which the search ends
 Cost = Callable[[float], Figure]  # the cost at a size
 
 
--- a/ironmill_testbed/capacity/sweep_table.py
+++ b/ironmill_testbed/capacity/sweep_table.py
@@ -34,8 +34,8 @@
 
 ZONES = 11
 BATCHES, QUICK_BATCHES = 9, 5
-PLACEMENT_INTERVAL_S = 0.05  # on the virtual clock
-MAX_ESTABLISHED = 500  # connections; also at most a tenth of the number of entries
+PLACEMENT_INTERVAL_S = 0.05  # between two placements, on the virtual clock
+MAX_ESTABLISHED = 500  # connections, but at most a tenth of the number of entries
 ENTRY_COUNTS = (100, 300, 1000, 3000, 10_000, 30_000, 64_000)
 QUICK_ENTRY_COUNTS = (100, 300, 1000, 3000, 10_000)
 CALLER_COUNTS = (10, 30, 100, 300, 1000, 3000)
--- a/tests/system/test_attempts.py
+++ b/tests/system/test_attempts.py
@@ -144,7 +144,7 @@
 def test_retry_that_connects_after_its_window_is_not_sent(
     scope: DeduplicationScope, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Servers drop duplicates only within the window: a retry after it could execute the request twice."""
+    """Guards against a second execution: servers drop duplicates of a request only within the window."""
     window_s = 10.0
     keyed_class = structs.replace(WITH_KEY, deduplication_scope=scope, deduplication_window=window_s)
     settings = structs.replace(SETTINGS, classes=(IDEMPOTENT, keyed_class, NOT_IDEMPOTENT))
--- a/tests/system/test_failing_key_store.py
+++ b/tests/system/test_failing_key_store.py
@@ -58,7 +58,10 @@
 
 
 def test_files_left_by_a_killed_command_do_not_block_the_next_one(tmp_path: Path) -> None:
-    """The next command may have the process ID of the killed one, as in a container."""
+    """Guards against file names that collide if the next command has the process ID of the killed one.
+
+    In a container the process IDs of successive commands are often equal.
+    """
     store = KeyStore(tmp_path)
     store.new("k1", "EdDSA")
     for name in ("ring.json", "k2.pem"):
--- a/tests/system/test_operation.py
+++ b/tests/system/test_operation.py
@@ -136,7 +136,7 @@
                 assert old.process.popen.returncode == 0
 
         fleet = run_beside_clients(site, scenario)
-        assert fleet.counts.migrated >= 20 * 20  # later clients may already be at the new process
+        assert fleet.counts.migrated >= 20 * 20  # the other clients may already have been at the new process
         assert site.churned > 100
 
 
--- a/tests/system/test_relaying.py
+++ b/tests/system/test_relaying.py
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("end", ["reset", "finish"])
 def test_server_close_is_noticed_while_the_client_does_not_read(end: str) -> None:
-    """The server is not read while a write to the client is blocked; its close must still be detected."""
+    """Guards against missing a server's close while the proxy reads nothing from it, as a write blocks."""
 
     def scenario(proxy: ProxyUnderTest) -> None:
         client, attempt = proxy.established_pair()
--- a/tests/system/test_revision_store.py
+++ b/tests/system/test_revision_store.py
@@ -123,7 +123,8 @@
         changes = self.store.undo(number)
         assert apply_changes(self.states[-1], changes) == self.states[number]
         current = self.states[-1]
-        assert all(current.get(key) != value for key, value in changes.items())  # omits unchanged values
+        # ``undo`` omits keys whose values would not change.
+        assert all(current.get(key) != value for key, value in changes.items())
         if changes:
             self.commit_and_record(changes)
 
--- a/tests/unit/balancing/test_load_shedding.py
+++ b/tests/unit/balancing/test_load_shedding.py
@@ -94,9 +94,8 @@
     assert all(sends(proxy.request()) for _ in range(10))
     proxy.report_load(1, 1.4)
     proxy.run_until(proxy.now + 1.0)
-    assert all(
-        sends(proxy.request()) for _ in range(10)
-    )  # one overloaded server indicates a fault of its own
+    # A single overloaded server indicates a fault of that server, not overload of the fleet.
+    assert all(sends(proxy.request()) for _ in range(10))
     proxy.report_load(2, 0.92)
     for server in (3, 4):
         proxy.report_load(server, 0.15)
--- a/tests/unit/configuration/test_distributed_keys.py
+++ b/tests/unit/configuration/test_distributed_keys.py
@@ -218,9 +218,8 @@
     session = callers.new_session(connection, "x")
     assert session.present_token(keys.token()) is None
     ConfigurationConsumer(callers, ignore_level).apply({"deny/subject/farm-1": b""})
-    assert (
-        session.request_connection("read") is None
-    )  # the rules apply that were in force when the token was presented
+    # The rules that were in force when the token was presented apply.
+    assert session.request_connection("read") is None
     session.connection_established()
     timers.run(2.0)
     assert len(connection.migrated_at) == 1
--- a/tests/unit/distribution/test_replica.py
+++ b/tests/unit/distribution/test_replica.py
@@ -100,7 +100,7 @@
 
 
 def test_empty_keyspace_of_a_parent_that_has_just_started_is_not_applied() -> None:
-    """Position 0.0 precedes the first revision and must not be reported as applied."""
+    """Guards against reporting position 0.0 as applied, which precedes the first revision."""
     replica, _, events = replica_with_consumer()
     replica.replace_keyspace(Keyspace(), START)
     assert events == []
--- a/tests/unit/membership/test_codec.py
+++ b/tests/unit/membership/test_codec.py
@@ -100,7 +100,7 @@
 
 @given(st.binary(max_size=300))
 def test_arbitrary_bytes_raise_nothing_but_dropped_error(data: bytes) -> None:
-    """The bytes are also signed, because a faulty member may have the key."""
+    """Guards against other exceptions, also for signed bytes, because a faulty member may have the key."""
     codec = Codec("north", [KEY])
     for datagram in (data, codec._mac(KEY, data) + data):
         try:
--- a/tests/unit/requests/test_response_delay.py
+++ b/tests/unit/requests/test_response_delay.py
@@ -63,7 +63,7 @@
 
 
 def test_timed_unanswered_lines_are_bounded() -> None:
-    """A client that sends empty lines at full speed must not use unbounded memory."""
+    """Guards against unbounded memory if a client sends empty lines at full speed."""
     now = 0.0
     meter = DelayMeter(TimerQueue(lambda: now), 0.05, lambda *_: None, lambda _: None, clock=lambda: now)
     meter.add_connection("a")
