--- a/ironmill/balancing/circuit_breaker.py
+++ b/ironmill/balancing/circuit_breaker.py
@@ -11,7 +11,7 @@
 MIN_EJECTION_S = 1.0  # doubles with each further failure
 MAX_EJECTION_S = 8.0
 MAX_DOUBLINGS = 8
-MAX_EJECTED_FRACTION = 0.5  # of the ready servers; if more of them fail, none is ejected
+MAX_EJECTED_FRACTION = 0.5  # fraction of the ready servers; if more of them fail, none is ejected
 
 
 class CircuitBreaker:
--- a/ironmill/balancing/draining.py
+++ b/ironmill/balancing/draining.py
@@ -9,7 +9,8 @@
 from ironmill.balancing.state import BalancerState
 
 DRAIN_INTERVAL_S = 0.2  # mean time between two migrations off one server
-# Migrated clients reconnect at once. While a server is in slow start, nearly all of them go to the others.
+# Migrated clients reconnect at once. While a server is in slow start, it accepts few of them, so that nearly
+# all go to the other servers. Migrations are therefore less frequent during that time.
 DRAIN_INTERVAL_IN_SLOW_START_S = 1.0
 DRAIN_TIMER_PREFIX = "drain:"  # timer names are part of the simulator's protocol
 
@@ -43,8 +44,8 @@
     def migrate_next(self, server_id: int) -> None:
         """Migrates the connection with the highest priority weight, unless new requests are being shed.
 
-        Sets the timer again while anything is in flight on the server, since an attempt may become
-        established.
+        Sets the timer again while this proxy has a connection to the server or an attempt in flight there,
+        since the attempt may become established.
         """
         server = self._state.servers.get(server_id)
         if server is None or server.ready:
--- a/ironmill/balancing/fault_penalty.py
+++ b/ironmill/balancing/fault_penalty.py
@@ -23,7 +23,7 @@
 }
 LATENCY_PENALTY = 2.0  # for a delay that equals the latency objective
 MIN_SLOW_FRACTION = 0.33  # a delay below this fraction of the latency objective is no fault
-MAX_PENALTY_WHEN_FAST = 1.0  # after a delay that is no fault
+MAX_PENALTY_WHEN_FAST = 1.0  # limit of the penalty after a delay that is no fault
 
 
 def current_penalty(server: ServerState, now: float) -> float:
--- a/ironmill/balancing/health_checks.py
+++ b/ironmill/balancing/health_checks.py
@@ -17,7 +17,7 @@
 HEALTH_CHECK_TIMER = "probe"  # timer names are part of the simulator's protocol
 LOAD_KEY = "x0"  # key in a load report: the ratio of requested work to capacity
 MAX_REPORTED_LOAD = 4.0
-STALE_AFTER_IDENTICAL_REPORTS = 4  # reports of a working server vary slightly
+STALE_AFTER_IDENTICAL_REPORTS = 4  # reports are stale after this many repetitions, as they normally vary
 FAILED_OUTCOMES = (Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
 
 
--- a/ironmill/balancing/interface.py
+++ b/ironmill/balancing/interface.py
@@ -109,7 +109,7 @@
     discovery_poll_interval: float  # a proxy without a subscription must poll at least this often
     initial_capacity_fraction: float  # fraction of its capacity that a server has when it starts
     slow_start_duration: float  # time from its start until a server has its full capacity
-    # A server in slow start fails if it is sent this multiple of its capacity within the window.
+    # A server in slow start fails if it is sent this multiple of its capacity within ``slow_start_window``.
     slow_start_rate_multiple: float
     slow_start_window: float
     max_attempts: int
@@ -153,7 +153,7 @@
     group: int | None = None  # connections of one group share work on a server
     load_hint: float = 0.0  # work per second on a standard core; 0 if unknown
     returning: bool = False  # the client reconnects after a lost connection, a migration or a failed request
-    rerouted: bool = False  # mid-flow packets of a connection that some server still serves
+    rerouted: bool = False  # the request is mid-flow packets of a connection that some server still serves
 
 
 class Resumed(Struct, frozen=True):
@@ -284,7 +284,7 @@
 
 
 class CheckHealth(Struct, frozen=True):
-    """Asks a server for its load report. Each is followed by exactly one ``HealthChecked`` event."""
+    """Asks a server for its load report. Exactly one ``HealthChecked`` event follows each check."""
 
     server_id: int
 
--- a/ironmill/balancing/load_shedding.py
+++ b/ironmill/balancing/load_shedding.py
@@ -16,7 +16,7 @@
 
 
 class SheddingThresholds(Struct, frozen=True):
-    """The overloaded fractions above which shedding increases and below which it decreases."""
+    """Limits of the overloaded fraction: above one, shedding increases; below the other, it decreases."""
 
     increase_above: float
     decrease_below: float
@@ -34,7 +34,7 @@
 
 MIN_OVERLOADED_SERVERS = 2  # if only one server is overloaded, the fault is in that server
 MIN_MEAN_LOAD = 0.7  # below this, the other servers can take load from the overloaded ones
-MIN_CONNECTIONS = 8  # a smaller number is too small a sample, and is treated as this many
+MIN_CONNECTIONS = 8  # fewer connections count as this many, because a smaller sample says little
 
 
 class LoadShedder:
@@ -104,7 +104,7 @@
         loads = [
             server.load
             for server in self._state.servers.values()
-            # Inlined, with the most selective test first, since this runs for every server on each request.
+            # ``has_fresh_report`` is inlined and comes first, as this runs for every server on each request.
             if now - server.load_reported_at <= REPORT_LIFETIME_S and server.ready
         ]
         if len(loads) < MIN_OVERLOADED_SERVERS:
--- a/ironmill/balancing/placement.py
+++ b/ironmill/balancing/placement.py
@@ -3,7 +3,7 @@
 A server whose count is below the threshold has a green token, and one whose count equals it has a yellow
 token. A request goes to a random server with a green token, else to one with a yellow token, else to any
 ready server. After a placement, the threshold rises by one if at most one server had a token, and falls by
-one if most servers had a green token.
+one if the fraction of servers with a green token was at least ``1 - ALPHA``.
 """
 
 from __future__ import annotations
@@ -52,11 +52,11 @@
         self._counts.refresh()
         table = self._counts.table
         if self.threshold is None:
-            self.threshold = table.mean()  # of the resumed connections
+            self.threshold = table.mean()  # the resumed connections determine this mean
         green = table.below(self.threshold)
         yellow = table.below(self.threshold + 1)
         ready = len(table)
-        # Green, yellow and all servers: the end index in the table, and the exclusive limit of the counts.
+        # For green, yellow and all servers: the end index in the table and the exclusive limit of the counts.
         token_ranges = ((green, self.threshold), (yellow, self.threshold + 1), (ready, math.inf))
         server_id = self._select_from(token_ranges, request_state)
         if server_id is None:
@@ -106,7 +106,8 @@
             if selected is not None:
                 return selected
             start = end
-        # Each server was tried before, or was not accepted because of its weight.
+        # No server was accepted: each was tried before, was skipped because of its weight, or does not allow
+        # a retry. Only the last condition still applies to this draw.
         return table.draw(
             0, len(table), state.rng, lambda server_id: request_state.may_retry_at(servers[server_id], now)
         )
@@ -116,8 +117,8 @@
     ) -> int | None:
         """Returns the server that the request's group prefers among those before ``end`` in the table.
 
-        A server may have a higher count if it has connections of the group, from this proxy or probably from
-        others.
+        A server that has connections of the group from this proxy, or probably from others, is also
+        considered if its count is less than ``GROUP_DISCOUNT`` above ``count_limit``.
         """
         group, rerouted = request_state.request.group, request_state.request.rerouted
         assert group is not None
--- a/ironmill/balancing/request_lifetime.py
+++ b/ironmill/balancing/request_lifetime.py
@@ -29,10 +29,10 @@
 RETRY_BACKOFF_S = 0.03  # doubles with each attempt, with full jitter
 PLACEMENT_INTERVAL_S = 0.1  # mean time between two tries to place a request while no server is available
 MIN_ATTEMPT_S = 0.02  # no attempt is made with less time left before the deadline
-ANSWER_MARGIN_S = 0.005  # the answer is sent this long before the deadline ...
-ANSWER_MARGIN_ROUNDS = 3.0  # ... plus this many rounds, since a proxy acts only once per round
-MIN_RETRY_AFTER_FRACTION = 0.1  # of the longest Retry-After; a random part is added
-RETRY_AFTER_JITTER = 0.2  # largest random part, as a fraction of the longest Retry-After
+ANSWER_MARGIN_S = 0.005  # minimum time from the answer to the deadline, without the rounds
+ANSWER_MARGIN_ROUNDS = 3.0  # rounds that are added to ANSWER_MARGIN_S, since a proxy acts only once per round
+MIN_RETRY_AFTER_FRACTION = 0.1  # smallest Retry-After, as a fraction of the longest one
+RETRY_AFTER_JITTER = 0.2  # largest random part added to it, as a fraction of the longest Retry-After
 
 
 class RequestLifetime:
@@ -78,14 +78,14 @@
         self._connections.resumed(request_state, event.server_id)
 
     def attempt_established(self, event: Established) -> None:
-        """Marks a request's current attempt as established, and records the delay if it was slow."""
+        """Marks a request's current attempt as established, and records its delay if it is long."""
         request_state = self._state.requests.get(event.request_id)
         if request_state is None or not request_state.is_current(event.attempt):
             return
         server = self._connections.established(request_state)
         objective = request_state.request_class.message_latency_objective
         if event.delay > objective * MIN_SLOW_FRACTION:
-            # A new connection is queued behind the same work as a message.
+            # A server queues new connections behind the same work as messages, so both delays show overload.
             self._overload.record_latency(server, event.delay / objective)
 
     def attempt_ended(self, event: Ended) -> None:
@@ -110,7 +110,7 @@
             )
 
     def request_abandoned(self, event: Abandoned) -> None:
-        """Marks a request as needing no answer, and removes it unless an attempt is in flight."""
+        """Marks a request as needing no answer; removes it unless an attempt or connection is left."""
         request_state = self._state.requests.get(event.request_id)
         if request_state is None:
             return
--- a/ironmill/balancing/request_state.py
+++ b/ironmill/balancing/request_state.py
@@ -41,7 +41,7 @@
         self.request_class = request_class
         self.attempts = 0
         self.attempt_started_at = 0.0
-        self.in_flight = False  # an attempt is running or its connection is established
+        self.in_flight = False  # True while an attempt is in flight or its connection is established
         self.established = False
         self.migrating = False  # a migration of its connection has started
         self.answered = False  # it needs no answer any more
@@ -51,11 +51,11 @@
         self.uncertain_attempt: UncertainAttempt | None = None  # the first attempt that may have run
 
     def is_current(self, attempt: int) -> bool:
-        """Returns True if the attempt with this number is in flight or established."""
+        """Returns True if the attempt with this number is in flight or its connection is established."""
         return self.in_flight and attempt == self.attempts - 1
 
     def retry_deadline(self) -> float:
-        """Returns the time before which a retry must start; infinite if a retry cannot take effect twice."""
+        """Returns the time before which a retry must start: ``inf`` if always harmless, ``-inf`` if never."""
         uncertain, idempotency = self.uncertain_attempt, self.request_class.idempotency
         if uncertain is None or idempotency is Idempotency.ALWAYS:
             return math.inf
--- a/ironmill/balancing/server_counts.py
+++ b/ironmill/balancing/server_counts.py
@@ -13,8 +13,8 @@
 # Limits of the factor by which a load report corrects the listed connections of a server.
 MIN_COST_RATIO = 0.7
 MAX_COST_RATIO = 3.0
-# A new connection to a server without an idle link costs a handshake. If that cost is at least the minimum,
-# the count of the server is higher by the surcharge, in connections.
+# A new connection to a server without an idle link costs a handshake. If the cost is at least
+# MIN_HANDSHAKE_COST, the count of the server is higher by NEW_LINK_SURCHARGE, in connections.
 MIN_HANDSHAKE_COST = 0.02
 NEW_LINK_SURCHARGE = 2
 ROUNDING_TOLERANCE = 1e-9
@@ -41,7 +41,7 @@
         if state.settings.costs.handshake >= MIN_HANDSHAKE_COST:
             self._new_link_surcharge = NEW_LINK_SURCHARGE
         self._mean_weight = 1.0
-        self._largest_weight = 0.0  # ever listed; with live weights, the size of an empty server
+        self._largest_weight = 0.0  # largest one ever listed; with live weights, the size of an empty server
         # Mean reported load per own connection, or per listed connection with live weights.
         self._connection_cost = 0.0
 
@@ -82,7 +82,7 @@
             self.update(servers[server_id])
 
     def weights_changed(self, *, listed: bool) -> None:
-        """Recomputes what depends on the weights of all servers; ``listed`` if the event has entries."""
+        """Recomputes what depends on all weights; ``listed`` is True if the event has entries."""
         weights = [server.weight for server in self._state.servers.values() if server.ready]
         self.max_weight = max(weights, default=1.0)
         self._mean_weight = sum(weights) / max(1, len(weights))
--- a/ironmill/balancing/server_state.py
+++ b/ironmill/balancing/server_state.py
@@ -46,7 +46,7 @@
         self.weight = 1.0  # as listed, relative to other servers
         self.ready = False
         self.connections = 0  # own established connections and attempts in flight
-        self.attempts_connecting = 0  # own attempts in flight that are not yet established
+        self.attempts_connecting = 0  # own attempts in flight, which are not yet established
         self.idle_links_until: list[float] = []  # when each idle link from this proxy will be closed
         self.unlisted_sends: list[
             float
@@ -59,9 +59,9 @@
         self.report: tuple[tuple[str, float], ...] = ()
         self.load = 0.0  # last reported ratio of requested work to capacity
         self.load_reported_at = -math.inf
-        self.connection_cost = 0.0  # ratio of reported to listed load, at the last report
+        self.connection_cost = 0.0  # with live weights: last reported load per listed connection
         self.connections_at_report = 0
-        self.identical_reports = 0  # number of consecutive reports that equal the one before
+        self.identical_reports = 0  # number of consecutive reports that are equal to the previous report
         self.overloaded_at = -math.inf  # when it last counted as overloaded
         self.slow_start_window = -1  # number of the window for which slow_start_tokens were granted
         self.slow_start_tokens = 0
--- a/ironmill/balancing/slow_start.py
+++ b/ironmill/balancing/slow_start.py
@@ -8,18 +8,19 @@
 from ironmill.balancing.interface import Settings
 from ironmill.balancing.server_state import ServerState
 
-# All proxies together grant this fraction of the rule's budget N in one window. Any period of one window's
-# length overlaps two windows of each proxy, and a restarted proxy grants again what its previous process may
-# have used: 0.94 N on average if seven in ten proxies restart together. The rest, and the tolerance of
-# 2 * sqrt(N) + 2 in the rule, allow for the randomness of the grants.
+# The slow-start rule allows N connections to a server in one window. All proxies together grant this fraction
+# of N in one window. Any period of one window's length overlaps two windows of each proxy, and a restarted
+# proxy grants again what its previous process may have used. The grants then add up to 0.94 N on average if
+# seven in ten proxies restart together. The rest, and the tolerance of 2 * sqrt(N) + 2 in the rule, allow for
+# the randomness of the grants.
 BUDGET_SAFETY_FACTOR = 0.4
 RATE_MEMORY_S = 30.0  # time constant of the mean arrival rate
 MIN_RATE_SPAN_S = 5.0  # a shorter observation period counts as this long
 STARTUP_S = 3.0  # arrivals within this time after the start are reconnecting clients, not the ordinary rate
 # With live weights, listed connections per server divided by their mean lifetime also give an arrival rate.
 LISTED_RATE_WEIGHT_S = 30.0  # that rate has the weight of this many seconds of observed arrivals
-ASSUMED_LIFETIME_S = 52.0  # of a connection, until this proxy has observed the lifetimes of some
-ASSUMED_LIFETIME_WEIGHT = 3.0  # weight of the assumed lifetime, in connections closed by their clients
+ASSUMED_LIFETIME_S = 52.0  # lifetime of a connection that is assumed before this proxy has observed any
+ASSUMED_LIFETIME_WEIGHT = 3.0  # weight of the assumed lifetime, in connections that ended normally
 
 
 class SlowStartBudget:
@@ -27,9 +28,10 @@
 
     A server in slow start has no connections, so every proxy would select it. But the slow-start rule limits
     what all proxies together may send it in a window of ``slow_start_window``. Each proxy limits itself to
-    its rate to an ordinary server, times ``slow_start_rate_multiple`` and the server's current fraction of
-    its capacity; then all proxies together keep the rule. Grants of a fraction of a connection are rounded at
-    random. An unused grant is not carried over to the next window, so grants cannot accumulate to a burst.
+    its rate of new connections to an ordinary server, times ``slow_start_rate_multiple`` and the server's
+    current fraction of its capacity; then all proxies together keep the rule. Grants of a fraction of a
+    connection are rounded at random. An unused grant is not carried over to the next window, so grants cannot
+    accumulate to a burst.
 
     With live weights, a server in slow start may also be filled as its capacity grows, because the rule
     measures capacity by the connections that fill the server during its warm-up.
@@ -41,7 +43,7 @@
         self._rng = rng
         self._grants_start_at = now
         self._observed_from = now + STARTUP_S
-        self._arrivals = 0.0  # per ready server, decayed, as of _arrivals_at
+        self._arrivals = 0.0  # decayed number of arrivals per ready server, as of _arrivals_at
         self._arrivals_at = self._observed_from
         self._phase = rng.random() * settings.slow_start_window
         self._connections = 0
@@ -52,7 +54,7 @@
         self._listed_full_server = 0.0
 
     def set_listed_connections(self, mean: float, full: float) -> None:
-        """Sets the listed connections of an average and of a full server, of those not in slow start."""
+        """Sets the listed connections of an average and of a full server, without servers in slow start."""
         self._listed_mean = mean
         self._listed_full_server = full
 
--- a/ironmill/balancing/state.py
+++ b/ironmill/balancing/state.py
@@ -9,7 +9,8 @@
 from ironmill.balancing.server_state import ServerState
 
 # The rates of health checks and migrations apply to a fleet of this size. In a larger fleet each proxy acts
-# less often, so that the total does not grow, and an own connection stands for those of more proxies.
+# less often, so that the total does not grow, and counts each own connection as several, since more of the
+# connections on a server belong to other proxies.
 REFERENCE_PROXIES = 4
 
 
--- a/ironmill/balancing/tenant_quotas.py
+++ b/ironmill/balancing/tenant_quotas.py
@@ -4,7 +4,7 @@
 
 from ironmill.balancing.interface import Settings
 
-QUOTA_SLACK = 1.25  # the traffic of a tenant is not evenly distributed over the proxies
+QUOTA_SLACK = 1.25  # factor on a share, since a tenant's traffic is not evenly distributed over the proxies
 
 
 class TenantQuotas:
@@ -24,9 +24,10 @@
         self._connections[tenant] = self._connections.get(tenant, 0) + difference
 
     def is_exceeded(self, tenant: str) -> bool:
-        """Returns True if the tenant has more connections here than this proxy's share of its quota.
+        """Returns True if the tenant has too many connections through this proxy.
 
-        A share of less than one connection still allows one.
+        The limit is ``QUOTA_SLACK`` times this proxy's share of the quota, plus one connection, so that a
+        share of less than one still allows one.
         """
         quota = self._quotas.get(tenant)
         return quota is not None and self._connections.get(tenant, 0) > 1.0 + QUOTA_SLACK * quota
--- a/ironmill/balancing/token_table.py
+++ b/ironmill/balancing/token_table.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-MAX_RANDOM_DRAWS = 12  # before all candidates are examined
+MAX_RANDOM_DRAWS = 12  # random draws that are tried before all candidates are examined
 
 
 class TokenTable:
--- a/ironmill/distribution/catch_up.py
+++ b/ironmill/distribution/catch_up.py
@@ -81,8 +81,8 @@
         self._credit = MAX_OUTSTANDING_REQUESTS * EXPECTED_RESPONSE_BYTES  # bytes that may be requested now
         self._credit_at = now
         self._root_digest = 0
-        self._first_position = START  # of the first response
-        self._latest_position: Position | None = None  # the highest of any response
+        self._first_position = START  # position of the first response
+        self._latest_position: Position | None = None  # highest position of any response
         self._overlay: Changes = {}
         self._overlay_size = 0
         self._queue: deque[tuple[Request, _LeafRange | None]] = deque()
@@ -203,7 +203,10 @@
         return True
 
     def on_delta(self, delta: Delta) -> None:
-        """Adds the parent's next delta to the overlay. Ignores one that does not start at the frontier."""
+        """Adds the parent's next delta to the overlay. Ignores one that does not start at the frontier.
+
+        Restarts the comparison if the overlay exceeds ``MAX_OVERLAY_BYTES``.
+        """
         if delta.base != self.frontier:
             return
         self.frontier = delta.target
--- a/ironmill/distribution/child_search.py
+++ b/ironmill/distribution/child_search.py
@@ -52,8 +52,8 @@
         self._queue: list[UnreachableChild] = []
         self.summary_acked_at = math.inf
         """Creation time of the latest summary that this node's parent has acknowledged. A previous parent may
-        remove a child only after such a summary includes the child; otherwise no summary would count it for a
-        while.
+        remove a child only after such a summary includes the child; otherwise the child would be
+        missing from all summaries for a while.
         """
 
     def is_peer(self, name: str) -> bool:
--- a/ironmill/distribution/children.py
+++ b/ironmill/distribution/children.py
@@ -23,7 +23,7 @@
 from ironmill.membership.envelope import DroppedError, DropReason, Envelope
 from ironmill.membership.identity import Address
 
-MAX_CHILDREN = 4096  # a multiple of the children of one machine while others are down
+MAX_CHILDREN = 4096  # a multiple of the children that one parent has while other parents are down
 MOVED_CHILD_TTL_S = 10.0  # longer than any datagram is in transit
 
 
@@ -34,7 +34,7 @@
     incarnation: int
     address: Address
     zone: str
-    poll_count: int = -1  # count of the last poll; a poll with a count that is not higher is a replay
+    poll_count: int = -1  # sequence number of the last poll; one that is not higher is a replay
     token: int = 0  # issued by the child; messages to it echo the token
     received_position: Position = START
     applied_position: Position = START
@@ -71,7 +71,7 @@
         self.children: dict[str, Child] = {}
 
     def find(self, envelope: Envelope[Message], poll: Poll) -> Child | None:
-        """Returns the child that sent a poll, or None if the sender is not a child yet.
+        """Returns the child that sent a poll, or None if the sending process is not a child yet.
 
         Raises ``DroppedError`` for a poll that is older than what is known of the child.
         """
@@ -94,6 +94,8 @@
     def add(self, envelope: Envelope[Message], poll: Poll, source: Address) -> Child:
         """Adds the sender of a poll as a child, replacing an earlier process of its name.
 
+        Removes an unreachable child if the registry is full.
+
         Raises ``DroppedError`` if there are ``MAX_CHILDREN`` reachable children.
         """
         name = envelope.sender
--- a/ironmill/distribution/delta_sender.py
+++ b/ironmill/distribution/delta_sender.py
@@ -17,7 +17,7 @@
 from ironmill.distribution.timing import DELTA_RESEND_DELAY_S
 
 MAX_CHUNKS_PER_TICK = 1024
-MAX_CACHED_DELTAS = 16  # each is shared by all children at its base
+MAX_CACHED_DELTAS = 16  # deltas in the cache, each shared by all children at its base
 
 
 class ChunkedDelta(Struct, frozen=True):
@@ -87,7 +87,10 @@
                 self._send_chunk(child, delta, index)
 
     def _resend(self, child: Child, poll: Poll) -> None:
-        """Resends the missing chunks of the unacknowledged delta, or queues a new one if it has changed."""
+        """Resends the missing chunks of the unacknowledged delta.
+
+        Queues the child for a new delta instead if that delta has changed or the child is not assembling it.
+        """
         delta = self._chunked_delta(child.received_position)
         if (
             delta is None
--- a/ironmill/distribution/fleet_summary.py
+++ b/ironmill/distribution/fleet_summary.py
@@ -32,7 +32,8 @@
     def __init__(self, latest: Position, now: float, *, converged: bool) -> None:
         """Creates an empty builder.
 
-        ``latest`` is the position that children should have; ``converged`` refers to this parent alone.
+        ``latest`` is the position that children should have; ``converged`` is True if this parent itself
+        has run long enough for its children to find it.
         """
         self._latest = latest
         self._now = now
--- a/ironmill/distribution/link.py
+++ b/ironmill/distribution/link.py
@@ -1,4 +1,4 @@
-"""Sending of messages by a node: its identity, codec, datagram count, and tokens for its peers."""
+"""Sending of messages by a node: its identity, codec, sequence numbers, and tokens for its peers."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         self._count = 0
 
     def send(self, recipient: str, address: Address, message: Message) -> int:
-        """Queues a message and returns the count of its datagram."""
+        """Queues a message and returns the sequence number of its datagram."""
         self._count += 1
         data = self.codec.encode(self.identity, recipient, self._count, message)
         self.sent_bytes += len(data)
--- a/ironmill/distribution/messages.py
+++ b/ironmill/distribution/messages.py
@@ -106,7 +106,7 @@
     latest_position: Position
     origin_age_ms: int
     log_covers_child: bool  # the parent's log has all changes from the child's position to the latest one
-    poll_count: int  # count in the envelope of the poll
+    poll_count: int  # sequence number in the envelope of the poll
     is_child: bool  # the sender of the poll is registered as a child
 
 
@@ -159,8 +159,8 @@
 class EntriesResponse(Struct, frozen=True, array_like=True, tag=16, forbid_unknown_fields=True):
     """As many of the requested entries as fit into one datagram, as of a position.
 
-    The next request begins at ``next_leaf``. If ``is_partial`` is set, it begins after the last key of the
-    body in that leaf.
+    The next request has to begin at ``next_leaf``. If ``is_partial`` is set, the body already has entries of
+    that leaf, and the next request has to begin after the last of their keys.
     """
 
     echo: int
--- a/ironmill/distribution/origin.py
+++ b/ironmill/distribution/origin.py
@@ -226,7 +226,7 @@
     def _check_store(self) -> None:
         """Checks for another writer, and records a reported epoch.
 
-        Of several failures in a row, only the first is notified.
+        Only the first of several consecutive failures emits an event.
         """
         try:
             if self._store.fenced():
--- a/ironmill/distribution/parent_selector.py
+++ b/ironmill/distribution/parent_selector.py
@@ -40,7 +40,7 @@
     polled_at: float = -math.inf
     unanswered_polls: int = 0
     answered_at: float = -math.inf
-    origin_heard_at: float = -math.inf  # when it last heard from the origin, by its responses
+    origin_heard_at: float = -math.inf  # when it last heard from the origin, according to its responses
     latest_position: Position = START
     delta_received_at: float = -math.inf
     term: int = 0
@@ -173,7 +173,8 @@
     def due_probes(self) -> Sequence[ParentCandidate]:
         """Returns the candidates to probe now.
 
-        These are several if there is no usable parent, otherwise at times the most preferred one.
+        Without a usable parent, several candidates are due at once. Otherwise, the most preferred one of
+        those that are preferred to the parent is due from time to time.
         """
         now, parent = self._link.now, self.parent
         if parent is not None and self.is_usable(parent):
@@ -200,7 +201,10 @@
         return preferred
 
     def _choose_probes(self) -> list[ParentCandidate]:
-        """Returns the most preferred candidate that is not in backoff, and others in rotation."""
+        """Returns the most preferred candidate that is not in backoff, and others in rotation.
+
+        If all of them are in backoff, the backoff is ignored.
+        """
         others = [candidate for candidate in self._candidates if candidate is not self.parent]
         ready = [candidate for candidate in others if self._link.now >= candidate.backoff_until] or others
         chosen = {id(candidate): candidate for candidate in ready[:1]}
--- a/ironmill/distribution/poll_schedule.py
+++ b/ironmill/distribution/poll_schedule.py
@@ -29,7 +29,7 @@
         """Creates a schedule whose first poll is due immediately."""
         self._next_at = now
         self._last_at = -math.inf
-        self._sent: dict[int, SentPoll] = {}  # by the envelope's count of the poll
+        self._sent: dict[int, SentPoll] = {}  # by the sequence number of the poll's envelope
 
     def is_due(self, now: float) -> bool:
         """Returns True if the parent is to be polled now."""
@@ -55,12 +55,12 @@
     def record_sent(self, count: int, poll: SentPoll) -> None:
         """Records a poll that was sent to the parent or to another candidate.
 
-        ``count`` is the envelope's count of the datagram, which the response repeats.
+        ``count`` is the sequence number in the datagram's envelope, which the response repeats.
         """
         self._sent[count] = poll
         if len(self._sent) > MAX_TRACKED_POLLS:
             del self._sent[next(iter(self._sent))]
 
     def find_sent(self, count: int) -> SentPoll:
-        """Returns the poll of this count; if it is no longer recorded, a poll sent at minus infinity."""
+        """Returns the poll with this sequence number, or one sent at minus infinity if it is not recorded."""
         return self._sent.get(count, _UNKNOWN_POLL)
--- a/ironmill/distribution/publisher.py
+++ b/ironmill/distribution/publisher.py
@@ -51,7 +51,7 @@
         self._converged_at = link.now + CONVERGENCE_DELAY_S
         self.origin_age_ms = AGE_UNKNOWN
         self.is_stopped = (
-            False  # another writer has taken over, or the process shuts down: drops all messages
+            False  # once another writer has taken over or the process shuts down, all messages are dropped
         )
 
     @property
@@ -93,7 +93,7 @@
         self._send_deltas()
 
     def search_for(self, children: Sequence[UnreachableChild]) -> None:
-        """Queues children to search for, and sends one request for queued children."""
+        """Queues children to search for, and sends one request for as many queued children as fit into it."""
         self._search.enqueue(children)
         batch = self._search.take_batch()
         if batch and not self.is_stopped:
--- a/ironmill/distribution/range_server.py
+++ b/ironmill/distribution/range_server.py
@@ -17,7 +17,7 @@
 from ironmill.membership.identity import Address
 from ironmill.membership.limits import MAX_DATAGRAM_BYTES
 
-BURST_S = 0.25  # how much of the rate may be sent at once
+BURST_S = 0.25  # seconds of the rate limit that may be sent at once
 
 
 class RangeServer:
--- a/ironmill/distribution/relay.py
+++ b/ironmill/distribution/relay.py
@@ -61,7 +61,7 @@
             self.subscriber.receive(envelope)
             self._update_publisher()
         else:
-            self._update_publisher()  # the origin's age grows even if nothing is received
+            self._update_publisher()  # the publisher reports the origin's current age, which grows
             self.publisher.receive(envelope, source)
 
     def _on_leave(self) -> None:
--- a/ironmill/distribution/replica.py
+++ b/ironmill/distribution/replica.py
@@ -13,7 +13,7 @@
 from ironmill.distribution.revision import START, Delta, Position
 from ironmill.distribution.revision_log import RevisionLog
 
-MAX_PENDING_BYTES = 1 << 18  # limit of received changes not applied yet; more are dropped and fetched again
+MAX_PENDING_BYTES = 1 << 18  # limit of changes not applied yet; larger ones are dropped and fetched again
 
 
 class Replica:
@@ -71,13 +71,13 @@
         start with a parent that is ahead of this process and end with another parent that is not.
         """
         if position < self.received_position or position == START:
-            return  # a parent at START has no configuration itself yet
+            return  # a parent whose position is START has no configuration yet
         if position == self.applied_position and keyspace.digest == self.keyspace.digest:
             return
         if self._consumer is not None:
             rejection = self._apply_to_consumer(self._difference(keyspace, self._consumer.lookup_prefixes))
             if rejection is not None:
-                # The whole difference would be pending: it is fetched again with the next revision instead.
+                # The whole difference may be too large to keep: it is fetched again with the next revision.
                 self._reject(position, keyspace.digest, {}, rejection)
                 return
         self.keyspace = keyspace
@@ -87,7 +87,7 @@
 
     @property
     def has_lost_pending(self) -> bool:
-        """True if pending changes were too large to keep, so that no delta can be applied on top of them."""
+        """True if received changes were neither applied nor kept, so that no delta can be applied on top."""
         return self.received_position != self.applied_position and not self._pending
 
     def discard_pending(self) -> None:
--- a/ironmill/distribution/subscriber.py
+++ b/ironmill/distribution/subscriber.py
@@ -184,7 +184,8 @@
     def _on_poll_response(self, candidate: ParentCandidate, response: PollResponse) -> None:
         self._check_lineage(response.lineage)
         now, replica, selector = self._link.now, self.replica, self._selector
-        # The parent did not take the poll as an acknowledgement if the token that it echoed had expired.
+        # If the token that the poll echoed had expired, the parent did not accept the poll as an
+        # acknowledgement.
         token_had_expired = (
             candidate.token == 0 or now - candidate.answered_at > ContactTokens.ROTATION_INTERVAL_S
         )
@@ -245,7 +246,7 @@
             self._on_delta(delta)
 
     def _check_order(self, chunk: DeltaChunk) -> None:
-        """Raises ``DroppedError`` unless the delta starts at the received position or the frontier."""
+        """Raises ``DroppedError`` unless the delta starts at the received position or catch-up frontier."""
         expected = self.replica.received_position
         if self._catch_up.is_active:
             if self._catch_up.frontier is None:
@@ -264,7 +265,7 @@
         elif self.replica.apply_delta(delta):
             self._has_advanced = True
         else:
-            # The replica's state is not the one that the delta was computed for.
+            # The replica differs from the keyspace that the parent computed the delta for.
             self._link.drop(DistributionDropReason.DIGEST_MISMATCH)
             self._start_catch_up()
         self._acknowledge()
--- a/ironmill/distribution/timing.py
+++ b/ironmill/distribution/timing.py
@@ -44,7 +44,7 @@
 class Timing(Struct, frozen=True):
     """The values that operators can set."""
 
-    stale_after_s: float = 4.0  # time without contact to the origin
+    stale_after_s: float = 4.0  # time without contact to the origin until the configuration is stale
     forget_after_s: float = 3600.0  # time until an unreachable child is no longer reported
     catch_up_bytes_per_s: float = 128 * 1024.0  # requested by one subscriber
     serve_bytes_per_s: float = 4 * 1024.0 * 1024.0  # sent by one parent to all catching-up children
--- a/ironmill/distribution/unreachable_children.py
+++ b/ironmill/distribution/unreachable_children.py
@@ -34,7 +34,7 @@
     """Records of the unreachable children of all relays, by name."""
 
     def __init__(self, forget_after_s: float) -> None:
-        """Creates an object without records.
+        """Creates an empty set of records.
 
         A record is removed ``forget_after_s`` seconds after the relay was found to have restarted.
         """
--- a/ironmill/membership/events.py
+++ b/ironmill/membership/events.py
@@ -18,7 +18,7 @@
     DECIDED = "decided"  # a quorum of observers, as counted by this process
     GOSSIP = "gossip"  # a record received from another member
     READMITTED = "readmitted"  # a received record that says that this process is in the view
-    REFUTED = "refuted"  # a received record that says that this process is removed, which is wrong
+    REFUTED = "refuted"  # a received record that wrongly says that this process is removed
     LEFT = "leave"  # a graceful shutdown
 
 
@@ -45,7 +45,7 @@
 
 
 class MemberRemoved(ViewChanged, frozen=True):
-    """A member is out of the view. A process emits this event for itself when it starts or rejoins."""
+    """A member is out of the view: it was removed, or it is this process, which starts or rejoins."""
 
 
 class MemberForgotten(Struct, frozen=True):
--- a/ironmill/membership/failure_detection.py
+++ b/ironmill/membership/failure_detection.py
@@ -42,8 +42,8 @@
         self._pinger = pinger
         self._health = health
         self._agreement = agreement
-        self._subjects: list[str] = []  # those in the view
-        self._removed_subjects: list[str] = []  # those out of the view
+        self._subjects: list[str] = []  # subjects that are in the view
+        self._removed_subjects: list[str] = []  # subjects that are out of the view
         self._assignment_version = -1
         self._next_dissemination_at = state.now
 
@@ -123,9 +123,9 @@
             self._agreement.set_opinion(name, SUSPECT)
 
     def _takes_over(self, name: str, peer: Peer) -> bool:
-        """Returns whether this member replaces a suspected observer of the subject.
+        """Returns whether this member may observe the subject in place of a suspected observer.
 
-        If so, it has received no ack of the subject, direct or relayed, since it began to observe it.
+        This ends with the first ack of the subject, direct or relayed, after this member began to observe it.
         """
         view = self._state.view
         return peer.last_alive_at < peer.observed_since and (
--- a/ironmill/membership/gossip.py
+++ b/ironmill/membership/gossip.py
@@ -44,7 +44,7 @@
     __slots__ = ("_pending",)
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty queue."""
         self._pending: dict[tuple[str, str], PendingBroadcast] = {}
 
     def __len__(self) -> int:
@@ -52,7 +52,7 @@
         return len(self._pending)
 
     def enqueue(self, update: GossipUpdate) -> None:
-        """Adds an update; if the queue is full, drops its first update."""
+        """Adds an update; if the queue is full, drops the update at its head."""
         key = _update_key(update)
         self._pending.pop(key, None)
         if len(self._pending) >= MAX_PENDING_UPDATES:
--- a/ironmill/membership/joining.py
+++ b/ironmill/membership/joining.py
@@ -39,7 +39,8 @@
     ) -> None:
         """Creates the state of a member that has not joined.
 
-        If ``seeds`` contains the address of this member, the member is a seed. Its rank is the index there.
+        If ``seeds`` contains the address of this member, the member is a seed. Its rank is the index of that
+        address.
         """
         own_address = state.identity.address
         self._state = state
@@ -107,7 +108,7 @@
             self._pinger.ping_unknown(source, name)
 
     def on_own_record(self, record: MemberRecord) -> None:
-        """Handles a record with the name of this member that another member sent."""
+        """Handles a record that another member sent and that has the name of this member."""
         own = self._state.record
         if record.identity.incarnation > self._state.identity.incarnation:
             if self._was_joined and not self._has_ended(record):
--- a/ironmill/membership/member_state.py
+++ b/ironmill/membership/member_state.py
@@ -57,7 +57,7 @@
     def __init__(
         self, config: MemberConfig, rng: random.Random, now: float, on_event: EventListener, view: View
     ) -> None:
-        """Starts without peers; draws the secret of the contact tokens from ``rng``."""
+        """Creates the state without peers; draws the secret of the contact tokens from ``rng``."""
         self.identity = config.identity
         self.timing = config.timing
         self.peer_addresses = config.peer_addresses
--- a/ironmill/membership/messages.py
+++ b/ironmill/membership/messages.py
@@ -11,15 +11,15 @@
 
 
 class MemberRecord(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The state of one member. Of two records with one name, members keep the one of higher ``order``."""
+    """The state of one member. Of two records with one name, the one with the higher ``order`` is kept."""
 
     identity: MemberIdentity
-    transitions: int  # how often it entered or left the view; it is in the view if even
+    transitions: int  # how often it entered or left the view; it is in the view if this is even
     left: bool = False  # it shut down gracefully, which is final for this incarnation
 
     @property
     def order(self) -> tuple[int, bool, int]:
-        """The sort key of the records with one name; a higher one is newer."""
+        """The sort key of the records with one name; the record with the higher key is newer."""
         return self.identity.incarnation, self.left, self.transitions
 
     @property
--- a/ironmill/membership/pinging.py
+++ b/ironmill/membership/pinging.py
@@ -40,7 +40,7 @@
     __slots__ = ("_broadcasts", "_last_number", "_outbox", "_outstanding", "_relayed_count", "_state")
 
     def __init__(self, state: MemberState, outbox: Outbox, broadcasts: BroadcastQueue) -> None:
-        """Starts without outstanding pings."""
+        """Creates a pinger without outstanding pings."""
         self._state = state
         self._outbox = outbox
         self._broadcasts = broadcasts
@@ -92,7 +92,7 @@
         self.ping(request.subject, RelayRequest(requester, request.number))
 
     def relay_ack(self, ping: OutstandingPing, subject: str) -> None:
-        """Forwards an ack to the member that requested the ping, if any member did and it is known."""
+        """Forwards an ack to the member that requested the ping; does nothing if there is no known one."""
         state = self._state
         if ping.relay is not None and ping.relay.requester in state.view.records:
             requester = ping.relay.requester
@@ -111,7 +111,7 @@
         token = state.tokens.issue(envelope.sender, envelope.incarnation, state.now)
         updates: list[Raw] = []
         record = state.view.records.get(envelope.sender)
-        # A removed member or a superseded process receives that record from the first member that it pings.
+        # A removed member or a superseded process learns of this from the first member that it pings.
         if record is not None and (
             not record.is_present or record.identity.incarnation > envelope.incarnation
         ):
--- a/ironmill/membership/rings.py
+++ b/ironmill/membership/rings.py
@@ -29,7 +29,7 @@
     """The rings of the members in one view."""
 
     def __init__(self) -> None:
-        """Starts without members."""
+        """Creates rings without members."""
         self._rings: list[list[tuple[int, str]]] = [[] for _ in range(RING_COUNT)]
         self._positions: dict[str, list[int]] = {}
 
--- a/ironmill/membership/state_sync.py
+++ b/ironmill/membership/state_sync.py
@@ -16,8 +16,8 @@
 
 MAX_PAGE_BYTES = 900  # total size of the records in one datagram
 MIN_SYNC_INTERVAL_S = 1.0  # between two syncs
-SYNC_DELAY_PING_INTERVALS = 2.0  # ping intervals for gossip to resolve a difference before a sync
-MAX_TOKEN_AGE_S = ContactTokens.ROTATION_INTERVAL_S  # so that the receiver still accepts the echoed token
+SYNC_DELAY_PING_INTERVALS = 2.0  # ping intervals in which gossip may resolve a difference before a sync
+MAX_TOKEN_AGE_S = ContactTokens.ROTATION_INTERVAL_S  # the receiver may no longer accept an older token
 
 
 class ViewDifference(Struct):
--- a/ironmill/membership/timing.py
+++ b/ironmill/membership/timing.py
@@ -22,7 +22,7 @@
 REMOVED_PING_INTERVAL_S = 1.0  # between pings of an observer to a removed member that does not answer
 SEED_PING_INTERVAL_S = 2.0  # between pings to seeds that are not in the view
 JOINING_SEED_PING_INTERVAL_S = 0.25  # between pings to seeds while joining or isolated
-# Between pings of a joining member to its observers. Joining usually takes less time than that.
+# Interval between a joining member's pings to its observers. Joining usually ends before the first of them.
 JOINING_OBSERVER_PING_INTERVAL_S = 1.5
 MAX_CONVERGENCE_S = 10.0  # from the end of the last fault until all members have the same view
 # The first seed bootstraps a cluster after this time; each further seed waits twice this time longer.
--- a/ironmill/membership/view.py
+++ b/ironmill/membership/view.py
@@ -12,7 +12,7 @@
 from ironmill.membership.messages import ALIVE, NEUTRAL, SUSPECT, GossipUpdate, MemberRecord, Opinion
 from ironmill.membership.rings import RING_COUNT, Rings
 
-# Fractions of the observers that are not suspected themselves.
+# Fractions of a member's unsuspected observers that have to support its removal or admission.
 REMOVAL_QUORUM_FRACTION, ADMISSION_QUORUM_FRACTION = 0.75, 0.6
 MIN_REMOVAL_SUPPORTERS = 2
 # A member counts as suspected if two observers suspect it. One observer is enough if at least this many
@@ -46,7 +46,7 @@
     """
 
     def __init__(self) -> None:
-        """Starts without records."""
+        """Creates a view without records."""
         self.records: dict[str, MemberRecord] = {}
         self.rings = Rings()
         self.digest = 0  # of all members in the view; equal digests mean equal views
--- a/ironmill/membership/view_agreement.py
+++ b/ironmill/membership/view_agreement.py
@@ -38,7 +38,7 @@
     def __init__(
         self, state: MemberState, broadcasts: BroadcastQueue, pinger: Pinger, health: SelfHealth
     ) -> None:
-        """Starts without unconfirmed changes; opinion stamps start at the incarnation of this process."""
+        """Creates the state without unconfirmed changes; opinion stamps start at the own incarnation."""
         self._state = state
         self._broadcasts = broadcasts
         self._pinger = pinger
@@ -84,7 +84,7 @@
             state.on_event(OpinionChanged(subject, value))
 
     def add_opinion(self, opinion: Opinion) -> bool:
-        """Stores an opinion and broadcasts it; returns False if it is outdated."""
+        """Stores an opinion and broadcasts it; returns False if it is outdated or not acceptable."""
         is_new = self._state.view.add_opinion(opinion, self._state.now + OPINION_LIFETIME_S)
         if is_new:
             self._broadcasts.enqueue(opinion)
--- a/ironmill/requests/connection_limiter.py
+++ b/ironmill/requests/connection_limiter.py
@@ -20,11 +20,12 @@
 # 1 for a file being read, 1 for membership, 20 for health checks, and 1 for the connection being accepted.
 # The sum is rounded up.
 RESERVED_DESCRIPTORS = 48
-# At most 1 / SILENT_DIVISOR of the configured descriptors may belong to silent connections, and at most
-# 1 / LEAVING_DIVISOR to leaving ones. Requests and their attempts take at most a third each.
+# If silent connections have 1 / SILENT_DIVISOR of the configured descriptors, each new connection evicts one
+# of them. Leaving connections have at most 1 / LEAVING_DIVISOR. Almost a third each then remains for requests
+# and for their attempts.
 SILENT_DIVISOR = 4
 LEAVING_DIVISOR = 8
-MIN_CLIENT_DESCRIPTORS = 16  # applies however few descriptors are configured
+MIN_CLIENT_DESCRIPTORS = 16  # minimum for clients, however few descriptors are configured
 MAX_EVICTION_CANDIDATES = 16  # connections checked for each eviction; each check is a system call
 
 log = logging.getLogger("ironmill.requests.admission")
@@ -51,7 +52,7 @@
 
 
 def _nothing_to_evict(*, immediately: bool) -> bool:
-    """Returns False; replaces the eviction callback of a closed connection."""
+    """Returns False; replaces the eviction callback of a leaving or closed connection."""
     return False
 
 
@@ -96,7 +97,10 @@
         return slot
 
     def admit(self, slot: ConnectionSlot) -> bool:
-        """Reserves a descriptor for the attempt of a silent connection. Returns False if none is free."""
+        """Reserves a descriptor for the attempt of a silent connection.
+
+        Returns False if no descriptor is free or the connection is not silent.
+        """
         if slot.phase is not Phase.SILENT:
             return False
         del self._silent[slot]
@@ -110,9 +114,9 @@
         return True
 
     def claim_id(self, slot: ConnectionSlot, client_id: str) -> bool:
-        """Reserves a client id until the connection is removed.
+        """Reserves a client id until the connection is leaving or removed.
 
-        Returns False if another open connection has it.
+        Returns False if another connection has reserved it.
         """
         if client_id in self._client_ids:
             return False
--- a/ironmill/requests/gateway.py
+++ b/ironmill/requests/gateway.py
@@ -84,7 +84,7 @@
             self._on_delay,
             self._on_unresponsive,
         )
-        # These are called for each chunk of relayed data, so an extra method call is avoided.
+        # Drivers call these two for each chunk of relayed data, so no other method is put in between.
         self.on_lines_sent = self._round_trips.lines_sent
         self.on_lines_answered = self._round_trips.lines_answered
         self.feed = self._decisions.feed
@@ -207,8 +207,8 @@
         if request.established:
             self._round_trips.stop(attempt)
         if outcome is Outcome.OK:
-            # This has no effect on an established request. Otherwise the server answered with a line other
-            # than UP, which the client sees as a failure.
+            # These calls have no effect on an established request. For any other request, the outcome means
+            # that the server answered with a line other than UP, which the client sees as a failure.
             request.counter.failed()
             self.requests.resolve(request)
         final = request.resolved
@@ -219,7 +219,7 @@
         self.feed(Ended(request.id, attempt.number, attempt.server.number, outcome, delay, final, report))
 
     def on_client_closed(self, request: ClientRequest) -> None:
-        """Records that a client closed before its final answer. The driver then ends the current attempt."""
+        """Records that a client closed without a final answer. The driver then ends the current attempt."""
         if request.resolved:
             return
         request.counter.abandoned()
--- a/ironmill/requests/metrics.py
+++ b/ironmill/requests/metrics.py
@@ -37,7 +37,7 @@
 
 
 class RequestCounter:
-    """Counts one request. Only its first outcome counts; an established request is closed later."""
+    """Counts one request. Only the first outcome counts; an established request ends later, in ``closed``."""
 
     __slots__ = ("_class", "_in_progress", "_metrics", "_pending")
 
--- a/ironmill/requests/request_registry.py
+++ b/ironmill/requests/request_registry.py
@@ -74,7 +74,7 @@
         return handler
 
     def abandon(self, request: ClientRequest) -> RequestHandler:
-        """Finishes a request that is not decided yet, notifies the balancer and returns the handler."""
+        """Finishes a request without a final answer, notifies the balancer and returns the handler."""
         handler = self.finish(request)
         self._feed(Abandoned(request.id))
         return handler
--- a/ironmill/requests/routing_table.py
+++ b/ironmill/requests/routing_table.py
@@ -22,7 +22,7 @@
     number: int
     uid: str
     address: tuple[str, int]
-    leaving_since: float | None = None  # when this proxy learned that it drains or was removed
+    leaving_since: float | None = None  # when this proxy learned that the server drains or was removed
     listed: bool = True  # whether it is in the newest list
 
 
