--- a/ironmill/membership/self_health.py
+++ b/ironmill/membership/self_health.py
@@ -55,7 +55,7 @@
 
     @property
     def withholds_opinions(self) -> bool:
-        """Whether this member forms no opinions: it is isolated, was just paused, or is not in the view."""
+        """Whether this member withholds its opinions, because a fault of its own might distort them."""
         return self.is_isolated or self._state.now < self._recovering_until or not self._state.is_joined
 
     @property
